--- a/crates/comethitchd/src/memory/mod.rs
+++ b/crates/comethitchd/src/memory/mod.rs
@@ -1,5 +1,6 @@
 //! What is kept in memory: buffers, connections, commands in hand, the list, and what holds them all.
 
+pub mod arrivals;
 pub mod buffer;
 pub mod clients;
 pub mod clock;
--- a/crates/comethitchd/src/protocols/line.rs
+++ b/crates/comethitchd/src/protocols/line.rs
@@ -1,6 +1,7 @@
 //! A client's connection, whatever is spoken on it: reading while nothing is in hand, waiting while something is,
 //! and how it ends.
 
+use crate::memory::arrivals::Arrivals;
 use crate::memory::buffer::Buffer;
 use crate::memory::clients::{Permit, Stage};
 use crate::memory::clock::{after, duration};
@@ -37,8 +38,9 @@
     /// The client's machine, as a number: its connections share what it may cost.
     pub origin: u64,
     pub notice: Rc<Notice>,
-    /// When the bytes read last came in.
+    /// When the last byte came that was taken out of the buffer.
     pub arrived: Time,
+    arrivals: Arrivals,
     _permit: Permit,
     /// A command was answered here, so that the connection may be closed between two.
     pub served: bool,
@@ -88,6 +90,7 @@
             origin,
             notice,
             arrived,
+            arrivals: Arrivals::default(),
             _permit: permit,
             served: false,
             rejected: 0,
@@ -161,13 +164,19 @@
         if read == 0 {
             return Err(Stop::Left);
         }
-        self.has_read();
+        self.has_read(read);
         Ok(())
     }
 
-    /// Bytes were read just now.
-    fn has_read(&mut self) {
-        self.arrived = self.hub.arrival();
+    /// Takes bytes out of the buffer: what they say came in with the last of them.
+    pub fn consume(&mut self, length: usize) {
+        self.buffer.consume(length);
+        self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
+    }
+
+    /// So many bytes were read just now.
+    fn has_read(&mut self, length: usize) {
+        self.arrivals.read(length, self.hub.arrival());
         self.last_read = self.notice.asked() != Close::Never;
     }
 
@@ -181,7 +190,7 @@
         let told = async {
             self.write(&out).await.ok()?;
             self.stream.get_ref().shutdown(Shutdown::Write).ok()?;
-            self.buffer.consume(self.buffer.unread().len());
+            self.consume(self.buffer.unread().len());
             loop {
                 self.stream.readable().await.ok()?;
                 match self.stream.get_ref().read(&mut self.hub.dropped.borrow_mut()) {
@@ -219,13 +228,20 @@
         }
     }
 
-    /// Waits until the client has gone, and reads nothing.
-    async fn leaves(&self) {
+    /// Waits until the client has gone, and reads nothing; what it sends meanwhile is timed all the same.
+    async fn leaves(&mut self) {
         while !self.has_left() {
+            self.time_waiting();
             Timer::after(LOOK).await;
         }
     }
 
+    /// Records the bytes that wait in the system to be read: they have come by now.
+    fn time_waiting(&mut self) {
+        let waiting = self.stream.get_ref().peek(&mut self.hub.dropped.borrow_mut());
+        self.arrivals.waiting(waiting.unwrap_or(0), self.hub.arrival());
+    }
+
     /// Waits for something, and notices if the client goes away before it.
     pub async fn while_here<T>(&mut self, event: impl Future<Output = T>) -> Result<T, Stop> {
         // Without interruptions something comes, or the client leaves.
@@ -253,7 +269,7 @@
             match come.or(read).await {
                 Ok(come) => return Ok(Some(come)),
                 Err(Ok(length)) if length > 0 => {
-                    self.has_read();
+                    self.has_read(length);
                     if interrupts.as_ref().is_some_and(|interrupts| interrupts(self.buffer.unread())) {
                         return Ok(None);
                     }
--- a/crates/comethitchd/src/protocols/postgres/take_in.rs
+++ b/crates/comethitchd/src/protocols/postgres/take_in.rs
@@ -53,11 +53,11 @@
                     return Err(Stop::Left);
                 }
                 Some((Opening::Encryption, length)) => {
-                    self.line.buffer.consume(length);
+                    self.line.consume(length);
                     self.line.write(b"N").await?;
                 }
                 Some((Opening::Startup { minor }, length)) => {
-                    self.line.buffer.consume(length);
+                    self.line.consume(length);
                     let mut out = Vec::new();
                     postgres::put_welcome(&mut out, minor, self.line.number, self.line.notice.key);
                     return self.line.write(&out).await;
@@ -98,7 +98,7 @@
             b'H' | b'd' | b'c' | b'f' => None,
             _ => return Err(Stop::Lost("a message of unknown type")),
         };
-        self.line.buffer.consume(length);
+        self.line.consume(length);
         match query.filter(|_| !self.skipping) {
             Some(text) => self.query(text, out).await,
             None if out.is_empty() => Ok(()),
--- a/crates/comethitchd/src/protocols/tds/take_in.rs
+++ b/crates/comethitchd/src/protocols/tds/take_in.rs
@@ -162,7 +162,7 @@
         let (mut message, mut held) = (Assembly::new(most), Held::new(&self.line.hub.room));
         loop {
             let taken = message.take(self.line.buffer.unread()).map_err(|broken| Stop::Lost(broken.0))?;
-            self.line.buffer.consume(taken);
+            self.line.consume(taken);
             if !held.is(message.payload().len()) {
                 return Err(Stop::Io(std::io::ErrorKind::OutOfMemory.into()));
             }
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -417,6 +417,37 @@
     router.wait();
 }
 
+#[test]
+fn a_pipelined_command_is_timed_by_its_own_last_byte_and_not_by_those_that_come_later() {
+    let (tell, go) = channel::<()>();
+    let go = std::sync::Mutex::new(go);
+    let primary = host(true, move |nth, _| {
+        if nth == 0 {
+            go.lock().expect("a turn").recv().expect("told to go on");
+        }
+        answer("value")
+    });
+    let router = alone(&primary);
+    let mut client = Client::connect(router.address);
+    client.0.write_all(&query(&write(1, 5_000))).expect("sent");
+    assert!(matches!(primary.next(), Met::Query(_)));
+    // The second comes while the first is in hand, and the third begins with it.
+    let (second, third) = (query(&write(2, 300)), query(&write(3, 5_000)));
+    client.0.write_all(&[&second[..], &third[..20]].concat()).expect("sent");
+    sleep(Duration::from_millis(500));
+    client.0.write_all(&third[20..]).expect("sent");
+    // The second's time is over; reckoned from the third's last byte most of it would be left.
+    sleep(Duration::from_millis(100));
+    tell.send(()).expect("told");
+    assert_eq!(client.got(), Got::Value(b"value".to_vec()));
+    assert_eq!(client.got(), Got::Error("53300".into()), "nobody waits for it any more");
+    assert_eq!(client.got(), Got::Value(b"value".to_vec()), "the third has its whole time");
+    router.wait();
+    let sent: Vec<Met> = primary.met.try_iter().filter(|met| matches!(met, Met::Query(_))).collect();
+    let third = matches!(&sent[..], [Met::Query(text)] if text.contains("id=3,"));
+    assert!(third, "the third alone came after the first: {sent:?}");
+}
+
 /// The number and the key of a connection, as a client is told them.
 fn cancel_key(client: &mut Client) -> [u8; 8] {
     client.0.write_all(&startup()).expect("sent");
