--- a/crates/comethitch-adapter/src/outlet.rs
+++ b/crates/comethitch-adapter/src/outlet.rs
@@ -1,6 +1,6 @@
 //! Writes each act of a decision straight into the reply.
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandId, Host, Outlet};
 
 const HEADER: usize = 8;
@@ -12,12 +12,12 @@
     frame: Vec<u8>,
     tail: Vec<u8>,
     count: u32,
-    now: Time,
+    now: Timestamp,
     instance: u16,
 }
 
 impl Reply {
-    pub fn start(&mut self, now: Time) {
+    pub fn start(&mut self, now: Timestamp) {
         self.frame.clear();
         self.frame.resize(HEADER, 0);
         self.tail.clear();
@@ -55,16 +55,16 @@
     }
 }
 
-fn micros(span: Span) -> [u8; 4] {
-    u32::try_from(span.0).unwrap_or(u32::MAX).to_le_bytes()
+fn micros(span: Duration) -> [u8; 4] {
+    u32::try_from(span.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
 
 impl Outlet for Reply {
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         self.now
     }
 
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Span) {
+    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
         let fields = [&cmd.to_le_bytes()[..], &host.address, &host.port.to_le_bytes(), &micros(time_out)];
         self.record(80, &fields);
     }
@@ -73,7 +73,7 @@
         self.record(90, &[&cmd.to_le_bytes(), &nth.to_le_bytes()]);
     }
 
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Span>) {
+    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>) {
         self.record(84, &[&cmd.to_le_bytes(), &micros(retry_after.unwrap_or_default())]);
     }
 
@@ -89,7 +89,7 @@
         self.record(85, &[&host.address, &host.port.to_le_bytes()]);
     }
 
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: Duration) {
         self.record(82, &[&micros(after)]);
     }
 
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -2,7 +2,7 @@
 
 use crate::fields::Fields;
 use crate::outlet::Reply;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{Deployment, Ending, Lifecycle, Router};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -27,7 +27,7 @@
         let tail = tail
             .filter(|at| *at <= frame.len())
             .ok_or_else(|| format!("short frame: {count} records do not fit into {} bytes", frame.len()))?;
-        self.reply.start(Time(header.u64(8)?));
+        self.reply.start(Timestamp::from_micros(header.u64(8)?));
         for (i, record) in frame[HEADER..tail].chunks_exact(RECORD).enumerate() {
             self.take_in(Fields(record), Fields(&frame[tail..]))
                 .map_err(|e| format!("record {i} (code {}, byte {}): {e}", record[0], HEADER + i * RECORD))?;
@@ -106,15 +106,15 @@
             }
             // Rounded down: a commit that looks later than it was asks for more, never for less.
             let since_write = record.f32(31)?;
-            let since_write =
-                (since_write > 0.0).then(|| Span((f64::from(since_write.next_down()) * 1000.0) as u64));
+            let since_write = (since_write > 0.0)
+                .then(|| Duration::from_micros((f64::from(since_write.next_down()) * 1000.0) as u64));
             router.take(
                 record.u32(3)?,
                 group,
                 record.f32(27)? as u16,
                 record.u64(11)?,
                 since_write,
-                Span(record.u32(19)?.into()),
+                Duration::from_micros(record.u32(19)?.into()),
                 out,
             );
         }
@@ -151,7 +151,7 @@
         lifecycle,
         entry.f32(11)? >= 0.5,
         f64::from(entry.f32(15)?),
-        (started > 0).then_some(Time(started)),
+        (started > 0).then_some(Timestamp::from_micros(started)),
         out,
     );
     Ok(())
--- a/crates/comethitch-fleet/src/leak.rs
+++ b/crates/comethitch-fleet/src/leak.rs
@@ -1,43 +1,43 @@
 //! A sum that leaks away: what was lately, in two numbers.
 
-use comethitch_time::{Span, Time};
+use comethitch_time::{Duration, Timestamp};
 
 /// What was added lately, each part fading by `e` over a span that the caller names.
 ///
 /// ```
 /// use comethitch_fleet::leak::Leak;
-/// use comethitch_time::{Span, Time};
-/// let span = Span(2_000_000);
+/// use comethitch_time::{Duration, Timestamp};
+/// let span = Duration::from_secs(2);
 /// let mut asked = Leak::default();
 /// // Five a second for a while: about ten are left of the last two seconds.
-/// (0..100).for_each(|k| asked.add(1.0, Time(k * 200_000), span));
-/// assert!((asked.left(Time(20_000_000), span) - 9.5).abs() < 0.5);
-/// assert!(asked.left(Time(40_000_000), span) < 0.001);
+/// (0..100).for_each(|k| asked.add(1.0, Timestamp::from_micros(k * 200_000), span));
+/// assert!((asked.left(Timestamp::from_millis(20_000), span) - 9.5).abs() < 0.5);
+/// assert!(asked.left(Timestamp::from_millis(40_000), span) < 0.001);
 /// // After half a second three have come: that is twelve in a span.
 /// let mut asked = Leak::default();
-/// (1..4).for_each(|k| asked.add(1.0, Time(k * 200_000), span));
-/// assert!((asked.each(Time(700_000), span) - 12.0).abs() < 1.5);
+/// (1..4).for_each(|k| asked.add(1.0, Timestamp::from_micros(k * 200_000), span));
+/// assert!((asked.each(Timestamp::from_millis(700), span) - 12.0).abs() < 1.5);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Leak {
     sum: f64,
-    at: Time,
-    since: Time,
+    at: Timestamp,
+    since: Timestamp,
 }
 
 impl Leak {
-    pub fn left(&self, now: Time, span: Span) -> f64 {
-        self.sum * (-(now - self.at).over(span)).exp()
+    pub fn left(&self, now: Timestamp, span: Duration) -> f64 {
+        self.sum * (-(now - self.at).ratio(span)).exp()
     }
 
     /// What comes in a span, by what is left: also while less than a span has passed since the first. It starts from
     /// a tenth of a span, as one alone tells little.
-    pub fn each(&self, now: Time, span: Span) -> f64 {
-        self.left(now, span) / (1.0 - (-(now - self.since).over(span)).exp()).max(0.1)
+    pub fn each(&self, now: Timestamp, span: Duration) -> f64 {
+        self.left(now, span) / (1.0 - (-(now - self.since).ratio(span)).exp()).max(0.1)
     }
 
-    pub fn add(&mut self, amount: f64, now: Time, span: Span) {
-        self.since = if self.at == Time(0) { now } else { self.since };
+    pub fn add(&mut self, amount: f64, now: Timestamp, span: Duration) {
+        self.since = if self.at == Timestamp::ZERO { now } else { self.since };
         (self.sum, self.at) = (self.left(now, span) + amount, now);
     }
 
--- a/crates/comethitch-fleet/src/lib.rs
+++ b/crates/comethitch-fleet/src/lib.rs
@@ -8,10 +8,10 @@
 //!
 //! ```
 //! use comethitch_fleet::subset::{self, Candidate};
-//! use comethitch_time::{Span, Time};
+//! use comethitch_time::{Duration, Timestamp};
 //!
 //! let replicas = (0..22).map(|key| Candidate { at: key as usize, key, weight: 1.0 });
-//! let subset = subset::draw(7, Time(0), Span(60_000_000), 3, replicas);
+//! let subset = subset::draw(7, Timestamp::ZERO, Duration::from_secs(60), 3, replicas);
 //! assert_eq!(subset.len(), 3);
 //! assert!((subset[0].reach - 3.0 / 22.0).abs() < 1e-9, "the share of all routers that use this host too");
 //! ```
--- a/crates/comethitch-fleet/src/proof.rs
+++ b/crates/comethitch-fleet/src/proof.rs
@@ -4,7 +4,7 @@
 //! probes each period, most of them for nobody. Here a proof is renewed only while commands want it, and only as it
 //! is about to run out; a command that finds none causes the probe at once and goes when it is answered.
 
-use comethitch_time::Span;
+use comethitch_time::Duration;
 
 /// How long a proof lasts for commands that want data no older than `bound`: until just before it runs out, as there
 /// are others to go to while it is renewed. `again` is how soon a probe that told nothing is sent again; at the most
@@ -12,11 +12,11 @@
 ///
 /// ```
 /// use comethitch_fleet::proof;
-/// use comethitch_time::Span;
-/// assert_eq!(proof::lasts(Span(3_000_000), Span(250_000)), Span(2_750_000));
-/// assert_eq!(proof::lasts(Span(200_000), Span(250_000)), Span(100_000), "a tight bound is renewed at its half");
+/// use comethitch_time::Duration;
+/// assert_eq!(proof::lasts(Duration::from_secs(3), Duration::from_millis(250)), Duration::from_millis(2_750));
+/// assert_eq!(proof::lasts(Duration::from_millis(200), Duration::from_millis(250)), Duration::from_millis(100), "a tight bound is renewed at its half");
 /// ```
-pub fn lasts(bound: Span, again: Span) -> Span {
+pub fn lasts(bound: Duration, again: Duration) -> Duration {
     (bound - again).max(bound / 2)
 }
 
@@ -25,12 +25,12 @@
 ///
 /// ```
 /// use comethitch_fleet::proof::wait;
-/// use comethitch_time::Span;
-/// let again = Span(250_000);
-/// assert_eq!(wait(Some(Span(20_000)), again), again);
-/// assert_eq!(wait(Some(Span(2_000_000)), again), Span(1_000_000));
-/// assert_eq!(wait(None, again), Span(500_000));
+/// use comethitch_time::Duration;
+/// let again = Duration::from_millis(250);
+/// assert_eq!(wait(Some(Duration::from_millis(20)), again), again);
+/// assert_eq!(wait(Some(Duration::from_secs(2)), again), Duration::from_secs(1));
+/// assert_eq!(wait(None, again), Duration::from_millis(500));
 /// ```
-pub fn wait(lag: Option<Span>, again: Span) -> Span {
+pub fn wait(lag: Option<Duration>, again: Duration) -> Duration {
     lag.map_or(again * 2, |lag| again.max(lag / 2))
 }
--- a/crates/comethitch-fleet/src/room.rs
+++ b/crates/comethitch-fleet/src/room.rs
@@ -4,7 +4,7 @@
 //! grows back with those in time; the caller says how small it may get, which is the router's part of what the
 //! host holds from all.
 
-use comethitch_time::{Span, Time};
+use comethitch_time::{Duration, Timestamp};
 
 /// From this share of late answers on there is a crowd.
 const LATE_SHARE: f64 = 0.15;
@@ -12,17 +12,17 @@
 /// Work in hand, and how much may be.
 #[derive(Clone, Debug)]
 pub struct Room {
-    pub load: Span,
-    pub limit: Span,
+    pub load: Duration,
+    pub limit: Duration,
     /// The share of late answers among the last few.
     pub lateness: f64,
-    cut: Time,
+    cut: Timestamp,
 }
 
 impl Default for Room {
     /// Without limit, until one is set or answers are late.
     fn default() -> Room {
-        Room { load: Span(0), limit: Span(u64::MAX), lateness: 0.0, cut: Time(0) }
+        Room { load: Duration::ZERO, limit: Duration::MAX, lateness: 0.0, cut: Timestamp::ZERO }
     }
 }
 
@@ -33,17 +33,17 @@
     ///
     /// ```
     /// use comethitch_fleet::room::Room;
-    /// use comethitch_time::Span;
+    /// use comethitch_time::Duration;
     /// let mut room = Room::default();
-    /// room.limit = Span(100);
-    /// assert!(room.holds(Span(500), 1.0, 0.9), "the first, as long as nothing was late");
-    /// room.load = Span(80);
-    /// assert!(room.holds(Span(20), 1.0, 0.0) && !room.holds(Span(21), 1.0, 0.0) && room.holds(Span(100), 2.0, 0.0));
+    /// room.limit = Duration::from_micros(100);
+    /// assert!(room.holds(Duration::from_micros(500), 1.0, 0.9), "the first, as long as nothing was late");
+    /// room.load = Duration::from_micros(80);
+    /// assert!(room.holds(Duration::from_micros(20), 1.0, 0.0) && !room.holds(Duration::from_micros(21), 1.0, 0.0) && room.holds(Duration::from_micros(100), 2.0, 0.0));
     /// ```
-    pub fn holds(&self, work: Span, stretch: f64, draw: f64) -> bool {
+    pub fn holds(&self, work: Duration, stretch: f64, draw: f64) -> bool {
         let limit = self.limit.scaled(stretch);
         match self.load {
-            Span(0) => self.cut == Time(0) || work.scaled(draw) <= limit,
+            Duration::ZERO => self.cut == Timestamp::ZERO || work.scaled(draw) <= limit,
             load => load + work <= limit,
         }
     }
@@ -52,7 +52,8 @@
     /// answers cuts room, once `every` and not below `least`: a long command now and then is no queue. Where a
     /// router sees little of each host, the share `together` of all hosts shows a crowd sooner.
     pub fn ended(
-        &mut self, work: Span, late: Option<bool>, together: f64, least: Span, every: Span, now: Time,
+        &mut self, work: Duration, late: Option<bool>, together: f64, least: Duration, every: Duration,
+        now: Timestamp,
     ) {
         let load = self.load;
         self.load = load - work;
--- a/crates/comethitch-fleet/src/room/tests.rs
+++ b/crates/comethitch-fleet/src/room/tests.rs
@@ -2,12 +2,19 @@
 
 use super::*;
 
-const WORK: Span = Span(100_000);
+const WORK: Duration = Duration::from_millis(100);
 
 fn play(room: &mut Room, answers: u64, late: bool, from: u64) {
     for k in 0..answers {
         room.load = WORK * 4;
-        room.ended(WORK, Some(late), 0.0, WORK, Span(500_000), Time(from + k * 100_000));
+        room.ended(
+            WORK,
+            Some(late),
+            0.0,
+            WORK,
+            Duration::from_millis(500),
+            Timestamp::from_micros(from + k * 100_000),
+        );
     }
 }
 
@@ -27,14 +34,21 @@
     let mut room = Room { limit: WORK, lateness: 1.0, ..Room::default() };
     assert!(room.holds(WORK, 1.0, 0.99), "nothing was late here yet");
     room.load = WORK;
-    room.ended(WORK, Some(true), 0.0, WORK / 4, Span(500_000), Time(10_000_000));
+    room.ended(WORK, Some(true), 0.0, WORK / 4, Duration::from_millis(500), Timestamp::from_millis(10_000));
     assert_eq!(room.limit, WORK / 2);
     let admitted = (0..100).filter(|k| room.holds(WORK, 1.0, f64::from(*k) / 100.0)).count();
     assert!((50..=51).contains(&admitted), "{admitted} of 100");
     // What is answered in time gives the whole of it back.
     (0..6).for_each(|k| {
         room.load = WORK;
-        room.ended(WORK, Some(false), 0.0, WORK / 4, Span(500_000), Time(11_000_000 + k));
+        room.ended(
+            WORK,
+            Some(false),
+            0.0,
+            WORK / 4,
+            Duration::from_millis(500),
+            Timestamp::from_micros(11_000_000 + k),
+        );
     });
     assert!(room.holds(WORK, 1.0, 0.99), "{:?}", room.limit);
 }
@@ -44,7 +58,14 @@
     let mut room = Room { limit: WORK * 1000, lateness: 1.0, ..Room::default() };
     for k in 0..100 {
         room.load = WORK * 1000;
-        room.ended(WORK, Some(true), 0.0, WORK, Span(500_000), Time(10_000_000 + k));
+        room.ended(
+            WORK,
+            Some(true),
+            0.0,
+            WORK,
+            Duration::from_millis(500),
+            Timestamp::from_micros(10_000_000 + k),
+        );
     }
     assert!(room.limit >= WORK * 500, "one cut: {:?}", room.limit);
 }
@@ -52,6 +73,6 @@
 #[test]
 fn what_says_nothing_frees_its_work_alone() {
     let mut room = Room { limit: WORK * 8, load: WORK * 2, lateness: 0.5, ..Room::default() };
-    room.ended(WORK, None, 1.0, WORK, Span(0), Time(10_000_000));
+    room.ended(WORK, None, 1.0, WORK, Duration::ZERO, Timestamp::from_millis(10_000));
     assert_eq!((room.load, room.limit, room.lateness), (WORK, WORK * 8, 0.5));
 }
--- a/crates/comethitch-fleet/src/share.rs
+++ b/crates/comethitch-fleet/src/share.rs
@@ -7,7 +7,7 @@
 //! spread of a Poisson draw, whose chance of going over is [`chance_over`].
 
 use crate::drawn;
-use comethitch_time::{Span, Time};
+use comethitch_time::{Duration, Timestamp};
 
 /// How many routers use a host that `reach` of them (0 to 1) have in their subsets: one standard deviation above
 /// the mean, as the draw of subsets can fall that way.
@@ -37,16 +37,16 @@
     pub routers: u32,
     /// A host falls that is sent more than this many times what it can do, for so long.
     pub multiple: f64,
-    pub span: Span,
+    pub span: Duration,
     /// It starts with this part of its power at the least, and has all of it within this time.
     pub from: f64,
-    pub within: Span,
+    pub within: Duration,
 }
 
 impl Ramp {
     /// The part of a host's power that it surely has by now, if it started lately.
-    pub fn warmth(&self, started: Option<Time>, now: Time) -> f64 {
-        let passed = |at: Time| (now - at).over(self.within).min(1.0);
+    pub fn warmth(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
+        let passed = |at: Timestamp| (now - at).ratio(self.within).min(1.0);
         started.map_or(1.0, |at| self.from + (1.0 - self.from) * passed(at))
     }
 
@@ -59,7 +59,7 @@
     pub fn budget(&self, warmth: f64, reach: f64, peers: f64, borne: f64) -> f64 {
         let sharers = sharers(self.routers, reach);
         let alike = peers * f64::from(self.routers) / sharers;
-        let ramp = warmth * (alike * PEERS_SHARE).max(self.span.0 as f64 / sharers);
+        let ramp = warmth * (alike * PEERS_SHARE).max(self.span.as_micros() as f64 / sharers);
         self.multiple * ramp.max(borne * BORNE_SHARE)
     }
 }
@@ -73,12 +73,12 @@
 }
 
 impl Spent {
-    fn round(salt: u64, now: Time, span: Span) -> u64 {
-        let span = span.0.max(1);
-        now.0.saturating_add(salt % span) / span
+    fn round(salt: u64, now: Timestamp, span: Duration) -> u64 {
+        let span = span.as_micros().max(1);
+        now.as_micros().saturating_add(salt % span) / span
     }
 
-    pub fn add(&mut self, amount: f64, salt: u64, now: Time, span: Span) {
+    pub fn add(&mut self, amount: f64, salt: u64, now: Timestamp, span: Duration) {
         let round = Spent::round(salt, now, span);
         self.amount = amount + if self.round == round { self.amount } else { 0.0 };
         self.round = round;
@@ -87,7 +87,9 @@
     /// Whether `cost` more may be spent in this round. The budget is rounded by chance, drawn once for router, host
     /// and round: over many rounds as much is allowed as the budget says, be it a small part of one command or
     /// several.
-    pub fn admits(&self, cost: f64, budget: f64, salt: u64, key: u64, now: Time, span: Span) -> bool {
+    pub fn admits(
+        &self, cost: f64, budget: f64, salt: u64, key: u64, now: Timestamp, span: Duration,
+    ) -> bool {
         let round = Spent::round(salt, now, span);
         let spent = if self.round == round { self.amount } else { 0.0 };
         spent + cost * (1.0 - turn(salt, key, now, span)) < budget
@@ -99,12 +101,12 @@
 ///
 /// ```
 /// use comethitch_fleet::share::turn;
-/// use comethitch_time::{Span, Time};
-/// let open = |at: Time| (0..1000).filter(|salt| turn(*salt * 7_919, 77, at, Span(250_000)) < 0.25).count();
-/// assert!((200..300).contains(&open(Time(1_000_000))), "a quarter of all routers has its turn");
-/// assert_eq!(turn(5, 77, Time(0), Span(100)), turn(5, 77, Time(90), Span(100)), "while a span lasts it stays");
+/// use comethitch_time::{Duration, Timestamp};
+/// let open = |at: Timestamp| (0..1000).filter(|salt| turn(*salt * 7_919, 77, at, Duration::from_millis(250)) < 0.25).count();
+/// assert!((200..300).contains(&open(Timestamp::from_millis(1_000))), "a quarter of all routers has its turn");
+/// assert_eq!(turn(5, 77, Timestamp::ZERO, Duration::from_micros(100)), turn(5, 77, Timestamp::from_micros(90), Duration::from_micros(100)), "while a span lasts it stays");
 /// ```
-pub fn turn(salt: u64, key: u64, now: Time, span: Span) -> f64 {
+pub fn turn(salt: u64, key: u64, now: Timestamp, span: Duration) -> f64 {
     drawn([salt, key, Spent::round(salt, now, span)])
 }
 
--- a/crates/comethitch-fleet/src/slots.rs
+++ b/crates/comethitch-fleet/src/slots.rs
@@ -6,7 +6,7 @@
 //! away together come back apart: each draws its own part of the wait.
 
 use crate::drawn;
-use comethitch_time::{Span, Time};
+use comethitch_time::{Duration, Timestamp};
 
 /// The first wait is so many times what a connection may take to come up, and is doubled at most so often: connections
 /// that others hold idle come free within tens of seconds.
@@ -24,14 +24,14 @@
     most: Option<u32>,
     /// How often it was turned away since it last got one more.
     turned: u32,
-    until: Time,
+    until: Timestamp,
     /// When the one that attempts a connection was sent, while it is out.
-    attempted: Option<Time>,
+    attempted: Option<Timestamp>,
 }
 
 impl Slots {
     /// A command goes there.
-    pub fn sent(&mut self, now: Time) {
+    pub fn sent(&mut self, now: Timestamp) {
         self.out += 1;
         if self.most.is_some_and(|most| self.out > most) {
             self.attempted = self.attempted.or(Some(now));
@@ -39,12 +39,12 @@
     }
 
     /// One that was sent then came back, answered or not. Those on connections that are held tell nothing of another.
-    pub fn ended(&mut self, sent: Time, answered: bool) {
+    pub fn ended(&mut self, sent: Timestamp, answered: bool) {
         if self.attempted == Some(sent) {
             self.attempted = None;
             if answered {
                 // There was a place for one more.
-                (self.most, self.turned, self.until) = (None, 0, Time(0));
+                (self.most, self.turned, self.until) = (None, 0, Timestamp::ZERO);
             }
         }
         self.out = self.out.saturating_sub(1);
@@ -55,18 +55,18 @@
     ///
     /// ```
     /// use comethitch_fleet::slots::Slots;
-    /// use comethitch_time::{Span, Time};
-    /// let (mut slots, now) = (Slots::default(), Time(1_000_000));
+    /// use comethitch_time::{Duration, Timestamp};
+    /// let (mut slots, now) = (Slots::default(), Timestamp::from_millis(1_000));
     /// slots.sent(now);
     /// assert!(slots.open(now), "nobody has said anything yet");
     /// slots.sent(now);
     /// slots.ended(now, false);
-    /// slots.turned_away(1, 2, Span(250_000), now);
+    /// slots.turned_away(1, 2, Duration::from_millis(250), now);
     /// assert!(!slots.open(now), "one is out there, and there is no place for two");
     /// slots.ended(now, true);
     /// assert!(slots.open(now), "the one is back, and its connection is kept");
     /// ```
-    pub fn turned_away(&mut self, salt: u64, key: u64, connect: Span, now: Time) {
+    pub fn turned_away(&mut self, salt: u64, key: u64, connect: Duration, now: Timestamp) {
         self.most = Some(self.out);
         // Several attempted a connection at once: one refusal, not several.
         if now >= self.until {
@@ -77,7 +77,7 @@
     }
 
     /// Whether one more may go there: on a connection that is held, or to attempt one, one at a time.
-    pub fn open(&self, now: Time) -> bool {
+    pub fn open(&self, now: Timestamp) -> bool {
         self.most.is_none_or(|most| self.out < most || self.out == most && now >= self.until)
     }
 }
@@ -87,13 +87,13 @@
 ///
 /// ```
 /// use comethitch_fleet::slots::kept;
-/// use comethitch_time::{Span, Time};
-/// let longest = Span(16_000_000);
-/// assert_eq!(kept(longest, None, Time(0)), longest);
-/// assert_eq!(kept(longest, Some(Time(1)), Time(2)), Span(1_000_000));
-/// assert_eq!(kept(longest, Some(Time(1)), Time(16_000_002)), longest);
+/// use comethitch_time::{Duration, Timestamp};
+/// let longest = Duration::from_secs(16);
+/// assert_eq!(kept(longest, None, Timestamp::ZERO), longest);
+/// assert_eq!(kept(longest, Some(Timestamp::from_micros(1)), Timestamp::from_micros(2)), Duration::from_secs(1));
+/// assert_eq!(kept(longest, Some(Timestamp::from_micros(1)), Timestamp::from_micros(16_000_002)), longest);
 /// ```
-pub fn kept(longest: Span, turned_away: Option<Time>, now: Time) -> Span {
+pub fn kept(longest: Duration, turned_away: Option<Timestamp>, now: Timestamp) -> Duration {
     match turned_away {
         Some(at) if now - at <= longest => longest / SHORT,
         _ => longest,
--- a/crates/comethitch-fleet/src/subset.rs
+++ b/crates/comethitch-fleet/src/subset.rs
@@ -11,7 +11,7 @@
 //! unlucky draw lasts and no two changes fall together.
 
 use crate::drawn;
-use comethitch_time::{Span, Time};
+use comethitch_time::{Duration, Timestamp};
 
 /// A subset has three members at least: one may fail, one may lag, and one remains.
 pub const LEAST: usize = 3;
@@ -48,7 +48,7 @@
 /// The subset of the router with this salt: the first `size` candidates by rank, best first; all, if there are no
 /// more than that.
 pub fn draw(
-    salt: u64, now: Time, drift: Span, size: usize, candidates: impl Iterator<Item = Candidate>,
+    salt: u64, now: Timestamp, drift: Duration, size: usize, candidates: impl Iterator<Item = Candidate>,
 ) -> Vec<Member> {
     let mut ranked: Vec<(f64, Candidate)> = candidates.map(|c| (rank(salt, &c, now, drift), c)).collect();
     let sum: f64 = ranked.iter().map(|(_, c)| c.weight).sum();
@@ -62,10 +62,10 @@
 
 /// The lower, the better. The draw is exponential with the weight as its rate: of any set of candidates the lowest
 /// is each one with a chance in proportion to its weight.
-fn rank(salt: u64, candidate: &Candidate, now: Time, drift: Span) -> f64 {
-    let drift = drift.0.max(1);
+fn rank(salt: u64, candidate: &Candidate, now: Timestamp, drift: Duration) -> f64 {
+    let drift = drift.as_micros().max(1);
     let moment = (drawn([salt, candidate.key, u64::MAX]) * drift as f64) as u64;
-    let draw = drawn([salt, candidate.key, (now.0.saturating_add(moment)) / drift]);
+    let draw = drawn([salt, candidate.key, (now.as_micros().saturating_add(moment)) / drift]);
     -(1.0 - draw).ln() / candidate.weight.max(f64::MIN_POSITIVE)
 }
 
--- a/crates/comethitch-fleet/src/subset/tests.rs
+++ b/crates/comethitch-fleet/src/subset/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const DRIFT: Span = Span(100_000_000);
+const DRIFT: Duration = Duration::from_secs(100);
 
 fn even(hosts: u64) -> impl Iterator<Item = Candidate> {
     (0..hosts).map(|key| Candidate { at: key as usize, key, weight: 1.0 })
@@ -18,10 +18,10 @@
     let mut held = [0.0; 24];
     for salt in 0..4000 {
         let all = (0..24).map(|key| Candidate { at: key as usize, key, weight: weight(key) });
-        draw(salt, Time(0), DRIFT, 3, all).iter().for_each(|member| held[member.at] += 1.0 / 4000.0);
+        draw(salt, Timestamp::ZERO, DRIFT, 3, all).iter().for_each(|member| held[member.at] += 1.0 / 4000.0);
     }
     let all = (0..24).map(|key| Candidate { at: key as usize, key, weight: weight(key) });
-    for member in draw(1, Time(0), DRIFT, 24, all) {
+    for member in draw(1, Timestamp::ZERO, DRIFT, 24, all) {
         let expected = 3.0 * weight(member.at as u64) / 26.0;
         assert!((held[member.at] / expected - 1.0).abs() < 0.3, "{} for {expected}", held[member.at]);
     }
@@ -29,15 +29,15 @@
 
 #[test]
 fn a_host_that_is_left_out_gives_way_to_the_next_alone() {
-    let before = numbers(&draw(5, Time(0), DRIFT, 4, even(20)));
-    let without = numbers(&draw(5, Time(0), DRIFT, 4, even(20).filter(|c| c.at != before[1])));
+    let before = numbers(&draw(5, Timestamp::ZERO, DRIFT, 4, even(20)));
+    let without = numbers(&draw(5, Timestamp::ZERO, DRIFT, 4, even(20).filter(|c| c.at != before[1])));
     assert_eq!([before[0], before[2], before[3]], without[..3]);
     assert!(!before.contains(&without[3]));
 }
 
 #[test]
 fn subsets_drift_one_member_at_a_time_and_none_lasts() {
-    let mut now = Time(0);
+    let mut now = Timestamp::ZERO;
     let first = numbers(&draw(9, now, DRIFT, 3, even(20)));
     let (mut before, mut changes) = (first.clone(), 0);
     for _ in 0..3000 {
@@ -55,8 +55,8 @@
 #[test]
 fn a_subset_that_holds_all_draws_by_weight_and_a_small_one_evenly() {
     let two = |n: u64| (0..n).map(|key| Candidate { at: key as usize, key, weight: 1.0 + key as f64 });
-    let all = draw(1, Time(0), DRIFT, 3, two(2));
+    let all = draw(1, Timestamp::ZERO, DRIFT, 3, two(2));
     assert!(all.iter().all(|m| m.reach == 1.0 || m.at == 0));
-    let few = draw(1, Time(0), DRIFT, 3, two(60));
+    let few = draw(1, Timestamp::ZERO, DRIFT, 3, two(60));
     assert!(few.windows(2).all(|pair| pair[0].draw == pair[1].draw), "{few:?}");
 }
--- a/crates/comethitch-lab/src/fleet.rs
+++ b/crates/comethitch-lab/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::hosts::{Arrived, Box as Db, Cold, Job, part_of_each};
 use crate::ledger::{Answer, Ledger, Report};
 use crate::trial::{Fault, Routing, Trial, Trouble};
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandId, Deployment, Ending, Host, Lifecycle, Outlet, Role, Router, Standing};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 /// The start of every trial. Positions count from long before.
-const START: Time = Time(1_000_000_000);
+const START: Timestamp = Timestamp::from_millis(1_000_000);
 /// How often a client comes again after a throttle, and how soon.
 const RETRIES: u8 = 2;
-const RETRY_AFTER: Span = Span(50_000);
+const RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Most events of one trial: it ends with an error rather than run on.
 const EVENTS: u64 = 60_000_000;
 
@@ -25,7 +25,7 @@
     Asked(usize),
     /// A client's repeat: its first try's number and time, what it is, and how often it has come.
     Again {
-        origin: (u64, Time),
+        origin: (u64, Timestamp),
         group: u16,
         write: bool,
         tries: u8,
@@ -37,7 +37,7 @@
         epoch: u32,
         command: u32,
         nth: u16,
-        work: Span,
+        work: Duration,
         write: bool,
     },
     Done {
@@ -45,7 +45,7 @@
         router: usize,
         command: u32,
         nth: u16,
-        work: Span,
+        work: Duration,
     },
     Back {
         router: usize,
@@ -70,7 +70,7 @@
         router: usize,
         epoch: u32,
         host: usize,
-        position: Option<Time>,
+        position: Option<Timestamp>,
         queue: u64,
         primary: bool,
     },
@@ -97,29 +97,29 @@
 const MISS: u8 = 3;
 
 enum Act {
-    Dispatch(CommandId, Host, Span),
+    Dispatch(CommandId, Host, Duration),
     Cancel(CommandId, u16),
     Final(CommandId, Answer),
     Probe(Host),
-    Wake(Span),
+    Wake(Duration),
 }
 
 struct Acts {
-    now: Time,
+    now: Timestamp,
     queue: Vec<Act>,
 }
 
 impl Outlet for Acts {
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         self.now
     }
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Span) {
+    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
         self.queue.push(Act::Dispatch(cmd, host, time_out));
     }
     fn cancel(&mut self, cmd: CommandId, nth: u16) {
         self.queue.push(Act::Cancel(cmd, nth));
     }
-    fn throttle(&mut self, cmd: CommandId, _: Option<Span>) {
+    fn throttle(&mut self, cmd: CommandId, _: Option<Duration>) {
         self.queue.push(Act::Final(cmd, Answer::Throttled));
     }
     fn fail(&mut self, cmd: CommandId) {
@@ -129,7 +129,7 @@
         self.queue.push(Act::Probe(host));
     }
     fn close_idle(&mut self, _: Host) {}
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: Duration) {
         self.queue.push(Act::Wake(after));
     }
     fn subscribe(&mut self) {}
@@ -138,12 +138,12 @@
 /// A command in hand at a router.
 struct Open {
     number: u64,
-    origin: (u64, Time),
+    origin: (u64, Timestamp),
     group: u16,
     write: bool,
     tries: u8,
     /// Where each dispatch went, its work, when it was sent, and whether it is out.
-    sent: Vec<(usize, Span, Time, bool)>,
+    sent: Vec<(usize, Duration, Timestamp, bool)>,
     over: bool,
 }
 
@@ -163,9 +163,9 @@
     trial: &'a Trial,
     deployment: Deployment,
     cold: Cold,
-    now: Time,
+    now: Timestamp,
     next: u64,
-    events: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    events: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     rng: ChaCha8Rng,
     seats: Vec<Seat>,
     hosts: Vec<Db>,
@@ -195,10 +195,10 @@
         return Err(format!("{key} has an effect with real processes alone: comethitch-lab live"));
     }
     let mut fleet = Fleet::new(trial)?;
-    let end = START + Span(trial.seconds * 1_000_000);
+    let end = START + Duration::from_secs(trial.seconds);
     let mut count = 0;
     while let Some(Reverse((at, _, event))) = fleet.events.pop() {
-        if at > end + Span(trial.timeout_ms * 1000) {
+        if at > end + Duration::from_millis(trial.timeout_ms) {
             break;
         }
         count += 1;
@@ -233,7 +233,11 @@
             seats: Vec::new(),
             hosts: Vec::new(),
             by_host: BTreeMap::new(),
-            ledger: Ledger::new(Span(trial.target_ms * 1000), Span(trial.drain_grace_ms * 1000), START),
+            ledger: Ledger::new(
+                Duration::from_millis(trial.target_ms),
+                Duration::from_millis(trial.drain_grace_ms),
+                START,
+            ),
             usable: BTreeMap::new(),
             numbers: 0,
         };
@@ -259,20 +263,20 @@
             fleet.ask_next(router);
         }
         for (nth, fault) in trial.faults.iter().enumerate() {
-            fleet.at(START + Span(fault.at_ms * 1000), Event::Fault(nth));
+            fleet.at(START + Duration::from_millis(fault.at_ms), Event::Fault(nth));
         }
-        (0..=trial.seconds + 1).for_each(|s| fleet.at(START + Span(s * 1_000_000), Event::Second(s)));
+        (0..=trial.seconds + 1).for_each(|s| fleet.at(START + Duration::from_secs(s), Event::Second(s)));
         Ok(fleet)
     }
 
-    fn at(&mut self, at: Time, event: Event) {
+    fn at(&mut self, at: Timestamp, event: Event) {
         self.next += 1;
         self.events.push(Reverse((at, self.next, event)));
     }
 
     fn soon(&mut self, event: Event) {
         let way = self.trial.net_us as f64;
-        let late = Span((way * self.rng.random_range(0.8..1.2)) as u64);
+        let late = Duration::from_micros((way * self.rng.random_range(0.8..1.2)) as u64);
         self.at(self.now + late, event);
     }
 
@@ -318,7 +322,7 @@
     /// Every router is told of a change, each a little later than it happened.
     fn list_all(&mut self) {
         for router in 0..self.seats.len() {
-            let late = Span(self.rng.random_range(200_000..1_500_000));
+            let late = Duration::from_micros(self.rng.random_range(200_000..1_500_000));
             let epoch = self.seats[router].epoch;
             self.at(self.now + late, Event::List { router, epoch });
         }
@@ -327,7 +331,7 @@
     fn ask_next(&mut self, router: usize) {
         let rate = self.seats[router].rate.max(1e-6);
         let gap = Exp::new(rate).expect("a rate above 0").sample(&mut self.rng);
-        self.at(self.now + Span((gap * 1e6) as u64), Event::Asked(router));
+        self.at(self.now + Duration::from_micros((gap * 1e6) as u64), Event::Asked(router));
     }
 
     /// A router that is up: this one, or any other if it is down.
@@ -384,7 +388,8 @@
             }
             Event::ProbeReach { router, epoch, host } => {
                 let dead = self.hosts[host].gone || self.hosts[host].fallen;
-                let (lag, every) = (Span(self.trial.lag_ms * 1000), Span(self.trial.report_ms * 1000));
+                let (lag, every) =
+                    (Duration::from_millis(self.trial.lag_ms), Duration::from_millis(self.trial.report_ms));
                 let told = self.hosts[host].report(lag, every, self.now);
                 let (position, primary) = (told.position.filter(|_| !dead), told.role == Some(Role::Primary));
                 let queue = told.queue.unwrap_or_default() as u64;
@@ -411,7 +416,10 @@
                 let new = self.add_host(self.hosts[host].group, false);
                 self.hosts[new].started = Some(self.now);
                 self.list_all();
-                self.at(self.now + Span(self.trial.drain_grace_ms * 2000), Event::Gone(host));
+                self.at(
+                    self.now + Duration::from_micros(self.trial.drain_grace_ms * 2000),
+                    Event::Gone(host),
+                );
             }
             Event::Gone(host) => {
                 self.hosts[host].gone = true;
@@ -448,7 +456,10 @@
                 let count = (of.len() as f64 * part) as u64;
                 for nth in 0..count {
                     let host = of.swap_remove(self.rng.random_range(0..of.len()));
-                    self.at(self.now + Span(over_ms * 1000 * nth / count), Event::Replace(host));
+                    self.at(
+                        self.now + Duration::from_micros(over_ms * 1000 * nth / count),
+                        Event::Replace(host),
+                    );
                 }
             }
             Trouble::Herd { part, back_ms } => {
@@ -461,7 +472,7 @@
                     for (_, open) in std::mem::take(&mut seat.open) {
                         self.ledger.void(open.number);
                     }
-                    self.at(self.now + Span(back_ms * 1000), Event::Restart(router));
+                    self.at(self.now + Duration::from_millis(back_ms), Event::Restart(router));
                 }
             }
             Trouble::Slow { part, factor } => {
@@ -474,7 +485,7 @@
             Trouble::Stall { part, for_ms } => {
                 for host in part_of_each(&self.hosts, part) {
                     self.hosts[host].stalled = Some(self.now);
-                    self.at(self.now + Span(for_ms * 1000), Event::Level(host));
+                    self.at(self.now + Duration::from_millis(for_ms), Event::Level(host));
                 }
             }
             Trouble::Takeover { part, after_ms } => {
@@ -484,7 +495,7 @@
                         if let Some(lead) = lead {
                             lead.gone = true;
                         }
-                        self.at(self.now + Span(after_ms * 1000), Event::Lead(group));
+                        self.at(self.now + Duration::from_millis(after_ms), Event::Lead(group));
                     }
                 }
             }
@@ -493,9 +504,9 @@
         }
     }
 
-    fn take(&mut self, router: usize, origin: (u64, Time), group: u16, write: bool, tries: u8) {
+    fn take(&mut self, router: usize, origin: (u64, Timestamp), group: u16, write: bool, tries: u8) {
         self.numbers += 1;
-        let (number, timeout) = (self.numbers, Span(self.trial.timeout_ms * 1000));
+        let (number, timeout) = (self.numbers, Duration::from_millis(self.trial.timeout_ms));
         self.ledger.taken(number, origin, write, self.now + timeout);
         let seat = &mut self.seats[router];
         seat.last += 1;
@@ -522,7 +533,9 @@
             at < 0.0
         });
         let act = match found.or(of.last()) {
-            Some((host, _)) => Act::Dispatch(id, self.hosts[*host].host, Span(self.trial.timeout_ms * 1000)),
+            Some((host, _)) => {
+                Act::Dispatch(id, self.hosts[*host].host, Duration::from_millis(self.trial.timeout_ms))
+            }
             None => Act::Final(id, Answer::Throttled),
         };
         self.carry_out(router, Acts { now: self.now, queue: vec![act] });
@@ -535,7 +548,7 @@
             return self.soon(Event::Back { router, epoch, command, nth, ending: MISS, host });
         }
         if !write {
-            let second = (self.now - START).0 / 1_000_000;
+            let second = (self.now - START).as_micros() / 1_000_000;
             self.ledger.load(second, host, 1.0 / f64::from(self.hosts[host].cores));
         }
         let was = (self.hosts[host].fallen, self.hosts[host].crowd);
@@ -575,8 +588,8 @@
             open.over = true;
             let (number, write, (at, _, sent, _)) = (open.number, open.write, open.sent[usize::from(nth)]);
             self.ledger.answered(number, self.now, Answer::Answered);
-            let lag = self.hosts[at].behind(Span(self.trial.lag_ms * 1000), sent);
-            if !write && lag > Span(self.trial.bound_ms * 1000) {
+            let lag = self.hosts[at].behind(Duration::from_millis(self.trial.lag_ms), sent);
+            if !write && lag > Duration::from_millis(self.trial.bound_ms) {
                 self.ledger.breaks("stale", format!("command {number}, sent at {sent:?}"));
             }
         }
@@ -670,11 +683,11 @@
         }
     }
 
-    fn dispatch(&mut self, router: usize, command: u32, host: Host, time_out: Span) {
+    fn dispatch(&mut self, router: usize, command: u32, host: Host, time_out: Duration) {
         let host = self.by_host[&host];
         self.connect(router, host);
         let work = Exp::new(1.0).expect("a rate above 0").sample(&mut self.rng) * self.trial.work_ms * 1e3;
-        let work = Span(work.max(1.0) as u64);
+        let work = Duration::from_micros(work.max(1.0) as u64);
         let (now, epoch) = (self.now, self.seats[router].epoch);
         let seat = &mut self.seats[router];
         let Some(open) = seat.open.get_mut(&command) else { return };
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -1,6 +1,6 @@
 //! Database hosts in simulated time: some cores, a line of commands in order of arrival, a cold start, and a fall.
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{Host, Role, Shard, Standing};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,18 +10,18 @@
     pub router: usize,
     pub command: u32,
     pub nth: u16,
-    pub work: Span,
+    pub work: Duration,
 }
 
 /// What is told of hosts that have just started.
 #[derive(Clone, Copy, Debug)]
 pub struct Cold {
     pub from: f64,
-    pub within: Span,
+    pub within: Duration,
     pub multiple: f64,
-    pub span: Span,
+    pub span: Duration,
     /// What a command takes on one core, on the mean.
-    pub work: Span,
+    pub work: Duration,
 }
 
 impl Cold {
@@ -42,29 +42,29 @@
     pub group: Shard,
     pub cores: u16,
     pub primary: bool,
-    pub started: Option<Time>,
-    pub draining: Option<Time>,
+    pub started: Option<Timestamp>,
+    pub draining: Option<Timestamp>,
     pub gone: bool,
     pub fallen: bool,
     /// 1 as usual, 3 if it takes three times as long.
     pub slow: f64,
     pub queue_most: usize,
     /// Since when nothing reaches its log, if it stands still.
-    pub stalled: Option<Time>,
+    pub stalled: Option<Timestamp>,
     waiting: VecDeque<Job>,
     running: Vec<Job>,
     /// What was sent lately, for its fall: at most as long as `Cold::span`.
-    pressure: VecDeque<(Time, Span)>,
+    pressure: VecDeque<(Timestamp, Duration)>,
     /// The most commands that came within a span while it was cold, over [`Cold::most`] of what it bore then.
     pub crowd: f64,
-    reported: (Time, usize),
+    reported: (Timestamp, usize),
 }
 
 /// What became of a job that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrived {
     /// It runs and is done after this.
-    Runs(Span),
+    Runs(Duration),
     Waits,
     Full,
     /// Nobody answers: gone, or fallen over.
@@ -89,13 +89,13 @@
             running: Vec::new(),
             pressure: VecDeque::new(),
             crowd: 0.0,
-            reported: (Time(0), 0),
+            reported: (Timestamp::ZERO, 0),
         }
     }
 
     /// The part of its power that it has now.
-    pub fn warmth(&self, cold: &Cold, now: Time) -> f64 {
-        let passed = |at: Time| (now - at).over(cold.within).min(1.0);
+    pub fn warmth(&self, cold: &Cold, now: Timestamp) -> f64 {
+        let passed = |at: Timestamp| (now - at).ratio(cold.within).min(1.0);
         self.started.map_or(1.0, |at| cold.from + (1.0 - cold.from) * passed(at))
     }
 
@@ -104,11 +104,11 @@
         !self.gone && !self.fallen && self.draining.is_none()
     }
 
-    fn takes(&self, job: &Job, cold: &Cold, now: Time) -> Span {
+    fn takes(&self, job: &Job, cold: &Cold, now: Timestamp) -> Duration {
         job.work.scaled(self.slow / self.warmth(cold, now))
     }
 
-    pub fn arrive(&mut self, job: Job, cold: &Cold, now: Time) -> Arrived {
+    pub fn arrive(&mut self, job: Job, cold: &Cold, now: Timestamp) -> Arrived {
         if self.gone || self.fallen {
             return Arrived::Dead;
         }
@@ -128,23 +128,23 @@
     }
 
     /// Work that reaches a cold host adds to what may push it over, even if it is turned away.
-    fn press(&mut self, work: Span, cold: &Cold, now: Time) {
+    fn press(&mut self, work: Duration, cold: &Cold, now: Timestamp) {
         let warmth = self.warmth(cold, now);
         self.pressure.push_back((now, work));
         while self.pressure.front().is_some_and(|(at, _)| now - *at > cold.span) {
             self.pressure.pop_front();
         }
-        let sent: u64 = self.pressure.iter().map(|(_, work)| work.0).sum();
-        let bears = cold.multiple * warmth * f64::from(self.cores) * cold.span.0 as f64;
+        let sent: u64 = self.pressure.iter().map(|(_, work)| work.as_micros()).sum();
+        let bears = cold.multiple * warmth * f64::from(self.cores) * cold.span.as_micros() as f64;
         self.fallen = warmth < 1.0 && sent as f64 > bears;
         if warmth < 1.0 {
-            let most = Cold::most(bears / cold.work.0.max(1) as f64);
+            let most = Cold::most(bears / cold.work.as_micros().max(1) as f64);
             self.crowd = self.crowd.max(self.pressure.len() as f64 / most);
         }
     }
 
     /// A job is done: the next one in line, and how long it takes.
-    pub fn done(&mut self, job: &Job, cold: &Cold, now: Time) -> Option<(Job, Span)> {
+    pub fn done(&mut self, job: &Job, cold: &Cold, now: Timestamp) -> Option<(Job, Duration)> {
         self.running.retain(|other| other != job);
         let next = self.waiting.pop_front()?;
         self.running.push(next);
@@ -164,16 +164,16 @@
 
     /// What it says of itself: renewed every so often.
     /// How far its data are behind, where replicas usually are by `lag`.
-    pub fn behind(&self, lag: Span, now: Time) -> Span {
+    pub fn behind(&self, lag: Duration, now: Timestamp) -> Duration {
         match self.stalled {
-            _ if self.primary => Span(0),
+            _ if self.primary => Duration::ZERO,
             Some(since) => lag + (now - since),
             None => lag,
         }
     }
 
-    pub fn report(&mut self, lag: Span, every: Span, now: Time) -> Standing {
-        if now - self.reported.0 >= every || self.reported.0 == Time(0) {
+    pub fn report(&mut self, lag: Duration, every: Duration, now: Timestamp) -> Standing {
+        if now - self.reported.0 >= every || self.reported.0 == Timestamp::ZERO {
             self.reported = (now, self.waiting.len());
         }
         let behind = self.behind(lag, self.reported.0);
--- a/crates/comethitch-lab/src/ledger.rs
+++ b/crates/comethitch-lab/src/ledger.rs
@@ -1,6 +1,6 @@
 //! What happened in a trial, held against the rules, and what it comes to.
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -19,10 +19,10 @@
 #[derive(Debug)]
 struct Record {
     /// The first try that this is or repeats, and when it was asked.
-    origin: (u64, Time),
+    origin: (u64, Timestamp),
     write: bool,
-    expiry: Time,
-    answer: Option<(Time, Answer)>,
+    expiry: Timestamp,
+    answer: Option<(Timestamp, Answer)>,
     /// Dispatches that ran, or may have.
     ran: u32,
     /// Its router was killed while it was in hand: nothing is owed.
@@ -32,20 +32,20 @@
 /// Commands of all routers by a number of their own, hosts by theirs.
 #[derive(Debug)]
 pub struct Ledger {
-    target: Span,
+    target: Duration,
     /// By how much what is seen from outside may differ from what the router saw.
-    slack: Span,
+    slack: Duration,
     /// How long a router may still send to a host after it was told that the host drains.
-    grace: Span,
+    grace: Duration,
     /// By router and host: when it was told so.
-    told: BTreeMap<(usize, usize), Time>,
-    start: Time,
+    told: BTreeMap<(usize, usize), Timestamp>,
+    start: Timestamp,
     commands: BTreeMap<u64, Record>,
     broken: Vec<String>,
     breaks: u64,
     cold_most: f64,
     /// By first try: when it was asked, and whether it or a repeat was answered in time.
-    in_time: BTreeMap<u64, (Time, bool)>,
+    in_time: BTreeMap<u64, (Timestamp, bool)>,
     throttled: u64,
     failed: u64,
     answered: u64,
@@ -57,10 +57,10 @@
 }
 
 impl Ledger {
-    pub fn new(target: Span, grace: Span, start: Time) -> Ledger {
+    pub fn new(target: Duration, grace: Duration, start: Timestamp) -> Ledger {
         Ledger {
             target,
-            slack: Span(0),
+            slack: Duration::ZERO,
             grace,
             told: BTreeMap::new(),
             start,
@@ -80,12 +80,12 @@
     }
 
     /// The same for real processes, which are seen from outside and later than they act.
-    pub fn with_slack(self, slack: Span) -> Ledger {
+    pub fn with_slack(self, slack: Duration) -> Ledger {
         Ledger { slack, ..self }
     }
 
     /// The trial begins now, whatever was asked for before.
-    pub fn begins(&mut self, start: Time) {
+    pub fn begins(&mut self, start: Timestamp) {
         self.start = start;
     }
 
@@ -106,19 +106,20 @@
     }
 
     /// A client asks for the first time, whether or not a router takes it: what nobody takes is not answered in time.
-    pub fn asked(&mut self, origin: (u64, Time)) {
+    pub fn asked(&mut self, origin: (u64, Timestamp)) {
         self.in_time.entry(origin.0).or_insert((origin.1, false));
     }
 
-    pub fn taken(&mut self, command: u64, origin: (u64, Time), write: bool, expiry: Time) {
+    pub fn taken(&mut self, command: u64, origin: (u64, Timestamp), write: bool, expiry: Timestamp) {
         self.asked(origin);
         let record = Record { origin, write, expiry, answer: None, ran: 0, void: false };
         self.commands.insert(command, record);
     }
 
-    fn sent(&mut self, command: u64, at: Time) {
+    fn sent(&mut self, command: u64, at: Timestamp) {
         let Some(record) = self.commands.get(&command) else { return };
-        let answered = record.answer.is_some_and(|(told, _)| at > told + self.slack || self.slack == Span(0));
+        let answered =
+            record.answer.is_some_and(|(told, _)| at > told + self.slack || self.slack == Duration::ZERO);
         let again = record.write && record.ran > 0;
         if answered {
             self.breaks("lost", format!("command {command} was sent on at {at:?}, after its final answer"));
@@ -129,12 +130,12 @@
     }
 
     /// A router is told that a host drains; again, if it was before.
-    pub fn drains(&mut self, router: usize, host: usize, at: Time) {
+    pub fn drains(&mut self, router: usize, host: usize, at: Timestamp) {
         self.told.entry((router, host)).or_insert(at);
     }
 
     /// A router sent a command to a host.
-    pub fn sent_to(&mut self, command: u64, router: usize, host: usize, at: Time) {
+    pub fn sent_to(&mut self, command: u64, router: usize, host: usize, at: Timestamp) {
         let told = self.told.get(&(router, host));
         if told.is_some_and(|told| at > *told + self.grace + self.slack) {
             let what = format!(
@@ -161,7 +162,7 @@
         }
     }
 
-    pub fn answered(&mut self, command: u64, at: Time, answer: Answer) {
+    pub fn answered(&mut self, command: u64, at: Timestamp, answer: Answer) {
         let Some(record) = self.commands.get_mut(&command) else { return };
         let (before, late) = (record.answer.replace((at, answer)), at > record.expiry + self.slack);
         let harmful = answer == Answer::Throttled && record.write && record.ran > 0;
@@ -170,7 +171,7 @@
             Answer::Answered => {
                 self.answered += 1;
                 let took = at - origin.1;
-                self.took.saturating_record(took.0);
+                self.took.saturating_record(took.as_micros());
                 if took <= self.target {
                     self.in_time.insert(origin.0, (origin.1, true));
                 }
@@ -206,7 +207,7 @@
     }
 
     /// Closes the books at the end of a trial.
-    pub fn close(mut self, end: Time, usable: &dyn Fn(u64, usize) -> bool) -> Report {
+    pub fn close(mut self, end: Timestamp, usable: &dyn Fn(u64, usize) -> bool) -> Report {
         let owed = |r: &Record| r.answer.is_none() && !r.void && r.expiry < end;
         let lost: Vec<u64> = self.commands.iter().filter(|(_, r)| owed(r)).map(|(id, _)| *id).collect();
         for id in lost {
@@ -214,7 +215,7 @@
         }
         let mut seconds: BTreeMap<u64, Second> = BTreeMap::new();
         for (asked, in_time) in self.in_time.values() {
-            let second = seconds.entry((*asked - self.start).0 / 1_000_000).or_default();
+            let second = seconds.entry((*asked - self.start).as_micros() / 1_000_000).or_default();
             second.asked += 1;
             second.in_time += u64::from(*in_time);
         }
--- a/crates/comethitch-lab/src/ledger/tests.rs
+++ b/crates/comethitch-lab/src/ledger/tests.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 fn after(plant: impl Fn(&mut Ledger)) -> Vec<String> {
-    let mut ledger = Ledger::new(Span(100), Span(40), Time(0));
-    ledger.taken(1, (1, Time(0)), true, Time(1000));
-    ledger.sent(1, Time(10));
+    let mut ledger = Ledger::new(Duration::from_micros(100), Duration::from_micros(40), Timestamp::ZERO);
+    ledger.taken(1, (1, Timestamp::ZERO), true, Timestamp::from_millis(1));
+    ledger.sent(1, Timestamp::from_micros(10));
     ledger.may_run(1);
     plant(&mut ledger);
-    ledger.close(Time(5000), &|_, _| true).broken
+    ledger.close(Timestamp::from_millis(5), &|_, _| true).broken
 }
 
 #[test]
 fn each_planted_break_is_found_and_a_clean_course_has_none() {
-    let answer = |l: &mut Ledger, at| l.answered(1, Time(at), Answer::Answered);
+    let answer = |l: &mut Ledger, at| l.answered(1, Timestamp::from_micros(at), Answer::Answered);
     assert_eq!(after(|l| answer(l, 50)), Vec::<String>::new());
     let found = |plant: &dyn Fn(&mut Ledger), what: &str| {
         let broken = after(plant);
@@ -27,31 +27,31 @@
     found(
         &|l| {
             answer(l, 50);
-            l.sent(1, Time(60))
+            l.sent(1, Timestamp::from_micros(60))
         },
         "after its final answer",
     );
-    found(&|l| l.sent(1, Time(60)), "sent again");
+    found(&|l| l.sent(1, Timestamp::from_micros(60)), "sent again");
     found(&|l| l.may_run(1), "ran twice");
     let drained = |l: &mut Ledger, at| {
-        l.drains(3, 7, Time(10));
-        l.drains(3, 7, Time(45));
-        l.sent_to(2, 3, 7, Time(at));
+        l.drains(3, 7, Timestamp::from_micros(10));
+        l.drains(3, 7, Timestamp::from_micros(45));
+        l.sent_to(2, 3, 7, Timestamp::from_micros(at));
         answer(l, 90);
     };
     found(&|l| drained(l, 51), "which router 3 knew drains");
     assert_eq!(after(|l| drained(l, 50)), Vec::<String>::new(), "within the grace it may");
-    found(&|l| l.answered(1, Time(50), Answer::Throttled), "was throttled");
+    found(&|l| l.answered(1, Timestamp::from_micros(50), Answer::Throttled), "was throttled");
     let unsent = after(|l| {
         l.never_ran(1);
-        l.sent(1, Time(60));
+        l.sent(1, Timestamp::from_micros(60));
         l.may_run(1);
         answer(l, 90)
     });
     assert_eq!(unsent, Vec::<String>::new(), "what surely did not run may go again");
-    let mut refused = Ledger::new(Span(100), Span(40), Time(0));
-    refused.asked((1, Time(0)));
-    let report = refused.close(Time(5000), &|_, _| true);
+    let mut refused = Ledger::new(Duration::from_micros(100), Duration::from_micros(40), Timestamp::ZERO);
+    refused.asked((1, Timestamp::ZERO));
+    let report = refused.close(Timestamp::from_millis(5), &|_, _| true);
     assert_eq!((report.asked, report.in_time), (1, 0.0), "no router took it, and it counts");
     assert_eq!(after(|l| l.void(1)), Vec::<String>::new(), "a killed router owes nothing");
 }
--- a/crates/comethitch-lab/src/links.rs
+++ b/crates/comethitch-lab/src/links.rs
@@ -3,14 +3,14 @@
 //! Without clock or sockets: the live fleet asks it about each message, and a simulated one may as well.
 
 use crate::trial::{Harm, Way};
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use std::collections::BTreeSet;
 
 /// What becomes of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     /// It arrives, so much later than it would.
-    Passes(Span),
+    Passes(Duration),
     /// It never arrives, and nobody is told.
     Lost,
     /// The connection breaks.
@@ -55,7 +55,7 @@
     /// The fate of a message; `draw` is a number from 0 to 1 by chance. Of several troubles the worst counts, and
     /// delays add up.
     pub fn fate(&self, router: usize, host: usize, heading: Heading, draw: f64) -> Fate {
-        let mut late = Span(0);
+        let mut late = Duration::ZERO;
         let mut breaks = false;
         for trouble in &self.troubles {
             let met = match trouble.way {
@@ -68,7 +68,7 @@
             }
             match trouble.harm {
                 Harm::Cut => return Fate::Lost,
-                Harm::DelayMs(ms) => late += Span(ms * 1000),
+                Harm::DelayMs(ms) => late += Duration::from_millis(ms),
                 Harm::Reset(part) => breaks |= draw < part,
             }
         }
--- a/crates/comethitch-lab/src/live/clients.rs
+++ b/crates/comethitch-lab/src/live/clients.rs
@@ -5,7 +5,7 @@
 use crate::ledger::Answer;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch_standin::postgres::message;
 use futures_lite::{AsyncWriteExt, future};
 use rand::RngExt;
@@ -13,11 +13,11 @@
 use std::cell::RefCell;
 use std::net::TcpStream;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 /// How often a client comes again after a throttle, and how soon.
 const RETRIES: u8 = 2;
-const RETRY_AFTER: Span = Span(50_000);
+const RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Connections that wait for their next command, with the router and the life of it that they lead to.
 type Pool = Rc<RefCell<Vec<(usize, u32, Async<TcpStream>)>>>;
@@ -25,7 +25,7 @@
 /// What a client asks: its first try's number and time, and what it is.
 #[derive(Clone, Copy)]
 struct Ask {
-    origin: (u64, Time),
+    origin: (u64, Timestamp),
     group: u16,
     write: bool,
 }
@@ -37,7 +37,7 @@
     let mut at = now();
     loop {
         // Counted from the last arrival: a late timer takes nothing from the rate.
-        at = at + Span((gap.sample(&mut *live.rng.borrow_mut()) * 1e6) as u64);
+        at = at + Duration::from_micros((gap.sample(&mut *live.rng.borrow_mut()) * 1e6) as u64);
         rest(at - now()).await;
         if !live.asking.get() {
             return;
@@ -73,7 +73,7 @@
     let found = pool.borrow().iter().position(fits);
     let mut kept = found.map(|nth| pool.borrow_mut().swap_remove(nth).2);
     let number = live.number();
-    let patience = Span(live.trial.timeout_ms * 1000);
+    let patience = Duration::from_millis(live.trial.timeout_ms);
     let statement = match ask.write {
         true => format!(r"INSERT INTO facts (code, data) VALUES ('{number:016x}', '\x9f03') RETURNING data"),
         false => format!("SELECT data FROM facts WHERE code = '{number:016x}'"),
@@ -127,7 +127,10 @@
         }
     };
     let late = async {
-        Timer::after(Duration::from_micros((patience + super::SLACK + Span(100_000)).0)).await;
+        Timer::after(StdDuration::from_micros(
+            (patience + super::SLACK + Duration::from_millis(100)).as_micros(),
+        ))
+        .await;
         None
     };
     let answer = future::or(answer, late).await;
--- a/crates/comethitch-lab/src/live/databases.rs
+++ b/crates/comethitch-lab/src/live/databases.rs
@@ -5,7 +5,7 @@
 use crate::links::Heading;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{Host, Role};
 use comethitch_standin::postgres::{error, message, row};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -120,10 +120,11 @@
 }
 
 fn vitals(live: &Live, host: usize) -> Vec<u8> {
-    let Span(lag) = Span(live.trial.lag_ms * 1000);
-    let every = Span(live.trial.report_ms * 1000);
-    let told = live.hosts.borrow_mut()[host].report(Span(lag), every, now());
-    let (at, queue) = (told.position.unwrap_or(Time(0)).0 / 1000, told.queue.unwrap_or_default());
+    let lag = live.trial.lag_ms * 1000;
+    let every = Duration::from_millis(live.trial.report_ms);
+    let told = live.hosts.borrow_mut()[host].report(Duration::from_micros(lag), every, now());
+    let (at, queue) =
+        (told.position.unwrap_or(Timestamp::ZERO).as_micros() / 1000, told.queue.unwrap_or_default());
     let primary = u8::from(told.role == Some(Role::Primary));
     row(format!("x0={}.{:03},x1={primary},queue={queue}", at / 1000, at % 1000).as_bytes())
 }
@@ -136,7 +137,7 @@
 
 /// Runs a command, or says why not. `None` if nothing is answered any more.
 async fn command(
-    live: &Shared, ex: &Rc<LocalExecutor<'static>>, host: usize, router: usize, text: &str, came: Time,
+    live: &Shared, ex: &Rc<LocalExecutor<'static>>, host: usize, router: usize, text: &str, came: Timestamp,
     stream: &mut Async<TcpStream>,
 ) -> Option<Vec<u8>> {
     let Some(number) = number(text) else { return Some(error("08P01")) };
@@ -150,7 +151,7 @@
         return Some(error("25006"));
     }
     let factor = Exp::new(1.0).expect("a rate above 0").sample(&mut *live.rng.borrow_mut());
-    let work = Span((factor * live.trial.work_ms * 1e3).max(1.0) as u64);
+    let work = Duration::from_micros((factor * live.trial.work_ms * 1e3).max(1.0) as u64);
     live.jobs.set(live.jobs.get().wrapping_add(1));
     let job = Job { router, command: live.jobs.get(), nth: 0, work };
     let was = (live.hosts.borrow()[host].fallen, live.hosts.borrow()[host].crowd);
@@ -176,8 +177,8 @@
         false
     };
     if future::or(async { done.recv().await.is_ok() }, ended).await {
-        let behind = live.hosts.borrow()[host].behind(Span(live.trial.lag_ms * 1000), came);
-        if !write && behind > Span(live.trial.bound_ms * 1000) {
+        let behind = live.hosts.borrow()[host].behind(Duration::from_millis(live.trial.lag_ms), came);
+        if !write && behind > Duration::from_millis(live.trial.bound_ms) {
             live.ledger.borrow_mut().breaks("stale", format!("command {number:x} ran at host {host}"));
         }
         return Some(row(format!("{number:016x}").as_bytes()));
--- a/crates/comethitch-lab/src/live/list.rs
+++ b/crates/comethitch-lab/src/live/list.rs
@@ -3,7 +3,7 @@
 use super::{Live, Shared, TO_HOSTS, address, databases, now, rest};
 use async_executor::LocalExecutor;
 use async_io::Async;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use serde_json::{Value, json};
 use std::io;
@@ -24,7 +24,7 @@
             "host": format!("db-{nth}"), "dial": format!("{}:{}", address(router, TO_HOSTS), ports[nth]),
             "site": "north", "class": format!("c{}", host.cores), "block": host.group, "health": health,
             "share": f64::from(host.cores), "rank": if host.primary { "source" } else { "copy" },
-            "born_ms": host.started.map_or(0, |at| at.0 / 1000)
+            "born_ms": host.started.map_or(0, |at| at.as_micros() / 1000)
         })
     };
     let hosts: Vec<Value> = hosts.iter().enumerate().filter(|(_, h)| !h.gone).map(entry).collect();
@@ -78,15 +78,15 @@
         let apart = live.links.borrow().apart(router);
         let line = if live.list.get() > seen && !apart {
             if seen > 0 {
-                rest(Span((200_000.0 + 1_300_000.0 * live.chance()) as u64)).await;
+                rest(Duration::from_micros((200_000.0 + 1_300_000.0 * live.chance()) as u64)).await;
             }
             seen = live.list.get();
             tells(live, router);
             whole(live, router).to_string()
-        } else if now() - quiet > Span(2_000_000) && !apart {
+        } else if now() - quiet > Duration::from_secs(2) && !apart {
             String::new()
         } else {
-            rest(Span(50_000)).await;
+            rest(Duration::from_millis(50)).await;
             continue;
         };
         quiet = now();
--- a/crates/comethitch-lab/src/live/mod.rs
+++ b/crates/comethitch-lab/src/live/mod.rs
@@ -19,7 +19,7 @@
 use crate::trial::{Trial, Trouble};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use futures_lite::{AsyncReadExt, StreamExt, future};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -29,10 +29,10 @@
 use std::net::{Ipv4Addr, TcpStream};
 use std::path::Path;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime};
+use std::time::SystemTime;
 
 /// How much later than the router something may be seen here: many processes share few cores.
-const SLACK: Span = Span(300_000);
+const SLACK: Duration = Duration::from_millis(300);
 /// Parts the draws for faults from all others.
 const FAULTS: u64 = 0x66_61_75_6c_74;
 /// Most routers: each is a process.
@@ -41,7 +41,7 @@
 /// All that the parts of a trial share.
 struct Live {
     trial: Trial,
-    start: Cell<Time>,
+    start: Cell<Timestamp>,
     ledger: RefCell<Ledger>,
     hosts: RefCell<Vec<Db>>,
     links: RefCell<Links>,
@@ -65,13 +65,13 @@
 
 type Shared = Rc<Live>;
 
-fn now() -> Time {
+fn now() -> Timestamp {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    Time(since.as_micros() as u64)
+    Timestamp::from_micros(since.as_micros() as u64)
 }
 
-async fn rest(span: Span) {
-    Timer::after(Duration::from_micros(span.0)).await;
+async fn rest(span: Duration) {
+    Timer::after(span.to_std()).await;
 }
 
 /// The addresses of a router: hosts, discovery and its clients reach it, or it them, there and nowhere else.
@@ -113,7 +113,7 @@
         let draw = self.chance();
         let fate = || self.links.borrow().fate(router, host, heading, draw);
         match fate() {
-            Fate::Passes(Span(0)) => true,
+            Fate::Passes(Duration::ZERO) => true,
             Fate::Passes(late) => {
                 rest(late).await;
                 true
@@ -122,7 +122,7 @@
             // Silence until the link is whole again; what was on it then is gone.
             Fate::Lost => {
                 while fate() == Fate::Lost {
-                    rest(Span(20_000)).await;
+                    rest(Duration::from_millis(20)).await;
                 }
                 false
             }
@@ -130,7 +130,7 @@
     }
 
     fn second(&self) -> u64 {
-        (now() - self.start.get()).0 / 1_000_000
+        (now() - self.start.get()).as_micros() / 1_000_000
     }
 
     fn number(&self) -> u64 {
@@ -146,7 +146,7 @@
     }
 
     /// The next job in line at a host, or one that has just come, runs on one of its cores.
-    fn run(self: &Rc<Live>, ex: &Rc<LocalExecutor<'static>>, host: usize, job: Job, takes: Span) {
+    fn run(self: &Rc<Live>, ex: &Rc<LocalExecutor<'static>>, host: usize, job: Job, takes: Duration) {
         let (live, own) = (self.clone(), ex.clone());
         ex.spawn(async move {
             rest(takes).await;
@@ -179,7 +179,7 @@
         match trouble {
             Trouble::Release { part, over_ms } => {
                 let hosts = self.some(replicas(&self), part);
-                let pause = Span(over_ms * 1000 / hosts.len().max(1) as u64);
+                let pause = Duration::from_micros(over_ms * 1000 / hosts.len().max(1) as u64);
                 for host in hosts {
                     let (live, own) = (self.clone(), ex.clone());
                     ex.spawn(async move {
@@ -190,7 +190,7 @@
                             Err(error) => live.ledger.borrow_mut().breaks("start", error),
                         }
                         live.changed();
-                        rest(Span(live.trial.drain_grace_ms * 2000)).await;
+                        rest(Duration::from_micros(live.trial.drain_grace_ms * 2000)).await;
                         live.hosts.borrow_mut()[host].gone = true;
                         live.changed();
                     })
@@ -204,7 +204,7 @@
                     let in_hand = self.processes.borrow_mut().kill(*router);
                     self.void(in_hand);
                 }
-                rest(Span(back_ms * 1000)).await;
+                rest(Duration::from_millis(back_ms)).await;
                 for router in chosen {
                     if self.asking.get() {
                         let started = routers::start(&self, router);
@@ -223,7 +223,7 @@
             Trouble::Stall { part, for_ms } => {
                 let chosen = part_of_each(&self.hosts.borrow(), part);
                 chosen.iter().for_each(|h| self.hosts.borrow_mut()[*h].stalled = Some(now()));
-                rest(Span(for_ms * 1000)).await;
+                rest(Duration::from_millis(for_ms)).await;
                 chosen.iter().for_each(|h| self.hosts.borrow_mut()[*h].stalled = None);
             }
             Trouble::Takeover { part, after_ms } => {
@@ -235,7 +235,7 @@
                         lead.gone = true;
                     }
                 }
-                rest(Span(after_ms * 1000)).await;
+                rest(Duration::from_millis(after_ms)).await;
                 for group in groups {
                     let mut hosts = self.hosts.borrow_mut();
                     if let Some(heir) = hosts.iter_mut().filter(of(group)).find(|h| !h.primary && h.usable())
@@ -251,7 +251,7 @@
                     let in_hand = self.processes.borrow_mut().stop(*router);
                     self.void(in_hand);
                 }
-                rest(Span(for_ms * 1000)).await;
+                rest(Duration::from_millis(for_ms)).await;
                 chosen.iter().for_each(|router| self.processes.borrow_mut().go_on(*router));
             }
             Trouble::Links { routers: part, hosts, way, harm, for_ms } => {
@@ -259,7 +259,7 @@
                 let (routers, hosts) = (self.some(routers, part), self.some(all, hosts));
                 let set = |of: Vec<usize>| of.into_iter().collect::<BTreeSet<_>>();
                 let key = self.links.borrow_mut().harm(set(routers), set(hosts), way, harm);
-                rest(Span(for_ms * 1000)).await;
+                rest(Duration::from_millis(for_ms)).await;
                 self.links.borrow_mut().heal(key);
             }
         }
@@ -268,7 +268,7 @@
     /// Notes by second which replicas are usable, and which router ended by itself.
     async fn look(self: Rc<Live>) {
         for second in 0.. {
-            rest((self.start.get() + Span(second * 1_000_000)) - now()).await;
+            rest((self.start.get() + Duration::from_secs(second)) - now()).await;
             let of = |(nth, host): (usize, &Db)| {
                 (host.usable() && !host.primary && host.stalled.is_none()).then_some(nth)
             };
@@ -323,11 +323,12 @@
 ) -> Result<Report, String> {
     let mut rng = ChaCha8Rng::seed_from_u64(trial.seed);
     let shares = trial.rates(&mut rng, 1.0)?;
-    let (target, grace) = (Span(trial.target_ms * 1000), Span(trial.drain_grace_ms * 1000));
+    let (target, grace) =
+        (Duration::from_millis(trial.target_ms), Duration::from_millis(trial.drain_grace_ms));
     let live = Rc::new(Live {
         trial: trial.clone(),
         start: Cell::new(now()),
-        ledger: RefCell::new(Ledger::new(target, grace, Time(0)).with_slack(SLACK)),
+        ledger: RefCell::new(Ledger::new(target, grace, Timestamp::ZERO).with_slack(SLACK)),
         hosts: RefCell::default(),
         links: RefCell::default(),
         fate: RefCell::new(ChaCha8Rng::seed_from_u64(trial.seed ^ FAULTS)),
@@ -359,10 +360,10 @@
     }
     let begun = now();
     while live.processes.borrow().up().len() < usize::from(trial.routers) {
-        if now() - begun > Span(60_000_000) {
+        if now() - begun > Duration::from_secs(60) {
             return Err("not every router was ready within 60 s".into());
         }
-        rest(Span(20_000)).await;
+        rest(Duration::from_millis(20)).await;
     }
     let start = now();
     live.start.set(start);
@@ -375,27 +376,27 @@
     for fault in trial.faults.clone() {
         let (live, own) = (live.clone(), ex.clone());
         ex.spawn(async move {
-            rest(Span(fault.at_ms * 1000)).await;
+            rest(Duration::from_millis(fault.at_ms)).await;
             live.fault(own, fault.trouble).await;
         })
         .detach();
     }
     let bar = indicatif::ProgressBar::new(trial.seconds);
     for second in 1..=trial.seconds {
-        rest((start + Span(second * 1_000_000)) - now()).await;
+        rest((start + Duration::from_secs(second)) - now()).await;
         bar.set_position(second);
     }
     bar.finish_and_clear();
     live.asking.set(false);
     let end = now();
     // What was asked last has its time, and its repeats.
-    rest(Span(trial.timeout_ms * 1000) + SLACK).await;
+    rest(Duration::from_millis(trial.timeout_ms) + SLACK).await;
     live.processes.borrow_mut().end();
     let usable = live.usable.take();
     let throughout = |second: u64, host: usize| {
         let at = |second: &u64| usable.get(second).is_some_and(|hosts| hosts.contains(&host));
         second < trial.seconds && at(&second) && at(&(second + 1))
     };
-    let ledger = live.ledger.replace(Ledger::new(target, grace, Time(0)));
+    let ledger = live.ledger.replace(Ledger::new(target, grace, Timestamp::ZERO));
     Ok(ledger.close(end - SLACK, &throughout))
 }
--- a/crates/comethitch-lab/src/live/routers.rs
+++ b/crates/comethitch-lab/src/live/routers.rs
@@ -2,7 +2,7 @@
 
 use super::{Shared, TO_DISCOVERY, address, list, read, rest};
 use async_io::Async;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch_standin::postgres::message;
 use futures_lite::AsyncWriteExt;
 use rand::Rng;
@@ -204,6 +204,6 @@
             process.ready = process.epoch == epoch;
             return;
         }
-        rest(Span(20_000)).await;
+        rest(Duration::from_millis(20)).await;
     }
 }
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -2,7 +2,7 @@
 
 use crate::hosts::Cold;
 use comethitch::Deployment;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use schemars::JsonSchema;
@@ -239,10 +239,10 @@
     pub fn cold(&self) -> Cold {
         Cold {
             from: self.cold_from,
-            within: Span(self.warm_within_ms * 1000),
+            within: Duration::from_millis(self.warm_within_ms),
             multiple: self.fall_multiple,
-            span: Span(self.fall_ms * 1000),
-            work: Span((self.work_ms * 1e3) as u64),
+            span: Duration::from_millis(self.fall_ms),
+            work: Duration::from_micros((self.work_ms * 1e3) as u64),
         }
     }
 
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -3,7 +3,7 @@
 //!
 //!     cargo run --release -p comethitch-statement --example shapes
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandGroup, Effect as Repeat, Need, Reach};
 use comethitch_statement::cache::Cache;
 use comethitch_statement::desk::{Desk, Path, Told};
@@ -151,25 +151,25 @@
     )
     .expect("rules");
     let group = |effect, need| CommandGroup {
-        target: Span(1),
-        timeout: Span(1),
+        target: Duration::from_micros(1),
+        timeout: Duration::from_micros(1),
         benefit: 1.0,
         effect,
         reach: Reach::Everywhere,
-        remembered: Span(0),
+        remembered: Duration::ZERO,
         need,
     };
     let groups = [group(Repeat::Replayable, Need::Any), group(Repeat::Mutating, Need::Write)];
     let names = ["read".into(), "write".into()];
     match limited {
-        true => Desk::new(rules, &groups, &names, Secret([5; 16]), Time(0)).expect("rules"),
+        true => Desk::new(rules, &groups, &names, Secret([5; 16]), Timestamp::ZERO).expect("rules"),
         false => Desk::unlimited(rules, &groups, &names, Secret([5; 16])).expect("rules"),
     }
 }
 
 fn flood(limited: bool) {
     let began = Instant::now();
-    let clock = || Time(began.elapsed().as_micros() as u64);
+    let clock = || Timestamp::from_micros(began.elapsed().as_micros() as u64);
     // All that is built once, as the lists of functions, is there before the first look.
     let usual: Vec<String> =
         (0..200).map(|nth| format!("SELECT a{nth} FROM facts WHERE code = 'k'")).collect();
--- a/crates/comethitch-statement/src/assign.rs
+++ b/crates/comethitch-statement/src/assign.rs
@@ -8,7 +8,7 @@
 use crate::rules::{Bound, Disagreement, KeyRule, Rules, Spread};
 use crate::verdict::TableUse;
 use crate::{Effect, Verdict};
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch::{CommandGroup, Need, Shard};
 use std::fmt;
 
@@ -20,7 +20,7 @@
     elsewhere: Option<Shard>,
     raise: bool,
     /// The bounds between bands of cost, in rising order.
-    bounds: Vec<Span>,
+    bounds: Vec<Duration>,
     /// What each command group of the deployment may take, in its order.
     allowed: Vec<Allowed>,
     names: Vec<String>,
@@ -31,8 +31,8 @@
     group: usize,
     effects: Vec<Effect>,
     tables: Option<Vec<String>>,
-    from: Option<Span>,
-    below: Option<Span>,
+    from: Option<Duration>,
+    below: Option<Duration>,
 }
 
 /// The effects that a command group may hold without a rule being broken.
@@ -164,7 +164,7 @@
                 ));
             }
             let span = |field: &str, ms: Option<f64>| match ms {
-                Some(ms) if ms > 0.0 && ms < 1e9 => Ok(Some(Span((ms * 1e3) as u64))),
+                Some(ms) if ms > 0.0 && ms < 1e9 => Ok(Some(Duration::from_micros((ms * 1e3) as u64))),
                 Some(ms) => Err(format!("{} must be a time above 0, not {ms}", key(field))),
                 None => Ok(None),
             };
@@ -206,7 +206,7 @@
     }
 
     /// The bounds between bands of cost, in rising order.
-    pub fn bounds(&self) -> &[Span] {
+    pub fn bounds(&self) -> &[Duration] {
         &self.bounds
     }
 
@@ -237,8 +237,9 @@
     }
 
     fn group(&self, verdict: &Verdict, band: u8) -> Option<usize> {
-        let below =
-            |bound: Span| self.bounds.iter().position(|b| *b == bound).is_some_and(|at| band as usize <= at);
+        let below = |bound: Duration| {
+            self.bounds.iter().position(|b| *b == bound).is_some_and(|at| band as usize <= at)
+        };
         let fits = |rule: &&GroupFor| {
             let uses = |table: &String| verdict.uses.iter().any(|a_use| *a_use.table == **table);
             // Of a statement that was not parsed any table may be used.
--- a/crates/comethitch-statement/src/budget.rs
+++ b/crates/comethitch-statement/src/budget.rs
@@ -4,10 +4,10 @@
 //! is guessed from the number of tokens, by what the last ones took, and settled once it is known. What is not
 //! used is saved up for a second at most.
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 
 /// Saved up at most: what is allowed in this span.
-const SAVED: Span = Span(1_000_000);
+const SAVED: Duration = Duration::from_secs(1);
 /// Clients are told apart by so many numbers; two that share one share its part.
 const CLIENTS: usize = 256;
 /// What a token is taken to cost before any was measured, in microseconds: on the safe side.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
     /// It may, and this was taken for it.
-    Granted(Span),
+    Granted(Duration),
     /// This client has spent its part.
     ClientSpent,
     /// All clients together have spent theirs.
@@ -47,13 +47,13 @@
 struct Account {
     /// In microseconds; below nothing after a parse that took longer than guessed.
     saved: f64,
-    filled: Time,
+    filled: Timestamp,
 }
 
 impl Account {
-    fn fill(&mut self, part: f64, now: Time) {
-        let most = part * SAVED.0 as f64;
-        self.saved = (self.saved + part * (now - self.filled).0 as f64).min(most);
+    fn fill(&mut self, part: f64, now: Timestamp) {
+        let most = part * SAVED.as_micros() as f64;
+        self.saved = (self.saved + part * (now - self.filled).as_micros() as f64).min(most);
         self.filled = now;
     }
 }
@@ -67,8 +67,8 @@
 }
 
 impl Budget {
-    pub fn new(parts: Parts, now: Time) -> Budget {
-        let full = |part: f64| Account { saved: part * SAVED.0 as f64, filled: now };
+    pub fn new(parts: Parts, now: Timestamp) -> Budget {
+        let full = |part: f64| Account { saved: part * SAVED.as_micros() as f64, filled: now };
         Budget {
             parts,
             all: full(parts.all),
@@ -85,15 +85,15 @@
     /// long statement is not kept out for ever; what it takes beyond that is owed.
     ///
     /// ```
-    /// use comethitch::time::{Span, Time};
+    /// use comethitch::time::{Duration, Timestamp};
     /// use comethitch_statement::budget::{Budget, Grant, Parts};
-    /// let mut budget = Budget::new(Parts { all: 0.01, client: 0.5 }, Time(0));
+    /// let mut budget = Budget::new(Parts { all: 0.01, client: 0.5 }, Timestamp::ZERO);
     /// // 10 ms a second for all, 5 ms for one client.
-    /// let granted = (0..1_000).filter(|_| matches!(budget.ask(7, 42, Time(0)), Grant::Granted(_))).count();
+    /// let granted = (0..1_000).filter(|_| matches!(budget.ask(7, 42, Timestamp::ZERO), Grant::Granted(_))).count();
     /// assert_eq!(granted, 50, "of 100 µs each");
-    /// assert!(matches!(budget.ask(8, 42, Time(0)), Grant::Granted(_)), "another client has its own part");
+    /// assert!(matches!(budget.ask(8, 42, Timestamp::ZERO), Grant::Granted(_)), "another client has its own part");
     /// ```
-    pub fn ask(&mut self, client: u64, tokens: usize, now: Time) -> Grant {
+    pub fn ask(&mut self, client: u64, tokens: usize, now: Timestamp) -> Grant {
         let Parts { all, client: part } = self.parts;
         let own = &mut self.clients[Self::client(client)];
         self.all.fill(all, now);
@@ -107,15 +107,15 @@
         let cost = self.pace * (tokens + BASE) as f64;
         self.all.saved -= cost;
         own.saved -= cost;
-        Grant::Granted(Span(cost as u64))
+        Grant::Granted(Duration::from_micros(cost as u64))
     }
 
     /// Settles what a parse took instead of what was taken for it.
-    pub fn settle(&mut self, client: u64, tokens: usize, taken: Span, took: Span) {
-        let more = took.0 as f64 - taken.0 as f64;
+    pub fn settle(&mut self, client: u64, tokens: usize, taken: Duration, took: Duration) {
+        let more = took.as_micros() as f64 - taken.as_micros() as f64;
         self.all.saved -= more;
         self.clients[Self::client(client)].saved -= more;
-        let pace = took.0 as f64 / (tokens + BASE) as f64;
+        let pace = took.as_micros() as f64 / (tokens + BASE) as f64;
         // No single parse, as one that was interrupted, moves the pace far.
         let pace = pace.clamp(self.pace / 4.0, self.pace * 4.0).max(1e-3);
         self.pace += (pace - self.pace) * NEWEST_PART;
--- a/crates/comethitch-statement/src/cost.rs
+++ b/crates/comethitch-statement/src/cost.rs
@@ -4,7 +4,7 @@
 //! cost is the time in which three of four answers come. Until enough are in, it is guessed from the shape's
 //! features, by the pace that all shapes have shown.
 
-use comethitch::time::Span;
+use comethitch::time::Duration;
 
 /// Bins by powers of two, from 64 µs on: the last holds all above two seconds.
 const BINS: usize = 16;
@@ -18,7 +18,7 @@
 /// The part that each answer has in the pace of all.
 const NEWEST_PART: f64 = 1.0 / 64.0;
 /// What a lookup by key is taken to cost before any answer has come.
-const FIRST_PACE: Span = Span(1_000);
+const FIRST_PACE: Duration = Duration::from_millis(1);
 
 /// How long a lookup by key takes, as all answers have shown.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,19 +26,19 @@
 
 impl Default for Pace {
     fn default() -> Pace {
-        Pace(FIRST_PACE.0 as f64)
+        Pace(FIRST_PACE.as_micros() as f64)
     }
 }
 
 impl Pace {
     /// An answer to a statement that was guessed to cost so many lookups.
-    pub fn learn(&mut self, guess: f64, took: Span) {
-        let shown = (took.0 as f64 / guess.max(1.0)).clamp(self.0 / 8.0, self.0 * 8.0).max(1.0);
+    pub fn learn(&mut self, guess: f64, took: Duration) {
+        let shown = (took.as_micros() as f64 / guess.max(1.0)).clamp(self.0 / 8.0, self.0 * 8.0).max(1.0);
         self.0 += (shown - self.0) * NEWEST_PART;
     }
 
-    pub fn cost(&self, guess: f64) -> Span {
-        Span((self.0 * guess) as u64)
+    pub fn cost(&self, guess: f64) -> Duration {
+        Duration::from_micros((self.0 * guess) as u64)
     }
 }
 
@@ -52,8 +52,9 @@
 }
 
 impl Cost {
-    pub fn learn(&mut self, took: Span) {
-        let bin = (took.0 / FIRST_BIN).checked_ilog2().map_or(0, |log| log as usize + 1).min(BINS - 1);
+    pub fn learn(&mut self, took: Duration) {
+        let bin =
+            (took.as_micros() / FIRST_BIN).checked_ilog2().map_or(0, |log| log as usize + 1).min(BINS - 1);
         self.bins[bin] += 1;
         self.total += 1;
         if self.total >= FULL {
@@ -63,7 +64,7 @@
     }
 
     /// The time in which three of four answers come: the middle of its bin. None until enough have come.
-    pub fn learned(&self) -> Option<Span> {
+    pub fn learned(&self) -> Option<Duration> {
         if self.total < ENOUGH {
             return None;
         }
@@ -74,24 +75,24 @@
             sum >= wanted
         })?;
         let from = if bin == 0 { 0 } else { FIRST_BIN << (bin - 1) };
-        Some(Span((from + (FIRST_BIN << bin)) / 2))
+        Some(Duration::from_micros((from + (FIRST_BIN << bin)) / 2))
     }
 
     /// The band among these bounds, in rising order, that it belongs to: 0 below the first. It stays in the band
     /// that it is in until its cost is surely beyond it.
     ///
     /// ```
-    /// use comethitch::time::Span;
+    /// use comethitch::time::Duration;
     /// use comethitch_statement::cost::{Cost, Pace};
-    /// let (mut cost, bounds) = (Cost::default(), [Span(50_000)]);
+    /// let (mut cost, bounds) = (Cost::default(), [Duration::from_millis(50)]);
     /// assert_eq!(cost.band(&bounds, Pace::default(), 1.0), 0, "guessed");
-    /// (0..20).for_each(|_| cost.learn(Span(100_000)));
+    /// (0..20).for_each(|_| cost.learn(Duration::from_millis(100)));
     /// assert_eq!(cost.band(&bounds, Pace::default(), 1.0), 1);
     /// ```
-    pub fn band(&mut self, bounds: &[Span], pace: Pace, guess: f64) -> u8 {
+    pub fn band(&mut self, bounds: &[Duration], pace: Pace, guess: f64) -> u8 {
         let learned = self.learned();
-        let cost = learned.unwrap_or_else(|| pace.cost(guess)).0 as f64;
-        let of = |cost: f64| bounds.iter().take_while(|bound| cost >= bound.0 as f64).count() as u8;
+        let cost = learned.unwrap_or_else(|| pace.cost(guess)).as_micros() as f64;
+        let of = |cost: f64| bounds.iter().take_while(|bound| cost >= bound.as_micros() as f64).count() as u8;
         let band = match self.band {
             Some(band) if band <= bounds.len() as u8 => {
                 let (up, down) = (of(cost / SURELY), of(cost * SURELY));
--- a/crates/comethitch-statement/src/desk.rs
+++ b/crates/comethitch-statement/src/desk.rs
@@ -2,7 +2,7 @@
 //! goes, and assigned.
 //!
 //! ```
-//! use comethitch::time::Time;
+//! use comethitch::time::Timestamp;
 //! use comethitch_statement::desk::{Desk, Told};
 //! use comethitch_statement::{Rules, Secret};
 //! let rules: Rules = serde_json::from_str(
@@ -17,8 +17,8 @@
 //! #     rules.cold_from=1\nrules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
 //! # let groups = comethitch::Deployment::read(settings).unwrap().groups;
 //! let names = ["read".to_string(), "write".to_string()];
-//! let mut desk = Desk::new(rules, &groups, &names, Secret([7; 16]), Time(0)).unwrap();
-//! let clock = || Time(0);
+//! let mut desk = Desk::new(rules, &groups, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
+//! let clock = || Timestamp::ZERO;
 //! let mut group = |text: &str| desk.admit(text.as_bytes(), Told::default(), 1, &clock).unwrap().assigned.group;
 //! assert_eq!(group("SELECT data FROM facts"), 0);
 //! assert_eq!(group("SELECT cobrar(3)"), 1);
@@ -31,7 +31,7 @@
 use crate::rules::{Beyond, Rules};
 use crate::verdict::allocated;
 use crate::{Classifier, Effect, Lexer, Secret, ShapeKey, Verdict};
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandGroup, Shard};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -118,7 +118,7 @@
 impl Desk {
     /// Checks the rules against the deployment's command groups; an error names the key.
     pub fn new(
-        rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret, now: Time,
+        rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret, now: Timestamp,
     ) -> Result<Desk, String> {
         let parts = Parts { all: rules.parsing.core_part, client: rules.parsing.client_part };
         for (key, part) in [("core_part", parts.all), ("client_part", parts.client)] {
@@ -146,8 +146,8 @@
     pub fn unlimited(
         rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret,
     ) -> Result<Desk, String> {
-        let mut desk = Desk::new(rules, groups, names, secret, Time(0))?;
-        desk.budget = Budget::new(Parts { all: f64::MAX.sqrt(), client: 1.0 }, Time(0));
+        let mut desk = Desk::new(rules, groups, names, secret, Timestamp::ZERO)?;
+        desk.budget = Budget::new(Parts { all: f64::MAX.sqrt(), client: 1.0 }, Timestamp::ZERO);
         Ok(desk)
     }
 
@@ -173,7 +173,7 @@
     /// Looks a statement up, or parses it as far as the client's budget goes; none where it is spent and the
     /// rules throttle. `clock` is asked only where something is parsed.
     pub fn look(
-        &mut self, text: &[u8], client: u64, clock: &dyn Fn() -> Time,
+        &mut self, text: &[u8], client: u64, clock: &dyn Fn() -> Timestamp,
     ) -> Option<(Rc<Known>, ShapeKey, Path)> {
         self.lexer.read(text);
         let key = self.secret.key(self.lexer.shape());
@@ -215,14 +215,14 @@
 
     /// Judges a statement, and says where it goes.
     pub fn admit(
-        &mut self, text: &[u8], told: Told, client: u64, clock: &dyn Fn() -> Time,
+        &mut self, text: &[u8], told: Told, client: u64, clock: &dyn Fn() -> Timestamp,
     ) -> Result<Passed, Turned> {
         self.admit_with(text, &[], told, client, clock)
     }
 
     /// The same for a statement whose parameters' values came beside it.
     pub fn admit_with(
-        &mut self, text: &[u8], arguments: &Arguments, told: Told, client: u64, clock: &dyn Fn() -> Time,
+        &mut self, text: &[u8], arguments: &Arguments, told: Told, client: u64, clock: &dyn Fn() -> Timestamp,
     ) -> Result<Passed, Turned> {
         let looked = self.look(text, client, clock).ok_or(Turned::Throttled)?;
         let (known, key, path) = looked;
@@ -250,7 +250,7 @@
     }
 
     /// A host has answered a statement of this shape after so long.
-    pub fn learn(&self, known: &Known, took: Span) {
+    pub fn learn(&self, known: &Known, took: Duration) {
         known.cost.borrow_mut().learn(took);
         let mut pace = self.pace.get();
         pace.learn(known.verdict.features.guess(), took);
--- a/crates/comethitch-statement/tests/memory.rs
+++ b/crates/comethitch-statement/tests/memory.rs
@@ -1,6 +1,6 @@
 //! The cache of shapes, the sketch, the budget and the learned costs, each under what it is for.
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch_statement::ShapeKey;
 use comethitch_statement::budget::{Budget, Grant, Parts};
 use comethitch_statement::cache::Cache;
@@ -134,16 +134,16 @@
 
 #[test]
 fn a_client_that_spends_its_budget_leaves_others_theirs() {
-    let (parts, second) = (Parts { all: 0.1, client: 0.25 }, Span(1_000_000));
-    let mut budget = Budget::new(parts, Time(0));
-    let mut now = Time(0);
+    let (parts, second) = (Parts { all: 0.1, client: 0.25 }, Duration::from_secs(1));
+    let mut budget = Budget::new(parts, Timestamp::ZERO);
+    let mut now = Timestamp::ZERO;
     let (mut flood, mut steady, mut refused) = (0_u64, 0_u64, 0);
     // For ten seconds one client asks without end, another a hundred times a second; a parse takes 100 µs.
     for step in 0..100_000_u64 {
-        now = now + Span(100);
+        now = now + Duration::from_micros(100);
         let mut ask = |client: u64| match budget.ask(client, 42, now) {
             Grant::Granted(taken) => {
-                budget.settle(client, 42, taken, Span(100));
+                budget.settle(client, 42, taken, Duration::from_micros(100));
                 true
             }
             _ => false,
@@ -154,20 +154,20 @@
         }
     }
     assert_eq!((refused, steady), (0, 100_000));
-    let most = (second.0 as f64 * 11.0 * parts.all * parts.client) as u64;
+    let most = (second.as_micros() as f64 * 11.0 * parts.all * parts.client) as u64;
     assert!(flood <= most + 200, "the flood had {flood} µs of {most}");
     assert!(flood >= most * 9 / 10, "and what is its own: {flood} µs");
 }
 
 #[test]
 fn many_clients_together_stay_within_the_budget_of_all() {
-    let mut budget = Budget::new(Parts { all: 0.05, client: 0.5 }, Time(0));
+    let mut budget = Budget::new(Parts { all: 0.05, client: 0.5 }, Timestamp::ZERO);
     let (mut spent, mut seen) = (0, false);
     for step in 0..200_000_u64 {
-        let now = Time(step * 20);
+        let now = Timestamp::from_micros(step * 20);
         match budget.ask(step % 97, 42, now) {
             Grant::Granted(taken) => {
-                budget.settle(step % 97, 42, taken, Span(100));
+                budget.settle(step % 97, 42, taken, Duration::from_micros(100));
                 spent += 100;
             }
             grant => seen |= grant == Grant::AllSpent,
@@ -180,17 +180,17 @@
 
 #[test]
 fn a_shape_that_turns_out_heavy_moves_and_does_not_flap() {
-    let (bounds, pace) = ([Span(20_000)], Pace::default());
+    let (bounds, pace) = ([Duration::from_millis(20)], Pace::default());
     let mut cost = Cost::default();
-    (0..50).for_each(|_| cost.learn(Span(1_500)));
+    (0..50).for_each(|_| cost.learn(Duration::from_micros(1_500)));
     assert_eq!(cost.band(&bounds, pace, 1.0), 0);
-    (0..400).for_each(|_| cost.learn(Span(300_000)));
+    (0..400).for_each(|_| cost.learn(Duration::from_millis(300)));
     assert_eq!(cost.band(&bounds, pace, 1.0), 1, "what was long ago fades");
     // Answers about the bound, in turns: it changes its band once at the most.
     let mut changes = 0;
     let mut band = 1;
     for round in 0..2_000_u64 {
-        cost.learn(Span(if round / 40 % 2 == 0 { 18_500 } else { 21_500 }));
+        cost.learn(Duration::from_micros(if round / 40 % 2 == 0 { 18_500 } else { 21_500 }));
         let now = cost.band(&bounds, pace, 1.0);
         changes += u32::from(now != band);
         band = now;
@@ -201,10 +201,10 @@
 #[test]
 fn the_pace_of_all_makes_the_first_guess() {
     let mut pace = Pace::default();
-    (0..1_000).for_each(|_| pace.learn(4.0, Span(40_000)));
+    (0..1_000).for_each(|_| pace.learn(4.0, Duration::from_millis(40)));
     let guessed = pace.cost(2.0);
-    assert!((18_000..=22_000).contains(&guessed.0), "{guessed:?}");
+    assert!((18_000..=22_000).contains(&guessed.as_micros()), "{guessed:?}");
     // One answer that took for ever moves it little.
-    pace.learn(1.0, Span(60_000_000));
-    assert!(pace.cost(2.0).0 < 25_000, "{:?}", pace.cost(2.0));
+    pace.learn(1.0, Duration::from_secs(60));
+    assert!(pace.cost(2.0).as_micros() < 25_000, "{:?}", pace.cost(2.0));
 }
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Where statements go by the operator's rules, and which rules are turned down.
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandGroup, Effect as Repeat, Need, Reach};
 use comethitch_statement::assign::{Refusal, fnv1a};
 use comethitch_statement::desk::{Desk, Passed, Path, Told, Turned};
@@ -9,16 +9,16 @@
 
 fn groups() -> (Vec<CommandGroup>, Vec<String>) {
     let group = |effect, need| CommandGroup {
-        target: Span(250_000),
-        timeout: Span(600_000),
+        target: Duration::from_millis(250),
+        timeout: Duration::from_millis(600),
         benefit: 1.0,
         effect,
         reach: Reach::Shard,
-        remembered: Span(0),
+        remembered: Duration::ZERO,
         need,
     };
     let all = [
-        ("read", group(Repeat::Replayable, Need::Bounded(Span(3_000_000)))),
+        ("read", group(Repeat::Replayable, Need::Bounded(Duration::from_secs(3)))),
         ("fresh", group(Repeat::Replayable, Need::Fresh)),
         ("heavy", group(Repeat::Replayable, Need::Any)),
         ("locked", group(Repeat::Replayable, Need::Write)),
@@ -52,12 +52,12 @@
 fn desk(rules: &Value) -> Result<Desk, String> {
     let rules: Rules = serde_json::from_value(rules.clone()).expect("rules");
     let (groups, names) = groups();
-    Desk::new(rules, &groups, &names, Secret([3; 16]), Time(0))
+    Desk::new(rules, &groups, &names, Secret([3; 16]), Timestamp::ZERO)
 }
 
 fn admit(desk: &mut Desk, text: &str, group: Option<&str>) -> Result<Passed, Turned> {
     let group = group.map(|group| groups().1.iter().position(|name| name == group).expect("a group"));
-    desk.admit(text.as_bytes(), Told { group, shard: None }, 1, &|| Time(0))
+    desk.admit(text.as_bytes(), Told { group, shard: None }, 1, &|| Timestamp::ZERO)
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let text = "SELECT * FROM series WHERE titulo LIKE 'x%'";
     let passed = admit(&mut desk, text, None).expect("it passes");
     assert_eq!(groups().1[passed.assigned.group], "read");
-    (0..30).for_each(|_| desk.learn(&passed.known, Span(400_000)));
+    (0..30).for_each(|_| desk.learn(&passed.known, Duration::from_millis(400)));
     let other =
         admit(&mut desk, "select * from SERIES where titulo like 'another%'", None).expect("it passes");
     assert_eq!((groups().1[other.assigned.group].as_str(), other.path), ("heavy", Path::Hit));
@@ -169,7 +169,7 @@
         let ticks = std::cell::Cell::new(0);
         let clock = || {
             ticks.set(ticks.get() + 50);
-            Time(ticks.get())
+            Timestamp::from_micros(ticks.get())
         };
         let told = |shard| Told { group: None, shard };
         for nth in 0..500 {
--- a/crates/comethitch/src/command.rs
+++ b/crates/comethitch/src/command.rs
@@ -1,16 +1,16 @@
 //! What the module keeps of a command in hand, and of each time it was sent.
 
 use crate::{Ending, Shard};
-use crate::{time::Span, time::Time};
+use crate::{time::Duration, time::Timestamp};
 
 /// One sending of a command to a host.
 #[derive(Clone, Copy)]
 pub struct Dispatch {
     pub node: usize,
-    pub sent: Time,
+    pub sent: Timestamp,
     pub ended: Option<Ending>,
     pub noted: bool,
-    pub work: Span,
+    pub work: Duration,
 }
 
 impl Dispatch {
@@ -27,9 +27,9 @@
     pub shard: Shard,
     pub session: u64,
     /// A session read must see all commits up to here.
-    pub must_see: Time,
-    pub taken: Time,
-    pub expiry: Time,
+    pub must_see: Timestamp,
+    pub taken: Timestamp,
+    pub expiry: Timestamp,
     pub done: bool,
     pub waiting: bool,
     pub dispatches: Vec<Dispatch>,
--- a/crates/comethitch/src/lib.rs
+++ b/crates/comethitch/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod policy;
 
 use std::collections::BTreeMap;
-use time::{Span, Time};
+use time::{Duration, Timestamp};
 
 pub use comethitch_fleet::share::Ramp;
 pub use comethitch_time as time;
@@ -80,7 +80,7 @@
 pub struct Standing {
     pub role: Option<Role>,
     /// All commits up to here are applied there, at the least.
-    pub position: Option<Time>,
+    pub position: Option<Timestamp>,
     /// How many commands wait there.
     pub queue: Option<f64>,
 }
@@ -107,7 +107,7 @@
     Write,
     Fresh,
     Session,
-    Bounded(Span),
+    Bounded(Duration),
     Any,
 }
 
@@ -121,12 +121,12 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandGroup {
-    pub target: Span,
-    pub timeout: Span,
+    pub target: Duration,
+    pub timeout: Duration,
     pub benefit: f64,
     pub effect: Effect,
     pub reach: Reach,
-    pub remembered: Span,
+    pub remembered: Duration,
     pub need: Need,
 }
 
@@ -136,20 +136,20 @@
     pub groups: Vec<CommandGroup>,
     pub guards: Guards,
     pub tokens_carried: bool,
-    pub beat: Span,
+    pub beat: Duration,
     pub may_cancel: bool,
     pub may_probe: bool,
     /// Points of service that one probe for each command would cost.
     pub probe_price: f64,
     pub second_copies: bool,
     pub max_dispatches: usize,
-    pub longest_retry_after: Option<Span>,
-    pub connect_timeout: Span,
-    pub drain_grace: Span,
+    pub longest_retry_after: Option<Duration>,
+    pub connect_timeout: Duration,
+    pub drain_grace: Duration,
     pub gone_is_advice: bool,
     pub must_subscribe: bool,
     pub ramp: Ramp,
-    origin: Time,
+    origin: Timestamp,
     position_at: Option<usize>,
     role_at: Option<usize>,
     queue_at: Option<usize>,
@@ -200,7 +200,7 @@
                 from: lines.get("rules.cold_from")?,
                 within: lines.span("rules.warm_within_us")?,
             },
-            origin: Time(lines.or("domain.origin_time_us", 0)?),
+            origin: Timestamp::from_micros(lines.or("domain.origin_time_us", 0)?),
             position_at: at("x0"),
             role_at: at("x1"),
             queue_at: at("queue"),
@@ -211,8 +211,9 @@
     /// next one below is surely not past the truth.
     pub fn reported(&self, values: &[f32]) -> Standing {
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).copied();
-        let position = value(self.position_at)
-            .map(|seconds| self.origin + Span((f64::from(seconds.next_down()) * 1e6).max(0.0) as u64));
+        let position = value(self.position_at).map(|seconds| {
+            self.origin + Duration::from_micros((f64::from(seconds.next_down()) * 1e6).max(0.0) as u64)
+        });
         let role = value(self.role_at).map(|role| match role >= 0.5 {
             true => Role::Primary,
             false => Role::Replica,
@@ -228,18 +229,18 @@
             2 => Some(Role::Replica),
             _ => None,
         };
-        let position = (note >= 4).then(|| self.origin + Span(u64::from(note / 4) * 1000));
+        let position = (note >= 4).then(|| self.origin + Duration::from_micros(u64::from(note / 4) * 1000));
         Standing { role, position, queue: None }
     }
 }
 
 impl Deployment {
-    pub fn shortest_target(&self) -> Option<Span> {
+    pub fn shortest_target(&self) -> Option<Duration> {
         self.groups.iter().map(|group| group.target).min()
     }
 
     /// The tightest bound on the age of data.
-    pub fn tightest_bound(&self) -> Option<Span> {
+    pub fn tightest_bound(&self) -> Option<Duration> {
         let bound = |g: &CommandGroup| if let Need::Bounded(bound) = g.need { Some(bound) } else { None };
         self.groups.iter().filter_map(bound).min()
     }
@@ -277,8 +278,8 @@
         if self.0.contains_key(key) { self.get(key) } else { Ok(other) }
     }
 
-    fn span(&self, key: &str) -> Result<Span, String> {
-        self.get(key).map(Span)
+    fn span(&self, key: &str) -> Result<Duration, String> {
+        self.get(key).map(Duration::from_micros)
     }
 
     fn one_of<T: Copy>(&self, key: &str, known: &[(&str, T)]) -> Result<T, String> {
@@ -291,9 +292,11 @@
         &self, i: usize, need: Option<&str>, bound: Option<&str>,
     ) -> Result<CommandGroup, String> {
         let key = |field: &str| format!("classes.{i}.{field}");
-        let bound = || -> Result<Span, String> {
+        let bound = || -> Result<Duration, String> {
             let text = bound.ok_or("domain.oldest_data_us is too short")?;
-            text.parse().map(Span).map_err(|_| format!("domain.oldest_data_us is unreadable: {text:?}"))
+            text.parse()
+                .map(Duration::from_micros)
+                .map_err(|_| format!("domain.oldest_data_us is unreadable: {text:?}"))
         };
         let need = match need.ok_or("domain.class_read is too short")? {
             "write" => Need::Write,
@@ -317,7 +320,7 @@
             } else {
                 Reach::Everywhere
             },
-            remembered: Span(self.or(&key("window_us"), 0)?),
+            remembered: Duration::from_micros(self.or(&key("window_us"), 0)?),
             need,
         })
     }
@@ -357,12 +360,12 @@
 
 /// What the decisions act through. An implementation carries each call out; it decides nothing.
 pub trait Outlet {
-    fn now(&self) -> Time;
+    fn now(&self) -> Timestamp;
     /// Sends the command to a host; its dispatches are numbered from 0 in the order of these calls.
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Span);
+    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration);
     fn cancel(&mut self, cmd: CommandId, nth: u16);
     /// Final answer: rejected, and trying again is harmless. No span, no advice when to.
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Span>);
+    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>);
     /// Final answer: failed, with nothing said of its effect.
     fn fail(&mut self, cmd: CommandId);
     /// Told just before [`Outlet::throttle`] or [`Outlet::fail`]: which check gave the command up. Only for
@@ -371,7 +374,7 @@
     fn probe(&mut self, host: Host);
     fn close_idle(&mut self, host: Host);
     /// Asks for a call of [`Router::woken`] after this span.
-    fn wake(&mut self, after: Span);
+    fn wake(&mut self, after: Duration);
     /// Asks for every change of the list from now on.
     fn subscribe(&mut self);
 }
--- a/crates/comethitch/src/policy.rs
+++ b/crates/comethitch/src/policy.rs
@@ -10,15 +10,15 @@
 use crate::{
     GivenUp, Ramp, Reach, Role, Shard, Standing, chance::Chance, commits::Commits, histogram::Histogram,
 };
-use crate::{command::Command, command::Dispatch, node::Node, time::Span, time::Time};
+use crate::{command::Command, command::Dispatch, node::Node, time::Duration, time::Timestamp};
 use comethitch_fleet::subset::{self, Candidate, Member};
 use comethitch_fleet::{leak::Leak, proof, room::Room, share};
 use std::collections::BTreeMap;
 
 // The design page's own figures.
-const PROBE_EVERY: Span = Span(1_000_000);
-const SILENCE: Span = Span(2_000_000);
-const STAGED: Span = Span(3_000_000);
+const PROBE_EVERY: Duration = Duration::from_secs(1);
+const SILENCE: Duration = Duration::from_secs(2);
+const STAGED: Duration = Duration::from_secs(3);
 const LOST_SHARE: f64 = 0.6;
 
 /// Points of service that probes may cost: a router with few commands pays many times over for each look.
@@ -26,9 +26,9 @@
 /// A group of which so few commands are left of the last ten seconds is not asked.
 const ASKED: f64 = 0.5;
 /// How soon a probe that proved nothing is sent again.
-const PROBE_AGAIN: Span = Span(PROBE_EVERY.0 / 4);
+const PROBE_AGAIN: Duration = Duration::from_micros(PROBE_EVERY.as_micros() / 4);
 /// How long a host may go without a probe that nothing has paid for.
-const PROBE_IDLE: Span = Span(PROBE_EVERY.0 * 10);
+const PROBE_IDLE: Duration = Duration::from_micros(PROBE_EVERY.as_micros() * 10);
 /// Further dispatches that each first one pays for, and how many may be saved up.
 const FURTHER_SHARE: f64 = 0.2;
 const FURTHER_SAVED: f64 = 16.0;
@@ -41,7 +41,7 @@
 /// From this many times the usual answer time on a host counts as slow beside the others.
 const SLOW: f64 = 2.0;
 /// How often a mute host is tried with a command.
-const TRIED_EVERY: Span = Span(SILENCE.0 / 4);
+const TRIED_EVERY: Duration = Duration::from_micros(SILENCE.as_micros() / 4);
 /// The part of a bound up to which a replica that checks reads itself is tried.
 const LAG_SHARE: f64 = 0.75;
 /// The part of a bound kept as a margin where only positions guard a read.
@@ -62,7 +62,7 @@
     listed: Option<usize>,
     serial: u32,
     state: State,
-    since: Time,
+    since: Timestamp,
     /// Dispatches out to the primary as the group became Unhealthy, and how many of them were lost.
     noted: u32,
     lost: u32,
@@ -89,7 +89,7 @@
     pub deployment: Deployment,
     chance: Chance,
     salt: u64,
-    beat: Span,
+    beat: Duration,
     groups: BTreeMap<Shard, Group>,
     pub(crate) nodes: Vec<Node>,
     free: Vec<usize>,
@@ -107,9 +107,9 @@
     /// The latest commit that each session was told of, where this router has to remember.
     commits: Commits,
     /// The shortest response target, the longest, and the tightest bound on the age of data.
-    target: Span,
-    longest: Span,
-    tightest: Span,
+    target: Duration,
+    longest: Duration,
+    tightest: Duration,
     /// Whether positions alone guard reads, and bounds alone ask for them: they are proven just in time.
     just_in_time: bool,
 }
@@ -157,7 +157,7 @@
 
     pub fn listed(
         &mut self, host: Host, zone: u8, shard: Shard, lifecycle: Lifecycle, heads: bool, power: f64,
-        started: Option<Time>, out: &mut dyn Outlet,
+        started: Option<Timestamp>, out: &mut dyn Outlet,
     ) {
         let now = out.now();
         let known = self.by_host.contains_key(&host);
@@ -192,7 +192,8 @@
         self.forget_gone(out.now());
         // Until something was heard from a host, all routers together put no more there than the longest
         // target's work: one that comes into many subsets is else filled for seconds before any is late.
-        for i in (0..self.nodes.len()).filter(|i| self.nodes[*i].heard == Time(0)).collect::<Vec<_>>() {
+        for i in (0..self.nodes.len()).filter(|i| self.nodes[*i].heard == Timestamp::ZERO).collect::<Vec<_>>()
+        {
             self.nodes[i].room.limit = self.longest.scaled(1.0 / self.sharers(i, out.now()));
         }
         self.probe_due(out);
@@ -205,7 +206,7 @@
         }
     }
 
-    fn node_of(&mut self, host: Host, shard: Shard, now: Time) -> usize {
+    fn node_of(&mut self, host: Host, shard: Shard, now: Timestamp) -> usize {
         if let Some(&i) = self.by_host.get(&host) {
             return i;
         }
@@ -217,7 +218,7 @@
             shard,
             alive: now,
             probe_next: now,
-            pace: Histogram::new(Span(250), 64),
+            pace: Histogram::new(Duration::from_micros(250), 64),
             ..Node::default()
         };
         let group = self.groups.entry(shard).or_default();
@@ -228,7 +229,7 @@
     }
 
     /// Forgets hosts that have long been gone, once no command, probe or group has to do with them.
-    fn forget_gone(&mut self, now: Time) {
+    fn forget_gone(&mut self, now: Timestamp) {
         let used: Vec<usize> = self.commands.values().flat_map(|c| &c.dispatches).map(|d| d.node).collect();
         let long = |n: &Node| n.gone && n.leaving.is_some_and(|told| now - told > PROBE_IDLE);
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| long(n)) {
@@ -243,12 +244,12 @@
     }
 
     pub fn take(
-        &mut self, id: CommandId, group: usize, shard: Shard, session: u64, since_write: Option<Span>,
-        expires_in: Span, out: &mut dyn Outlet,
+        &mut self, id: CommandId, group: usize, shard: Shard, session: u64, since_write: Option<Duration>,
+        expires_in: Duration, out: &mut dyn Outlet,
     ) -> Handle {
         let now = out.now();
         let must_see = match self.deployment.tokens_carried {
-            true => since_write.map_or(Time(0), |since| now - since),
+            true => since_write.map_or(Timestamp::ZERO, |since| now - since),
             false => self.commits.of(session),
         };
         let expiry = now + expires_in;
@@ -290,7 +291,7 @@
     /// Benefit for the work: what is served first, and given up last.
     fn worth(&self, id: CommandId) -> f64 {
         let Some(command) = self.commands.get(&id) else { return 0.0 };
-        self.deployment.groups[command.group].benefit / self.work(command.group).0.max(1) as f64
+        self.deployment.groups[command.group].benefit / self.work(command.group).as_micros().max(1) as f64
     }
 
     fn serve_lines(&mut self, out: &mut dyn Outlet) {
@@ -374,7 +375,7 @@
         }
     }
 
-    fn way(&mut self, id: CommandId, now: Time) -> Way {
+    fn way(&mut self, id: CommandId, now: Timestamp) -> Way {
         let command = &self.commands[&id];
         let Some(group) = self.groups.get(&command.shard) else { return Way::Wait };
         let kind = &self.deployment.groups[command.group];
@@ -410,7 +411,7 @@
         if kind.need == Need::Any {
             let order = |i: usize| {
                 let (node, fresh) = (&self.nodes[i], fresh(i, Need::Bounded(self.tightest)));
-                let behind = if fresh { Time(0) } else { node.position };
+                let behind = if fresh { Timestamp::ZERO } else { node.position };
                 (fresh, behind, u64::MAX - node.power.to_bits(), node.host, i)
             };
             let first = drawn.iter().map(|i| order(*i)).min();
@@ -433,7 +434,7 @@
             let calm = group.state != State::Failover && node.role != Some(Role::Replica);
             let turn = share::turn(self.salt, node.host.number(), now, self.target / 2);
             let (own, work) =
-                (kind.need == Need::Session && node.room.load == Span(0), self.work(command.group));
+                (kind.need == Need::Session && node.room.load == Duration::ZERO, self.work(command.group));
             let work = if own { work.scaled(turn) } else { work };
             calm && open(*p, 1.0) && node.room.load + work <= node.room.limit.scaled(0.75)
         };
@@ -446,7 +447,7 @@
         let work = self.work(command.group);
         let part = |i: usize| {
             let (node, drawn) = (&self.nodes[i], subset.iter().find(|m| m.at == i).map_or(0.0, |m| m.draw));
-            let crowd = (1.0 + node.queue) * (1.0 + node.room.load.over(work));
+            let crowd = (1.0 + node.queue) * (1.0 + node.room.load.ratio(work));
             drawn / crowd.powi(2) / node.pace.slowness()
         };
         let weights: Vec<f64> = drawn.iter().map(|i| part(*i)).collect();
@@ -455,7 +456,7 @@
     }
 
     /// Whether the believed primary may get what only it can do.
-    fn serves(&self, p: usize, group: &Group, now: Time) -> bool {
+    fn serves(&self, p: usize, group: &Group, now: Timestamp) -> bool {
         let node = &self.nodes[p];
         match group.state {
             _ if self.parted(p, now) => false,
@@ -468,22 +469,22 @@
 
     /// Beyond the design: whether the group keeps a primary that this router can't reach. Without one no
     /// member's data move on; with one, it is tried on, as no other could do its work.
-    fn kept(&self, group: &Group, now: Time) -> bool {
+    fn kept(&self, group: &Group, now: Timestamp) -> bool {
         let others = group.nodes.iter().filter(|i| group.primary != Some(**i));
         let moving = others.map(|i| &self.nodes[*i]).any(|node| now - node.position < SILENCE);
         moving && group.primary.is_some_and(|p| !self.nodes[p].mute)
     }
 
-    fn parted(&self, i: usize, now: Time) -> bool {
+    fn parted(&self, i: usize, now: Timestamp) -> bool {
         self.nodes[i].leaving.is_some_and(|told| now - told > self.deployment.drain_grace / 2)
     }
 
-    fn usable(&self, i: usize, now: Time) -> bool {
+    fn usable(&self, i: usize, now: Timestamp) -> bool {
         self.nodes[i].leaving.is_none() && self.nodes[i].well(now) && self.nodes[i].slots.open(now)
     }
 
     /// Whether the rules allow this command one more dispatch, to this host.
-    fn may_send(&self, command: &Command, kind: &CommandGroup, i: usize, now: Time) -> bool {
+    fn may_send(&self, command: &Command, kind: &CommandGroup, i: usize, now: Timestamp) -> bool {
         // A repeat must arrive while the first is remembered: the way there may take a connection.
         let arrival = now + self.deployment.connect_timeout;
         let nth = command.dispatches.len();
@@ -491,7 +492,9 @@
     }
 
     /// Whether the `nth` dispatch may be written to this host at that moment beside what was sent before it.
-    fn may_repeat(&self, command: &Command, nth: usize, kind: &CommandGroup, i: usize, at: Time) -> bool {
+    fn may_repeat(
+        &self, command: &Command, nth: usize, kind: &CommandGroup, i: usize, at: Timestamp,
+    ) -> bool {
         let before = &command.dispatches[..nth];
         if !self.deployment.second_copies && before.iter().any(|d| d.ended.is_none()) {
             return false;
@@ -512,7 +515,7 @@
         }
     }
 
-    fn fresh_enough(&self, i: usize, need: Need, must_see: Time, now: Time) -> bool {
+    fn fresh_enough(&self, i: usize, need: Need, must_see: Timestamp, now: Timestamp) -> bool {
         let node = &self.nodes[i];
         match need {
             Need::Any => true,
@@ -527,12 +530,12 @@
     }
 
     /// The share of a host's power that it surely has by now, if it started lately.
-    fn warmth(&self, i: usize, now: Time) -> f64 {
+    fn warmth(&self, i: usize, now: Timestamp) -> f64 {
         self.deployment.ramp.warmth(self.nodes[i].started, now)
     }
 
     /// Beyond the design: the replicas that this router uses, few enough to know them well.
-    fn subset(&self, shard: Shard, now: Time) -> Vec<Member> {
+    fn subset(&self, shard: Shard, now: Timestamp) -> Vec<Member> {
         let group = &self.groups[&shard];
         // One that was just told to be too far behind gives way too, until it is time to ask again.
         let behind = |node: &Node| now - node.lag_told < SILENCE && node.lag > self.tightest;
@@ -547,13 +550,13 @@
         subset::draw(self.salt, now, self.deployment.ramp.within * 8, self.size(group, now), all)
     }
 
-    fn size(&self, group: &Group, now: Time) -> usize {
+    fn size(&self, group: &Group, now: Timestamp) -> usize {
         let lasts = proof::lasts(self.tightest, PROBE_AGAIN);
-        subset::size(group.asked.each(now, PROBE_IDLE) * lasts.over(PROBE_IDLE))
+        subset::size(group.asked.each(now, PROBE_IDLE) * lasts.ratio(PROBE_IDLE))
     }
 
     /// How many routers use a host: all a primary, of other hosts the part that has it in its subset.
-    fn sharers(&self, i: usize, now: Time) -> f64 {
+    fn sharers(&self, i: usize, now: Timestamp) -> f64 {
         let group = &self.groups[&self.nodes[i].shard];
         let size = self.size(group, now) as f64;
         let reach = if group.primary == Some(i) { 1.0 } else { size / group.nodes.len().max(1) as f64 };
@@ -562,15 +565,15 @@
 
     /// Asks for what a read needs: the proofs of its subset that run out before the next could come, or are
     /// older than what its session has written.
-    fn prove(&mut self, shard: Shard, group: usize, must_see: Time, out: &mut dyn Outlet) {
+    fn prove(&mut self, shard: Shard, group: usize, must_see: Timestamp, out: &mut dyn Outlet) {
         let now = out.now();
-        let lasts = |bound: Span| proof::lasts(bound - bound / MARGIN, PROBE_AGAIN);
+        let lasts = |bound: Duration| proof::lasts(bound - bound / MARGIN, PROBE_AGAIN);
         // Where sessions are served besides, timers ask too, but few of them are paid for by a quiet router.
         let alone = self.deployment.guards == Guards::Off && self.deployment.may_probe;
         let known = self.groups.get(&shard).filter(|_| alone);
         let proven = match (self.deployment.groups[group].need, known) {
             (Need::Bounded(bound), Some(_)) => now - lasts(bound),
-            (Need::Session, Some(_)) if must_see > Time(0) => must_see,
+            (Need::Session, Some(_)) if must_see > Timestamp::ZERO => must_see,
             // Whether the group keeps a primary in doubt shows in whether its other members move on.
             (Need::Write | Need::Fresh, Some(known)) if known.state == State::Unhealthy => {
                 now - lasts(SILENCE)
@@ -581,7 +584,7 @@
             let node = &self.nodes[at];
             let asked = node.probe_sent.is_some() || now < node.prove_next;
             if node.position < proven && !asked && self.has_room(at, reach, group, now) {
-                let lag = Some(node.lag).filter(|_| node.position > Time(0));
+                let lag = Some(node.lag).filter(|_| node.position > Timestamp::ZERO);
                 self.nodes[at].prove_next = now + proof::wait(lag, PROBE_AGAIN);
                 self.probe(at, out);
             }
@@ -596,19 +599,19 @@
     }
 
     /// Whether a host, which `reach` of all routers use, can take this work in time and is not pushed over.
-    fn has_room(&self, i: usize, reach: f64, group: usize, now: Time) -> bool {
+    fn has_room(&self, i: usize, reach: f64, group: usize, now: Timestamp) -> bool {
         let node = &self.nodes[i];
         // Room is reckoned for the shortest target: a long command, with a target to match, finds more of it.
         let target = self.deployment.groups[group].target;
-        let stretch = if self.long(group) { target.over(self.target) } else { 1.0 };
+        let stretch = if self.long(group) { target.ratio(self.target) } else { 1.0 };
         let work = self.work(group);
         let turn = share::turn(self.salt, node.host.number(), now, self.target / 2);
         // One that nobody here has used comes in as the others fail: hundreds of routers turn to it at once.
         let new = self.just_in_time
-            && node.heard == Time(0)
+            && node.heard == Timestamp::ZERO
             && self.groups[&node.shard].primary != Some(i)
-            && self.groups[&node.shard].nodes.iter().any(|j| self.nodes[*j].heard > Time(0));
-        let part = self.longest.scaled(1.0 / share::sharers(self.deployment.ramp.routers, reach)).over(work);
+            && self.groups[&node.shard].nodes.iter().any(|j| self.nodes[*j].heard > Timestamp::ZERO);
+        let part = self.longest.scaled(1.0 / share::sharers(self.deployment.ramp.routers, reach)).ratio(work);
         let fits = node.slots.open(now)
             && !(new && turn >= part)
             && node.room.holds(work, stretch, turn)
@@ -628,13 +631,13 @@
     }
 
     /// The work of a command group's usual command, as seen from here.
-    fn work(&self, group: usize) -> Span {
+    fn work(&self, group: usize) -> Duration {
         self.took[group].quantile(0.3).unwrap_or(self.deployment.groups[group].target / 8)
     }
 
     /// What a cold host's budget is charged for a command: the long ones are what pushes it over.
     fn heft(&self, group: usize) -> f64 {
-        (self.work(group) * 2).max(self.deployment.groups[group].target / 8).0 as f64
+        (self.work(group) * 2).max(self.deployment.groups[group].target / 8).as_micros() as f64
     }
 
     /// Whether its commands take longer than short ones may, as its target allows and not for a queue.
@@ -642,7 +645,7 @@
         self.usual(group).min(self.deployment.groups[group].target / 4) > self.target
     }
 
-    fn usual(&self, group: usize) -> Span {
+    fn usual(&self, group: usize) -> Duration {
         self.took[group].quantile(0.5).unwrap_or(self.deployment.groups[group].target / 4)
     }
 
@@ -657,7 +660,7 @@
             node.shows_life(now);
             // It runs but tells nothing: it has just started, is asked by too many, or only its probes fail.
             if told == Standing::default() {
-                let parts = if node.position == Time(0) { 16 } else { 4 };
+                let parts = if node.position == Timestamp::ZERO { 16 } else { 4 };
                 node.probe_next = node.probe_next.min(now + PROBE_EVERY / parts);
             }
         } else if node.alive < sent {
@@ -667,7 +670,7 @@
         self.serve_lines(out);
     }
 
-    fn weigh(&mut self, dispatch: Dispatch, kind: usize, ending: Ending, now: Time) {
+    fn weigh(&mut self, dispatch: Dispatch, kind: usize, ending: Ending, now: Timestamp) {
         let Dispatch { node: i, sent, work, .. } = dispatch;
         let took = now - sent;
         let usual = self.usual(kind);
@@ -708,14 +711,14 @@
             Ending::Moot => {}
         }
         if ending == Ending::Answered {
-            node.bore.add((work * 2).max(target / 8).0 as f64, now, self.deployment.ramp.span);
+            node.bore.add((work * 2).max(target / 8).as_micros() as f64, now, self.deployment.ramp.span);
             self.took[kind].add(took);
-            node.pace.add(Span((took.over(usual) * 1000.0) as u64));
+            node.pace.add(Duration::from_micros((took.ratio(usual) * 1000.0) as u64));
             late = Some(took > target / 2);
         }
         let group = self.groups.get_mut(&node.shard).expect("known shard");
         // Nor less than its commands need at their usual pace: some see many times what others do.
-        let needs = work.scaled(group.asked.each(now, PROBE_IDLE) * work.over(PROBE_IDLE));
+        let needs = work.scaled(group.asked.each(now, PROBE_IDLE) * work.ratio(PROBE_IDLE));
         let together = (least * group.nodes.len() as u64).max(needs);
         group.rooms[kind].ended(work, late, 0.0, together.max(work), target / 2, now);
         let full = ending == Ending::Full;
@@ -750,7 +753,7 @@
         }
     }
 
-    fn leads(&mut self, i: usize, position: Time, to_command: bool, out: &mut dyn Outlet) {
+    fn leads(&mut self, i: usize, position: Timestamp, to_command: bool, out: &mut dyn Outlet) {
         let now = out.now();
         let (shard, mute) = (self.nodes[i].shard, self.nodes[i].mute);
         let group = &self.groups[&shard];
@@ -780,7 +783,7 @@
     }
 
     /// Healthy to Unhealthy: something went wrong at the believed primary.
-    fn doubt(&mut self, i: usize, now: Time) {
+    fn doubt(&mut self, i: usize, now: Timestamp) {
         let shard = self.nodes[i].shard;
         let group = self.groups.get_mut(&shard).expect("known shard");
         if group.primary != Some(i) || group.state != State::Healthy {
@@ -861,7 +864,7 @@
             let node = &self.nodes[i];
             if node.probe_sent.is_some()
                 || !node.slots.open(now)
-                || node.leaving.is_some() && node.room.load == Span(0)
+                || node.leaving.is_some() && node.room.load == Duration::ZERO
             {
                 continue;
             }
@@ -939,11 +942,11 @@
 }
 
 impl Node {
-    fn ask(&mut self, now: Time) {
+    fn ask(&mut self, now: Timestamp) {
         self.asked = if self.asked <= self.alive { now } else { self.asked };
     }
 
-    fn well(&self, now: Time) -> bool {
+    fn well(&self, now: Timestamp) -> bool {
         now >= self.shunned
     }
 
@@ -953,7 +956,7 @@
         self.strikes >= LOST_AFTER
     }
 
-    fn strike(&mut self, now: Time, connect_timeout: Span) {
+    fn strike(&mut self, now: Timestamp, connect_timeout: Duration) {
         self.strikes += 1;
         if self.lost() {
             // Twice as long each time: hundreds of routers try what has gone.
@@ -963,12 +966,12 @@
     }
 
     /// It runs, and has no place for one more connection.
-    fn turned_away(&mut self, salt: u64, connect: Span, now: Time) {
+    fn turned_away(&mut self, salt: u64, connect: Duration, now: Timestamp) {
         self.shows_life(now);
         self.slots.turned_away(salt, self.host.number(), connect, now);
     }
 
-    fn shows_life(&mut self, now: Time) {
+    fn shows_life(&mut self, now: Timestamp) {
         (self.alive, self.strikes) = (now, 0);
         if !self.mute {
             self.shunned = self.shunned.min(now);
@@ -988,14 +991,14 @@
     /// Whether a dispatch that was held up on its way may still go: what the rules ask for counts as it is
     /// written. While its connection came up, its command may have been given up, its host told to drain, its
     /// repeat be forgotten there, or the data have become too old.
-    pub fn may_go(self, router: &Router, nth: u16, now: Time) -> bool {
+    pub fn may_go(self, router: &Router, nth: u16, now: Timestamp) -> bool {
         let Some(command) = router.commands.get(&self.0).filter(|c| !c.done && now < c.expiry) else {
             return false;
         };
         let (nth, kind) = (usize::from(nth), &router.deployment.groups[command.group]);
         let Some(dispatch) = command.dispatches.get(nth).filter(|d| d.ended.is_none()) else { return false };
         let (i, need) = (dispatch.node, kind.need);
-        let aged = matches!(need, Need::Bounded(_)) && !router.fresh_enough(i, need, Time(0), now);
+        let aged = matches!(need, Need::Bounded(_)) && !router.fresh_enough(i, need, Timestamp::ZERO, now);
         let primary = router.groups[&command.shard].primary == Some(i);
         let checked = primary || router.deployment.guards != Guards::Off;
         (!aged || checked) && !router.parted(i, now) && router.may_repeat(command, nth, kind, i, now)
@@ -1027,7 +1030,8 @@
         let need = router.deployment.groups[kind].need;
         if noted.role == Some(Role::Primary) {
             // It stood at the present when it answered, so at the least at the moment of the send.
-            let stood = noted.position.map_or(dispatch.sent, |p| (p - Span(1000)).max(dispatch.sent));
+            let stood =
+                noted.position.map_or(dispatch.sent, |p| (p - Duration::from_millis(1)).max(dispatch.sent));
             router.nodes[i].position = router.nodes[i].position.max(stood);
         }
         let answered = matches!(ending, Ending::Answered | Ending::Error | Ending::Full | Ending::Miss);
--- a/crates/comethitch/tests/scenarios.rs
+++ b/crates/comethitch/tests/scenarios.rs
@@ -18,11 +18,11 @@
 //! repeat 20 { ... }            on one line, steps parted by `;`, `%` stands for the round's number
 //! ```
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandId, Deployment, Ending, GivenUp, Host, Lifecycle, Outlet, Role, Router, Standing};
 use std::{fs, path::Path};
 
-const START: Time = Time(1_000_000_000);
+const START: Timestamp = Timestamp::from_millis(1_000_000);
 /// Name, need, effect, reach, response target and client timeout in milliseconds.
 type Group = (&'static str, &'static str, &'static str, &'static str, u64, u64);
 
@@ -61,14 +61,23 @@
 
 #[derive(Default)]
 struct Acts {
-    now: Time,
+    now: Timestamp,
     said: Vec<String>,
-    wakes: Vec<Time>,
+    wakes: Vec<Timestamp>,
     /// The reason told for the final answer that comes next.
     why: Option<(CommandId, GivenUp)>,
+    /// A digest of all acts in their order, so that two texts of the module can be compared to the byte.
+    digest: u64,
 }
 
 impl Acts {
+    /// Adds an act, as numbers, to the digest (FNV-1a).
+    fn digest(&mut self, act: [u64; 4]) {
+        for byte in act.into_iter().chain([self.now.as_micros()]).flat_map(u64::to_le_bytes) {
+            self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
     /// The reason told before a final answer, `untold` where none was for this command.
     fn why(&mut self, cmd: CommandId) -> &'static str {
         self.why.take().filter(|(of, _)| *of == cmd).map_or("untold", |(_, why)| why.name())
@@ -76,21 +85,26 @@
 }
 
 impl Outlet for Acts {
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         self.now
     }
-    fn dispatch(&mut self, cmd: CommandId, host: Host, _: Span) {
+    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
+        self.digest([80, cmd.into(), host.number(), time_out.as_micros()]);
         self.said.push(format!("dispatch {cmd} {}", name(host)));
     }
     fn cancel(&mut self, cmd: CommandId, nth: u16) {
+        self.digest([90, cmd.into(), nth.into(), 0]);
         self.said.push(format!("cancel {cmd}.{nth}"));
     }
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Span>) {
-        let advice = retry_after.map_or("now".into(), |after| format!("later {}ms", after.0 / 1000));
+    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>) {
+        self.digest([84, cmd.into(), retry_after.map_or(0, |after| after.as_micros() + 1), 0]);
+        let advice =
+            retry_after.map_or("now".into(), |after| format!("later {}ms", after.as_micros() / 1000));
         let why = self.why(cmd);
         self.said.push(format!("throttle {cmd} {why} {advice}"));
     }
     fn fail(&mut self, cmd: CommandId) {
+        self.digest([86, cmd.into(), 0, 0]);
         let why = self.why(cmd);
         self.said.push(format!("fail {cmd} {why}"));
     }
@@ -98,15 +112,19 @@
         self.why = Some((cmd, why));
     }
     fn probe(&mut self, host: Host) {
+        self.digest([81, host.number(), 0, 0]);
         self.said.push(format!("probe {}", name(host)));
     }
     fn close_idle(&mut self, host: Host) {
+        self.digest([85, host.number(), 0, 0]);
         self.said.push(format!("close {}", name(host)));
     }
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: Duration) {
+        self.digest([82, after.as_micros(), 0, 0]);
         self.wakes.push(self.now + after);
     }
     fn subscribe(&mut self) {
+        self.digest([83, 0, 0, 0]);
         self.said.push("subscribe".into());
     }
 }
@@ -120,11 +138,11 @@
     char::from(host.address[3])
 }
 
-fn span(word: &str) -> Span {
+fn span(word: &str) -> Duration {
     let word = word.trim_start_matches('-');
     match word.strip_suffix("ms") {
-        Some(ms) => Span(ms.parse::<u64>().expect("milliseconds") * 1000),
-        None => Span(
+        Some(ms) => Duration::from_micros(ms.parse::<u64>().expect("milliseconds") * 1000),
+        None => Duration::from_micros(
             word.strip_suffix('s').expect("a span in ms or s").parse::<u64>().expect("seconds") * 1_000_000,
         ),
     }
@@ -181,7 +199,7 @@
         Standing { role, position: back.map(|word| self.acts.now - span(word)), queue }
     }
 
-    fn until(&mut self, time: Time) {
+    fn until(&mut self, time: Timestamp) {
         let (router, acts) = self.router();
         while let Some(at) = acts.wakes.iter().copied().filter(|at| *at <= time).min() {
             acts.wakes.retain(|wake| *wake != at);
@@ -311,7 +329,7 @@
     let mut files: Vec<_> =
         fs::read_dir(folder).expect("the folder").map(|f| f.expect("a file").path()).collect();
     files.sort();
-    let mut failures = Vec::new();
+    let (mut failures, mut digest) = (Vec::new(), 0_u64);
     for file in &files {
         let text = fs::read_to_string(file).expect("a scenario");
         let mut play = Play { deployment: base(), router: None, acts: Acts::default(), since: 0, read: 0 };
@@ -323,10 +341,13 @@
                 break;
             }
         }
+        digest = digest.rotate_left(7) ^ play.acts.digest;
         // Each final answer names the check that gave its command up, so that logs can count them.
         if let Some(act) = play.acts.said.iter().find(|act| act.contains(" untold")) {
             failures.push(format!("{}: a final answer without its reason: {act}", file.display()));
         }
     }
+    // Shown with --nocapture: the same for two texts that decide alike.
+    println!("digest of {} scenarios: {digest:016x}", files.len());
     assert!(!files.is_empty() && failures.is_empty(), "{}", failures.join("\n"));
 }
--- a/crates/comethitchd/src/memory/arrivals.rs
+++ b/crates/comethitchd/src/memory/arrivals.rs
@@ -4,11 +4,11 @@
 //! next. One moment for the whole buffer would give a message that waits behind others the moment of bytes that
 //! came later, and so more time than its client allows.
 
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
 /// Arrivals closer together than this share one record, which keeps the earlier moment.
-const RESOLUTION: Span = Span(1_000);
+const RESOLUTION: Duration = Duration::from_millis(1);
 /// Records kept for one connection at the most: 1 KiB. Past that the two closest together are merged, so that some
 /// messages are timed from a slightly earlier moment, and none from a later one.
 const MOST_RECORDS: usize = 64;
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy)]
 struct Arrival {
     end: u64,
-    at: Time,
+    at: Timestamp,
 }
 
 /// The arrival times of the bytes of one connection that are not consumed yet.
@@ -31,18 +31,18 @@
 
 impl Arrivals {
     /// Records that this many more bytes were read now, where none of them was seen waiting before.
-    pub fn read(&mut self, length: usize, now: Time) {
+    pub fn read(&mut self, length: usize, now: Timestamp) {
         self.read += length as u64;
         self.arrived(self.read, now);
     }
 
     /// Records that this many bytes wait behind those that were read: they are read later, and arrived by now.
-    pub fn waiting(&mut self, length: usize, now: Time) {
+    pub fn waiting(&mut self, length: usize, now: Timestamp) {
         self.arrived(self.read + length as u64, now);
     }
 
     /// Consumes bytes that were read, and returns when the last one of them arrived.
-    pub fn consume(&mut self, length: usize) -> Option<Time> {
+    pub fn consume(&mut self, length: usize) -> Option<Timestamp> {
         self.consumed += length as u64;
         let covering = self.records.iter().position(|record| record.end >= self.consumed);
         self.records.drain(..covering.unwrap_or(self.records.len()));
@@ -54,7 +54,7 @@
     }
 
     /// All bytes before `end` have arrived by now.
-    fn arrived(&mut self, end: u64, now: Time) {
+    fn arrived(&mut self, end: u64, now: Timestamp) {
         match self.records.back_mut() {
             Some(last) if end <= last.end => return,
             Some(last) if now - last.at < RESOLUTION => {
--- a/crates/comethitchd/src/memory/clients.rs
+++ b/crates/comethitchd/src/memory/clients.rs
@@ -1,7 +1,7 @@
 //! Descriptors, and the connections of clients that hold most of them.
 
 use crate::memory::flag::{Close, Notice};
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::collections::hash_map::RandomState;
@@ -60,7 +60,7 @@
 
 struct Open {
     stage: Stage,
-    since: Time,
+    since: Timestamp,
     notice: Rc<Notice>,
 }
 
@@ -68,11 +68,11 @@
 pub struct Patience {
     /// Until a whole command has come, or while what a lost client still sends is dropped. One that is idle
     /// for as long may be closed.
-    pub rest: Span,
+    pub rest: Duration,
     /// Until one that is idle is closed in any case.
-    pub idle: Span,
+    pub idle: Duration,
     /// In place of `rest`, as descriptors run short or the router stops.
-    pub least: Span,
+    pub least: Duration,
 }
 
 /// The clients' open connections.
@@ -89,7 +89,7 @@
     }
 
     /// Enters a connection; what it returns tells it when to close.
-    pub fn enter(&self, now: Time) -> (u32, Rc<Notice>) {
+    pub fn enter(&self, now: Timestamp) -> (u32, Rc<Notice>) {
         // From the system's own random numbers: nobody else's client may guess it.
         let key = RandomState::new().build_hasher().finish() as u32;
         let notice = Rc::new(Notice::with(key));
@@ -112,7 +112,7 @@
     }
 
     /// Notes what a connection is at; the same stage again does not begin anew.
-    pub fn turn(&self, number: u32, stage: Stage, now: Time) {
+    pub fn turn(&self, number: u32, stage: Stage, now: Timestamp) {
         if let Some(open) = self.open.borrow_mut().get_mut(&number).filter(|open| open.stage != stage) {
             (open.stage, open.since) = (stage, now);
         }
@@ -121,7 +121,7 @@
     /// Makes room: by a connection that was told an error, or has not asked for a while, or has been idle long.
     /// Once there is no room left, by one that has hardly had the time to ask; by whichever is idle only if
     /// no connection is new.
-    pub fn shed(&self, now: Time, full: bool) {
+    pub fn shed(&self, now: Timestamp, full: bool) {
         let Patience { rest, least, .. } = self.patience;
         let open = self.open.borrow();
         let waits = |one: &Open| matches!(one.stage, Stage::Asking | Stage::Ending);
@@ -145,7 +145,7 @@
     }
 
     /// Ends connections that have been at one stage for too long.
-    pub fn sweep(&self, now: Time) {
+    pub fn sweep(&self, now: Timestamp) {
         let Patience { rest, idle, least } = self.patience;
         for one in self.open.borrow().values() {
             let limit = match one.stage {
--- a/crates/comethitchd/src/memory/commands.rs
+++ b/crates/comethitchd/src/memory/commands.rs
@@ -3,7 +3,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use comethitch::CommandId;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch_statement::desk::Known;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -29,7 +29,7 @@
     Value(Vec<u8>),
     /// The first part of a large value; the others come behind it.
     Begun(Vec<u8>, Receiver<Part>),
-    Throttled(Option<Span>),
+    Throttled(Option<Duration>),
     Failed,
     /// Failed, and a host's own error tells why.
     FailedBy(Vec<u8>),
--- a/crates/comethitchd/src/memory/connection.rs
+++ b/crates/comethitchd/src/memory/connection.rs
@@ -4,14 +4,14 @@
 use crate::memory::clients::Permit;
 use async_io::Async;
 use comethitch::Ending;
-use comethitch::time::Time;
+use comethitch::time::Timestamp;
 use std::net::{SocketAddr, TcpStream};
 
 pub struct HostConnection {
     pub stream: Async<TcpStream>,
     pub buffer: Buffer,
     pub dial: SocketAddr,
-    pub idle_since: Time,
+    pub idle_since: Timestamp,
     /// What its protocol keeps of it.
     pub kept: Kept,
     pub permit: Permit,
--- a/crates/comethitchd/src/memory/hub.rs
+++ b/crates/comethitchd/src/memory/hub.rs
@@ -12,7 +12,7 @@
 use crate::memory::site::Site;
 use crate::memory::tally::{Tally, count_kind};
 use async_executor::LocalExecutor;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{Ending, Host, Role, Router};
 use comethitch_statement::Desk;
 use comethitch_statement::desk::Known;
@@ -31,10 +31,14 @@
 /// Memory that is no connection's buffer; of the rest buffers get half, as what they hold is copied once.
 const OTHER_MEMORY: u64 = 12 << 20;
 /// A connection with nothing in hand may be closed after this long.
-const AT_REST: Span = Span(2_000_000);
+const AT_REST: Duration = Duration::from_secs(2);
 /// What clients' connections have: to be closed for saying nothing within 3 s, for being idle, and when
 /// descriptors run short.
-const PATIENCE: Patience = Patience { rest: AT_REST, idle: Span(AT_REST.0 * 5), least: Span(AT_REST.0 / 32) };
+const PATIENCE: Patience = Patience {
+    rest: AT_REST,
+    idle: Duration::from_micros(AT_REST.as_micros() * 5),
+    least: Duration::from_micros(AT_REST.as_micros() / 32),
+};
 /// Bytes of lost clients that are dropped at once.
 const DROPPED: usize = 64 * 1024;
 /// While less than this part of the clients' descriptors is free, room is made ahead of need.
@@ -59,19 +63,19 @@
     /// Whom to ask for the list, and what is raised once that is somebody else.
     pub discovery: RefCell<(SocketAddr, Flag)>,
     /// When a watch last told anything, were it an empty line.
-    pub heard: Cell<Time>,
+    pub heard: Cell<Timestamp>,
     /// The list is held: clients may come.
     pub ready: Flag,
     /// Where statements are judged by their text, if the operator has given rules for that.
     pub desk: RefCell<Option<Desk>>,
     pub tally: Tally,
     /// The span after which the module last asked to be woken.
-    pub beat: Cell<Span>,
+    pub beat: Cell<Duration>,
     /// The longest that any client waits.
-    pub longest_timeout: Span,
-    seen: Cell<Time>,
+    pub longest_timeout: Duration,
+    seen: Cell<Timestamp>,
     /// When the router last stood still, if it ever did: from, and until.
-    stood: Cell<(Time, Time)>,
+    stood: Cell<(Timestamp, Timestamp)>,
 }
 
 impl Hub {
@@ -110,25 +114,25 @@
     }
 
     /// A host has answered a statement whose shape is known.
-    pub fn answered_after(&self, known: &Known, took: Span) {
+    pub fn answered_after(&self, known: &Known, took: Duration) {
         if let Some(desk) = &*self.desk.borrow() {
             desk.learn(known, took);
         }
     }
 
     /// The present. Gaps between calls show that the router stood still: it wakes at every beat.
-    pub fn now(&self) -> Time {
+    pub fn now(&self) -> Timestamp {
         let now = self.clock.now();
         if now - self.seen.get() > self.beat.get() * 2 {
             self.stood.set((self.seen.get(), now));
-            log::warn!("stood still for {} ms", (now - self.seen.get()).0 / 1_000);
+            log::warn!("stood still for {} ms", (now - self.seen.get()).as_micros() / 1_000);
         }
         self.seen.set(now);
         now
     }
 
     /// When bytes that are read now came in: if the router stood still, perhaps as that began.
-    pub fn arrival(&self) -> Time {
+    pub fn arrival(&self) -> Timestamp {
         let now = self.now();
         let (from, until) = self.stood.get();
         if now - until < self.site.deployment.beat { from } else { now }
--- a/crates/comethitchd/src/memory/pool.rs
+++ b/crates/comethitchd/src/memory/pool.rs
@@ -2,30 +2,30 @@
 
 use crate::memory::connection::HostConnection;
 use comethitch::Host;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch_fleet::slots;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 pub struct Pool {
     /// Kept no longer than this: the host closes what has been idle for its own limit.
-    longest: Span,
+    longest: Duration,
     /// When a host last had no place for one more connection.
-    turned_away: Option<Time>,
+    turned_away: Option<Timestamp>,
     idle: BTreeMap<Host, Vec<HostConnection>>,
 }
 
 impl Pool {
-    pub fn new(host_limit: Span) -> Pool {
+    pub fn new(host_limit: Duration) -> Pool {
         Pool { longest: host_limit / 4 * 3, turned_away: None, idle: BTreeMap::new() }
     }
 
-    pub fn turned_away(&mut self, now: Time) {
+    pub fn turned_away(&mut self, now: Timestamp) {
         self.turned_away = Some(now);
     }
 
     /// The one used last, so that the others age out; what is old, moved or broken is closed on the way.
-    pub fn take(&mut self, host: Host, dial: SocketAddr, now: Time) -> Option<HostConnection> {
+    pub fn take(&mut self, host: Host, dial: SocketAddr, now: Timestamp) -> Option<HostConnection> {
         let idle = self.idle.get_mut(&host)?;
         while let Some(connection) = idle.pop() {
             let young = now - connection.idle_since < self.longest;
@@ -36,7 +36,7 @@
         None
     }
 
-    pub fn put(&mut self, host: Host, mut connection: HostConnection, now: Time) {
+    pub fn put(&mut self, host: Host, mut connection: HostConnection, now: Timestamp) {
         connection.idle_since = now;
         self.idle.entry(host).or_default().push(connection);
     }
@@ -46,7 +46,7 @@
     }
 
     /// Closes what has been idle too long, and forgets hosts without any.
-    pub fn sweep(&mut self, now: Time) {
+    pub fn sweep(&mut self, now: Timestamp) {
         let longest = slots::kept(self.longest, self.turned_away, now);
         self.idle.retain(|_, idle| {
             idle.retain(|connection| now - connection.idle_since < longest);
--- a/crates/comethitchd/src/memory/protocol.rs
+++ b/crates/comethitchd/src/memory/protocol.rs
@@ -5,7 +5,7 @@
 use crate::memory::connection::ConnectionEnd;
 use crate::memory::hub::Hub;
 use async_io::Async;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch::{CommandId, Host, Standing};
 use std::future::Future;
 use std::net::TcpStream;
@@ -26,7 +26,7 @@
     /// Starts the command's next dispatch, whose end is told to `stages::route::ended`. One that is too late
     /// before it begins, as after the router stood still, is not tried, and its number returned: the host has
     /// no part in that.
-    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Span) -> Option<u16>;
+    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16>;
 
     /// Asks a host how it stands; the answer goes to the module.
     fn probe(&self, hub: &Rc<Hub>, host: Host);
--- a/crates/comethitchd/src/memory/site.rs
+++ b/crates/comethitchd/src/memory/site.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::discovery::{Listing, listing_of};
 use comethitch::Deployment;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch_statement::{Desk, Rules, Secret};
 use serde_json::Value;
 use std::collections::hash_map::RandomState;
@@ -26,7 +26,7 @@
     pub groups: Vec<String>,
     pub zones: Vec<String>,
     /// After this long a host closes an idle connection.
-    pub host_idle: Span,
+    pub host_idle: Duration,
     /// How statements are judged by their text; none, and comments alone count.
     pub statements: Option<Rules>,
 }
@@ -98,7 +98,11 @@
             deployment,
             groups,
             zones,
-            host_idle: Span(all.number("settings.permissions.conn_idle_us", 1, Some(30_000_000))?),
+            host_idle: Duration::from_micros(all.number(
+                "settings.permissions.conn_idle_us",
+                1,
+                Some(30_000_000),
+            )?),
             statements: None,
         })
     }
@@ -113,7 +117,7 @@
     /// The same, with the rules as a text.
     pub fn judging(mut self, text: &str) -> Result<Site, String> {
         let rules = read_rules(text)?;
-        self.desk_by(rules.clone(), Time(0))?;
+        self.desk_by(rules.clone(), Timestamp::ZERO)?;
         if rules.cache.kib as u64 > self.memory_mb << 10 >> 2 {
             return Err(format!("cache.kib is more than a quarter of {} MB, the limit", self.memory_mb));
         }
@@ -122,12 +126,12 @@
     }
 
     /// The place where statements are judged, if there are rules for it.
-    pub fn desk(&self, now: Time) -> Result<Option<Desk>, String> {
+    pub fn desk(&self, now: Timestamp) -> Result<Option<Desk>, String> {
         self.statements.clone().map(|rules| self.desk_by(rules, now)).transpose()
     }
 
     /// The same by other rules, for the command groups of this site.
-    pub fn desk_by(&self, rules: Rules, now: Time) -> Result<Desk, String> {
+    pub fn desk_by(&self, rules: Rules, now: Timestamp) -> Result<Desk, String> {
         Desk::new(rules, &self.deployment.groups, &self.groups, secret(), now)
     }
 }
@@ -162,7 +166,7 @@
         spans.push((format!("classes.{i}.target_us"), group.target));
         spans.push((format!("classes.{i}.deadline_us"), group.timeout));
     }
-    if let Some((key, _)) = spans.iter().find(|(_, span)| *span == Span(0)) {
+    if let Some((key, _)) = spans.iter().find(|(_, span)| *span == Duration::ZERO) {
         return Err(format!("settings.{key} must be 1 or more"));
     }
     if !(0.0..=1.0).contains(&deployment.ramp.from) {
--- a/crates/comethitchd/src/protocols/flow.rs
+++ b/crates/comethitchd/src/protocols/flow.rs
@@ -11,7 +11,7 @@
 use async_channel::{Sender, bounded};
 use async_io::Timer;
 use comethitch::CommandId;
-use comethitch::time::Time;
+use comethitch::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
     id: CommandId,
     nth: u16,
     parts: RefCell<Option<Sender<Part>>>,
-    moved: Cell<Time>,
+    moved: Cell<Timestamp>,
 }
 
 impl Flow {
--- a/crates/comethitchd/src/protocols/line.rs
+++ b/crates/comethitchd/src/protocols/line.rs
@@ -4,13 +4,13 @@
 use crate::memory::arrivals::Arrivals;
 use crate::memory::buffer::Buffer;
 use crate::memory::clients::{Permit, Stage};
-use crate::memory::clock::{after, duration};
+use crate::memory::clock::after;
 use crate::memory::flag::{Close, Notice};
 use crate::memory::hub::Hub;
 use crate::memory::tally::count;
 use crate::wire::Malformed;
 use async_io::{Async, Timer};
-use comethitch::time::Time;
+use comethitch::time::Timestamp;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::future::Future;
@@ -39,7 +39,7 @@
     pub origin: u64,
     pub notice: Rc<Notice>,
     /// When the last byte came that was taken out of the buffer.
-    pub arrived: Time,
+    pub arrived: Timestamp,
     arrivals: Arrivals,
     _permit: Permit,
     /// A command was answered here, so that the connection may be closed between two.
@@ -285,6 +285,6 @@
     pub async fn write(&self, bytes: &[u8]) -> Result<(), Stop> {
         let mut stream = &self.stream;
         let late = Err(io::ErrorKind::TimedOut.into());
-        Ok(stream.write_all(bytes).or(after(duration(self.hub.longest_timeout), late)).await?)
+        Ok(stream.write_all(bytes).or(after(self.hub.longest_timeout.to_std(), late)).await?)
     }
 }
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -7,7 +7,7 @@
 use crate::memory::hub::Hub;
 use crate::memory::protocol::{Back, Front, Serving};
 use async_io::Async;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch::{CommandId, Host};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 }
 
 impl Back for Postgres {
-    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Span) -> Option<u16> {
+    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
         send::start(hub, id, host, time_out)
     }
 
--- a/crates/comethitchd/src/protocols/postgres/send.rs
+++ b/crates/comethitchd/src/protocols/postgres/send.rs
@@ -1,7 +1,7 @@
 //! Fourth stage: one dispatch, or one probe, on a connection to a host.
 
 use crate::memory::buffer::{Buffer, Held};
-use crate::memory::clock::{after, duration};
+use crate::memory::clock::after;
 use crate::memory::commands::Statement;
 use crate::memory::connection::{Code, ConnectionEnd, HostConnection, Kept};
 use crate::memory::hub::Hub;
@@ -13,7 +13,7 @@
 use crate::wire::postgres::{self, Answer, Form, LARGEST_MESSAGE};
 use crate::wire::standing;
 use async_io::Async;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch::{CommandId, Ending, Host, Standing};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::cell::Cell;
@@ -45,7 +45,7 @@
 }
 
 /// Starts the command's next dispatch; its number, if it is too late before it begins.
-pub fn start(hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Span) -> Option<u16> {
+pub fn start(hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
     sending::start(hub, id, host, time_out, |dispatch| async move {
         let query = query(&dispatch.statement, dispatch.time_out);
         let (hub, may_go, flow) = (&*dispatch.hub, || dispatch.may_go(), Some(&dispatch.flow));
@@ -54,11 +54,11 @@
 }
 
 /// The statement as it came, but for how long the router waits.
-fn query(statement: &Statement, time_out: Span) -> Vec<u8> {
+fn query(statement: &Statement, time_out: Duration) -> Vec<u8> {
     let (text, mut out) = (&statement.text, Vec::with_capacity(statement.text.len() + 16));
     match &statement.wait_at {
         Some(at) => {
-            let wait = (time_out.0 / 1_000).to_string();
+            let wait = (time_out.as_micros() / 1_000).to_string();
             postgres::put_query(&mut out, &[&text[..at.start], wait.as_bytes(), &text[at.end..]]);
         }
         None => postgres::put_query(&mut out, &[text]),
@@ -91,7 +91,7 @@
 
 /// Asks a host within a time.
 async fn within(
-    hub: &Hub, host: Host, query: &[u8], time_out: Span, may_go: impl Fn() -> bool, flow: Option<&Flow>,
+    hub: &Hub, host: Host, query: &[u8], time_out: Duration, may_go: impl Fn() -> bool, flow: Option<&Flow>,
 ) -> Result<Answer, ConnectionEnd> {
     let written = Cell::new(false);
     let exchange = exchange(hub, host, query, may_go, &written, flow);
@@ -181,7 +181,7 @@
 
 /// Connects and lets the host greet, so that what breaks until then is known never to have run.
 async fn connect(hub: &Hub, dial: SocketAddr) -> Result<HostConnection, ConnectionEnd> {
-    let limit = duration(hub.site.deployment.connect_timeout);
+    let limit = hub.site.deployment.connect_timeout.to_std();
     let permit = sending::descriptor(hub).await?;
     let open = async {
         let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionEnd::NeverUp)?;
--- a/crates/comethitchd/src/protocols/postgres/take_in.rs
+++ b/crates/comethitchd/src/protocols/postgres/take_in.rs
@@ -197,7 +197,7 @@
             postgres::put_error(out, "ERROR", "57014", text, None);
         }
         Reply::Throttled(retry_after) => {
-            let advice = retry_after.map(|after| after.0.div_ceil(1_000).to_string());
+            let advice = retry_after.map(|after| after.as_micros().div_ceil(1_000).to_string());
             postgres::put_error(
                 out,
                 "ERROR",
--- a/crates/comethitchd/src/protocols/sending.rs
+++ b/crates/comethitchd/src/protocols/sending.rs
@@ -2,7 +2,7 @@
 //! its end told. What is said on the connection is the protocol's.
 
 use crate::memory::clients::Permit;
-use crate::memory::clock::{after, duration};
+use crate::memory::clock::after;
 use crate::memory::commands::Statement;
 use crate::memory::connection::{ConnectionEnd, HostConnection};
 use crate::memory::hub::Hub;
@@ -10,23 +10,23 @@
 use crate::protocols::flow::Flow;
 use crate::stages::route;
 use async_io::Timer;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch::{CommandId, Host};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::Duration as StdDuration;
 
 /// While no descriptor is free, a connection waits this long before it looks again.
-const PAUSE: Duration = Duration::from_millis(2);
+const PAUSE: StdDuration = StdDuration::from_millis(2);
 
 /// One dispatch of a command.
 pub struct Dispatch {
     pub hub: Rc<Hub>,
     pub host: Host,
-    pub time_out: Span,
+    pub time_out: Duration,
     pub statement: Rc<Statement>,
     pub flow: Flow,
     id: CommandId,
@@ -44,12 +44,13 @@
 /// Starts the command's next dispatch. One that is too late before it begins, as after the router stood still,
 /// is not tried, and its number returned: the host has no part in that.
 pub fn start<F: Future<Output = Outcome> + 'static>(
-    hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Span, send: impl FnOnce(Rc<Dispatch>) -> F + 'static,
+    hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration,
+    send: impl FnOnce(Rc<Dispatch>) -> F + 'static,
 ) -> Option<u16> {
     let mut commands = hub.commands.borrow_mut();
     let statement = commands.statement(id)?;
     let nth = commands.next_dispatch(id);
-    if time_out == Span(0) {
+    if time_out == Duration::ZERO {
         commands.dispatched(id, None);
         return Some(nth);
     }
@@ -73,13 +74,13 @@
 
 /// An exchange within its time; what has begun to flow to the client may take longer, as long as it moves.
 pub async fn within<T>(
-    hub: &Hub, time_out: Span, written: &Cell<bool>, flow: Option<&Flow>,
+    hub: &Hub, time_out: Duration, written: &Cell<bool>, flow: Option<&Flow>,
     exchange: impl Future<Output = Result<T, ConnectionEnd>>,
 ) -> Result<T, ConnectionEnd> {
     let late = async {
-        Timer::after(duration(time_out)).await;
+        Timer::after(time_out.to_std()).await;
         if let Some(flow) = flow {
-            flow.stalled(duration(hub.longest_timeout)).await;
+            flow.stalled(hub.longest_timeout.to_std()).await;
         }
         Err(if written.get() { ConnectionEnd::Silent } else { ConnectionEnd::Unsent })
     };
@@ -138,6 +139,6 @@
             };
         }
     };
-    let limit = duration(hub.site.deployment.connect_timeout);
+    let limit = hub.site.deployment.connect_timeout.to_std();
     free.or(after(limit, Err(ConnectionEnd::NotTried))).await
 }
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -10,7 +10,7 @@
 use crate::memory::hub::Hub;
 use crate::memory::protocol::{Back, Front, Serving};
 use async_io::Async;
-use comethitch::time::Span;
+use comethitch::time::Duration;
 use comethitch::{CommandId, Host};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 }
 
 impl Back for Tds {
-    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Span) -> Option<u16> {
+    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
         send::start(hub, &self.0, id, host, time_out)
     }
 
--- a/crates/comethitchd/src/protocols/tds/send.rs
+++ b/crates/comethitchd/src/protocols/tds/send.rs
@@ -3,7 +3,7 @@
 use super::answer::{Answer, LARGEST_TOKEN};
 use super::ways::Ways;
 use crate::memory::buffer::{Buffer, Held};
-use crate::memory::clock::{after, duration};
+use crate::memory::clock::after;
 use crate::memory::connection::{ConnectionEnd, HostConnection, Kept};
 use crate::memory::hub::Hub;
 use crate::memory::protocol::Outcome;
@@ -12,7 +12,7 @@
 use crate::protocols::sending;
 use crate::stages::route;
 use async_io::Async;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandId, Ending, Host, Role, Standing};
 use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
 use comethitch_tds::packet::{Assembly, FIRST_SIZE, Kind, LARGEST_SIZE, put_message, put_parts, status};
@@ -28,7 +28,7 @@
 const LARGEST_PRELOGIN: usize = 4096;
 
 /// Starts the command's next dispatch; its number, if it is too late before it begins.
-pub fn start(hub: &Rc<Hub>, ways: &Rc<Ways>, id: CommandId, host: Host, time_out: Span) -> Option<u16> {
+pub fn start(hub: &Rc<Hub>, ways: &Rc<Ways>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
     let ways = ways.clone();
     sending::start(hub, id, host, time_out, |dispatch| async move {
         let kind = Kind::of(dispatch.statement.kind).unwrap_or(Kind::Batch);
@@ -91,15 +91,15 @@
     Standing {
         role: role.map(|primary| if primary { Role::Primary } else { Role::Replica }),
         // A position may have been rounded up by less than its unit; one of zero is none.
-        position: position.and_then(|ms| ms.checked_sub(1)).map(|ms| Time(ms.saturating_mul(1_000))),
+        position: position.and_then(|ms| ms.checked_sub(1)).map(Timestamp::from_millis),
         queue: None,
     }
 }
 
 /// Asks a host within a time.
 async fn within(
-    hub: &Hub, ways: &Ways, host: Host, message: (Kind, &[u8]), time_out: Span, may_go: impl Fn() -> bool,
-    flow: Option<&Flow>,
+    hub: &Hub, ways: &Ways, host: Host, message: (Kind, &[u8]), time_out: Duration,
+    may_go: impl Fn() -> bool, flow: Option<&Flow>,
 ) -> Result<Answer, ConnectionEnd> {
     let written = Cell::new(false);
     let exchange = exchange(hub, ways, host, message, may_go, &written, flow);
@@ -175,7 +175,7 @@
 
 /// Connects and logs in, so that what breaks until then is known never to have run.
 async fn connect(hub: &Hub, ways: &Ways, dial: SocketAddr) -> Result<HostConnection, ConnectionEnd> {
-    let limit = duration(hub.site.deployment.connect_timeout);
+    let limit = hub.site.deployment.connect_timeout.to_std();
     let permit = sending::descriptor(hub).await?;
     let open = async {
         let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionEnd::NeverUp)?;
--- a/crates/comethitchd/src/protocols/tds/take_in.rs
+++ b/crates/comethitchd/src/protocols/tds/take_in.rs
@@ -474,7 +474,8 @@
         },
         Reply::Throttled(None) => fault(out, numbers.throttled, "not now; trying again is harmless"),
         Reply::Throttled(Some(after)) => {
-            let text = format!("not now; trying again after {} ms is harmless", after.0.div_ceil(1_000));
+            let text =
+                format!("not now; trying again after {} ms is harmless", after.as_micros().div_ceil(1_000));
             fault(out, numbers.throttled, &text);
         }
         // A client of TDS cancels by an attention, which is met before.
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -2,7 +2,7 @@
 
 use crate::memory::site::{Site, read_rules, secret};
 use argh::FromArgs;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandGroup, Effect as Repeat, Need, Reach};
 use comethitch_statement::desk::{Desk, Told, Turned};
 use comethitch_statement::rules::{CacheSize, Disagreement, GroupRule, Parsing};
@@ -132,12 +132,12 @@
         let own = rules.groups.iter().filter(|rule| rule.group == *name);
         let reads = own.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
         CommandGroup {
-            target: Span(1),
-            timeout: Span(1),
+            target: Duration::from_micros(1),
+            timeout: Duration::from_micros(1),
             benefit: 1.0,
             effect: if reads { Repeat::Replayable } else { Repeat::Mutating },
             reach: Reach::Everywhere,
-            remembered: Span(0),
+            remembered: Duration::ZERO,
             need: if reads { Need::Any } else { Need::Write },
         }
     };
@@ -150,7 +150,7 @@
         Err(why) => return Line::Error { error: format!("no statement: {why}") },
     };
     let text = asked.sql.as_bytes();
-    let Some((known, key, path)) = desk.look(text, 0, &|| Time(0)) else {
+    let Some((known, key, path)) = desk.look(text, 0, &|| Timestamp::ZERO) else {
         return Line::Error { error: "the budget for parsing is spent".into() };
     };
     let placed = desk.place(known.clone(), key, path, Told::default(), text, &[]).map_err(Turned::Refused);
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -1,6 +1,6 @@
 //! Listens from start to stop.
 
-use crate::memory::clock::{Clock, after, duration};
+use crate::memory::clock::{Clock, after};
 use crate::memory::flag::Flag;
 use crate::memory::hub::Hub;
 use crate::memory::protocol::{Back, Front};
@@ -129,7 +129,7 @@
                 Timer::after(PAUSE).await;
             }
         };
-        let limit = duration(hub.longest_timeout) + LAST_WORDS - STILL_COMING;
+        let limit = hub.longest_timeout.to_std() + LAST_WORDS - STILL_COMING;
         let given_up = async {
             // A client may wait longer than its command group says: it is answered while there is time to.
             Timer::after(limit.saturating_sub(WRITTEN)).await;
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -13,7 +13,7 @@
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogForm {
-    /// Time, level, source, message, then the fields as `name=value`.
+    /// Timestamp, level, source, message, then the fields as `name=value`.
     #[default]
     Text,
     /// One JSON object.
--- a/crates/comethitchd/src/service/watch.rs
+++ b/crates/comethitchd/src/service/watch.rs
@@ -6,7 +6,7 @@
 //! and one call: [`look`] asks on, however the watch fares.
 
 use crate::memory::buffer::{Buffer, Room};
-use crate::memory::clock::{after, duration};
+use crate::memory::clock::after;
 use crate::memory::hub::Hub;
 use crate::stages::learn;
 use crate::wire::discovery::{self, Piece, Pieces};
@@ -71,7 +71,7 @@
     loop {
         Timer::after(LOOK).await;
         // Without a list, whoever follows discovery asks for the whole one already.
-        if hub.list.borrow().since.is_none() || duration(hub.clock.now() - hub.heard.get()) < OVERDUE {
+        if hub.list.borrow().since.is_none() || (hub.clock.now() - hub.heard.get()).to_std() < OVERDUE {
             continue;
         }
         let (address, moved) = hub.discovery.borrow().clone();
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -3,7 +3,7 @@
 use crate::memory::hub::Hub;
 use crate::wire::statement::{self, Fields};
 use comethitch::Shard;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch_statement::Desk;
 use comethitch_statement::assign::Arguments;
 use comethitch_statement::desk::{Known, Told, Turned};
@@ -14,7 +14,7 @@
 pub struct Asked<'a> {
     pub text: &'a [u8],
     pub arguments: &'a Arguments,
-    pub arrived: Time,
+    pub arrived: Timestamp,
     /// The client's machine, as a number.
     pub origin: u64,
 }
@@ -31,9 +31,9 @@
     pub shard: Shard,
     pub session: u64,
     /// The commit that it must see.
-    pub after: Option<Time>,
+    pub after: Option<Timestamp>,
     /// When the client stops waiting.
-    pub expiry: Time,
+    pub expiry: Timestamp,
 }
 
 /// A statement that is no command.
@@ -80,8 +80,8 @@
         group,
         shard: comment.shard,
         session: statement::session(asked.text),
-        after: comment.after_ms.map(|ms| Time(ms.saturating_mul(1_000))),
-        expiry: asked.arrived + Span(comment.wait_ms * 1_000),
+        after: comment.after_ms.map(Timestamp::from_millis),
+        expiry: asked.arrived + Duration::from_millis(comment.wait_ms),
         name: comment.id.into(),
         wait_at: Some(comment.wait_at),
         known: None,
@@ -121,8 +121,8 @@
         group: passed.assigned.group,
         shard: passed.assigned.shard,
         session: passed.assigned.session.unwrap_or_else(|| statement::session(text)),
-        after: fields.after_ms.map(|ms| Time(ms.saturating_mul(1_000))),
-        expiry: asked.arrived + Span(wait_ms * 1_000),
+        after: fields.after_ms.map(Timestamp::from_millis),
+        expiry: asked.arrived + Duration::from_millis(wait_ms),
         name,
         wait_at: fields.wait.map(|(_, at)| at),
         known: Some(passed.known),
--- a/crates/comethitchd/src/stages/route.rs
+++ b/crates/comethitchd/src/stages/route.rs
@@ -1,6 +1,5 @@
 //! Third stage: calls into the module, and its acts, which are carried out once the call has returned.
 
-use crate::memory::clock::duration;
 use crate::memory::commands::{Reply, Statement};
 use crate::memory::connection::ConnectionEnd;
 use crate::memory::hub::Hub;
@@ -10,39 +9,39 @@
 use crate::stages::{book, relay};
 use async_channel::Receiver;
 use async_io::Timer;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{CommandId, Ending, GivenUp, Host, Outlet, Router, Standing};
 use std::rc::Rc;
 
 enum Act {
-    Dispatch(CommandId, Host, Span),
+    Dispatch(CommandId, Host, Duration),
     Cancel(CommandId, u16),
     Final(CommandId, Reply, Option<GivenUp>),
     Probe(Host),
     CloseIdle(Host),
-    Wake(Span),
+    Wake(Duration),
 }
 
 /// What the module wants done.
 pub struct Acts {
-    now: Time,
+    now: Timestamp,
     queue: Vec<Act>,
     /// The module's reason for the final answer that it gives next.
     why: Option<(CommandId, GivenUp)>,
 }
 
 impl Acts {
-    pub fn at(now: Time) -> Acts {
+    pub fn at(now: Timestamp) -> Acts {
         Acts { now, queue: Vec::new(), why: None }
     }
 }
 
 impl Outlet for Acts {
-    fn now(&self) -> Time {
+    fn now(&self) -> Timestamp {
         self.now
     }
 
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Span) {
+    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
         self.queue.push(Act::Dispatch(cmd, host, time_out));
     }
 
@@ -50,7 +49,7 @@
         self.queue.push(Act::Cancel(cmd, nth));
     }
 
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Span>) {
+    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>) {
         let why = self.why.take().filter(|(of, _)| *of == cmd).map(|(_, why)| why);
         self.queue.push(Act::Final(cmd, Reply::Throttled(retry_after), why));
     }
@@ -72,7 +71,7 @@
         self.queue.push(Act::CloseIdle(host));
     }
 
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: Duration) {
         self.queue.push(Act::Wake(after));
     }
 
@@ -152,11 +151,11 @@
     });
 }
 
-fn wake(hub: &Rc<Hub>, after: Span) {
+fn wake(hub: &Rc<Hub>, after: Duration) {
     hub.beat.set(after);
     let sleeper = hub.clone();
     let woken = async move {
-        Timer::after(duration(after)).await;
+        Timer::after(after.to_std()).await;
         decide(&sleeper, |router, out| router.woken(out));
     };
     hub.tasks.spawn(woken).detach();
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery's list of hosts, as JSON.
 
 use crate::wire::statement::fnv1a;
-use comethitch::time::Time;
+use comethitch::time::Timestamp;
 use comethitch::{Host, Lifecycle, Shard};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     pub lifecycle: Lifecycle,
     pub heads: bool,
     pub power: f64,
-    pub started: Option<Time>,
+    pub started: Option<Timestamp>,
 }
 
 /// The module's host for a name. The name is the same at every router, the address to dial need not be.
@@ -159,6 +159,6 @@
         },
         heads: value["rank"].as_str() == Some("source"),
         power: value["share"].as_f64().unwrap_or(1.0),
-        started: value["born_ms"].as_u64().filter(|ms| *ms > 0).map(|ms| Time(ms.saturating_mul(1_000))),
+        started: value["born_ms"].as_u64().filter(|ms| *ms > 0).map(Timestamp::from_millis),
     })
 }
--- a/crates/comethitchd/src/wire/standing.rs
+++ b/crates/comethitchd/src/wire/standing.rs
@@ -1,7 +1,7 @@
 //! What a host says of its role and position.
 
 use crate::wire::postgres::Answer;
-use comethitch::time::{Span, Time};
+use comethitch::time::{Duration, Timestamp};
 use comethitch::{Role, Standing};
 
 /// Positions are told in milliseconds; what is written with fewer digits has lost zeros at its end.
@@ -15,16 +15,16 @@
         _ => None,
     };
     let position = answer.as_of.as_deref().and_then(|text| text.parse::<u64>().ok());
-    let position = position.filter(|ms| *ms > 0).map(|ms| Time(ms.saturating_mul(1_000)));
+    let position = position.filter(|ms| *ms > 0).map(Timestamp::from_millis);
     Standing { role, position, queue: None }
 }
 
 /// What a report such as `x0=1767225600.123,x1=0,queue=4` says: the position in seconds, and the role.
 ///
 /// ```
-/// use comethitch::{Role, time::Time};
+/// use comethitch::{Role, time::Timestamp};
 /// let standing = comethitchd::wire::standing::reported("queue=4,x0=1767225600.12,x1=1");
-/// assert_eq!(standing.position, Some(Time(1_767_225_600_119_000)), "never newer than it was");
+/// assert_eq!(standing.position, Some(Timestamp::from_millis(1_767_225_600_119)), "never newer than it was");
 /// assert_eq!((standing.role, standing.queue), (Some(Role::Primary), Some(4.0)));
 /// // A host that has made no report yet says zero; that is no position, and no role either.
 /// let none = comethitchd::wire::standing::reported("x0=0.000,x1=0,queue=0");
@@ -45,7 +45,7 @@
 }
 
 /// Decimal seconds, less one unit of the resolution: they may have been rounded up.
-fn seconds(text: &str) -> Option<Time> {
+fn seconds(text: &str) -> Option<Timestamp> {
     let (whole, part) = text.split_once('.').unwrap_or((text, ""));
     let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
     if whole.is_empty() || !digits(whole) || !digits(part) {
@@ -53,5 +53,6 @@
     }
     let whole = whole.parse::<u64>().ok()?.checked_mul(1_000_000)?;
     let part: u64 = format!("{part:0<6}").get(..6)?.parse().ok()?;
-    Some(Time(whole + part) - Span(RESOLUTION)).filter(|at| *at > Time(0))
+    Some(Timestamp::from_micros(whole + part) - Duration::from_micros(RESOLUTION))
+        .filter(|at| *at > Timestamp::ZERO)
 }
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use comethitch::chance::Chance;
-use comethitch::time::Time;
+use comethitch::time::Timestamp;
 use comethitch::{Ending, Lifecycle, Role};
 use comethitchd::memory::buffer::{Buffer, Room};
 use comethitchd::memory::connection::{Code, ConnectionEnd};
@@ -39,7 +39,10 @@
         assert!(answer.whole() && answer.ready() && answer.code.is_none());
         assert_eq!(answer.value, row(b"\x9f\x00\x03"), "only the value itself is passed on");
         let noted = standing::noted(&answer);
-        assert_eq!((noted.role, noted.position), (Some(Role::Primary), Some(Time(1_767_225_600_123_000))));
+        assert_eq!(
+            (noted.role, noted.position),
+            (Some(Role::Primary), Some(Timestamp::from_millis(1_767_225_600_123)))
+        );
     }
 }
 
@@ -259,7 +262,7 @@
     let one = &read.entries[0];
     assert_eq!((read.seq, read.whole, one.zone, one.heads), (4, false, 1, true));
     assert_eq!((one.lifecycle, one.dial), (Lifecycle::Draining, address));
-    assert_eq!(one.started, Some(Time(1_767_225_600_123_000)));
+    assert_eq!(one.started, Some(Timestamp::from_millis(1_767_225_600_123)));
     assert_eq!(discovery::host("s-1"), one.host);
     assert_ne!(discovery::host("s-2"), one.host);
     for (key, wrong) in [
