--- a/crates/comethitch-adapter/src/outlet.rs
+++ b/crates/comethitch-adapter/src/outlet.rs
@@ -1,7 +1,7 @@
 //! Writes each act of a decision straight into the reply.
 
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandId, Host, Outlet};
+use comethitch::{Actions, CommandId, Host, RejectionReason};
 
 const HEADER: usize = 8;
 const RECORD: usize = 24;
@@ -59,41 +59,41 @@
     u32::try_from(span.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
 
-impl Outlet for Reply {
+impl Actions for Reply {
     fn now(&self) -> Timestamp {
         self.now
     }
 
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
+    fn send_attempt(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
         let fields = [&cmd.to_le_bytes()[..], &host.address, &host.port.to_le_bytes(), &micros(time_out)];
         self.record(80, &fields);
     }
 
-    fn cancel(&mut self, cmd: CommandId, nth: u16) {
+    fn cancel_attempt(&mut self, cmd: CommandId, nth: u16) {
         self.record(90, &[&cmd.to_le_bytes(), &nth.to_le_bytes()]);
     }
 
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>) {
+    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>, _: RejectionReason) {
         self.record(84, &[&cmd.to_le_bytes(), &micros(retry_after.unwrap_or_default())]);
     }
 
-    fn fail(&mut self, cmd: CommandId) {
+    fn fail(&mut self, cmd: CommandId, _: RejectionReason) {
         self.record(86, &[&cmd.to_le_bytes()]);
     }
 
-    fn probe(&mut self, host: Host) {
+    fn check_health(&mut self, host: Host) {
         self.record(81, &[&host.address, &host.port.to_le_bytes()]);
     }
 
-    fn close_idle(&mut self, host: Host) {
+    fn close_idle_connections(&mut self, host: Host) {
         self.record(85, &[&host.address, &host.port.to_le_bytes()]);
     }
 
-    fn wake(&mut self, after: Duration) {
+    fn wake_after(&mut self, after: Duration) {
         self.record(82, &[&micros(after)]);
     }
 
-    fn subscribe(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.record(83, &[&[1]]);
     }
 }
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -3,7 +3,9 @@
 use crate::fields::Fields;
 use crate::outlet::Reply;
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{Deployment, Ending, Lifecycle, Router};
+use comethitch::{
+    AttemptEnd, AttemptOutcome, CommandRequest, Deployment, Endpoint, EndpointUpdate, Lifecycle, Router,
+};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -79,25 +81,23 @@
     match code {
         17 => {
             if let Some(handle) = router.handle(record.u32(3)?) {
-                handle.left(router, out);
+                handle.client_disconnected(router, out);
             }
         }
         18 => match record.u8(3)? {
-            3 => router.list_failed(out),
+            3 => router.endpoints_unavailable(out),
             scope @ 0..=2 => {
                 let bank = record.u32(12)?;
                 let list = lists.get(&bank).ok_or_else(|| format!("list {bank} was never given"))?;
-                router.list_starts(scope != 0);
-                for entry in list.chunks_exact(ENTRY) {
-                    listed(router, Fields(entry), out)?;
-                }
-                router.list_ends(out);
+                let endpoints = list.chunks_exact(ENTRY).map(|entry| endpoint(Fields(entry)));
+                let endpoints = endpoints.collect::<Result<_, _>>()?;
+                router.update_endpoints(&EndpointUpdate { complete: scope != 0, endpoints }, out);
             }
             scope => return Err(format!("unknown list scope {scope}")),
         },
         20 => {
-            let reported = router.deployment.reported(&report(record, 15)?);
-            router.probed(record.host(7)?, ending(record.u16(13)?)?, reported, out);
+            let reported = router.deployment.parse_report(&report(record, 15)?);
+            router.health_checked(record.host(7)?, ending(record.u16(13)?)?, reported, out);
         }
         22 => {
             let group = usize::from(record.u16(7)?);
@@ -108,26 +108,28 @@
             let since_write = record.f32(31)?;
             let since_write = (since_write > 0.0)
                 .then(|| Duration::from_micros((f64::from(since_write.next_down()) * 1000.0) as u64));
-            router.take(
-                record.u32(3)?,
+            let request = CommandRequest {
+                id: record.u32(3)?,
                 group,
-                record.f32(27)? as u16,
-                record.u64(11)?,
+                shard: record.f32(27)? as u16,
+                session: record.u64(11)?,
                 since_write,
-                Duration::from_micros(record.u32(19)?.into()),
-                out,
-            );
+                timeout: Duration::from_micros(record.u32(19)?.into()),
+            };
+            router.submit(request, out);
         }
-        23 => router.woken(out),
+        23 => router.tick(out),
         26 => {
-            let (noted, reported) = {
-                let deployment = &router.deployment;
-                (deployment.noted(record.u32(22)?), deployment.reported(&report(record, 26)?))
+            let deployment = &router.deployment;
+            let end = AttemptEnd {
+                attempt: record.u16(7)?,
+                outcome: ending(record.u16(20)?)?,
+                command_finished: record.u8(19)? != 0,
+                note: deployment.parse_note(record.u32(22)?),
+                report: deployment.parse_report(&report(record, 26)?),
             };
-            let ending = ending(record.u16(20)?)?;
             if let Some(handle) = router.handle(record.u32(3)?) {
-                let over = record.u8(19)? != 0;
-                handle.dispatch_ended(router, record.u16(7)?, ending, over, noted, reported, out);
+                handle.attempt_ended(router, end, out);
             }
         }
         19 | 21 => {}
@@ -136,25 +138,23 @@
     Ok(())
 }
 
-fn listed(router: &mut Router, entry: Fields, out: &mut Reply) -> Result<(), String> {
+fn endpoint(entry: Fields) -> Result<Endpoint, String> {
     let lifecycle = match entry.u8(10)? {
         0 => Lifecycle::Draining,
         1 => Lifecycle::Ready,
-        2 => Lifecycle::Gone,
+        2 => Lifecycle::Removed,
         other => return Err(format!("unknown lifecycle {other} in a list")),
     };
     let started = entry.u64(19)?;
-    router.listed(
-        entry.host(0)?,
-        entry.u8(6)?,
-        entry.u16(8)?,
+    Ok(Endpoint {
+        host: entry.host(0)?,
+        zone: entry.u8(6)?,
+        shard: entry.u16(8)?,
         lifecycle,
-        entry.f32(11)? >= 0.5,
-        f64::from(entry.f32(15)?),
-        (started > 0).then_some(Timestamp::from_micros(started)),
-        out,
-    );
-    Ok(())
+        is_primary: entry.f32(11)? >= 0.5,
+        capacity: f64::from(entry.f32(15)?),
+        started: (started > 0).then_some(Timestamp::from_micros(started)),
+    })
 }
 
 fn report(record: Fields, at: usize) -> Result<Vec<f32>, String> {
@@ -162,17 +162,17 @@
     (0..told.min(4)).map(|i| record.f32(at + 1 + 4 * i)).collect()
 }
 
-fn ending(code: u16) -> Result<Ending, String> {
-    const ENDINGS: [Ending; 9] = [
-        Ending::Answered,
-        Ending::Error,
-        Ending::Full,
-        Ending::TimedOut,
-        Ending::NoConnection,
-        Ending::Reset,
-        Ending::Cancelled,
-        Ending::Moot,
-        Ending::Miss,
+fn ending(code: u16) -> Result<AttemptOutcome, String> {
+    const ENDINGS: [AttemptOutcome; 9] = [
+        AttemptOutcome::Answered,
+        AttemptOutcome::Error,
+        AttemptOutcome::Overloaded,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectionFailed,
+        AttemptOutcome::ConnectionReset,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::NotSent,
+        AttemptOutcome::NotPrimary,
     ];
     ENDINGS.get(usize::from(code)).copied().ok_or_else(|| format!("unknown ending {code}"))
 }
--- a/crates/comethitch-fleet/src/share.rs
+++ b/crates/comethitch-fleet/src/share.rs
@@ -33,21 +33,21 @@
 
 /// What the settings say of hosts that have just started, and how many routers there are.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ramp {
+pub struct SlowStart {
     pub routers: u32,
     /// A host falls that is sent more than this many times what it can do, for so long.
-    pub multiple: f64,
-    pub span: Duration,
+    pub overload_multiple: f64,
+    pub window: Duration,
     /// It starts with this part of its power at the least, and has all of it within this time.
-    pub from: f64,
-    pub within: Duration,
+    pub initial_capacity: f64,
+    pub warmup: Duration,
 }
 
-impl Ramp {
+impl SlowStart {
     /// The part of a host's power that it surely has by now, if it started lately.
     pub fn warmth(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
-        let passed = |at: Timestamp| (now - at).ratio(self.within).min(1.0);
-        started.map_or(1.0, |at| self.from + (1.0 - self.from) * passed(at))
+        let passed = |at: Timestamp| (now - at).ratio(self.warmup).min(1.0);
+        started.map_or(1.0, |at| self.initial_capacity + (1.0 - self.initial_capacity) * passed(at))
     }
 
     /// What one router may send to a cold host in a span, in the unit of `peers`: its part of what the ramp surely
@@ -59,8 +59,8 @@
     pub fn budget(&self, warmth: f64, reach: f64, peers: f64, borne: f64) -> f64 {
         let sharers = sharers(self.routers, reach);
         let alike = peers * f64::from(self.routers) / sharers;
-        let ramp = warmth * (alike * PEERS_SHARE).max(self.span.as_micros() as f64 / sharers);
-        self.multiple * ramp.max(borne * BORNE_SHARE)
+        let ramp = warmth * (alike * PEERS_SHARE).max(self.window.as_micros() as f64 / sharers);
+        self.overload_multiple * ramp.max(borne * BORNE_SHARE)
     }
 }
 
--- a/crates/comethitch-fleet/src/share/tests.rs
+++ b/crates/comethitch-fleet/src/share/tests.rs
@@ -34,7 +34,13 @@
 
 #[test]
 fn the_budgets_of_all_routers_come_to_what_warm_peers_bear() {
-    let ramp = Ramp { routers: 300, multiple: 2.5, span: SPAN, from: 0.2, within: Duration::from_secs(18) };
+    let ramp = SlowStart {
+        routers: 300,
+        overload_multiple: 2.5,
+        window: SPAN,
+        initial_capacity: 0.2,
+        warmup: Duration::from_secs(18),
+    };
     // Each sends a warm host 0.1 s of work in a span, so that all send it 30 s.
     let peers = 100_000.0;
     for reach in [1.0, 0.3, 0.1] {
--- a/crates/comethitch-lab/src/fleet.rs
+++ b/crates/comethitch-lab/src/fleet.rs
@@ -4,7 +4,10 @@
 use crate::ledger::{Answer, Ledger, Report};
 use crate::trial::{Fault, Routing, Trial, Trouble};
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandId, Deployment, Ending, Host, Lifecycle, Outlet, Role, Router, Standing};
+use comethitch::{
+    Action, ActionQueue, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Deployment, Endpoint,
+    EndpointUpdate, Host, HostReport, Lifecycle, Role, Router,
+};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
@@ -96,45 +99,6 @@
 const RESET: u8 = 2;
 const MISS: u8 = 3;
 
-enum Act {
-    Dispatch(CommandId, Host, Duration),
-    Cancel(CommandId, u16),
-    Final(CommandId, Answer),
-    Probe(Host),
-    Wake(Duration),
-}
-
-struct Acts {
-    now: Timestamp,
-    queue: Vec<Act>,
-}
-
-impl Outlet for Acts {
-    fn now(&self) -> Timestamp {
-        self.now
-    }
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
-        self.queue.push(Act::Dispatch(cmd, host, time_out));
-    }
-    fn cancel(&mut self, cmd: CommandId, nth: u16) {
-        self.queue.push(Act::Cancel(cmd, nth));
-    }
-    fn throttle(&mut self, cmd: CommandId, _: Option<Duration>) {
-        self.queue.push(Act::Final(cmd, Answer::Throttled));
-    }
-    fn fail(&mut self, cmd: CommandId) {
-        self.queue.push(Act::Final(cmd, Answer::Failed));
-    }
-    fn probe(&mut self, host: Host) {
-        self.queue.push(Act::Probe(host));
-    }
-    fn close_idle(&mut self, _: Host) {}
-    fn wake(&mut self, after: Duration) {
-        self.queue.push(Act::Wake(after));
-    }
-    fn subscribe(&mut self) {}
-}
-
 /// A command in hand at a router.
 struct Open {
     number: u64,
@@ -291,7 +255,7 @@
 
     fn start(&mut self, router: usize) {
         let seed = self.rng.next_u64();
-        let mut out = Acts { now: self.now, queue: Vec::new() };
+        let mut out = ActionQueue::at(self.now);
         self.seats[router].router = Some(Router::start(self.deployment.clone(), seed, &mut out));
         self.carry_out(router, out);
         self.tell_list(router);
@@ -301,22 +265,18 @@
         let now = self.now;
         let hosts = self.hosts.iter().enumerate();
         hosts.filter(|(_, h)| h.draining.is_some()).for_each(|(nth, _)| self.ledger.drains(router, nth, now));
-        let listed: Vec<_> = self
-            .hosts
-            .iter()
-            .filter(|host| !host.gone)
-            .map(|host| {
-                let lifecycle = if host.draining.is_some() { Lifecycle::Draining } else { Lifecycle::Ready };
-                (host.host, host.group, lifecycle, host.primary, f64::from(host.cores), host.started)
-            })
-            .collect();
-        self.call(router, |router, out| {
-            router.list_starts(true);
-            for (host, group, lifecycle, heads, power, started) in &listed {
-                router.listed(*host, 0, *group, *lifecycle, *heads, *power, *started, out);
-            }
-            router.list_ends(out);
-        });
+        let endpoint = |host: &Db| Endpoint {
+            host: host.host,
+            zone: 0,
+            shard: host.group,
+            lifecycle: if host.draining.is_some() { Lifecycle::Draining } else { Lifecycle::Ready },
+            is_primary: host.primary,
+            capacity: f64::from(host.cores),
+            started: host.started,
+        };
+        let endpoints = self.hosts.iter().filter(|host| !host.gone).map(endpoint).collect();
+        let update = EndpointUpdate { complete: true, endpoints };
+        self.call(router, |router, out| router.update_endpoints(&update, out));
     }
 
     /// Every router is told of a change, each a little later than it happened.
@@ -384,7 +344,7 @@
                 self.back(router, command, nth, ending, host);
             }
             Event::TimeOut { router, epoch, command, nth } if self.seats[router].epoch == epoch => {
-                self.ended(router, command, nth, Ending::TimedOut, false, Standing::default());
+                self.ended(router, command, nth, AttemptOutcome::TimedOut, false, HostReport::default());
             }
             Event::ProbeReach { router, epoch, host } => {
                 let dead = self.hosts[host].gone || self.hosts[host].fallen;
@@ -401,13 +361,15 @@
                 let host = self.hosts[host].host;
                 let role = Some(if primary { Role::Primary } else { Role::Replica });
                 let (ending, told) = match position {
-                    Some(_) => (Ending::Answered, Standing { role, position, queue: Some(queue as f64) }),
-                    None => (Ending::Reset, Standing::default()),
+                    Some(_) => {
+                        (AttemptOutcome::Answered, HostReport { role, position, queue: Some(queue as f64) })
+                    }
+                    None => (AttemptOutcome::ConnectionReset, HostReport::default()),
                 };
-                self.call(router, |router, out| router.probed(host, ending, told, out));
+                self.call(router, |router, out| router.health_checked(host, ending, told, out));
             }
             Event::Wake { router, epoch } if self.seats[router].epoch == epoch => {
-                self.call(router, |router, out| router.woken(out));
+                self.call(router, |router, out| router.tick(out));
             }
             Event::List { router, epoch } if self.seats[router].epoch == epoch => self.tell_list(router),
             Event::Fault(nth) => self.fault(self.trial.faults[nth].trouble),
@@ -516,9 +478,15 @@
         if self.trial.routing == Routing::Perfect {
             return self.take_perfect(router, id, group, write);
         }
-        self.call(router, |router, out| {
-            router.take(id, usize::from(write), group, 0, None, timeout, out);
-        });
+        let request = CommandRequest {
+            id,
+            group: usize::from(write),
+            shard: group,
+            session: 0,
+            since_write: None,
+            timeout,
+        };
+        self.call(router, |router, out| _ = router.submit(request, out));
     }
 
     fn take_perfect(&mut self, router: usize, id: CommandId, group: u16, write: bool) {
@@ -532,13 +500,11 @@
             at -= weight;
             at < 0.0
         });
-        let act = match found.or(of.last()) {
-            Some((host, _)) => {
-                Act::Dispatch(id, self.hosts[*host].host, Duration::from_millis(self.trial.timeout_ms))
-            }
-            None => Act::Final(id, Answer::Throttled),
-        };
-        self.carry_out(router, Acts { now: self.now, queue: vec![act] });
+        let timeout = Duration::from_millis(self.trial.timeout_ms);
+        match found.or(of.last()) {
+            Some((host, _)) => self.dispatch(router, id, self.hosts[*host].host, timeout),
+            None => self.finish(router, id, Answer::Throttled),
+        }
     }
 
     fn reach(&mut self, host: usize, job: Job, epoch: u32, write: bool) {
@@ -574,14 +540,14 @@
 
     fn back(&mut self, router: usize, command: u32, nth: u16, ending: u8, host: usize) {
         let role = Some(if self.hosts[host].primary { Role::Primary } else { Role::Replica });
-        let noted = Standing { role, ..Standing::default() };
+        let noted = HostReport { role, ..HostReport::default() };
         let (ending, over) = match ending {
-            ANSWERED => (Ending::Answered, true),
-            FULL => (Ending::Full, false),
-            MISS => (Ending::Miss, false),
-            _ => (Ending::Reset, false),
+            ANSWERED => (AttemptOutcome::Answered, true),
+            FULL => (AttemptOutcome::Overloaded, false),
+            MISS => (AttemptOutcome::NotPrimary, false),
+            _ => (AttemptOutcome::ConnectionReset, false),
         };
-        let noted = if ending == Ending::Reset { Standing::default() } else { noted };
+        let noted = if ending == AttemptOutcome::ConnectionReset { HostReport::default() } else { noted };
         let Some(open) = self.seats[router].open.get_mut(&command) else { return };
         let out = open.sent.get(usize::from(nth)).is_some_and(|sent| sent.3);
         if out && over && !open.over {
@@ -599,7 +565,10 @@
         self.ended(router, command, nth, ending, over, noted);
     }
 
-    fn ended(&mut self, router: usize, command: u32, nth: u16, ending: Ending, over: bool, noted: Standing) {
+    fn ended(
+        &mut self, router: usize, command: u32, nth: u16, ending: AttemptOutcome, over: bool,
+        noted: HostReport,
+    ) {
         let seat = &mut self.seats[router];
         let Some(open) = seat.open.get_mut(&command) else { return };
         let Some(sent) = open.sent.get_mut(usize::from(nth)).filter(|sent| sent.3) else { return };
@@ -607,9 +576,11 @@
         let host = sent.0;
         let line = seat.lines.entry(host).or_default();
         line.0 = line.0.saturating_sub(1);
+        let report = HostReport::default();
+        let end = AttemptEnd { attempt: nth, outcome: ending, command_finished: over, note: noted, report };
         self.call(router, |router, out| {
             if let Some(handle) = router.handle(command) {
-                handle.dispatch_ended(router, nth, ending, over, noted, Standing::default(), out);
+                handle.attempt_ended(router, end, out);
             }
         });
         self.forget(router, command);
@@ -636,19 +607,21 @@
         self.forget(router, command);
     }
 
-    fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut Acts)) {
-        let mut out = Acts { now: self.now, queue: Vec::new() };
+    fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
+        let mut out = ActionQueue::at(self.now);
         let Some(at) = self.seats[router].router.as_mut() else { return };
         call(at, &mut out);
         self.carry_out(router, out);
     }
 
-    fn carry_out(&mut self, router: usize, acts: Acts) {
+    fn carry_out(&mut self, router: usize, queue: ActionQueue) {
         let epoch = self.seats[router].epoch;
-        for act in acts.queue {
-            match act {
-                Act::Dispatch(command, host, time_out) => self.dispatch(router, command, host, time_out),
-                Act::Cancel(command, nth) => {
+        for action in queue.actions {
+            match action {
+                Action::SendAttempt { command, host, timeout } => {
+                    self.dispatch(router, command, host, timeout)
+                }
+                Action::CancelAttempt { command, attempt: nth } => {
                     let sent =
                         self.seats[router].open.get(&command).and_then(|o| o.sent.get(usize::from(nth)));
                     let Some((host, work, ..)) = sent.copied() else { continue };
@@ -657,10 +630,11 @@
                     if let Some(number) = number.filter(|_| never) {
                         self.ledger.never_ran(number);
                     }
-                    self.ended(router, command, nth, Ending::Cancelled, true, Standing::default());
+                    self.ended(router, command, nth, AttemptOutcome::Cancelled, true, HostReport::default());
                 }
-                Act::Final(command, answer) => self.finish(router, command, answer),
-                Act::Probe(host) => {
+                Action::Throttle { command, .. } => self.finish(router, command, Answer::Throttled),
+                Action::Fail { command, .. } => self.finish(router, command, Answer::Failed),
+                Action::CheckHealth(host) => {
                     self.ledger.probes += 1;
                     let host = self.by_host[&host];
                     self.connect(router, host);
@@ -668,7 +642,8 @@
                     line.0 = line.0.saturating_sub(1);
                     self.soon(Event::ProbeReach { router, epoch, host });
                 }
-                Act::Wake(after) => self.at(self.now + after, Event::Wake { router, epoch }),
+                Action::WakeAfter(delay) => self.at(self.now + delay, Event::Wake { router, epoch }),
+                Action::CloseIdleConnections(_) | Action::WatchEndpoints => {}
             }
         }
     }
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Database hosts in simulated time: some cores, a line of commands in order of arrival, a cold start, and a fall.
 
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{Host, Role, Shard, Standing};
+use comethitch::{Host, HostReport, Role, Shard};
 use std::collections::{BTreeMap, VecDeque};
 
 /// One dispatch at a host: which router sent it, of which command, and how much work it is on one core.
@@ -172,12 +172,12 @@
         }
     }
 
-    pub fn report(&mut self, lag: Duration, every: Duration, now: Timestamp) -> Standing {
+    pub fn report(&mut self, lag: Duration, every: Duration, now: Timestamp) -> HostReport {
         if now - self.reported.0 >= every || self.reported.0 == Timestamp::ZERO {
             self.reported = (now, self.waiting.len());
         }
         let behind = self.behind(lag, self.reported.0);
-        Standing {
+        HostReport {
             role: Some(if self.primary { Role::Primary } else { Role::Replica }),
             position: Some(self.reported.0 - behind),
             queue: Some(self.reported.1 as f64),
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -4,7 +4,7 @@
 //!     cargo run --release -p comethitch-statement --example shapes
 
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandGroup, Effect as Repeat, Need, Reach};
+use comethitch::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
 use comethitch_statement::cache::Cache;
 use comethitch_statement::desk::{Desk, Path, Told};
 use comethitch_statement::{Rules, Secret, ShapeKey};
@@ -151,15 +151,18 @@
     )
     .expect("rules");
     let group = |effect, need| CommandGroup {
-        target: Duration::from_micros(1),
+        latency_objective: Duration::from_micros(1),
         timeout: Duration::from_micros(1),
-        benefit: 1.0,
-        effect,
-        reach: Reach::Everywhere,
-        remembered: Duration::ZERO,
-        need,
+        priority_weight: 1.0,
+        idempotency: effect,
+        deduplication_scope: DeduplicationScope::Everywhere,
+        deduplication_window: Duration::ZERO,
+        consistency: need,
     };
-    let groups = [group(Repeat::Replayable, Need::Any), group(Repeat::Mutating, Need::Write)];
+    let groups = [
+        group(Idempotency::Idempotent, Consistency::Eventual),
+        group(Idempotency::NonIdempotent, Consistency::Write),
+    ];
     let names = ["read".into(), "write".into()];
     match limited {
         true => Desk::new(rules, &groups, &names, Secret([5; 16]), Timestamp::ZERO).expect("rules"),
--- a/crates/comethitch-statement/src/assign.rs
+++ b/crates/comethitch-statement/src/assign.rs
@@ -9,7 +9,7 @@
 use crate::verdict::TableUse;
 use crate::{Effect, Verdict};
 use comethitch::time::Duration;
-use comethitch::{CommandGroup, Need, Shard};
+use comethitch::{CommandGroup, Consistency, Shard};
 use std::fmt;
 
 /// What is read of rules, checked against the command groups of the deployment.
@@ -49,9 +49,9 @@
 impl Allowed {
     fn of(group: &CommandGroup) -> Allowed {
         Allowed {
-            primary: group.need == Need::Write,
-            once: group.effect != comethitch::Effect::Replayable,
-            keyed: group.effect == comethitch::Effect::Keyed,
+            primary: group.consistency == Consistency::Write,
+            once: group.idempotency != comethitch::Idempotency::Idempotent,
+            keyed: group.idempotency == comethitch::Idempotency::Keyed,
         }
     }
 
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Where statements go by the operator's rules, and which rules are turned down.
 
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandGroup, Effect as Repeat, Need, Reach};
+use comethitch::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
 use comethitch_statement::assign::{Refusal, fnv1a};
 use comethitch_statement::desk::{Desk, Passed, Path, Told, Turned};
 use comethitch_statement::{Rules, Secret};
@@ -9,21 +9,21 @@
 
 fn groups() -> (Vec<CommandGroup>, Vec<String>) {
     let group = |effect, need| CommandGroup {
-        target: Duration::from_millis(250),
+        latency_objective: Duration::from_millis(250),
         timeout: Duration::from_millis(600),
-        benefit: 1.0,
-        effect,
-        reach: Reach::Shard,
-        remembered: Duration::ZERO,
-        need,
+        priority_weight: 1.0,
+        idempotency: effect,
+        deduplication_scope: DeduplicationScope::Shard,
+        deduplication_window: Duration::ZERO,
+        consistency: need,
     };
     let all = [
-        ("read", group(Repeat::Replayable, Need::Bounded(Duration::from_secs(3)))),
-        ("fresh", group(Repeat::Replayable, Need::Fresh)),
-        ("heavy", group(Repeat::Replayable, Need::Any)),
-        ("locked", group(Repeat::Replayable, Need::Write)),
-        ("keyed", group(Repeat::Keyed, Need::Write)),
-        ("write", group(Repeat::Mutating, Need::Write)),
+        ("read", group(Idempotency::Idempotent, Consistency::BoundedStaleness(Duration::from_secs(3)))),
+        ("fresh", group(Idempotency::Idempotent, Consistency::Strong)),
+        ("heavy", group(Idempotency::Idempotent, Consistency::Eventual)),
+        ("locked", group(Idempotency::Idempotent, Consistency::Write)),
+        ("keyed", group(Idempotency::Keyed, Consistency::Write)),
+        ("write", group(Idempotency::NonIdempotent, Consistency::Write)),
     ];
     all.into_iter().map(|(name, group)| (group, name.to_string())).unzip()
 }
--- a/crates/comethitch/src/command.rs
+++ b/crates/comethitch/src/command.rs
@@ -1,6 +1,6 @@
 //! What the module keeps of a command in hand, and of each time it was sent.
 
-use crate::{Ending, Shard};
+use crate::{AttemptOutcome, Shard};
 use crate::{time::Duration, time::Timestamp};
 
 /// One sending of a command to a host.
@@ -8,7 +8,7 @@
 pub struct Dispatch {
     pub node: usize,
     pub sent: Timestamp,
-    pub ended: Option<Ending>,
+    pub ended: Option<AttemptOutcome>,
     pub noted: bool,
     pub work: Duration,
 }
@@ -16,7 +16,7 @@
 impl Dispatch {
     /// Whether it ran, may have run or may still run.
     pub fn maybe_ran(&self) -> bool {
-        !self.ended.is_some_and(Ending::never_ran)
+        !self.ended.is_some_and(AttemptOutcome::never_ran)
     }
 }
 
--- a/crates/comethitch/src/lib.rs
+++ b/crates/comethitch/src/lib.rs
@@ -1,21 +1,25 @@
 //! comethitch decides where each command to a sharded, replicated database goes.
 //!
 //! This file is the interface of the decision module, [`policy`]: what a caller tells it, and the trait
-//! [`Outlet`] through which it acts. Nothing here decides anything. There is no I/O and no clock: every
+//! [`Actions`] through which it acts. Nothing here decides anything. There is no I/O and no clock: every
 //! call comes with an outlet that tells the time, so any protocol can be put before the same decisions.
 
+pub mod actions;
 pub mod chance;
 mod command;
 pub mod commits;
 pub mod histogram;
+mod messages;
 mod node;
 pub mod policy;
 
 use std::collections::BTreeMap;
 use time::{Duration, Timestamp};
 
-pub use comethitch_fleet::share::Ramp;
+pub use actions::{Action, ActionQueue, Actions};
+pub use comethitch_fleet::share::SlowStart;
 pub use comethitch_time as time;
+pub use messages::{AttemptEnd, CommandRequest, Endpoint, EndpointUpdate};
 pub use policy::{Handle, Router};
 
 /// A database host, as the caller names it.
@@ -49,35 +53,42 @@
 pub enum Lifecycle {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// How a dispatch, or a probe, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     Answered,
     Error,
-    Full,
+    Overloaded,
     /// The host has no place for one more connection.
-    NoSlot,
+    NoConnectionSlot,
     TimedOut,
-    NoConnection,
-    Reset,
+    ConnectionFailed,
+    ConnectionReset,
     Cancelled,
-    Moot,
-    Miss,
+    NotSent,
+    NotPrimary,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Whether this ending proves that the command never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::NoSlot | Ending::NoConnection | Ending::Moot | Ending::Miss)
+        matches!(
+            self,
+            AttemptOutcome::Overloaded
+                | AttemptOutcome::NoConnectionSlot
+                | AttemptOutcome::ConnectionFailed
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::NotPrimary
+        )
     }
 }
 
 /// What a host says of itself; `None` is not told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct HostReport {
     pub role: Option<Role>,
     /// All commits up to here are applied there, at the least.
     pub position: Option<Timestamp>,
@@ -87,15 +98,15 @@
 
 /// What a command group's commands may do on a second run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Replayable,
+pub enum Idempotency {
+    Idempotent,
     Keyed,
-    Mutating,
+    NonIdempotent,
 }
 
 /// Among which hosts a keyed command's repeat is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum DeduplicationScope {
     Everywhere,
     Zone,
     Shard,
@@ -103,52 +114,52 @@
 
 /// How new the data must be that a command is answered from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Consistency {
     Write,
-    Fresh,
+    Strong,
     Session,
-    Bounded(Duration),
-    Any,
+    BoundedStaleness(Duration),
+    Eventual,
 }
 
 /// What a replica does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guards {
+pub enum StalenessCheck {
     Off,
-    Refuse,
+    Reject,
     Wait,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandGroup {
-    pub target: Duration,
+    pub latency_objective: Duration,
     pub timeout: Duration,
-    pub benefit: f64,
-    pub effect: Effect,
-    pub reach: Reach,
-    pub remembered: Duration,
-    pub need: Need,
+    pub priority_weight: f64,
+    pub idempotency: Idempotency,
+    pub deduplication_scope: DeduplicationScope,
+    pub deduplication_window: Duration,
+    pub consistency: Consistency,
 }
 
 /// What the module reads of a deployment, decoded once at start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
     pub groups: Vec<CommandGroup>,
-    pub guards: Guards,
-    pub tokens_carried: bool,
-    pub beat: Duration,
+    pub staleness_check: StalenessCheck,
+    pub session_tokens_carried: bool,
+    pub tick: Duration,
     pub may_cancel: bool,
     pub may_probe: bool,
     /// Points of service that one probe for each command would cost.
     pub probe_price: f64,
-    pub second_copies: bool,
-    pub max_dispatches: usize,
-    pub longest_retry_after: Option<Duration>,
+    pub hedging_allowed: bool,
+    pub max_attempts: usize,
+    pub max_retry_after: Option<Duration>,
     pub connect_timeout: Duration,
     pub drain_grace: Duration,
-    pub gone_is_advice: bool,
-    pub must_subscribe: bool,
-    pub ramp: Ramp,
+    pub removal_is_advisory: bool,
+    pub must_watch_endpoints: bool,
+    pub slow_start: SlowStart,
     origin: Timestamp,
     position_at: Option<usize>,
     role_at: Option<usize>,
@@ -174,31 +185,35 @@
         let retry_after = lines.or("permissions.retry_after", false)?;
         Ok(Deployment {
             groups,
-            guards: lines.one_of(
+            staleness_check: lines.one_of(
                 "domain.guards",
-                &[("off", Guards::Off), ("refuse", Guards::Refuse), ("wait", Guards::Wait)],
+                &[
+                    ("off", StalenessCheck::Off),
+                    ("refuse", StalenessCheck::Reject),
+                    ("wait", StalenessCheck::Wait),
+                ],
             )?,
-            tokens_carried: lines.text_or("domain.tokens", "carried") == "carried",
-            beat: lines.span("tick_us")?,
+            session_tokens_carried: lines.text_or("domain.tokens", "carried") == "carried",
+            tick: lines.span("tick_us")?,
             may_cancel: lines.or("permissions.cancel", false)?,
             may_probe: lines.or("permissions.may_probe", false)?,
             probe_price: lines.or("prices.probe", 0.0)?,
-            second_copies: lines.or("permissions.second_copies", false)?,
-            max_dispatches: lines.get("permissions.max_attempts")?,
-            longest_retry_after: match retry_after {
+            hedging_allowed: lines.or("permissions.second_copies", false)?,
+            max_attempts: lines.get("permissions.max_attempts")?,
+            max_retry_after: match retry_after {
                 true => Some(lines.span("permissions.max_retry_after_us")?),
                 false => None,
             },
             connect_timeout: lines.span("permissions.connect_timeout_us")?,
             drain_grace: lines.span("rules.drain_grace_us")?,
-            gone_is_advice: lines.or("rules.gone_is_advice", false)?,
-            must_subscribe: lines.text_or("membership_mode", "automatic") == "subscribe",
-            ramp: Ramp {
+            removal_is_advisory: lines.or("rules.gone_is_advice", false)?,
+            must_watch_endpoints: lines.text_or("membership_mode", "automatic") == "subscribe",
+            slow_start: SlowStart {
                 routers: lines.get::<u32>("siblings")?.max(1),
-                multiple: lines.get("rules.fall_multiple")?,
-                span: lines.span("rules.fall_us")?,
-                from: lines.get("rules.cold_from")?,
-                within: lines.span("rules.warm_within_us")?,
+                overload_multiple: lines.get("rules.fall_multiple")?,
+                window: lines.span("rules.fall_us")?,
+                initial_capacity: lines.get("rules.cold_from")?,
+                warmup: lines.span("rules.warm_within_us")?,
             },
             origin: Timestamp::from_micros(lines.or("domain.origin_time_us", 0)?),
             position_at: at("x0"),
@@ -209,7 +224,7 @@
 
     /// What the values of a host's report say. The position is a 32-bit float, rounded to the nearest: the
     /// next one below is surely not past the truth.
-    pub fn reported(&self, values: &[f32]) -> Standing {
+    pub fn parse_report(&self, values: &[f32]) -> HostReport {
         let value = |at: Option<usize>| at.and_then(|at| values.get(at)).copied();
         let position = value(self.position_at).map(|seconds| {
             self.origin + Duration::from_micros((f64::from(seconds.next_down()) * 1e6).max(0.0) as u64)
@@ -219,41 +234,43 @@
             false => Role::Replica,
         });
         let queue = value(self.queue_at).map(|queue| f64::from(queue).max(0.0));
-        Standing { role, position, queue }
+        HostReport { role, position, queue }
     }
 
     /// What the note on an answer says: four times the position in milliseconds, plus the role.
-    pub fn noted(&self, note: u32) -> Standing {
+    pub fn parse_note(&self, note: u32) -> HostReport {
         let role = match note % 4 {
             1 => Some(Role::Primary),
             2 => Some(Role::Replica),
             _ => None,
         };
         let position = (note >= 4).then(|| self.origin + Duration::from_micros(u64::from(note / 4) * 1000));
-        Standing { role, position, queue: None }
+        HostReport { role, position, queue: None }
     }
 }
 
 impl Deployment {
-    pub fn shortest_target(&self) -> Option<Duration> {
-        self.groups.iter().map(|group| group.target).min()
+    pub fn shortest_latency_objective(&self) -> Option<Duration> {
+        self.groups.iter().map(|group| group.latency_objective).min()
     }
 
     /// The tightest bound on the age of data.
-    pub fn tightest_bound(&self) -> Option<Duration> {
-        let bound = |g: &CommandGroup| if let Need::Bounded(bound) = g.need { Some(bound) } else { None };
+    pub fn tightest_staleness_bound(&self) -> Option<Duration> {
+        let bound = |g: &CommandGroup| {
+            if let Consistency::BoundedStaleness(bound) = g.consistency { Some(bound) } else { None }
+        };
         self.groups.iter().filter_map(bound).min()
     }
 
     /// Whether some command group has this need.
-    pub fn serves(&self, need: Need) -> bool {
-        self.groups.iter().any(|group| group.need == need)
+    pub fn serves(&self, need: Consistency) -> bool {
+        self.groups.iter().any(|group| group.consistency == need)
     }
 }
 
 impl Router {
-    /// How many places for hosts are held: those of hosts that are gone are taken by the next.
-    pub fn places(&self) -> usize {
+    /// How many host entries are allocated: those of removed hosts are used again.
+    pub fn host_entries(&self) -> usize {
         self.nodes.len()
     }
 }
@@ -299,82 +316,68 @@
                 .map_err(|_| format!("domain.oldest_data_us is unreadable: {text:?}"))
         };
         let need = match need.ok_or("domain.class_read is too short")? {
-            "write" => Need::Write,
-            "fresh" => Need::Fresh,
-            "session" => Need::Session,
-            "bounded" => Need::Bounded(bound()?),
-            "any" => Need::Any,
+            "write" => Consistency::Write,
+            "fresh" => Consistency::Strong,
+            "session" => Consistency::Session,
+            "bounded" => Consistency::BoundedStaleness(bound()?),
+            "any" => Consistency::Eventual,
             other => return Err(format!("domain.class_read is unreadable: {other:?}")),
         };
-        let effects =
-            [("repeatable", Effect::Replayable), ("by_key", Effect::Keyed), ("once", Effect::Mutating)];
+        let effects = [
+            ("repeatable", Idempotency::Idempotent),
+            ("by_key", Idempotency::Keyed),
+            ("once", Idempotency::NonIdempotent),
+        ];
         let effect = self.one_of(&key("effect"), &effects)?;
-        let reaches = [("all", Reach::Everywhere), ("zone", Reach::Zone), ("cell", Reach::Shard)];
+        let reaches = [
+            ("all", DeduplicationScope::Everywhere),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Shard),
+        ];
         Ok(CommandGroup {
-            target: self.span(&key("target_us"))?,
+            latency_objective: self.span(&key("target_us"))?,
             timeout: self.span(&key("deadline_us"))?,
-            benefit: self.get(&key("value"))?,
-            effect,
-            reach: if effect == Effect::Keyed {
+            priority_weight: self.get(&key("value"))?,
+            idempotency: effect,
+            deduplication_scope: if effect == Idempotency::Keyed {
                 self.one_of(&key("group"), &reaches)?
             } else {
-                Reach::Everywhere
+                DeduplicationScope::Everywhere
             },
-            remembered: Duration::from_micros(self.or(&key("window_us"), 0)?),
-            need,
+            deduplication_window: Duration::from_micros(self.or(&key("window_us"), 0)?),
+            consistency: need,
         })
     }
 }
 
-/// Why the module gave a command up, and so which of its checks to look at when many are.
+/// Which check rejected a command, or gave it up, and so where to look when many are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GivenUp {
+pub enum RejectionReason {
     /// Only the primary could take it, and no primary is believed to serve: Failover, or none found yet.
     NoPrimary,
     /// It had to wait, and its time would be out before the next look at it.
-    NoTimeToWait,
+    DeadlineTooClose,
     /// Its time was out, less one beat for the answer to reach the client.
-    TimeUp,
+    DeadlineExceeded,
     /// It waited in line so long that any answer could only come late: a retry elsewhere may still be of use.
-    LongInLine,
+    QueuedTooLong,
     /// A mutating write was out at a primary that was lost: it may have run.
-    LostPrimary,
+    PrimaryLost,
     /// Its dispatch ended without an answer, and it may not go again: by its effect, errors of its own, or
     /// too little time.
-    NotAgain,
+    NotRetryable,
 }
 
-impl GivenUp {
+impl RejectionReason {
     /// The name in logs and counts, in snake case: `no_primary` and so on.
     pub fn name(self) -> &'static str {
         match self {
-            GivenUp::NoPrimary => "no_primary",
-            GivenUp::NoTimeToWait => "no_time_to_wait",
-            GivenUp::TimeUp => "time_up",
-            GivenUp::LongInLine => "long_in_line",
-            GivenUp::LostPrimary => "lost_primary",
-            GivenUp::NotAgain => "not_again",
+            RejectionReason::NoPrimary => "no_primary",
+            RejectionReason::DeadlineTooClose => "deadline_too_close",
+            RejectionReason::DeadlineExceeded => "deadline_exceeded",
+            RejectionReason::QueuedTooLong => "queued_too_long",
+            RejectionReason::PrimaryLost => "primary_lost",
+            RejectionReason::NotRetryable => "not_retryable",
         }
     }
 }
-
-/// What the decisions act through. An implementation carries each call out; it decides nothing.
-pub trait Outlet {
-    fn now(&self) -> Timestamp;
-    /// Sends the command to a host; its dispatches are numbered from 0 in the order of these calls.
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration);
-    fn cancel(&mut self, cmd: CommandId, nth: u16);
-    /// Final answer: rejected, and trying again is harmless. No span, no advice when to.
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>);
-    /// Final answer: failed, with nothing said of its effect.
-    fn fail(&mut self, cmd: CommandId);
-    /// Told just before [`Outlet::throttle`] or [`Outlet::fail`]: which check gave the command up. Only for
-    /// logs and counts; an implementation that keeps nothing of it may leave it out.
-    fn given_up(&mut self, _cmd: CommandId, _why: GivenUp) {}
-    fn probe(&mut self, host: Host);
-    fn close_idle(&mut self, host: Host);
-    /// Asks for a call of [`Router::woken`] after this span.
-    fn wake(&mut self, after: Duration);
-    /// Asks for every change of the list from now on.
-    fn subscribe(&mut self);
-}
--- /dev/null
+++ b/crates/comethitch/src/messages.rs
@@ -0,0 +1,64 @@
+//! What a caller tells the policy: commands, the endpoint list, and how attempts ended.
+
+use crate::time::{Duration, Timestamp};
+use crate::{AttemptOutcome, CommandId, Host, HostReport, Lifecycle, Shard};
+
+/// A command as a caller submits it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CommandRequest {
+    /// The caller's number for it, unique among the commands in flight.
+    pub id: CommandId,
+    /// Its command group, by its place in the deployment.
+    pub group: usize,
+    /// The group of hosts that holds its data.
+    pub shard: Shard,
+    /// The client's session, 0 for none.
+    pub session: u64,
+    /// How long ago its session last wrote, where clients carry that.
+    pub since_write: Option<Duration>,
+    /// How much longer its client waits.
+    pub timeout: Duration,
+}
+
+/// One host as the endpoint list has it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Endpoint {
+    /// The host.
+    pub host: Host,
+    /// The number of its zone.
+    pub zone: u8,
+    /// The group of hosts that it belongs to.
+    pub shard: Shard,
+    /// Whether it may be used.
+    pub lifecycle: Lifecycle,
+    /// Whether the list names it as its group's primary.
+    pub is_primary: bool,
+    /// Its capacity beside that of others, above 0.
+    pub capacity: f64,
+    /// When its process started, if that is told.
+    pub started: Option<Timestamp>,
+}
+
+/// A change of the endpoint list.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct EndpointUpdate {
+    /// Whether these are all hosts, so that any other has been removed.
+    pub complete: bool,
+    /// The hosts that are new or have changed.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AttemptEnd {
+    /// The number of the attempt.
+    pub attempt: u16,
+    /// What came of it.
+    pub outcome: AttemptOutcome,
+    /// Whether the command has its final answer, by this attempt or before.
+    pub command_finished: bool,
+    /// What the answer says of the host at that moment.
+    pub note: HostReport,
+    /// What the host's last load report says.
+    pub report: HostReport,
+}
--- a/crates/comethitch/src/policy.rs
+++ b/crates/comethitch/src/policy.rs
@@ -6,9 +6,14 @@
 
 #![allow(clippy::too_many_arguments)]
 
-use crate::{CommandGroup, CommandId, Deployment, Effect, Ending, Guards, Host, Lifecycle, Need, Outlet};
 use crate::{
-    GivenUp, Ramp, Reach, Role, Shard, Standing, chance::Chance, commits::Commits, histogram::Histogram,
+    Actions, AttemptOutcome, CommandGroup, CommandId, Consistency, Deployment, Host, Idempotency, Lifecycle,
+    StalenessCheck,
+};
+use crate::{AttemptEnd, CommandRequest, Endpoint, EndpointUpdate};
+use crate::{
+    DeduplicationScope, HostReport, RejectionReason, Role, Shard, SlowStart, chance::Chance,
+    commits::Commits, histogram::Histogram,
 };
 use crate::{command::Command, command::Dispatch, node::Node, time::Duration, time::Timestamp};
 use comethitch_fleet::subset::{self, Candidate, Member};
@@ -115,14 +120,14 @@
 }
 
 impl Router {
-    pub fn start(deployment: Deployment, seed: u64, out: &mut dyn Outlet) -> Router {
-        let target = deployment.shortest_target().unwrap_or(PROBE_EVERY);
-        let beat = deployment.beat.max(target / 16);
-        let tightest = deployment.tightest_bound().unwrap_or(PROBE_EVERY);
-        if deployment.must_subscribe {
-            out.subscribe();
+    pub fn start(deployment: Deployment, seed: u64, out: &mut dyn Actions) -> Router {
+        let target = deployment.shortest_latency_objective().unwrap_or(PROBE_EVERY);
+        let beat = deployment.tick.max(target / 16);
+        let tightest = deployment.tightest_staleness_bound().unwrap_or(PROBE_EVERY);
+        if deployment.must_watch_endpoints {
+            out.watch_endpoints();
         }
-        out.wake(beat);
+        out.wake_after(beat);
         Router {
             chance: Chance::new(seed),
             salt: seed,
@@ -134,13 +139,14 @@
             lines: Default::default(),
             further_saved: FURTHER_SAVED,
             errors: 0.0,
-            took: deployment.groups.iter().map(|g| Histogram::new(g.target / 64, 256)).collect(),
-            report_age: Histogram::new(deployment.beat, 256),
+            took: deployment.groups.iter().map(|g| Histogram::new(g.latency_objective / 64, 256)).collect(),
+            report_age: Histogram::new(deployment.tick, 256),
             commits: Commits::default(),
             target,
-            longest: deployment.groups.iter().map(|g| g.target).max().unwrap_or(target),
+            longest: deployment.groups.iter().map(|g| g.latency_objective).max().unwrap_or(target),
             tightest,
-            just_in_time: deployment.guards == Guards::Off && !deployment.serves(Need::Session),
+            just_in_time: deployment.staleness_check == StalenessCheck::Off
+                && !deployment.serves(Consistency::Session),
             free: Vec::new(),
             deployment,
         }
@@ -151,33 +157,36 @@
         self.commands.contains_key(&id).then_some(Handle(id))
     }
 
-    pub fn list_starts(&mut self, whole: bool) {
-        self.nodes.iter_mut().for_each(|node| node.gone |= whole);
+    /// Takes in a change of the endpoint list.
+    pub fn update_endpoints(&mut self, update: &EndpointUpdate, out: &mut dyn Actions) {
+        self.nodes.iter_mut().for_each(|node| node.gone |= update.complete);
+        for endpoint in &update.endpoints {
+            self.update_endpoint(endpoint, out);
+        }
+        self.endpoints_updated(out);
     }
 
-    pub fn listed(
-        &mut self, host: Host, zone: u8, shard: Shard, lifecycle: Lifecycle, heads: bool, power: f64,
-        started: Option<Timestamp>, out: &mut dyn Outlet,
-    ) {
+    fn update_endpoint(&mut self, endpoint: &Endpoint, out: &mut dyn Actions) {
+        let Endpoint { host, zone, shard, lifecycle, is_primary, capacity, started } = *endpoint;
         let now = out.now();
         let known = self.by_host.contains_key(&host);
         let i = self.node_of(host, shard, now);
         let node = &mut self.nodes[i];
-        (node.zone, node.power, node.gone) = (zone, power.max(1e-9), lifecycle == Lifecycle::Gone);
+        (node.zone, node.power, node.gone) = (zone, capacity.max(1e-9), lifecycle == Lifecycle::Removed);
         let drains = (lifecycle == Lifecycle::Draining).then_some(now);
         node.leaving = node.leaving.filter(|_| lifecycle != Lifecycle::Ready).or(drains);
         // A process that started anew holds no role and none of what was sent to it.
         let restarted = known && started > node.started && node.heard < started.unwrap_or_default();
         node.started = node.started.max(started);
         let Some(group) = self.groups.get_mut(&shard) else { return };
-        let renamed = heads && group.listed != Some(i);
+        let renamed = is_primary && group.listed != Some(i);
         node.probe_next = if renamed { now } else { node.probe_next };
-        if heads {
+        if is_primary {
             group.listed = Some(i);
             group.primary = group.primary.or(group.listed.filter(|_| group.serial == 0));
         }
         let lost = group.primary.is_some_and(|p| match p == i {
-            true => restarted || lifecycle == Lifecycle::Gone,
+            true => restarted || lifecycle == Lifecycle::Removed,
             // The list is seconds late: a primary that has just answered as one outweighs it.
             false => renamed && now - self.nodes[p].led > PROBE_EVERY,
         });
@@ -186,8 +195,8 @@
         }
     }
 
-    pub fn list_ends(&mut self, out: &mut dyn Outlet) {
-        let told = Some(out.now()).filter(|_| !self.deployment.gone_is_advice);
+    fn endpoints_updated(&mut self, out: &mut dyn Actions) {
+        let told = Some(out.now()).filter(|_| !self.deployment.removal_is_advisory);
         self.nodes.iter_mut().filter(|node| node.gone).for_each(|node| node.leaving = node.leaving.or(told));
         self.forget_gone(out.now());
         // Until something was heard from a host, all routers together put no more there than the longest
@@ -200,9 +209,10 @@
         self.serve_lines(out);
     }
 
-    pub fn list_failed(&mut self, out: &mut dyn Outlet) {
-        if self.deployment.must_subscribe {
-            out.subscribe();
+    /// The endpoint list could not be had.
+    pub fn endpoints_unavailable(&mut self, out: &mut dyn Actions) {
+        if self.deployment.must_watch_endpoints {
+            out.watch_endpoints();
         }
     }
 
@@ -243,16 +253,15 @@
         }
     }
 
-    pub fn take(
-        &mut self, id: CommandId, group: usize, shard: Shard, session: u64, since_write: Option<Duration>,
-        expires_in: Duration, out: &mut dyn Outlet,
-    ) -> Handle {
+    /// Accepts a command. What happens to it later is a call on the handle.
+    pub fn submit(&mut self, request: CommandRequest, out: &mut dyn Actions) -> Handle {
+        let CommandRequest { id, group, shard, session, since_write, timeout } = request;
         let now = out.now();
-        let must_see = match self.deployment.tokens_carried {
+        let must_see = match self.deployment.session_tokens_carried {
             true => since_write.map_or(Timestamp::ZERO, |since| now - since),
             false => self.commits.of(session),
         };
-        let expiry = now + expires_in;
+        let expiry = now + timeout;
         let command = Command { group, shard, session, must_see, taken: now, expiry, ..Command::default() };
         self.commands.insert(id, command);
         self.further_saved = (self.further_saved + FURTHER_SHARE).min(FURTHER_SAVED);
@@ -268,14 +277,16 @@
         Handle(id)
     }
 
-    fn place(&mut self, id: CommandId, out: &mut dyn Outlet) {
+    fn place(&mut self, id: CommandId, out: &mut dyn Actions) {
         let Some(command) = self.commands.get(&id) else { return };
         let (first, ends) = (command.dispatches.is_empty(), command.expiry);
         match self.way(id, out.now()) {
             Way::To(i) if first || self.further_saved >= 1.0 => self.send(id, i, out),
-            Way::Refused => self.give_up(id, GivenUp::NoPrimary, out),
+            Way::Refused => self.give_up(id, RejectionReason::NoPrimary, out),
             // Too short a time to wait in line: the next look at it could come after its client timeout.
-            _ if ends <= out.now() + self.beat * 2 => self.give_up(id, GivenUp::NoTimeToWait, out),
+            _ if ends <= out.now() + self.beat * 2 => {
+                self.give_up(id, RejectionReason::DeadlineTooClose, out)
+            }
             _ => {
                 let command = self.commands.get_mut(&id).expect("looked up above");
                 if !std::mem::replace(&mut command.waiting, true) {
@@ -291,10 +302,11 @@
     /// Benefit for the work: what is served first, and given up last.
     fn worth(&self, id: CommandId) -> f64 {
         let Some(command) = self.commands.get(&id) else { return 0.0 };
-        self.deployment.groups[command.group].benefit / self.work(command.group).as_micros().max(1) as f64
+        self.deployment.groups[command.group].priority_weight
+            / self.work(command.group).as_micros().max(1) as f64
     }
 
-    fn serve_lines(&mut self, out: &mut dyn Outlet) {
+    fn serve_lines(&mut self, out: &mut dyn Actions) {
         for further in 0..2 {
             let line = std::mem::take(&mut self.lines[further]);
             let mut stuck: Vec<(usize, Shard)> = Vec::new();
@@ -305,7 +317,7 @@
                 let barred = stuck.contains(&kind) || (further == 1 && self.further_saved < 1.0);
                 match if barred { Way::Wait } else { self.way(id, out.now()) } {
                     Way::To(i) => self.send(id, i, out),
-                    Way::Refused => self.give_up(id, GivenUp::NoPrimary, out),
+                    Way::Refused => self.give_up(id, RejectionReason::NoPrimary, out),
                     Way::Wait => {
                         if !barred {
                             self.prove(kind.1, kind.0, must_see, out);
@@ -320,7 +332,7 @@
         }
     }
 
-    fn send(&mut self, id: CommandId, i: usize, out: &mut dyn Outlet) {
+    fn send(&mut self, id: CommandId, i: usize, out: &mut dyn Actions) {
         let now = out.now();
         let group = self.commands[&id].group;
         let (work, heft) = (self.work(group), self.heft(group));
@@ -334,42 +346,43 @@
         let node = &mut self.nodes[i];
         node.room.load += work;
         self.groups.get_mut(&node.shard).expect("known shard").rooms[group].load += work;
-        node.sent.add(heft, now, self.deployment.ramp.span);
-        node.spent.add(heft, self.salt, now, self.deployment.ramp.span);
+        node.sent.add(heft, now, self.deployment.slow_start.window);
+        node.spent.add(heft, self.salt, now, self.deployment.slow_start.window);
         node.ask(now);
         node.slots.sent(now);
         if node.mute {
             node.shunned = now + TRIED_EVERY;
         }
-        out.dispatch(id, node.host, time_out);
+        out.send_attempt(id, node.host, time_out);
     }
 
-    fn give_up(&mut self, id: CommandId, why: GivenUp, out: &mut dyn Outlet) {
+    fn give_up(&mut self, id: CommandId, reason: RejectionReason, out: &mut dyn Actions) {
         let Some(command) = self.commands.get_mut(&id).filter(|c| !c.done) else { return };
         command.done = true;
-        out.given_up(id, why);
         let group = &self.deployment.groups[command.group];
-        let harmless = group.effect == Effect::Replayable
+        let harmless = group.idempotency == Idempotency::Idempotent
             || command.maybe_ran().next().is_none()
-            || (group.effect == Effect::Keyed && group.reach == Reach::Everywhere);
+            || (group.idempotency == Idempotency::Keyed
+                && group.deduplication_scope == DeduplicationScope::Everywhere);
         if harmless {
             // Back within the target if this was a lack of room: retries count with the first try.
             let failing = self.groups.get(&command.shard).is_some_and(|g| g.state != State::Healthy);
-            let leaderless = failing && matches!(group.need, Need::Write | Need::Fresh);
-            let after = if leaderless { PROBE_EVERY } else { group.target / 8 };
-            out.throttle(id, self.deployment.longest_retry_after.map(|longest| after.min(longest)));
+            let leaderless = failing && matches!(group.consistency, Consistency::Write | Consistency::Strong);
+            let after = if leaderless { PROBE_EVERY } else { group.latency_objective / 8 };
+            let retry_after = self.deployment.max_retry_after.map(|longest| after.min(longest));
+            out.throttle(id, retry_after, reason);
         } else {
-            out.fail(id);
+            out.fail(id, reason);
         }
         self.call_off(id, out);
     }
 
     /// Withdraws what is still out of a finished command, and forgets it once nothing is.
-    fn call_off(&mut self, id: CommandId, out: &mut dyn Outlet) {
+    fn call_off(&mut self, id: CommandId, out: &mut dyn Actions) {
         let Some(command) = self.commands.get(&id) else { return };
         let may_cancel = self.deployment.may_cancel;
         let open = command.dispatches.iter().enumerate().filter(|(_, d)| may_cancel && d.ended.is_none());
-        open.for_each(|(nth, _)| out.cancel(id, nth as u16));
+        open.for_each(|(nth, _)| out.cancel_attempt(id, nth as u16));
         if command.out().next().is_none() {
             self.commands.remove(&id);
         }
@@ -379,7 +392,7 @@
         let command = &self.commands[&id];
         let Some(group) = self.groups.get(&command.shard) else { return Way::Wait };
         let kind = &self.deployment.groups[command.group];
-        if matches!(kind.need, Need::Write | Need::Fresh) {
+        if matches!(kind.consistency, Consistency::Write | Consistency::Strong) {
             let may_have_run = command.maybe_ran().next().is_some();
             return match group.primary {
                 // A fresh router that the list names no primary to probes first.
@@ -391,7 +404,7 @@
                 }
                 // Beyond the design: a keyed command that may have run waits for the next primary while its
                 // repeat is still dropped; a throttle is forbidden and a failure would lose it.
-                _ if may_have_run && kind.effect != Effect::Mutating => Way::Wait,
+                _ if may_have_run && kind.idempotency != Idempotency::NonIdempotent => Way::Wait,
                 _ => Way::Refused,
             };
         }
@@ -405,12 +418,12 @@
         let free = subset.iter().filter(|m| !tried(m.at) && open(m.at, m.reach));
         let replicas: Vec<usize> = free.map(|m| m.at).collect();
         let fresh = |i: usize, need| self.fresh_enough(i, need, command.must_see, now);
-        let drawn: Vec<usize> = replicas.iter().copied().filter(|i| fresh(*i, kind.need)).collect();
+        let drawn: Vec<usize> = replicas.iter().copied().filter(|i| fresh(*i, kind.consistency)).collect();
         // Beyond the design: a read of any age spares fresh replicas and goes to the one furthest behind. As
         // long ones hold a log up, where none is behind all routers agree on the largest of lowest id.
-        if kind.need == Need::Any {
+        if kind.consistency == Consistency::Eventual {
             let order = |i: usize| {
-                let (node, fresh) = (&self.nodes[i], fresh(i, Need::Bounded(self.tightest)));
+                let (node, fresh) = (&self.nodes[i], fresh(i, Consistency::BoundedStaleness(self.tightest)));
                 let behind = if fresh { Timestamp::ZERO } else { node.position };
                 (fresh, behind, u64::MAX - node.power.to_bits(), node.host, i)
             };
@@ -421,8 +434,8 @@
         }
         // Beyond the design: not the freshest where it would surely turn the read away.
         let checks = |i: &usize| {
-            let behind = matches!(kind.need, Need::Bounded(bound) if self.nodes[*i].lag > bound);
-            self.deployment.guards != Guards::Off && !behind
+            let behind = matches!(kind.consistency, Consistency::BoundedStaleness(bound) if self.nodes[*i].lag > bound);
+            self.deployment.staleness_check != StalenessCheck::Off && !behind
         };
         let freshest =
             || replicas.iter().copied().rev().max_by_key(|i| self.nodes[*i].position).filter(checks);
@@ -433,8 +446,10 @@
             let node = &self.nodes[*p];
             let calm = group.state != State::Failover && node.role != Some(Role::Replica);
             let turn = share::turn(self.salt, node.host.number(), now, self.target / 2);
-            let (own, work) =
-                (kind.need == Need::Session && node.room.load == Duration::ZERO, self.work(command.group));
+            let (own, work) = (
+                kind.consistency == Consistency::Session && node.room.load == Duration::ZERO,
+                self.work(command.group),
+            );
             let work = if own { work.scaled(turn) } else { work };
             calm && open(*p, 1.0) && node.room.load + work <= node.room.limit.scaled(0.75)
         };
@@ -488,7 +503,7 @@
         // A repeat must arrive while the first is remembered: the way there may take a connection.
         let arrival = now + self.deployment.connect_timeout;
         let nth = command.dispatches.len();
-        nth == 0 || nth < self.deployment.max_dispatches && self.may_repeat(command, nth, kind, i, arrival)
+        nth == 0 || nth < self.deployment.max_attempts && self.may_repeat(command, nth, kind, i, arrival)
     }
 
     /// Whether the `nth` dispatch may be written to this host at that moment beside what was sent before it.
@@ -496,42 +511,44 @@
         &self, command: &Command, nth: usize, kind: &CommandGroup, i: usize, at: Timestamp,
     ) -> bool {
         let before = &command.dispatches[..nth];
-        if !self.deployment.second_copies && before.iter().any(|d| d.ended.is_none()) {
+        if !self.deployment.hedging_allowed && before.iter().any(|d| d.ended.is_none()) {
             return false;
         }
         let node = &self.nodes[i];
         let mut maybe_ran = before.iter().filter(|d| d.maybe_ran());
-        match kind.effect {
-            Effect::Replayable => true,
-            Effect::Mutating => maybe_ran.next().is_none(),
-            Effect::Keyed => maybe_ran.all(|ran| {
-                let same = match kind.reach {
-                    Reach::Everywhere => true,
-                    Reach::Zone => self.nodes[ran.node].zone == node.zone,
-                    Reach::Shard => self.nodes[ran.node].shard == node.shard,
+        match kind.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => maybe_ran.next().is_none(),
+            Idempotency::Keyed => maybe_ran.all(|ran| {
+                let same = match kind.deduplication_scope {
+                    DeduplicationScope::Everywhere => true,
+                    DeduplicationScope::Zone => self.nodes[ran.node].zone == node.zone,
+                    DeduplicationScope::Shard => self.nodes[ran.node].shard == node.shard,
                 };
-                same && at + self.beat < ran.sent + kind.remembered
+                same && at + self.beat < ran.sent + kind.deduplication_window
             }),
         }
     }
 
-    fn fresh_enough(&self, i: usize, need: Need, must_see: Timestamp, now: Timestamp) -> bool {
+    fn fresh_enough(&self, i: usize, need: Consistency, must_see: Timestamp, now: Timestamp) -> bool {
         let node = &self.nodes[i];
         match need {
-            Need::Any => true,
-            Need::Session => node.position >= must_see,
+            Consistency::Eventual => true,
+            Consistency::Session => node.position >= must_see,
             // Beyond the design: where replicas check, a position counts as having kept pace since then.
-            Need::Bounded(bound) if self.deployment.guards != Guards::Off => {
+            Consistency::BoundedStaleness(bound)
+                if self.deployment.staleness_check != StalenessCheck::Off =>
+            {
                 node.lag <= bound.scaled(LAG_SHARE) && now - node.lag_told <= PROBE_EVERY * 2
             }
-            Need::Bounded(bound) => now - node.position <= bound - bound / MARGIN,
-            Need::Write | Need::Fresh => false,
+            Consistency::BoundedStaleness(bound) => now - node.position <= bound - bound / MARGIN,
+            Consistency::Write | Consistency::Strong => false,
         }
     }
 
     /// The share of a host's power that it surely has by now, if it started lately.
     fn warmth(&self, i: usize, now: Timestamp) -> f64 {
-        self.deployment.ramp.warmth(self.nodes[i].started, now)
+        self.deployment.slow_start.warmth(self.nodes[i].started, now)
     }
 
     /// Beyond the design: the replicas that this router uses, few enough to know them well.
@@ -547,7 +564,7 @@
             Candidate { at, key: host.number(), weight: power * self.warmth(at, now) }
         };
         let all = group.nodes.iter().copied().filter(|i| !apart(*i)).map(candidate);
-        subset::draw(self.salt, now, self.deployment.ramp.within * 8, self.size(group, now), all)
+        subset::draw(self.salt, now, self.deployment.slow_start.warmup * 8, self.size(group, now), all)
     }
 
     fn size(&self, group: &Group, now: Timestamp) -> usize {
@@ -560,22 +577,22 @@
         let group = &self.groups[&self.nodes[i].shard];
         let size = self.size(group, now) as f64;
         let reach = if group.primary == Some(i) { 1.0 } else { size / group.nodes.len().max(1) as f64 };
-        share::sharers(self.deployment.ramp.routers, reach.min(1.0))
+        share::sharers(self.deployment.slow_start.routers, reach.min(1.0))
     }
 
     /// Asks for what a read needs: the proofs of its subset that run out before the next could come, or are
     /// older than what its session has written.
-    fn prove(&mut self, shard: Shard, group: usize, must_see: Timestamp, out: &mut dyn Outlet) {
+    fn prove(&mut self, shard: Shard, group: usize, must_see: Timestamp, out: &mut dyn Actions) {
         let now = out.now();
         let lasts = |bound: Duration| proof::lasts(bound - bound / MARGIN, PROBE_AGAIN);
         // Where sessions are served besides, timers ask too, but few of them are paid for by a quiet router.
-        let alone = self.deployment.guards == Guards::Off && self.deployment.may_probe;
+        let alone = self.deployment.staleness_check == StalenessCheck::Off && self.deployment.may_probe;
         let known = self.groups.get(&shard).filter(|_| alone);
-        let proven = match (self.deployment.groups[group].need, known) {
-            (Need::Bounded(bound), Some(_)) => now - lasts(bound),
-            (Need::Session, Some(_)) if must_see > Timestamp::ZERO => must_see,
+        let proven = match (self.deployment.groups[group].consistency, known) {
+            (Consistency::BoundedStaleness(bound), Some(_)) => now - lasts(bound),
+            (Consistency::Session, Some(_)) if must_see > Timestamp::ZERO => must_see,
             // Whether the group keeps a primary in doubt shows in whether its other members move on.
-            (Need::Write | Need::Fresh, Some(known)) if known.state == State::Unhealthy => {
+            (Consistency::Write | Consistency::Strong, Some(known)) if known.state == State::Unhealthy => {
                 now - lasts(SILENCE)
             }
             _ => return,
@@ -591,18 +608,18 @@
         }
     }
 
-    fn probe(&mut self, i: usize, out: &mut dyn Outlet) {
+    fn probe(&mut self, i: usize, out: &mut dyn Actions) {
         let node = &mut self.nodes[i];
         node.probe_sent = Some(out.now());
         node.ask(out.now());
-        out.probe(node.host);
+        out.check_health(node.host);
     }
 
     /// Whether a host, which `reach` of all routers use, can take this work in time and is not pushed over.
     fn has_room(&self, i: usize, reach: f64, group: usize, now: Timestamp) -> bool {
         let node = &self.nodes[i];
         // Room is reckoned for the shortest target: a long command, with a target to match, finds more of it.
-        let target = self.deployment.groups[group].target;
+        let target = self.deployment.groups[group].latency_objective;
         let stretch = if self.long(group) { target.ratio(self.target) } else { 1.0 };
         let work = self.work(group);
         let turn = share::turn(self.salt, node.host.number(), now, self.target / 2);
@@ -611,7 +628,8 @@
             && node.heard == Timestamp::ZERO
             && self.groups[&node.shard].primary != Some(i)
             && self.groups[&node.shard].nodes.iter().any(|j| self.nodes[*j].heard > Timestamp::ZERO);
-        let part = self.longest.scaled(1.0 / share::sharers(self.deployment.ramp.routers, reach)).ratio(work);
+        let part =
+            self.longest.scaled(1.0 / share::sharers(self.deployment.slow_start.routers, reach)).ratio(work);
         let fits = node.slots.open(now)
             && !(new && turn >= part)
             && node.room.holds(work, stretch, turn)
@@ -621,45 +639,51 @@
             return fits;
         }
         // A cold host gets no more than this router's part of what the ramp surely allows.
-        let Ramp { span, .. } = self.deployment.ramp;
+        let SlowStart { window: span, .. } = self.deployment.slow_start;
         let warm = (0..self.nodes.len()).filter(|j| self.usable(*j, now) && self.warmth(*j, now) >= 1.0);
         let carried = |j: usize| (self.nodes[j].sent.left(now, span), self.nodes[j].power);
         let (sent, power) = warm.map(carried).fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let peers = if power > 0.0 { sent / power * node.power } else { 0.0 };
-        let budget = self.deployment.ramp.budget(warmth, reach, peers, node.bore.left(now, span));
+        let budget = self.deployment.slow_start.budget(warmth, reach, peers, node.bore.left(now, span));
         node.spent.admits(self.heft(group), budget, self.salt, node.host.number(), now, span)
     }
 
     /// The work of a command group's usual command, as seen from here.
     fn work(&self, group: usize) -> Duration {
-        self.took[group].quantile(0.3).unwrap_or(self.deployment.groups[group].target / 8)
+        self.took[group].quantile(0.3).unwrap_or(self.deployment.groups[group].latency_objective / 8)
     }
 
     /// What a cold host's budget is charged for a command: the long ones are what pushes it over.
     fn heft(&self, group: usize) -> f64 {
-        (self.work(group) * 2).max(self.deployment.groups[group].target / 8).as_micros() as f64
+        (self.work(group) * 2).max(self.deployment.groups[group].latency_objective / 8).as_micros() as f64
     }
 
     /// Whether its commands take longer than short ones may, as its target allows and not for a queue.
     fn long(&self, group: usize) -> bool {
-        self.usual(group).min(self.deployment.groups[group].target / 4) > self.target
+        self.usual(group).min(self.deployment.groups[group].latency_objective / 4) > self.target
     }
 
     fn usual(&self, group: usize) -> Duration {
-        self.took[group].quantile(0.5).unwrap_or(self.deployment.groups[group].target / 4)
+        self.took[group].quantile(0.5).unwrap_or(self.deployment.groups[group].latency_objective / 4)
     }
 
-    pub fn probed(&mut self, host: Host, ending: Ending, told: Standing, out: &mut dyn Outlet) {
+    /// A health check ended; `told` is what the host reported.
+    pub fn health_checked(
+        &mut self, host: Host, ending: AttemptOutcome, told: HostReport, out: &mut dyn Actions,
+    ) {
         let now = out.now();
         let Some(&i) = self.by_host.get(&host) else { return };
         let node = &mut self.nodes[i];
         let sent = node.probe_sent.take().unwrap_or(now);
-        if ending == Ending::NoSlot {
+        if ending == AttemptOutcome::NoConnectionSlot {
             node.turned_away(self.salt, self.deployment.connect_timeout, now);
-        } else if matches!(ending, Ending::Answered | Ending::Error | Ending::Full) {
+        } else if matches!(
+            ending,
+            AttemptOutcome::Answered | AttemptOutcome::Error | AttemptOutcome::Overloaded
+        ) {
             node.shows_life(now);
             // It runs but tells nothing: it has just started, is asked by too many, or only its probes fail.
-            if told == Standing::default() {
+            if told == HostReport::default() {
                 let parts = if node.position == Timestamp::ZERO { 16 } else { 4 };
                 node.probe_next = node.probe_next.min(now + PROBE_EVERY / parts);
             }
@@ -670,32 +694,35 @@
         self.serve_lines(out);
     }
 
-    fn weigh(&mut self, dispatch: Dispatch, kind: usize, ending: Ending, now: Timestamp) {
+    fn weigh(&mut self, dispatch: Dispatch, kind: usize, ending: AttemptOutcome, now: Timestamp) {
         let Dispatch { node: i, sent, work, .. } = dispatch;
         let took = now - sent;
         let usual = self.usual(kind);
-        let target = self.deployment.groups[kind].target;
+        let target = self.deployment.groups[kind].latency_objective;
         // Every router may hold this much at a host at once.
         let least = (target * 2).scaled(1.0 / self.sharers(i, now)).min(target / 2);
-        if (ending.never_ran() || ending == Ending::Error) && self.warmth(i, now) >= 1.0 {
+        if (ending.never_ran() || ending == AttemptOutcome::Error) && self.warmth(i, now) >= 1.0 {
             let heft = self.heft(kind);
             self.nodes[i].sent.take_back(heft);
         }
         let node = &mut self.nodes[i];
-        node.slots.ended(sent, ending == Ending::Answered);
+        node.slots.ended(sent, ending == AttemptOutcome::Answered);
         let mut late = None;
         match ending {
-            Ending::Answered | Ending::Miss | Ending::Error | Ending::Full => {
+            AttemptOutcome::Answered
+            | AttemptOutcome::NotPrimary
+            | AttemptOutcome::Error
+            | AttemptOutcome::Overloaded => {
                 (node.heard, node.unheard, node.mute) = (now, 0, false);
-                self.errors += (f64::from(u8::from(ending == Ending::Error)) - self.errors) / 32.0;
+                self.errors += (f64::from(u8::from(ending == AttemptOutcome::Error)) - self.errors) / 32.0;
                 // Errors are the host's while they are rare; spread over all hosts they are the commands'.
-                if ending == Ending::Error && self.errors <= ERRORS_RARE {
+                if ending == AttemptOutcome::Error && self.errors <= ERRORS_RARE {
                     node.strike(now, self.deployment.connect_timeout);
                 } else {
                     node.shows_life(now);
                 }
             }
-            Ending::TimedOut | Ending::Cancelled => {
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
                 late = (took > target / 2).then_some(true);
                 node.unheard += u32::from(node.heard <= sent && late.is_some());
                 // Hangs, one-way links, hosts too slow to wait for, whatever their probes say.
@@ -703,15 +730,21 @@
                     (node.mute, node.shunned) = (true, node.shunned.max(now + TRIED_EVERY));
                 }
             }
-            Ending::NoConnection | Ending::Reset => {
+            AttemptOutcome::ConnectionFailed | AttemptOutcome::ConnectionReset => {
                 node.strike(now, self.deployment.connect_timeout);
                 node.probe_next = now;
             }
-            Ending::NoSlot => node.turned_away(self.salt, self.deployment.connect_timeout, now),
-            Ending::Moot => {}
+            AttemptOutcome::NoConnectionSlot => {
+                node.turned_away(self.salt, self.deployment.connect_timeout, now)
+            }
+            AttemptOutcome::NotSent => {}
         }
-        if ending == Ending::Answered {
-            node.bore.add((work * 2).max(target / 8).as_micros() as f64, now, self.deployment.ramp.span);
+        if ending == AttemptOutcome::Answered {
+            node.bore.add(
+                (work * 2).max(target / 8).as_micros() as f64,
+                now,
+                self.deployment.slow_start.window,
+            );
             self.took[kind].add(took);
             node.pace.add(Duration::from_micros((took.ratio(usual) * 1000.0) as u64));
             late = Some(took > target / 2);
@@ -721,14 +754,14 @@
         let needs = work.scaled(group.asked.each(now, PROBE_IDLE) * work.ratio(PROBE_IDLE));
         let together = (least * group.nodes.len() as u64).max(needs);
         group.rooms[kind].ended(work, late, 0.0, together.max(work), target / 2, now);
-        let full = ending == Ending::Full;
+        let full = ending == AttemptOutcome::Overloaded;
         let (late, together) =
             (late.or(full.then_some(true)), group.rooms[kind].lateness.max(f64::from(full)));
         node.room.ended(work, late, together, least, target / 2, now);
     }
 
     /// Takes in what a host's report, and the note of its answer, say.
-    fn learn(&mut self, i: usize, told: Standing, noted: Option<Standing>, out: &mut dyn Outlet) {
+    fn learn(&mut self, i: usize, told: HostReport, noted: Option<HostReport>, out: &mut dyn Actions) {
         let now = out.now();
         let node = &mut self.nodes[i];
         if let Some(position) = told.position {
@@ -753,7 +786,7 @@
         }
     }
 
-    fn leads(&mut self, i: usize, position: Timestamp, to_command: bool, out: &mut dyn Outlet) {
+    fn leads(&mut self, i: usize, position: Timestamp, to_command: bool, out: &mut dyn Actions) {
         let now = out.now();
         let (shard, mute) = (self.nodes[i].shard, self.nodes[i].mute);
         let group = &self.groups[&shard];
@@ -798,7 +831,7 @@
     }
 
     /// To Failover: the serial goes up, the old primary's idle connections close, unsent writes are refused.
-    fn fail_over(&mut self, shard: Shard, out: &mut dyn Outlet) {
+    fn fail_over(&mut self, shard: Shard, out: &mut dyn Actions) {
         let now = out.now();
         let Some(group) = self.groups.get_mut(&shard).filter(|g| g.state != State::Failover) else { return };
         (group.state, group.since) = (State::Failover, now);
@@ -807,14 +840,15 @@
             self.nodes[i].probe_next = self.nodes[i].probe_next.min(now);
         }
         if let Some(p) = group.primary {
-            out.close_idle(self.nodes[p].host);
+            out.close_idle_connections(self.nodes[p].host);
         }
         self.probe_due(out);
         self.serve_lines(out);
     }
 
-    pub fn woken(&mut self, out: &mut dyn Outlet) {
-        out.wake(self.beat);
+    /// Looks at everything that depends on the time; to be called as [`Actions::wake_after`] asked.
+    pub fn tick(&mut self, out: &mut dyn Actions) {
+        out.wake_after(self.beat);
         for shard in self.groups.keys().copied().collect::<Vec<_>>() {
             self.watch(shard, out);
         }
@@ -826,13 +860,13 @@
     }
 
     /// The router ends: what is still in hand gets its final answer now.
-    pub fn stops(&mut self, out: &mut dyn Outlet) {
+    pub fn shut_down(&mut self, out: &mut dyn Actions) {
         for id in self.commands.keys().copied().collect::<Vec<_>>() {
-            self.give_up(id, GivenUp::TimeUp, out);
+            self.give_up(id, RejectionReason::DeadlineExceeded, out);
         }
     }
 
-    fn watch(&mut self, shard: Shard, out: &mut dyn Outlet) {
+    fn watch(&mut self, shard: Shard, out: &mut dyn Actions) {
         let now = out.now();
         let group = &self.groups[&shard];
         let Some(p) = group.primary else { return };
@@ -848,7 +882,7 @@
         }
     }
 
-    fn probe_due(&mut self, out: &mut dyn Outlet) {
+    fn probe_due(&mut self, out: &mut dyn Actions) {
         if !self.deployment.may_probe {
             return;
         }
@@ -901,23 +935,23 @@
     /// Gives a command up when its time has run out; sends a second copy when its dispatch is at a host that
     /// fails, or that is slow beside the others: where all are slow, copies of whatever was late fed the
     /// overload.
-    fn review(&mut self, id: CommandId, out: &mut dyn Outlet) {
+    fn review(&mut self, id: CommandId, out: &mut dyn Actions) {
         let now = out.now();
         let Some(command) = self.commands.get(&id).filter(|c| !c.done) else { return };
         let kind = &self.deployment.groups[command.group];
         if now + self.beat >= command.expiry {
-            return self.give_up(id, GivenUp::TimeUp, out);
+            return self.give_up(id, RejectionReason::DeadlineExceeded, out);
         }
         let Some(one) = command.out().next() else {
             // In line: a command that could only be late is given up while a retry can still be of use.
             let in_hand = match command.dispatches.is_empty() {
-                true => kind.target / 2,
-                false if kind.effect == Effect::Keyed => kind.timeout,
-                false => kind.target,
+                true => kind.latency_objective / 2,
+                false if kind.idempotency == Idempotency::Keyed => kind.timeout,
+                false => kind.latency_objective,
             };
-            let usual = self.took[command.group].quantile(0.8).unwrap_or(kind.target / 4);
+            let usual = self.took[command.group].quantile(0.8).unwrap_or(kind.latency_objective / 4);
             if command.taken + in_hand < now + usual {
-                self.give_up(id, GivenUp::LongInLine, out);
+                self.give_up(id, RejectionReason::QueuedTooLong, out);
             }
             return;
         };
@@ -927,14 +961,16 @@
         let (node, group) = (&self.nodes[one.node], &self.groups[&command.shard]);
         // A mutating write left with a lost primary may have run: it is failed.
         let left = group.state == State::Failover && group.primary == Some(one.node);
-        if left && kind.effect == Effect::Mutating && (node.mute || node.lost()) {
-            return self.give_up(id, GivenUp::LostPrimary, out);
+        if left && kind.idempotency == Idempotency::NonIdempotent && (node.mute || node.lost()) {
+            return self.give_up(id, RejectionReason::PrimaryLost, out);
         }
-        let hedged = kind.effect == Effect::Replayable
-            && (node.mute || node.lost() || node.pace.slowness() > SLOW && now - one.sent > kind.target / 2)
+        let hedged = kind.idempotency == Idempotency::Idempotent
+            && (node.mute
+                || node.lost()
+                || node.pace.slowness() > SLOW && now - one.sent > kind.latency_objective / 2)
             && self.further_saved > FURTHER_SAVED / 2.0
             && self.lines.iter().all(Vec::is_empty)
-            && now < command.taken + kind.target;
+            && now < command.taken + kind.latency_objective;
         if hedged && let Way::To(i) = self.way(id, now) {
             self.send(id, i, out);
         }
@@ -981,7 +1017,7 @@
 
 impl Handle {
     /// The client went away, or was told that time is up: nothing is owed any more.
-    pub fn left(self, router: &mut Router, out: &mut dyn Outlet) {
+    pub fn client_disconnected(self, router: &mut Router, out: &mut dyn Actions) {
         if let Some(command) = router.commands.get_mut(&self.0) {
             command.done = true;
             router.call_off(self.0, out);
@@ -991,52 +1027,63 @@
     /// Whether a dispatch that was held up on its way may still go: what the rules ask for counts as it is
     /// written. While its connection came up, its command may have been given up, its host told to drain, its
     /// repeat be forgotten there, or the data have become too old.
-    pub fn may_go(self, router: &Router, nth: u16, now: Timestamp) -> bool {
+    pub fn may_still_send(self, router: &Router, nth: u16, now: Timestamp) -> bool {
         let Some(command) = router.commands.get(&self.0).filter(|c| !c.done && now < c.expiry) else {
             return false;
         };
         let (nth, kind) = (usize::from(nth), &router.deployment.groups[command.group]);
         let Some(dispatch) = command.dispatches.get(nth).filter(|d| d.ended.is_none()) else { return false };
-        let (i, need) = (dispatch.node, kind.need);
-        let aged = matches!(need, Need::Bounded(_)) && !router.fresh_enough(i, need, Timestamp::ZERO, now);
+        let (i, need) = (dispatch.node, kind.consistency);
+        let aged = matches!(need, Consistency::BoundedStaleness(_))
+            && !router.fresh_enough(i, need, Timestamp::ZERO, now);
         let primary = router.groups[&command.shard].primary == Some(i);
-        let checked = primary || router.deployment.guards != Guards::Off;
+        let checked = primary || router.deployment.staleness_check != StalenessCheck::Off;
         (!aged || checked) && !router.parted(i, now) && router.may_repeat(command, nth, kind, i, now)
     }
 
-    /// A dispatch ended. `over` says that the command is finished by this or was before; `noted` is what the
-    /// answer says of the host at that moment, `reported` what its last report says.
-    pub fn dispatch_ended(
-        self, router: &mut Router, nth: u16, ending: Ending, over: bool, noted: Standing, reported: Standing,
-        out: &mut dyn Outlet,
-    ) {
+    /// An attempt ended.
+    pub fn attempt_ended(self, router: &mut Router, end: AttemptEnd, out: &mut dyn Actions) {
+        let AttemptEnd { attempt, outcome: ending, command_finished, note, report } = end;
         let now = out.now();
         let Some(command) = router.commands.get_mut(&self.0) else { return };
-        let open = command.dispatches.get_mut(usize::from(nth)).filter(|d| d.ended.is_none());
+        let open = command.dispatches.get_mut(usize::from(attempt)).filter(|d| d.ended.is_none());
         let Some(dispatch) = open else { return };
         dispatch.ended = Some(ending);
         let (dispatch, i) = (*dispatch, dispatch.node);
         let (kind, shard, session) = (command.group, command.shard, command.session);
-        command.done |= over;
+        command.done |= command_finished;
         router.weigh(dispatch, kind, ending, now);
-        if matches!(ending, Ending::Reset | Ending::TimedOut | Ending::NoConnection) || router.nodes[i].mute {
+        if matches!(
+            ending,
+            AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut | AttemptOutcome::ConnectionFailed
+        ) || router.nodes[i].mute
+        {
             router.doubt(i, now);
             let group = router.groups.get_mut(&shard).expect("known shard");
             group.lost += u32::from(dispatch.noted);
         }
-        if ending == Ending::Answered && !router.deployment.tokens_carried {
-            router.commits.tell(session, noted.position.unwrap_or_default());
+        if ending == AttemptOutcome::Answered && !router.deployment.session_tokens_carried {
+            router.commits.tell(session, note.position.unwrap_or_default());
         }
-        let need = router.deployment.groups[kind].need;
-        if noted.role == Some(Role::Primary) {
+        let need = router.deployment.groups[kind].consistency;
+        if note.role == Some(Role::Primary) {
             // It stood at the present when it answered, so at the least at the moment of the send.
             let stood =
-                noted.position.map_or(dispatch.sent, |p| (p - Duration::from_millis(1)).max(dispatch.sent));
+                note.position.map_or(dispatch.sent, |p| (p - Duration::from_millis(1)).max(dispatch.sent));
             router.nodes[i].position = router.nodes[i].position.max(stood);
         }
-        let answered = matches!(ending, Ending::Answered | Ending::Error | Ending::Full | Ending::Miss);
-        router.learn(i, reported, answered.then_some(noted), out);
-        if ending == Ending::Miss && need == Need::Write && router.groups[&shard].primary == Some(i) {
+        let answered = matches!(
+            ending,
+            AttemptOutcome::Answered
+                | AttemptOutcome::Error
+                | AttemptOutcome::Overloaded
+                | AttemptOutcome::NotPrimary
+        );
+        router.learn(i, report, answered.then_some(note), out);
+        if ending == AttemptOutcome::NotPrimary
+            && need == Consistency::Write
+            && router.groups[&shard].primary == Some(i)
+        {
             router.fail_over(shard, out);
         }
         let Some(command) = router.commands.get(&self.0) else { return };
@@ -1045,9 +1092,13 @@
         } else if command.out().next().is_none() && !command.waiting {
             let may_repeat = router.may_send(command, &router.deployment.groups[kind], i, now);
             // Errors spread over all hosts are the commands' fault: what erred here would err at the next.
-            let own_fault = ending == Ending::Error && router.errors > ERRORS_RARE;
+            let own_fault = ending == AttemptOutcome::Error && router.errors > ERRORS_RARE;
             let on = may_repeat && !own_fault && now + router.beat < command.expiry;
-            if on { router.place(self.0, out) } else { router.give_up(self.0, GivenUp::NotAgain, out) }
+            if on {
+                router.place(self.0, out)
+            } else {
+                router.give_up(self.0, RejectionReason::NotRetryable, out)
+            }
         }
         router.serve_lines(out);
     }
--- a/crates/comethitch/tests/scenarios.rs
+++ b/crates/comethitch/tests/scenarios.rs
@@ -12,14 +12,17 @@
 //! held 1.0 may|not             a dispatch held up on its way may still go now, or may not
 //! left 1                       the client went away
 //! expect dispatch 1 b|c        an act since the last `at`, in this order; a word may list alternatives
-//! expect throttle 1 time_up    a final answer names the check that gave the command up, then any advice
+//! expect throttle 1 deadline_exceeded    a final answer names the check that gave the command up, then any advice
 //! never throttle 1             no such act since the last `at`; `*` stands for any word
 //! atmost 9 dispatch * b        no more such acts than this since the last `at`
 //! repeat 20 { ... }            on one line, steps parted by `;`, `%` stands for the round's number
 //! ```
 
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandId, Deployment, Ending, GivenUp, Host, Lifecycle, Outlet, Role, Router, Standing};
+use comethitch::{
+    Actions, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Deployment, Endpoint, EndpointUpdate,
+    Host, HostReport, Lifecycle, RejectionReason, Role, Router,
+};
 use std::{fs, path::Path};
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
@@ -64,8 +67,6 @@
     now: Timestamp,
     said: Vec<String>,
     wakes: Vec<Timestamp>,
-    /// The reason told for the final answer that comes next.
-    why: Option<(CommandId, GivenUp)>,
     /// A digest of all acts in their order, so that two texts of the module can be compared to the byte.
     digest: u64,
 }
@@ -77,53 +78,43 @@
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
-
-    /// The reason told before a final answer, `untold` where none was for this command.
-    fn why(&mut self, cmd: CommandId) -> &'static str {
-        self.why.take().filter(|(of, _)| *of == cmd).map_or("untold", |(_, why)| why.name())
-    }
 }
 
-impl Outlet for Acts {
+impl Actions for Acts {
     fn now(&self) -> Timestamp {
         self.now
     }
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
+    fn send_attempt(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
         self.digest([80, cmd.into(), host.number(), time_out.as_micros()]);
         self.said.push(format!("dispatch {cmd} {}", name(host)));
     }
-    fn cancel(&mut self, cmd: CommandId, nth: u16) {
+    fn cancel_attempt(&mut self, cmd: CommandId, nth: u16) {
         self.digest([90, cmd.into(), nth.into(), 0]);
         self.said.push(format!("cancel {cmd}.{nth}"));
     }
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>) {
+    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>, reason: RejectionReason) {
         self.digest([84, cmd.into(), retry_after.map_or(0, |after| after.as_micros() + 1), 0]);
         let advice =
             retry_after.map_or("now".into(), |after| format!("later {}ms", after.as_micros() / 1000));
-        let why = self.why(cmd);
-        self.said.push(format!("throttle {cmd} {why} {advice}"));
+        self.said.push(format!("throttle {cmd} {} {advice}", reason.name()));
     }
-    fn fail(&mut self, cmd: CommandId) {
+    fn fail(&mut self, cmd: CommandId, reason: RejectionReason) {
         self.digest([86, cmd.into(), 0, 0]);
-        let why = self.why(cmd);
-        self.said.push(format!("fail {cmd} {why}"));
-    }
-    fn given_up(&mut self, cmd: CommandId, why: GivenUp) {
-        self.why = Some((cmd, why));
+        self.said.push(format!("fail {cmd} {}", reason.name()));
     }
-    fn probe(&mut self, host: Host) {
+    fn check_health(&mut self, host: Host) {
         self.digest([81, host.number(), 0, 0]);
         self.said.push(format!("probe {}", name(host)));
     }
-    fn close_idle(&mut self, host: Host) {
+    fn close_idle_connections(&mut self, host: Host) {
         self.digest([85, host.number(), 0, 0]);
         self.said.push(format!("close {}", name(host)));
     }
-    fn wake(&mut self, after: Duration) {
+    fn wake_after(&mut self, after: Duration) {
         self.digest([82, after.as_micros(), 0, 0]);
         self.wakes.push(self.now + after);
     }
-    fn subscribe(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.digest([83, 0, 0, 0]);
         self.said.push("subscribe".into());
     }
@@ -154,18 +145,18 @@
     (id.parse().expect("an id"), nth.parse().expect("a dispatch"))
 }
 
-fn ending(word: &str) -> Ending {
+fn ending(word: &str) -> AttemptOutcome {
     match word {
-        "ok" => Ending::Answered,
-        "error" => Ending::Error,
-        "full" => Ending::Full,
-        "noslot" => Ending::NoSlot,
-        "timeout" => Ending::TimedOut,
-        "unconnected" => Ending::NoConnection,
-        "reset" => Ending::Reset,
-        "cancelled" => Ending::Cancelled,
-        "moot" => Ending::Moot,
-        "miss" => Ending::Miss,
+        "ok" => AttemptOutcome::Answered,
+        "error" => AttemptOutcome::Error,
+        "full" => AttemptOutcome::Overloaded,
+        "noslot" => AttemptOutcome::NoConnectionSlot,
+        "timeout" => AttemptOutcome::TimedOut,
+        "unconnected" => AttemptOutcome::ConnectionFailed,
+        "reset" => AttemptOutcome::ConnectionReset,
+        "cancelled" => AttemptOutcome::Cancelled,
+        "moot" => AttemptOutcome::NotSent,
+        "miss" => AttemptOutcome::NotPrimary,
         other => panic!("no ending {other:?}"),
     }
 }
@@ -188,7 +179,7 @@
         (self.router.as_mut().expect("just started"), &mut self.acts)
     }
 
-    fn standing(&self, words: &[&str]) -> Standing {
+    fn standing(&self, words: &[&str]) -> HostReport {
         let role = words.iter().find_map(|word| match *word {
             "primary" => Some(Role::Primary),
             "replica" => Some(Role::Replica),
@@ -196,7 +187,7 @@
         });
         let back = words.iter().find(|word| word.starts_with('-'));
         let queue = words.iter().find_map(|word| word.strip_prefix('q')?.parse().ok());
-        Standing { role, position: back.map(|word| self.acts.now - span(word)), queue }
+        HostReport { role, position: back.map(|word| self.acts.now - span(word)), queue }
     }
 
     fn until(&mut self, time: Timestamp) {
@@ -204,7 +195,7 @@
         while let Some(at) = acts.wakes.iter().copied().filter(|at| *at <= time).min() {
             acts.wakes.retain(|wake| *wake != at);
             acts.now = at;
-            router.woken(acts);
+            router.tick(acts);
         }
         acts.now = time;
     }
@@ -223,20 +214,27 @@
             }
             ["list", ..] => {
                 let started = self.acts.now;
-                let (router, acts) = self.router();
-                router.list_starts(true);
+                let mut update = EndpointUpdate { complete: true, endpoints: Vec::new() };
                 for entry in line.trim_start_matches("list").split(',') {
                     let words: Vec<&str> = entry.split_whitespace().collect();
                     let lifecycle = match () {
                         () if words.contains(&"draining") => Lifecycle::Draining,
-                        () if words.contains(&"gone") => Lifecycle::Gone,
+                        () if words.contains(&"gone") => Lifecycle::Removed,
                         () => Lifecycle::Ready,
                     };
                     let cold = words.contains(&"cold").then_some(started);
-                    let heads = words.contains(&"primary");
-                    router.listed(host(words[0]), 0, 0, lifecycle, heads, 4.0, cold, acts);
+                    update.endpoints.push(Endpoint {
+                        host: host(words[0]),
+                        zone: 0,
+                        shard: 0,
+                        lifecycle,
+                        is_primary: words.contains(&"primary"),
+                        capacity: 4.0,
+                        started: cold,
+                    });
                 }
-                router.list_ends(acts);
+                let (router, acts) = self.router();
+                router.update_endpoints(&update, acts);
             }
             ["pair"] => {
                 for step in ["list a primary, b", "probed a ok primary -50ms", "at 10ms"] {
@@ -251,33 +249,43 @@
             ["probed", at, end, told @ ..] => {
                 let told = self.standing(told);
                 let (router, acts) = self.router();
-                at.split(',').for_each(|at| router.probed(host(at), ending(end), told, acts));
+                at.split(',').for_each(|at| router.health_checked(host(at), ending(end), told, acts));
             }
             ["take", id, group, "for", time, rest @ ..] => {
                 let group = GROUPS.iter().position(|g| g.0 == *group).expect("a command group");
                 let since = rest.last().map(|word| span(word));
                 let id = id.parse().expect("an id");
                 let (router, acts) = self.router();
-                router.take(id, group, 0, 1, since, span(time), acts);
+                let timeout = span(time);
+                router.submit(
+                    CommandRequest { id, group, shard: 0, session: 1, since_write: since, timeout },
+                    acts,
+                );
             }
             ["ended", which, end, told @ ..] => {
                 let (id, nth) = numbers(which);
-                let (over, noted) = (told.contains(&"over"), self.standing(told));
+                let end = AttemptEnd {
+                    attempt: nth,
+                    outcome: ending(end),
+                    command_finished: told.contains(&"over"),
+                    note: self.standing(told),
+                    report: HostReport::default(),
+                };
                 let (router, acts) = self.router();
                 let handle = router.handle(id).ok_or("no such command is known")?;
-                handle.dispatch_ended(router, nth, ending(end), over, noted, Standing::default(), acts);
+                handle.attempt_ended(router, end, acts);
             }
             ["held", which, wanted] => {
                 let (id, nth) = numbers(which);
                 let (router, acts) = self.router();
                 let handle = router.handle(id).ok_or("no such command is known")?;
-                let may = handle.may_go(router, nth, acts.now);
+                let may = handle.may_still_send(router, nth, acts.now);
                 if may != (*wanted == "may") {
                     return Err(format!("may go: {may}"));
                 }
             }
             ["places", most] => {
-                let held = self.router().0.places();
+                let held = self.router().0.host_entries();
                 if held > most.parse().expect("a count") {
                     return Err(format!("{held} places are held"));
                 }
@@ -285,7 +293,7 @@
             ["left", id] => {
                 let (router, acts) = self.router();
                 let handle = router.handle(id.parse().expect("an id")).ok_or("no such command is known")?;
-                handle.left(router, acts);
+                handle.client_disconnected(router, acts);
             }
             ["expect", wanted @ ..] => {
                 let found = self.acts.said[self.read..].iter().position(|act| matches(act, wanted));
@@ -342,10 +350,6 @@
             }
         }
         digest = digest.rotate_left(7) ^ play.acts.digest;
-        // Each final answer names the check that gave its command up, so that logs can count them.
-        if let Some(act) = play.acts.said.iter().find(|act| act.contains(" untold")) {
-            failures.push(format!("{}: a final answer without its reason: {act}", file.display()));
-        }
     }
     // Shown with --nocapture: the same for two texts that decide alike.
     println!("digest of {} scenarios: {digest:016x}", files.len());
--- a/crates/comethitchd/src/memory/clients.rs
+++ b/crates/comethitchd/src/memory/clients.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// It was told an error that ends it, and what it still sends is dropped.
-    Ending,
+    Closing,
     /// Its first command, or the rest of a command that has begun, is waited for.
     Asking,
     /// It has been answered, and has begun nothing since.
@@ -124,12 +124,12 @@
     pub fn shed(&self, now: Timestamp, full: bool) {
         let Patience { rest, least, .. } = self.patience;
         let open = self.open.borrow();
-        let waits = |one: &Open| matches!(one.stage, Stage::Asking | Stage::Ending);
+        let waits = |one: &Open| matches!(one.stage, Stage::Asking | Stage::Closing);
         let in_use = full && !open.values().any(waits);
         let rank = |one: &Open| {
             let age = now - one.since;
             match one.stage {
-                Stage::Ending if age >= least => Some(0),
+                Stage::Closing if age >= least => Some(0),
                 Stage::Asking if age >= least => Some(1),
                 Stage::Idle if age >= rest => Some(2),
                 Stage::Asking if full && age >= least / 8 => Some(3),
--- a/crates/comethitchd/src/memory/connection.rs
+++ b/crates/comethitchd/src/memory/connection.rs
@@ -3,7 +3,7 @@
 use crate::memory::buffer::Buffer;
 use crate::memory::clients::Permit;
 use async_io::Async;
-use comethitch::Ending;
+use comethitch::AttemptOutcome;
 use comethitch::time::Timestamp;
 use std::net::{SocketAddr, TcpStream};
 
@@ -44,21 +44,25 @@
 }
 
 impl Code {
-    fn ending(&self) -> Ending {
+    fn ending(&self) -> AttemptOutcome {
         match self {
             Code::Postgres(code) => match code.as_str() {
-                "25006" | "72000" => Ending::Miss,
-                "53300" => Ending::Full,
-                _ => Ending::Error,
+                "25006" | "72000" => AttemptOutcome::NotPrimary,
+                "53300" => AttemptOutcome::Overloaded,
+                _ => AttemptOutcome::Error,
             },
             // The database is read-only, or this replica takes no such commands. Behind another statement of
             // the batch it would say nothing of that one.
-            Code::Tds { number: 3906 | 3908 | 976 | 978 | 979 | 982 | 983, first: true, .. } => Ending::Miss,
+            Code::Tds { number: 3906 | 3908 | 976 | 978 | 979 | 982 | 983, first: true, .. } => {
+                AttemptOutcome::NotPrimary
+            }
             // Out of room before anything was begun.
-            Code::Tds { number: 10_928 | 10_929 | 17_809 | 49_918..=49_920, first: true, .. } => Ending::Full,
+            Code::Tds { number: 10_928 | 10_929 | 17_809 | 49_918..=49_920, first: true, .. } => {
+                AttemptOutcome::Overloaded
+            }
             // The connection ends with such an error.
-            Code::Tds { class: 20.., .. } => Ending::Reset,
-            Code::Tds { .. } => Ending::Error,
+            Code::Tds { class: 20.., .. } => AttemptOutcome::ConnectionReset,
+            Code::Tds { .. } => AttemptOutcome::Error,
         }
     }
 }
@@ -87,22 +91,22 @@
     /// Nothing more came until the router stopped waiting.
     Silent,
     /// The router gave the query up.
-    GivenUp,
+    Cancelled,
 }
 
 impl ConnectionEnd {
     /// What the module is told: the table in the protocol's page.
-    pub fn ending(&self) -> Ending {
+    pub fn ending(&self) -> AttemptOutcome {
         match self {
-            ConnectionEnd::Whole => Ending::Answered,
+            ConnectionEnd::Whole => AttemptOutcome::Answered,
             ConnectionEnd::Told(code) => code.ending(),
-            ConnectionEnd::NotTried => Ending::Moot,
-            ConnectionEnd::NoSlot => Ending::NoSlot,
-            ConnectionEnd::NeverUp | ConnectionEnd::Unsent => Ending::NoConnection,
-            ConnectionEnd::TooLarge => Ending::Error,
-            ConnectionEnd::Broken | ConnectionEnd::Malformed => Ending::Reset,
-            ConnectionEnd::Silent => Ending::TimedOut,
-            ConnectionEnd::GivenUp => Ending::Cancelled,
+            ConnectionEnd::NotTried => AttemptOutcome::NotSent,
+            ConnectionEnd::NoSlot => AttemptOutcome::NoConnectionSlot,
+            ConnectionEnd::NeverUp | ConnectionEnd::Unsent => AttemptOutcome::ConnectionFailed,
+            ConnectionEnd::TooLarge => AttemptOutcome::Error,
+            ConnectionEnd::Broken | ConnectionEnd::Malformed => AttemptOutcome::ConnectionReset,
+            ConnectionEnd::Silent => AttemptOutcome::TimedOut,
+            ConnectionEnd::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 }
--- a/crates/comethitchd/src/memory/hub.rs
+++ b/crates/comethitchd/src/memory/hub.rs
@@ -13,7 +13,7 @@
 use crate::memory::tally::{Tally, count_kind};
 use async_executor::LocalExecutor;
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{Ending, Host, Role, Router};
+use comethitch::{AttemptOutcome, Host, Role, Router};
 use comethitch_statement::Desk;
 use comethitch_statement::desk::Known;
 use log::Level;
@@ -135,12 +135,12 @@
     pub fn arrival(&self) -> Timestamp {
         let now = self.now();
         let (from, until) = self.stood.get();
-        if now - until < self.site.deployment.beat { from } else { now }
+        if now - until < self.site.deployment.tick { from } else { now }
     }
 
     /// Keeps for the log what a dispatch or a probe has told of a host.
-    pub fn met(&self, host: Host, ending: Ending, role: Option<Role>) {
-        if !matches!(ending, Ending::Answered | Ending::Cancelled) {
+    pub fn met(&self, host: Host, ending: AttemptOutcome, role: Option<Role>) {
+        if !matches!(ending, AttemptOutcome::Answered | AttemptOutcome::Cancelled) {
             count_kind(&self.tally.troubles, (host, ending));
         }
         let mut list = self.list.borrow_mut();
--- a/crates/comethitchd/src/memory/list.rs
+++ b/crates/comethitchd/src/memory/list.rs
@@ -23,23 +23,27 @@
     /// Takes in what was told, and returns the hosts that have gone or moved.
     pub fn take(&mut self, listing: &Listing) -> Vec<Host> {
         self.since = Some(listing.seq);
-        let named = |host: &Host| listing.entries.iter().any(|entry| entry.host == *host);
+        let named = |host: &Host| listing.entries.iter().any(|entry| entry.endpoint.host == *host);
         let mut left: Vec<Host> = match listing.whole {
             true => self.hosts.keys().copied().filter(|host| !named(host)).collect(),
             false => Vec::new(),
         };
         for entry in &listing.entries {
-            let before = self.hosts.insert(entry.host, (entry.name.clone(), entry.dial));
+            let before = self.hosts.insert(entry.endpoint.host, (entry.name.clone(), entry.dial));
             let moved = before.as_ref().is_some_and(|(_, dial)| *dial != entry.dial);
             if before.is_some_and(|(name, _)| name != entry.name) {
                 log::error!("two names of hosts have one number: {} hides the other", entry.name);
             }
-            if moved || entry.lifecycle == Lifecycle::Gone {
-                left.push(entry.host);
+            if moved || entry.endpoint.lifecycle == Lifecycle::Removed {
+                left.push(entry.endpoint.host);
             }
         }
-        let still_gone =
-            |host: &Host| !listing.entries.iter().any(|e| e.host == *host && e.lifecycle != Lifecycle::Gone);
+        let still_gone = |host: &Host| {
+            !listing
+                .entries
+                .iter()
+                .any(|e| e.endpoint.host == *host && e.endpoint.lifecycle != Lifecycle::Removed)
+        };
         self.gone.retain(|host| still_gone(host) && !left.contains(host));
         self.gone.extend(left.iter().copied().filter(still_gone));
         while self.gone.len() > GONE {
--- a/crates/comethitchd/src/memory/protocol.rs
+++ b/crates/comethitchd/src/memory/protocol.rs
@@ -6,7 +6,7 @@
 use crate::memory::hub::Hub;
 use async_io::Async;
 use comethitch::time::Duration;
-use comethitch::{CommandId, Host, Standing};
+use comethitch::{CommandId, Host, HostReport};
 use std::future::Future;
 use std::net::TcpStream;
 use std::pin::Pin;
@@ -35,8 +35,8 @@
 /// How a dispatch ended, and what its answer told.
 pub struct Outcome {
     pub end: ConnectionEnd,
-    pub noted: Standing,
-    pub reported: Standing,
+    pub noted: HostReport,
+    pub reported: HostReport,
     /// The value as the front passes it on, or a host's error.
     pub value: Vec<u8>,
     /// The module was told as the answer began.
--- a/crates/comethitchd/src/memory/site.rs
+++ b/crates/comethitchd/src/memory/site.rs
@@ -158,21 +158,24 @@
 /// Checks the ranges of what the module works with.
 fn check(deployment: &Deployment) -> Result<(), String> {
     let mut spans = vec![
-        ("tick_us".to_string(), deployment.beat),
+        ("tick_us".to_string(), deployment.tick),
         ("permissions.connect_timeout_us".into(), deployment.connect_timeout),
-        ("rules.fall_us".into(), deployment.ramp.span),
+        ("rules.fall_us".into(), deployment.slow_start.window),
     ];
     for (i, group) in deployment.groups.iter().enumerate() {
-        spans.push((format!("classes.{i}.target_us"), group.target));
+        spans.push((format!("classes.{i}.target_us"), group.latency_objective));
         spans.push((format!("classes.{i}.deadline_us"), group.timeout));
     }
     if let Some((key, _)) = spans.iter().find(|(_, span)| *span == Duration::ZERO) {
         return Err(format!("settings.{key} must be 1 or more"));
     }
-    if !(0.0..=1.0).contains(&deployment.ramp.from) {
-        return Err(format!("settings.rules.cold_from must be 0 to 1, not {}", deployment.ramp.from));
+    if !(0.0..=1.0).contains(&deployment.slow_start.initial_capacity) {
+        return Err(format!(
+            "settings.rules.cold_from must be 0 to 1, not {}",
+            deployment.slow_start.initial_capacity
+        ));
     }
-    match deployment.max_dispatches {
+    match deployment.max_attempts {
         0 => Err("settings.permissions.max_attempts must be 1 or more".into()),
         _ => Ok(()),
     }
--- a/crates/comethitchd/src/memory/tally.rs
+++ b/crates/comethitchd/src/memory/tally.rs
@@ -1,6 +1,6 @@
 //! Counts of what was done, for the log.
 
-use comethitch::{Ending, Host};
+use comethitch::{AttemptOutcome, Host};
 use std::cell::{Cell, RefCell};
 
 /// Counts since the last line of the log that told them.
@@ -16,11 +16,11 @@
     pub probes: Cell<u64>,
     pub probes_failed: Cell<u64>,
     pub connected: Cell<u64>,
-    pub endings: RefCell<Vec<(Ending, u64)>>,
+    pub endings: RefCell<Vec<(AttemptOutcome, u64)>>,
     /// Commands that the module gave up, by its reason; those turned away before it are counted above.
     pub given_up: RefCell<Vec<(&'static str, u64)>>,
     /// By host, what was neither answered nor called off; probes too.
-    pub troubles: RefCell<Vec<((Host, Ending), u64)>>,
+    pub troubles: RefCell<Vec<((Host, AttemptOutcome), u64)>>,
 }
 
 pub fn count(of: &Cell<u64>) {
--- a/crates/comethitchd/src/protocols/flow.rs
+++ b/crates/comethitchd/src/protocols/flow.rs
@@ -42,11 +42,11 @@
     pub async fn pass(&self, bytes: Vec<u8>) -> Result<(), ConnectionEnd> {
         let parts = self.parts.borrow().clone();
         match parts {
-            Some(parts) => parts.send(Part::Bytes(bytes)).await.map_err(|_| ConnectionEnd::GivenUp)?,
+            Some(parts) => parts.send(Part::Bytes(bytes)).await.map_err(|_| ConnectionEnd::Cancelled)?,
             None => {
                 let (sender, receiver) = bounded(1);
                 if !relay::answer(&self.hub, self.id, Reply::Begun(bytes, receiver)) {
-                    return Err(ConnectionEnd::GivenUp);
+                    return Err(ConnectionEnd::Cancelled);
                 }
                 *self.parts.borrow_mut() = Some(sender);
                 route::begun(&self.hub, self.id, self.nth);
@@ -61,7 +61,7 @@
         self.pass(bytes).await?;
         let parts = self.parts.borrow().clone();
         match parts {
-            Some(parts) => parts.send(Part::End).await.map_err(|_| ConnectionEnd::GivenUp),
+            Some(parts) => parts.send(Part::End).await.map_err(|_| ConnectionEnd::Cancelled),
             None => Ok(()),
         }
     }
--- a/crates/comethitchd/src/protocols/line.rs
+++ b/crates/comethitchd/src/protocols/line.rs
@@ -185,7 +185,7 @@
     /// the client might never read its error, or its last answer.
     async fn dismiss(&mut self, out: Vec<u8>, why: &'static str) {
         log::debug!("client {}: {why}", self.number);
-        self.hub.clients.turn(self.number, Stage::Ending, self.hub.clock.now());
+        self.hub.clients.turn(self.number, Stage::Closing, self.hub.clock.now());
         let notice = self.notice.clone();
         let told = async {
             self.write(&out).await.ok()?;
--- a/crates/comethitchd/src/protocols/postgres/send.rs
+++ b/crates/comethitchd/src/protocols/postgres/send.rs
@@ -14,7 +14,7 @@
 use crate::wire::standing;
 use async_io::Async;
 use comethitch::time::Duration;
-use comethitch::{CommandId, Ending, Host, Standing};
+use comethitch::{AttemptOutcome, CommandId, Host, HostReport};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -35,8 +35,8 @@
             },
             Err(end) => Outcome {
                 end,
-                noted: Standing::default(),
-                reported: Standing::default(),
+                noted: HostReport::default(),
+                reported: HostReport::default(),
                 value: Vec::new(),
                 told: false,
             },
@@ -84,7 +84,7 @@
         let told = row.unwrap_or(outcome.reported);
         held.met(host, outcome.end.ending(), told.role);
         log::debug!("probe of {}: {:?}, {told:?}", held.list.borrow().name(host), outcome.end);
-        route::decide(&held, |router, out| router.probed(host, outcome.end.ending(), told, out));
+        route::decide(&held, |router, out| router.health_checked(host, outcome.end.ending(), told, out));
     };
     hub.tasks.spawn(probe).detach();
 }
@@ -204,7 +204,7 @@
         // Of the codes in a greeting, one tells more than that no connection came up.
         let full = greeting.code.map(|code| ConnectionEnd::Told(Code::Postgres(code)).ending());
         match full {
-            Some(Ending::Full) => Err(ConnectionEnd::NoSlot),
+            Some(AttemptOutcome::Overloaded) => Err(ConnectionEnd::NoSlot),
             _ if greeted.is_ok() => Ok(connection),
             _ => Err(ConnectionEnd::NeverUp),
         }
--- a/crates/comethitchd/src/protocols/sending.rs
+++ b/crates/comethitchd/src/protocols/sending.rs
@@ -37,7 +37,9 @@
     /// Whether the module still lets it go, once a new connection has come up.
     pub fn may_go(&self) -> bool {
         let router = self.hub.router.borrow();
-        router.handle(self.id).is_some_and(|handle| handle.may_go(&router, self.nth, self.hub.clock.now()))
+        router
+            .handle(self.id)
+            .is_some_and(|handle| handle.may_still_send(&router, self.nth, self.hub.clock.now()))
     }
 }
 
--- a/crates/comethitchd/src/protocols/tds/send.rs
+++ b/crates/comethitchd/src/protocols/tds/send.rs
@@ -13,7 +13,7 @@
 use crate::stages::route;
 use async_io::Async;
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandId, Ending, Host, Role, Standing};
+use comethitch::{AttemptOutcome, CommandId, Host, HostReport, Role};
 use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
 use comethitch_tds::packet::{Assembly, FIRST_SIZE, Kind, LARGEST_SIZE, put_message, put_parts, status};
 use comethitch_tds::request::Batch;
@@ -46,7 +46,7 @@
         },
         Err(end) => (end, Vec::new()),
     };
-    Outcome { end, noted: Standing::default(), reported: Standing::default(), value, told: false }
+    Outcome { end, noted: HostReport::default(), reported: HostReport::default(), value, told: false }
 }
 
 /// Asks a host how it stands. A probe waits no longer than a connection may take.
@@ -70,13 +70,13 @@
         }
         held.met(host, end.ending(), told.role);
         log::debug!("probe of {}: {end:?}, {told:?}", held.list.borrow().name(host));
-        route::decide(&held, |router, out| router.probed(host, end.ending(), told, out));
+        route::decide(&held, |router, out| router.health_checked(host, end.ending(), told, out));
     };
     hub.tasks.spawn(probe).detach();
 }
 
 /// What a probe's row says: the role, and the position in milliseconds.
-fn standing((role, position): &(Value, Value), primary: &str) -> Standing {
+fn standing((role, position): &(Value, Value), primary: &str) -> HostReport {
     let role = match role {
         Value::Text(role) => Some(role.trim().eq_ignore_ascii_case(primary)),
         Value::Integer(role) => Some(role.to_string() == primary),
@@ -88,7 +88,7 @@
         Value::Text(ms) => ms.trim().parse().ok(),
         _ => None,
     };
-    Standing {
+    HostReport {
         role: role.map(|primary| if primary { Role::Primary } else { Role::Replica }),
         // A position may have been rounded up by less than its unit; one of zero is none.
         position: position.and_then(|ms| ms.checked_sub(1)).map(Timestamp::from_millis),
@@ -141,7 +141,7 @@
         flow.end(std::mem::take(&mut answer.value)).await?;
     }
     let end = answer.error.clone().map(|code| ConnectionEnd::Told(code).ending());
-    if ended.is_ok() && !answer.in_transaction && end != Some(Ending::Reset) {
+    if ended.is_ok() && !answer.in_transaction && end != Some(AttemptOutcome::ConnectionReset) {
         sending::keep(hub, host, connection);
     }
     Ok(answer)
@@ -237,7 +237,7 @@
     match answer.error.take() {
         // Of the errors at a login one tells more than that no connection came up.
         Some(code) => match ConnectionEnd::Told(code) {
-            end if end.ending() == Ending::Full => Err(ConnectionEnd::NoSlot),
+            end if end.ending() == AttemptOutcome::Overloaded => Err(ConnectionEnd::NoSlot),
             _ => Err(ConnectionEnd::NeverUp),
         },
         None if ended.is_ok() && answer.acknowledged => {
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -3,7 +3,7 @@
 use crate::memory::site::{Site, read_rules, secret};
 use argh::FromArgs;
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandGroup, Effect as Repeat, Need, Reach};
+use comethitch::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
 use comethitch_statement::desk::{Desk, Told, Turned};
 use comethitch_statement::rules::{CacheSize, Disagreement, GroupRule, Parsing};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
@@ -132,13 +132,13 @@
         let own = rules.groups.iter().filter(|rule| rule.group == *name);
         let reads = own.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
         CommandGroup {
-            target: Duration::from_micros(1),
+            latency_objective: Duration::from_micros(1),
             timeout: Duration::from_micros(1),
-            benefit: 1.0,
-            effect: if reads { Repeat::Replayable } else { Repeat::Mutating },
-            reach: Reach::Everywhere,
-            remembered: Duration::ZERO,
-            need: if reads { Need::Any } else { Need::Write },
+            priority_weight: 1.0,
+            idempotency: if reads { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
+            deduplication_scope: DeduplicationScope::Everywhere,
+            deduplication_window: Duration::ZERO,
+            consistency: if reads { Consistency::Eventual } else { Consistency::Write },
         }
     };
     (names.iter().map(group).collect(), names)
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -133,7 +133,7 @@
         let given_up = async {
             // A client may wait longer than its command group says: it is answered while there is time to.
             Timer::after(limit.saturating_sub(WRITTEN)).await;
-            route::decide(&hub, |router, out| router.stops(out));
+            route::decide(&hub, |router, out| router.shut_down(out));
             Timer::after(WRITTEN).await;
         };
         through.or(given_up).await;
--- a/crates/comethitchd/src/service/watch.rs
+++ b/crates/comethitchd/src/service/watch.rs
@@ -9,7 +9,7 @@
 use crate::memory::clock::after;
 use crate::memory::hub::Hub;
 use crate::stages::learn;
-use crate::wire::discovery::{self, Piece, Pieces};
+use crate::wire::discovery::{self, Entry, Piece, Pieces};
 use crate::wire::http::{self, Body};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
@@ -128,9 +128,10 @@
         return Ok(());
     }
     for entry in &listing.entries {
-        let (name, dial, lifecycle) = (&entry.name, entry.dial, entry.lifecycle);
-        let heads = if entry.heads { ", primary" } else { "" };
-        log::info!("list {}: {name} at {dial} is {lifecycle:?}{heads}, group {}", listing.seq, entry.shard);
+        let Entry { name, dial, endpoint } = entry;
+        let primary = if endpoint.is_primary { ", primary" } else { "" };
+        let (lifecycle, shard) = (endpoint.lifecycle, endpoint.shard);
+        log::info!("list {}: {name} at {dial} is {lifecycle:?}{primary}, group {shard}", listing.seq);
     }
     learn::listed(hub, &listing);
     hub.ready.raise();
--- a/crates/comethitchd/src/stages/book.rs
+++ b/crates/comethitchd/src/stages/book.rs
@@ -5,7 +5,7 @@
 use crate::memory::hub::Hub;
 use crate::memory::tally::count_kind;
 use crate::stages::relay;
-use comethitch::{CommandId, Ending};
+use comethitch::{AttemptOutcome, CommandId};
 
 /// Books the end of a dispatch; true if the command has its final answer.
 pub fn ended(hub: &Hub, id: CommandId, nth: u16, end: &ConnectionEnd, value: Vec<u8>) -> bool {
@@ -14,7 +14,7 @@
     // The first whole value goes to the client on its own.
     if *end == ConnectionEnd::Whole {
         relay::answer(hub, id, Reply::Value(value));
-    } else if ending == Ending::Error && !value.is_empty() {
+    } else if ending == AttemptOutcome::Error && !value.is_empty() {
         hub.commands.borrow_mut().met_error(id, value);
     }
     let mut commands = hub.commands.borrow_mut();
--- a/crates/comethitchd/src/stages/learn.rs
+++ b/crates/comethitchd/src/stages/learn.rs
@@ -5,19 +5,19 @@
 use crate::memory::hub::Hub;
 use crate::memory::protocol::Back;
 use crate::memory::site::Site;
-use crate::stages::route::{self, Acts};
+use crate::stages::route;
 use crate::wire::discovery::Listing;
-use comethitch::Router;
+use comethitch::{ActionQueue, EndpointUpdate, Router};
 use comethitch_statement::Desk;
 use std::rc::Rc;
 
 /// Starts the module and what is around it, with the hosts that the configuration knows.
 pub fn start(mut site: Site, clock: Clock, back: Box<dyn Back>) -> Rc<Hub> {
     let known = std::mem::take(&mut site.known);
-    let mut acts = Acts::at(clock.now());
-    let router = Router::start(site.deployment.clone(), site.seed, &mut acts);
+    let mut actions = ActionQueue::at(clock.now());
+    let router = Router::start(site.deployment.clone(), site.seed, &mut actions);
     let hub = Hub::new(site, clock, router, back);
-    route::carry_out(&hub, acts);
+    route::carry_out(&hub, actions);
     if !known.entries.is_empty() {
         listed(&hub, &known);
     }
@@ -28,15 +28,9 @@
 pub fn listed(hub: &Rc<Hub>, listing: &Listing) {
     let left = hub.list.borrow_mut().take(listing);
     left.iter().for_each(|host| hub.pool.borrow_mut().close(*host));
-    route::decide(hub, |router, out| {
-        router.list_starts(listing.whole);
-        for entry in &listing.entries {
-            let (power, started) = (entry.power, entry.started);
-            let (zone, shard, lifecycle) = (entry.zone, entry.shard, entry.lifecycle);
-            router.listed(entry.host, zone, shard, lifecycle, entry.heads, power, started, out);
-        }
-        router.list_ends(out);
-    });
+    let endpoints = listing.entries.iter().map(|entry| entry.endpoint).collect();
+    let update = EndpointUpdate { complete: listing.whole, endpoints };
+    route::decide(hub, |router, out| router.update_endpoints(&update, out));
 }
 
 /// Takes over what a configuration that was read again changes. A faulty one changes nothing.
--- a/crates/comethitchd/src/stages/route.rs
+++ b/crates/comethitchd/src/stages/route.rs
@@ -9,130 +9,79 @@
 use crate::stages::{book, relay};
 use async_channel::Receiver;
 use async_io::Timer;
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandId, Ending, GivenUp, Host, Outlet, Router, Standing};
+use comethitch::time::Duration;
+use comethitch::{
+    Action, ActionQueue, Actions, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, HostReport,
+    RejectionReason, Router,
+};
 use std::rc::Rc;
 
-enum Act {
-    Dispatch(CommandId, Host, Duration),
-    Cancel(CommandId, u16),
-    Final(CommandId, Reply, Option<GivenUp>),
-    Probe(Host),
-    CloseIdle(Host),
-    Wake(Duration),
+/// Calls into the policy, then carries out what it decided.
+pub fn decide(hub: &Rc<Hub>, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
+    let mut queue = ActionQueue::at(hub.now());
+    call(&mut hub.router.borrow_mut(), &mut queue);
+    carry_out(hub, queue);
 }
 
-/// What the module wants done.
-pub struct Acts {
-    now: Timestamp,
-    queue: Vec<Act>,
-    /// The module's reason for the final answer that it gives next.
-    why: Option<(CommandId, GivenUp)>,
-}
-
-impl Acts {
-    pub fn at(now: Timestamp) -> Acts {
-        Acts { now, queue: Vec::new(), why: None }
-    }
-}
-
-impl Outlet for Acts {
-    fn now(&self) -> Timestamp {
-        self.now
-    }
-
-    fn dispatch(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
-        self.queue.push(Act::Dispatch(cmd, host, time_out));
-    }
-
-    fn cancel(&mut self, cmd: CommandId, nth: u16) {
-        self.queue.push(Act::Cancel(cmd, nth));
-    }
-
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>) {
-        let why = self.why.take().filter(|(of, _)| *of == cmd).map(|(_, why)| why);
-        self.queue.push(Act::Final(cmd, Reply::Throttled(retry_after), why));
-    }
-
-    fn fail(&mut self, cmd: CommandId) {
-        let why = self.why.take().filter(|(of, _)| *of == cmd).map(|(_, why)| why);
-        self.queue.push(Act::Final(cmd, Reply::Failed, why));
-    }
-
-    fn given_up(&mut self, cmd: CommandId, why: GivenUp) {
-        self.why = Some((cmd, why));
-    }
-
-    fn probe(&mut self, host: Host) {
-        self.queue.push(Act::Probe(host));
-    }
-
-    fn close_idle(&mut self, host: Host) {
-        self.queue.push(Act::CloseIdle(host));
-    }
-
-    fn wake(&mut self, after: Duration) {
-        self.queue.push(Act::Wake(after));
-    }
-
-    /// The watch is always on.
-    fn subscribe(&mut self) {}
-}
-
-/// Calls into the module, then does what it wants done.
-pub fn decide(hub: &Rc<Hub>, call: impl FnOnce(&mut Router, &mut Acts)) {
-    let mut acts = Acts::at(hub.now());
-    call(&mut hub.router.borrow_mut(), &mut acts);
-    carry_out(hub, acts);
-}
-
-pub fn carry_out(hub: &Rc<Hub>, acts: Acts) {
-    let mut at_once = Vec::new();
-    for act in acts.queue {
-        match act {
-            Act::Dispatch(id, host, time_out) => {
-                let late = hub.back.dispatch(hub, id, host, time_out);
-                at_once.extend(late.map(|nth| (id, nth, ConnectionEnd::NotTried)));
+/// Carries out actions in their order. Attempts that ended as they began are told to the policy once all is done.
+pub fn carry_out(hub: &Rc<Hub>, queue: ActionQueue) {
+    let mut ended_at_once = Vec::new();
+    for action in queue.actions {
+        match action {
+            Action::SendAttempt { command, host, timeout } => {
+                let late = hub.back.dispatch(hub, command, host, timeout);
+                ended_at_once.extend(late.map(|attempt| (command, attempt, ConnectionEnd::NotTried)));
             }
-            Act::Cancel(id, nth) => {
+            Action::CancelAttempt { command, attempt } => {
                 // Dropping the task closes its connection.
-                let task = hub.commands.borrow_mut().take_dispatch(id, nth);
-                at_once.extend(task.map(|_| (id, nth, ConnectionEnd::GivenUp)));
+                let task = hub.commands.borrow_mut().take_dispatch(command, attempt);
+                ended_at_once.extend(task.map(|_| (command, attempt, ConnectionEnd::Cancelled)));
             }
-            Act::Final(id, reply, why) => {
-                let how = if matches!(reply, Reply::Throttled(_)) { "throttled" } else { "failed" };
-                let name = hub.commands.borrow().statement(id).map(|statement| statement.name.clone());
-                if relay::answer(hub, id, reply)
-                    && let Some(why) = why
-                {
-                    count_kind(&hub.tally.given_up, why.name());
-                    let id = name.unwrap_or_default();
-                    log::info!(id, why = why.name(), answer = how; "given up");
-                }
+            Action::Throttle { command, retry_after, reason } => {
+                reject(hub, command, Reply::Throttled(retry_after), reason, "throttled");
             }
-            Act::Probe(host) => hub.back.probe(hub, host),
-            Act::CloseIdle(host) => {
+            Action::Fail { command, reason } => reject(hub, command, Reply::Failed, reason, "failed"),
+            Action::CheckHealth(host) => hub.back.probe(hub, host),
+            Action::CloseIdleConnections(host) => {
                 log::warn!(
                     "failover: {} is not taken for the primary any more",
                     hub.list.borrow().name(host)
                 );
                 hub.pool.borrow_mut().close(host);
             }
-            Act::Wake(after) => wake(hub, after),
+            Action::WakeAfter(delay) => wake(hub, delay),
+            // The watch is always on.
+            Action::WatchEndpoints => {}
         }
     }
-    for (id, nth, end) in at_once {
-        let (noted, reported) = (Standing::default(), Standing::default());
-        ended(hub, id, nth, Outcome { end, noted, reported, value: Vec::new(), told: false });
+    for (command, attempt, end) in ended_at_once {
+        let (noted, reported) = (HostReport::default(), HostReport::default());
+        ended(hub, command, attempt, Outcome { end, noted, reported, value: Vec::new(), told: false });
+    }
+}
+
+/// Gives a final answer that is no host's, and logs which check it came from.
+fn reject(hub: &Hub, command: CommandId, reply: Reply, reason: RejectionReason, answer: &'static str) {
+    let name = hub.commands.borrow().statement(command).map(|statement| statement.name.clone());
+    if relay::answer(hub, command, reply) {
+        count_kind(&hub.tally.given_up, reason.name());
+        let id = name.unwrap_or_default();
+        log::info!(id, why = reason.name(), answer; "given up");
     }
 }
 
 /// An answer has begun and goes to the client: for the module the dispatch has ended with it.
 pub fn begun(hub: &Rc<Hub>, id: CommandId, nth: u16) {
-    let (noted, reported) = (Standing::default(), Standing::default());
+    let end = AttemptEnd {
+        attempt: nth,
+        outcome: AttemptOutcome::Answered,
+        command_finished: true,
+        note: HostReport::default(),
+        report: HostReport::default(),
+    };
     decide(hub, |router, out| {
         if let Some(handle) = router.handle(id) {
-            handle.dispatch_ended(router, nth, Ending::Answered, true, noted, reported, out);
+            handle.attempt_ended(router, end, out);
         }
     });
 }
@@ -144,9 +93,11 @@
     if told {
         return;
     }
+    let outcome = end.ending();
+    let end = AttemptEnd { attempt: nth, outcome, command_finished: over, note: noted, report: reported };
     decide(hub, |router, out| {
         if let Some(handle) = router.handle(id) {
-            handle.dispatch_ended(router, nth, end.ending(), over, noted, reported, out);
+            handle.attempt_ended(router, end, out);
         }
     });
 }
@@ -156,7 +107,7 @@
     let sleeper = hub.clone();
     let woken = async move {
         Timer::after(after.to_std()).await;
-        decide(&sleeper, |router, out| router.woken(out));
+        decide(&sleeper, |router, out| router.tick(out));
     };
     hub.tasks.spawn(woken).detach();
 }
@@ -168,8 +119,10 @@
     let statement = Statement { text, kind, name, wait_at, known };
     let (id, reply) = hub.commands.borrow_mut().enter(statement);
     decide(hub, |router, out| {
-        let (since_write, left) = (after.map(|after| out.now() - after), expiry - out.now());
-        router.take(id, group, shard, session, since_write, left, out);
+        let now = out.now();
+        let since_write = after.map(|after| now - after);
+        let timeout = expiry - now;
+        router.submit(CommandRequest { id, group, shard, session, since_write, timeout }, out);
     });
     (id, reply)
 }
@@ -180,7 +133,7 @@
     hub.commands.borrow_mut().abandon(id);
     decide(hub, |router, out| {
         if let Some(handle) = router.handle(id) {
-            handle.left(router, out);
+            handle.client_disconnected(router, out);
         }
     });
 }
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::statement::fnv1a;
 use comethitch::time::Timestamp;
-use comethitch::{Host, Lifecycle, Shard};
+use comethitch::{Endpoint, Host, Lifecycle};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -17,14 +17,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub name: String,
-    pub host: Host,
+    /// The address to connect to.
     pub dial: SocketAddr,
-    pub zone: u8,
-    pub shard: Shard,
-    pub lifecycle: Lifecycle,
-    pub heads: bool,
-    pub power: f64,
-    pub started: Option<Timestamp>,
+    /// What the policy is told of it.
+    pub endpoint: Endpoint,
 }
 
 /// The module's host for a name. The name is the same at every router, the address to dial need not be.
@@ -145,20 +141,24 @@
     let (name, dial, site) = (text("host")?, text("dial")?, value["site"].as_str().unwrap_or_default());
     let zone = zones.iter().position(|zone| zone == site).unwrap_or(zones.len());
     let shard = value["block"].as_u64().and_then(|block| u16::try_from(block).ok());
+    let lifecycle = match text("health")? {
+        "ready" => Lifecycle::Ready,
+        "draining" => Lifecycle::Draining,
+        "gone" => Lifecycle::Removed,
+        other => return Err(format!("health is unknown: {other:?}")),
+    };
+    let started = value["born_ms"].as_u64().filter(|ms| *ms > 0);
     Ok(Entry {
         name: name.into(),
-        host: host(name),
         dial: dial.parse().map_err(|_| format!("dial is no address: {dial:?}"))?,
-        zone: u8::try_from(zone).unwrap_or(u8::MAX),
-        shard: shard.ok_or("block is missing")?,
-        lifecycle: match text("health")? {
-            "ready" => Lifecycle::Ready,
-            "draining" => Lifecycle::Draining,
-            "gone" => Lifecycle::Gone,
-            other => return Err(format!("health is unknown: {other:?}")),
+        endpoint: Endpoint {
+            host: host(name),
+            zone: u8::try_from(zone).unwrap_or(u8::MAX),
+            shard: shard.ok_or("block is missing")?,
+            lifecycle,
+            is_primary: value["rank"].as_str() == Some("source"),
+            capacity: value["share"].as_f64().unwrap_or(1.0),
+            started: started.map(Timestamp::from_millis),
         },
-        heads: value["rank"].as_str() == Some("source"),
-        power: value["share"].as_f64().unwrap_or(1.0),
-        started: value["born_ms"].as_u64().filter(|ms| *ms > 0).map(Timestamp::from_millis),
     })
 }
--- a/crates/comethitchd/src/wire/standing.rs
+++ b/crates/comethitchd/src/wire/standing.rs
@@ -2,13 +2,13 @@
 
 use crate::wire::postgres::Answer;
 use comethitch::time::{Duration, Timestamp};
-use comethitch::{Role, Standing};
+use comethitch::{HostReport, Role};
 
 /// Positions are told in milliseconds; what is written with fewer digits has lost zeros at its end.
 const RESOLUTION: u64 = 1_000;
 
 /// What an answer's parameters say of the host at that moment.
-pub fn noted(answer: &Answer) -> Standing {
+pub fn noted(answer: &Answer) -> HostReport {
     let role = match answer.rank.as_deref() {
         Some("source") => Some(Role::Primary),
         Some("copy") => Some(Role::Replica),
@@ -16,7 +16,7 @@
     };
     let position = answer.as_of.as_deref().and_then(|text| text.parse::<u64>().ok());
     let position = position.filter(|ms| *ms > 0).map(Timestamp::from_millis);
-    Standing { role, position, queue: None }
+    HostReport { role, position, queue: None }
 }
 
 /// What a report such as `x0=1767225600.123,x1=0,queue=4` says: the position in seconds, and the role.
@@ -28,9 +28,9 @@
 /// assert_eq!((standing.role, standing.queue), (Some(Role::Primary), Some(4.0)));
 /// // A host that has made no report yet says zero; that is no position, and no role either.
 /// let none = comethitchd::wire::standing::reported("x0=0.000,x1=0,queue=0");
-/// assert_eq!(none, comethitch::Standing::default());
+/// assert_eq!(none, comethitch::HostReport::default());
 /// ```
-pub fn reported(text: &str) -> Standing {
+pub fn reported(text: &str) -> HostReport {
     let fields = || text.split(',').filter_map(|field| field.trim().split_once('='));
     let value = |wanted: &str| fields().find(|(name, _)| *name == wanted).map(|(_, value)| value);
     let role = value("x1").and_then(|x1| x1.parse::<f64>().ok()).map(|x1| match x1 >= 0.5 {
@@ -39,8 +39,8 @@
     });
     let queue = value("queue").and_then(|queue| queue.parse().ok()).filter(|queue: &f64| *queue >= 0.0);
     match value("x0").map(seconds) {
-        Some(None) => Standing::default(),
-        position => Standing { role, position: position.flatten(), queue },
+        Some(None) => HostReport::default(),
+        position => HostReport { role, position: position.flatten(), queue },
     }
 }
 
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -4,7 +4,7 @@
 
 use comethitch::chance::Chance;
 use comethitch::time::Timestamp;
-use comethitch::{Ending, Lifecycle, Role};
+use comethitch::{AttemptOutcome, Lifecycle, Role};
 use comethitchd::memory::buffer::{Buffer, Room};
 use comethitchd::memory::connection::{Code, ConnectionEnd};
 use comethitchd::memory::list::List;
@@ -203,7 +203,7 @@
         let _ = standing::reported(&String::from_utf8_lossy(&bytes));
     }
     for odd in ["x0=.5", "x0=1.x", "x0=99999999999999999999", "x0=-1", "=", "x0", "x0=1e9,x1=?"] {
-        assert_eq!(standing::reported(odd), comethitch::Standing::default(), "{odd}");
+        assert_eq!(standing::reported(odd), comethitch::HostReport::default(), "{odd}");
     }
 }
 
@@ -211,19 +211,19 @@
 fn every_end_of_a_connection_has_its_outcome() {
     let code = |code: &str| ConnectionEnd::Told(Code::Postgres(code.into()));
     let table = [
-        (ConnectionEnd::Whole, Ending::Answered, false),
-        (code("25006"), Ending::Miss, true),
-        (code("72000"), Ending::Miss, true),
-        (code("XX000"), Ending::Error, false),
-        (code("08P01"), Ending::Error, false),
-        (code("53300"), Ending::Full, true),
-        (ConnectionEnd::NotTried, Ending::Moot, true),
-        (ConnectionEnd::NeverUp, Ending::NoConnection, true),
-        (ConnectionEnd::Unsent, Ending::NoConnection, true),
-        (ConnectionEnd::Broken, Ending::Reset, false),
-        (ConnectionEnd::Malformed, Ending::Reset, false),
-        (ConnectionEnd::Silent, Ending::TimedOut, false),
-        (ConnectionEnd::GivenUp, Ending::Cancelled, false),
+        (ConnectionEnd::Whole, AttemptOutcome::Answered, false),
+        (code("25006"), AttemptOutcome::NotPrimary, true),
+        (code("72000"), AttemptOutcome::NotPrimary, true),
+        (code("XX000"), AttemptOutcome::Error, false),
+        (code("08P01"), AttemptOutcome::Error, false),
+        (code("53300"), AttemptOutcome::Overloaded, true),
+        (ConnectionEnd::NotTried, AttemptOutcome::NotSent, true),
+        (ConnectionEnd::NeverUp, AttemptOutcome::ConnectionFailed, true),
+        (ConnectionEnd::Unsent, AttemptOutcome::ConnectionFailed, true),
+        (ConnectionEnd::Broken, AttemptOutcome::ConnectionReset, false),
+        (ConnectionEnd::Malformed, AttemptOutcome::ConnectionReset, false),
+        (ConnectionEnd::Silent, AttemptOutcome::TimedOut, false),
+        (ConnectionEnd::Cancelled, AttemptOutcome::Cancelled, false),
     ];
     for (end, ending, never_ran) in table {
         assert_eq!((end.ending(), end.ending().never_ran()), (ending, never_ran), "{end:?}");
@@ -260,11 +260,11 @@
     host["born_ms"] = 1_767_225_600_123_u64.into();
     let read = discovery::listing(list(host.clone()).as_bytes(), &zones).expect("a list");
     let one = &read.entries[0];
-    assert_eq!((read.seq, read.whole, one.zone, one.heads), (4, false, 1, true));
-    assert_eq!((one.lifecycle, one.dial), (Lifecycle::Draining, address));
-    assert_eq!(one.started, Some(Timestamp::from_millis(1_767_225_600_123)));
-    assert_eq!(discovery::host("s-1"), one.host);
-    assert_ne!(discovery::host("s-2"), one.host);
+    assert_eq!((read.seq, read.whole, one.endpoint.zone, one.endpoint.is_primary), (4, false, 1, true));
+    assert_eq!((one.endpoint.lifecycle, one.dial), (Lifecycle::Draining, address));
+    assert_eq!(one.endpoint.started, Some(Timestamp::from_millis(1_767_225_600_123)));
+    assert_eq!(discovery::host("s-1"), one.endpoint.host);
+    assert_ne!(discovery::host("s-2"), one.endpoint.host);
     for (key, wrong) in [
         ("dial", json!("db.example")),
         ("health", json!("well")),
