--- a/crates/comethitch-adapter/src/fields.rs
+++ b/crates/comethitch-adapter/src/fields.rs
@@ -1,6 +1,6 @@
 //! Little-endian fields at fixed offsets.
 
-use comethitch::Host;
+use comethitch_policy::Host;
 
 /// The bytes of one record, entry, header or tail.
 #[derive(Clone, Copy)]
--- a/crates/comethitch-adapter/src/main.rs
+++ b/crates/comethitch-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The bench's wire on standard input and output, before the decisions of the `comethitch` library.
+//! The bench's wire on standard input and output, before the decisions of the `comethitch-policy` package.
 
 mod fields;
 mod outlet;
--- a/crates/comethitch-adapter/src/outlet.rs
+++ b/crates/comethitch-adapter/src/outlet.rs
@@ -1,7 +1,7 @@
 //! Writes each act of a decision straight into the reply.
 
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{Actions, CommandId, Host, RejectionReason};
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{Actions, CommandId, Host, RejectionReason};
 
 const HEADER: usize = 8;
 const RECORD: usize = 24;
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -2,8 +2,8 @@
 
 use crate::fields::Fields;
 use crate::outlet::Reply;
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{
     AttemptEnd, AttemptOutcome, CommandRequest, Deployment, Endpoint, EndpointUpdate, Lifecycle, Router,
 };
 use std::collections::BTreeMap;
--- a/crates/comethitch-lab/src/fleet.rs
+++ b/crates/comethitch-lab/src/fleet.rs
@@ -3,8 +3,8 @@
 use crate::hosts::{Arrived, Box as Db, Cold, Job, part_of_each};
 use crate::ledger::{Answer, Ledger, Report};
 use crate::trial::{Fault, Routing, Trial, Trouble};
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{
     Action, ActionQueue, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Deployment, Endpoint,
     EndpointUpdate, Host, HostReport, Lifecycle, Role, Router,
 };
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Database hosts in simulated time: some cores, a line of commands in order of arrival, a cold start, and a fall.
 
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{Host, HostReport, Role, Shard};
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{Host, HostReport, Role, Shard};
 use std::collections::{BTreeMap, VecDeque};
 
 /// One dispatch at a host: which router sent it, of which command, and how much work it is on one core.
--- a/crates/comethitch-lab/src/ledger.rs
+++ b/crates/comethitch-lab/src/ledger.rs
@@ -1,6 +1,6 @@
 //! What happened in a trial, held against the rules, and what it comes to.
 
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
--- a/crates/comethitch-lab/src/lib.rs
+++ b/crates/comethitch-lab/src/lib.rs
@@ -1,6 +1,6 @@
 //! Many routers before many hosts: in simulated time and in one process, or as processes on loopback ([`live`]).
 //!
-//! The decision module has no clock and no sockets, so hundreds of [`comethitch::Router`]s can be driven over minutes
+//! The decision module has no clock and no sockets, so hundreds of [`comethitch_policy::Router`]s can be driven over minutes
 //! of simulated time within seconds: a [`trial::Trial`] (a JSON file) says how many, before which hosts, under what
 //! load and faults; [`fleet::play`] plays it, and the [`ledger::Ledger`] holds what happened against the five rules
 //! and tells how evenly the hosts were loaded. The same trial with the same seed gives the same bytes.
--- a/crates/comethitch-lab/src/links.rs
+++ b/crates/comethitch-lab/src/links.rs
@@ -3,7 +3,7 @@
 //! Without clock or sockets: the live fleet asks it about each message, and a simulated one may as well.
 
 use crate::trial::{Harm, Way};
-use comethitch::time::Duration;
+use comethitch_policy::time::Duration;
 use std::collections::BTreeSet;
 
 /// What becomes of a message.
--- a/crates/comethitch-lab/src/live/list.rs
+++ b/crates/comethitch-lab/src/live/list.rs
@@ -3,7 +3,7 @@
 use super::{Live, Shared, TO_HOSTS, address, databases, now, rest};
 use async_executor::LocalExecutor;
 use async_io::Async;
-use comethitch::time::Duration;
+use comethitch_policy::time::Duration;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use serde_json::{Value, json};
 use std::io;
--- a/crates/comethitch-lab/src/live/mod.rs
+++ b/crates/comethitch-lab/src/live/mod.rs
@@ -19,7 +19,7 @@
 use crate::trial::{Trial, Trouble};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 use futures_lite::{AsyncReadExt, StreamExt, future};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/comethitch-lab/src/live/routers.rs
+++ b/crates/comethitch-lab/src/live/routers.rs
@@ -2,8 +2,8 @@
 
 use super::{Shared, TO_DISCOVERY, address, list, read, rest};
 use async_io::Async;
-use comethitch::time::Duration;
-use comethitch_standin::postgres::message;
+use comethitch_policy::time::Duration;
+use comethitch_testkit::postgres::message;
 use futures_lite::AsyncWriteExt;
 use rand::Rng;
 use rustix::process::{Pid, Signal, kill_process};
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -1,8 +1,8 @@
 //! What is tried: a fleet, its load and its faults, from a JSON file.
 
 use crate::hosts::Cold;
-use comethitch::Deployment;
-use comethitch::time::Duration;
+use comethitch_policy::Deployment;
+use comethitch_policy::time::Duration;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use schemars::JsonSchema;
--- a/crates/comethitch/src/chance.rs
+++ b/crates/comethitch-policy/src/chance.rs
@@ -1,7 +1,7 @@
 //! Chance: a multiply-with-carry generator. The same seed gives the same draws.
 
 /// ```
-/// use comethitch::chance::Chance;
+/// use comethitch_policy::chance::Chance;
 /// let (mut one, mut other) = (Chance::new(7), Chance::new(7));
 /// assert_eq!(one.below(100.0), other.below(100.0));
 /// assert!(one.below(1.0) < 1.0);
--- a/crates/comethitch/src/commits.rs
+++ b/crates/comethitch-policy/src/commits.rs
@@ -7,7 +7,7 @@
 const MOST: usize = 4096;
 
 /// ```
-/// use comethitch::{commits::Commits, time::Timestamp};
+/// use comethitch_policy::{commits::Commits, time::Timestamp};
 /// let mut commits = Commits::default();
 /// for session in 0..100_000 {
 ///     commits.tell(session, Timestamp::from_micros(1_000 + session));
--- a/crates/comethitch/src/histogram.rs
+++ b/crates/comethitch-policy/src/histogram.rs
@@ -5,7 +5,7 @@
 const BINS: usize = 16;
 
 /// ```
-/// use comethitch::{histogram::Histogram, time::Duration};
+/// use comethitch_policy::{histogram::Histogram, time::Duration};
 /// let mut took = Histogram::new(Duration::from_millis(1), 64);
 /// assert_eq!(took.quantile(0.5), None);
 /// for _ in 0..9 {
--- a/crates/comethitch/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -170,7 +170,7 @@
     /// Reads the `path=value` lines of a start message.
     ///
     /// ```
-    /// let missing = comethitch::Deployment::read("me=0\n").unwrap_err();
+    /// let missing = comethitch_policy::Deployment::read("me=0\n").unwrap_err();
     /// assert_eq!(missing, "domain.class_read is missing");
     /// ```
     pub fn read(text: &str) -> Result<Deployment, String> {
--- a/crates/comethitch/tests/scenarios.rs
+++ b/crates/comethitch-policy/tests/scenarios.rs
@@ -18,8 +18,8 @@
 //! repeat 20 { ... }            on one line, steps parted by `;`, `%` stands for the round's number
 //! ```
 
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{
     Actions, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Deployment, Endpoint, EndpointUpdate,
     Host, HostReport, Lifecycle, RejectionReason, Role, Router,
 };
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -3,8 +3,8 @@
 //!
 //!     cargo run --release -p comethitch-statement --example shapes
 
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
 use comethitch_statement::cache::Cache;
 use comethitch_statement::desk::{Desk, Path, Told};
 use comethitch_statement::{Rules, Secret, ShapeKey};
--- a/crates/comethitch-statement/src/assign.rs
+++ b/crates/comethitch-statement/src/assign.rs
@@ -8,8 +8,8 @@
 use crate::rules::{Bound, Disagreement, KeyRule, Rules, Spread};
 use crate::verdict::TableUse;
 use crate::{Effect, Verdict};
-use comethitch::time::Duration;
-use comethitch::{CommandGroup, Consistency, Shard};
+use comethitch_policy::time::Duration;
+use comethitch_policy::{CommandGroup, Consistency, Shard};
 use std::fmt;
 
 /// What is read of rules, checked against the command groups of the deployment.
@@ -50,8 +50,8 @@
     fn of(group: &CommandGroup) -> Allowed {
         Allowed {
             primary: group.consistency == Consistency::Write,
-            once: group.idempotency != comethitch::Idempotency::Idempotent,
-            keyed: group.idempotency == comethitch::Idempotency::Keyed,
+            once: group.idempotency != comethitch_policy::Idempotency::Idempotent,
+            keyed: group.idempotency == comethitch_policy::Idempotency::Keyed,
         }
     }
 
--- a/crates/comethitch-statement/src/budget.rs
+++ b/crates/comethitch-statement/src/budget.rs
@@ -4,7 +4,7 @@
 //! is guessed from the number of tokens, by what the last ones took, and settled once it is known. What is not
 //! used is saved up for a second at most.
 
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 
 /// Saved up at most: what is allowed in this span.
 const SAVED: Duration = Duration::from_secs(1);
@@ -85,7 +85,7 @@
     /// long statement is not kept out for ever; what it takes beyond that is owed.
     ///
     /// ```
-    /// use comethitch::time::{Duration, Timestamp};
+    /// use comethitch_policy::time::{Duration, Timestamp};
     /// use comethitch_statement::budget::{Budget, Grant, Parts};
     /// let mut budget = Budget::new(Parts { all: 0.01, client: 0.5 }, Timestamp::ZERO);
     /// // 10 ms a second for all, 5 ms for one client.
--- a/crates/comethitch-statement/src/cost.rs
+++ b/crates/comethitch-statement/src/cost.rs
@@ -4,7 +4,7 @@
 //! cost is the time in which three of four answers come. Until enough are in, it is guessed from the shape's
 //! features, by the pace that all shapes have shown.
 
-use comethitch::time::Duration;
+use comethitch_policy::time::Duration;
 
 /// Bins by powers of two, from 64 µs on: the last holds all above two seconds.
 const BINS: usize = 16;
@@ -82,7 +82,7 @@
     /// that it is in until its cost is surely beyond it.
     ///
     /// ```
-    /// use comethitch::time::Duration;
+    /// use comethitch_policy::time::Duration;
     /// use comethitch_statement::cost::{Cost, Pace};
     /// let (mut cost, bounds) = (Cost::default(), [Duration::from_millis(50)]);
     /// assert_eq!(cost.band(&bounds, Pace::default(), 1.0), 0, "guessed");
--- a/crates/comethitch-statement/src/desk.rs
+++ b/crates/comethitch-statement/src/desk.rs
@@ -2,7 +2,7 @@
 //! goes, and assigned.
 //!
 //! ```
-//! use comethitch::time::Timestamp;
+//! use comethitch_policy::time::Timestamp;
 //! use comethitch_statement::desk::{Desk, Told};
 //! use comethitch_statement::{Rules, Secret};
 //! let rules: Rules = serde_json::from_str(
@@ -15,7 +15,7 @@
 //! #     classes.1.value=1\ndomain.class_read=any,write\ndomain.oldest_data_us=0,0\nsiblings=1\ntick_us=1\n\
 //! #     domain.guards=off\npermissions.max_attempts=1\npermissions.connect_timeout_us=1\nrules.drain_grace_us=1\n\
 //! #     rules.cold_from=1\nrules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
-//! # let groups = comethitch::Deployment::read(settings).unwrap().groups;
+//! # let groups = comethitch_policy::Deployment::read(settings).unwrap().groups;
 //! let names = ["read".to_string(), "write".to_string()];
 //! let mut desk = Desk::new(rules, &groups, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
 //! let clock = || Timestamp::ZERO;
@@ -31,8 +31,8 @@
 use crate::rules::{Beyond, Rules};
 use crate::verdict::allocated;
 use crate::{Classifier, Effect, Lexer, Secret, ShapeKey, Verdict};
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandGroup, Shard};
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{CommandGroup, Shard};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
--- a/crates/comethitch-statement/tests/memory.rs
+++ b/crates/comethitch-statement/tests/memory.rs
@@ -1,6 +1,6 @@
 //! The cache of shapes, the sketch, the budget and the learned costs, each under what it is for.
 
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::ShapeKey;
 use comethitch_statement::budget::{Budget, Grant, Parts};
 use comethitch_statement::cache::Cache;
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Where statements go by the operator's rules, and which rules are turned down.
 
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
 use comethitch_statement::assign::{Refusal, fnv1a};
 use comethitch_statement::desk::{Desk, Passed, Path, Told, Turned};
 use comethitch_statement::{Rules, Secret};
--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -1,7 +1,7 @@
 //! A router between stand-in hosts and clients, with one takeover in the middle: `make demo`.
 
 use async_io::Async;
-use comethitch_standin::{Asked, Client, Got, Host, Ledger, Protocol, Step};
+use comethitch_testkit::{Asked, Client, Got, Host, Ledger, Protocol, Step};
 use comethitchd::memory::clock::Clock;
 use comethitchd::memory::site::Site;
 use comethitchd::service::listen;
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -4,7 +4,7 @@
 //!     cargo run --release -p comethitchd --example fronts
 
 use async_io::Async;
-use comethitch_standin::{Client, Got, Host, Ledger, Protocol};
+use comethitch_testkit::{Client, Got, Host, Ledger, Protocol};
 use comethitchd::memory::clock::Clock;
 use comethitchd::memory::site::Site;
 use comethitchd::protocols::tds::ways::Ways;
--- a/crates/comethitchd/src/memory/arrivals.rs
+++ b/crates/comethitchd/src/memory/arrivals.rs
@@ -4,7 +4,7 @@
 //! next. One moment for the whole buffer would give a message that waits behind others the moment of bytes that
 //! came later, and so more time than its client allows.
 
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
 /// Arrivals closer together than this share one record, which keeps the earlier moment.
--- a/crates/comethitchd/src/memory/arrivals/tests.rs
+++ b/crates/comethitchd/src/memory/arrivals/tests.rs
@@ -1,5 +1,5 @@
 use super::{Arrivals, MOST_RECORDS, RESOLUTION};
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 
 const MS: u64 = 1_000;
 
--- a/crates/comethitchd/src/memory/clients.rs
+++ b/crates/comethitchd/src/memory/clients.rs
@@ -1,7 +1,7 @@
 //! Descriptors, and the connections of clients that hold most of them.
 
 use crate::memory::flag::{Close, Notice};
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::collections::hash_map::RandomState;
--- a/crates/comethitchd/src/memory/clock.rs
+++ b/crates/comethitchd/src/memory/clock.rs
@@ -1,7 +1,7 @@
 //! Unix time that never goes back: the system's clock once, the monotonic one from there.
 
 use async_io::Timer;
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::time::{Duration, Timestamp};
 use std::time::{Duration as StdDuration, Instant, SystemTime};
 
 #[derive(Clone, Copy)]
--- a/crates/comethitchd/src/memory/commands.rs
+++ b/crates/comethitchd/src/memory/commands.rs
@@ -2,8 +2,8 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
-use comethitch::CommandId;
-use comethitch::time::Duration;
+use comethitch_policy::CommandId;
+use comethitch_policy::time::Duration;
 use comethitch_statement::desk::Known;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
--- a/crates/comethitchd/src/memory/connection.rs
+++ b/crates/comethitchd/src/memory/connection.rs
@@ -3,8 +3,8 @@
 use crate::memory::buffer::Buffer;
 use crate::memory::clients::Permit;
 use async_io::Async;
-use comethitch::AttemptOutcome;
-use comethitch::time::Timestamp;
+use comethitch_policy::AttemptOutcome;
+use comethitch_policy::time::Timestamp;
 use std::net::{SocketAddr, TcpStream};
 
 pub struct HostConnection {
--- a/crates/comethitchd/src/memory/list.rs
+++ b/crates/comethitchd/src/memory/list.rs
@@ -1,7 +1,7 @@
 //! The list of hosts as last told: here only where each is dialled; all else is the module's.
 
 use crate::wire::discovery::Listing;
-use comethitch::{Host, Lifecycle, Role};
+use comethitch_policy::{Host, Lifecycle, Role};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/comethitchd/src/memory/pool.rs
+++ b/crates/comethitchd/src/memory/pool.rs
@@ -1,9 +1,9 @@
 //! Idle connections to hosts, kept to be used again.
 
 use crate::memory::connection::HostConnection;
-use comethitch::Host;
-use comethitch::time::{Duration, Timestamp};
 use comethitch_fleet::slots;
+use comethitch_policy::Host;
+use comethitch_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/comethitchd/src/memory/site.rs
+++ b/crates/comethitchd/src/memory/site.rs
@@ -1,8 +1,8 @@
 //! The one place where the configuration is read, checked and given defaults.
 
 use crate::wire::discovery::{Listing, listing_of};
-use comethitch::Deployment;
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::Deployment;
+use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::{Desk, Rules, Secret};
 use serde_json::Value;
 use std::collections::hash_map::RandomState;
--- a/crates/comethitchd/src/memory/tally.rs
+++ b/crates/comethitchd/src/memory/tally.rs
@@ -1,6 +1,6 @@
 //! Counts of what was done, for the log.
 
-use comethitch::{AttemptOutcome, Host};
+use comethitch_policy::{AttemptOutcome, Host};
 use std::cell::{Cell, RefCell};
 
 /// Counts since the last line of the log that told them.
--- a/crates/comethitchd/src/protocols/line.rs
+++ b/crates/comethitchd/src/protocols/line.rs
@@ -10,7 +10,7 @@
 use crate::memory::tally::count;
 use crate::wire::Malformed;
 use async_io::{Async, Timer};
-use comethitch::time::Timestamp;
+use comethitch_policy::time::Timestamp;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::future::Future;
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -7,8 +7,8 @@
 use crate::memory::hub::Hub;
 use crate::memory::protocol::{Back, Front, Serving};
 use async_io::Async;
-use comethitch::time::Duration;
-use comethitch::{CommandId, Host};
+use comethitch_policy::time::Duration;
+use comethitch_policy::{CommandId, Host};
 use std::net::TcpStream;
 use std::rc::Rc;
 
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -2,8 +2,8 @@
 
 use crate::memory::site::{Site, read_rules, secret};
 use argh::FromArgs;
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
 use comethitch_statement::desk::{Desk, Told, Turned};
 use comethitch_statement::rules::{CacheSize, Disagreement, GroupRule, Parsing};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -2,8 +2,8 @@
 
 use crate::memory::hub::Hub;
 use crate::wire::statement::{self, Fields};
-use comethitch::Shard;
-use comethitch::time::{Duration, Timestamp};
+use comethitch_policy::Shard;
+use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::Desk;
 use comethitch_statement::assign::Arguments;
 use comethitch_statement::desk::{Known, Told, Turned};
--- a/crates/comethitchd/src/stages/book.rs
+++ b/crates/comethitchd/src/stages/book.rs
@@ -5,7 +5,7 @@
 use crate::memory::hub::Hub;
 use crate::memory::tally::count_kind;
 use crate::stages::relay;
-use comethitch::{AttemptOutcome, CommandId};
+use comethitch_policy::{AttemptOutcome, CommandId};
 
 /// Books the end of a dispatch; true if the command has its final answer.
 pub fn ended(hub: &Hub, id: CommandId, nth: u16, end: &ConnectionEnd, value: Vec<u8>) -> bool {
--- a/crates/comethitchd/src/stages/learn.rs
+++ b/crates/comethitchd/src/stages/learn.rs
@@ -7,7 +7,7 @@
 use crate::memory::site::Site;
 use crate::stages::route;
 use crate::wire::discovery::Listing;
-use comethitch::{ActionQueue, EndpointUpdate, Router};
+use comethitch_policy::{ActionQueue, EndpointUpdate, Router};
 use comethitch_statement::Desk;
 use std::rc::Rc;
 
--- a/crates/comethitchd/src/stages/relay.rs
+++ b/crates/comethitchd/src/stages/relay.rs
@@ -3,7 +3,7 @@
 use crate::memory::commands::Reply;
 use crate::memory::hub::Hub;
 use crate::memory::tally::count;
-use comethitch::CommandId;
+use comethitch_policy::CommandId;
 
 /// Gives the final answer if none was given yet; whether it was this one.
 pub fn answer(hub: &Hub, id: CommandId, reply: Reply) -> bool {
--- a/crates/comethitchd/src/stages/route.rs
+++ b/crates/comethitchd/src/stages/route.rs
@@ -9,8 +9,8 @@
 use crate::stages::{book, relay};
 use async_channel::Receiver;
 use async_io::Timer;
-use comethitch::time::Duration;
-use comethitch::{
+use comethitch_policy::time::Duration;
+use comethitch_policy::{
     Action, ActionQueue, Actions, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, HostReport,
     RejectionReason, Router,
 };
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery's list of hosts, as JSON.
 
 use crate::wire::statement::fnv1a;
-use comethitch::time::Timestamp;
-use comethitch::{Endpoint, Host, Lifecycle};
+use comethitch_policy::time::Timestamp;
+use comethitch_policy::{Endpoint, Host, Lifecycle};
 use serde_json::Value;
 use std::net::SocketAddr;
 
--- a/crates/comethitchd/src/wire/standing.rs
+++ b/crates/comethitchd/src/wire/standing.rs
@@ -1,8 +1,8 @@
 //! What a host says of its role and position.
 
 use crate::wire::postgres::Answer;
-use comethitch::time::{Duration, Timestamp};
-use comethitch::{HostReport, Role};
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{HostReport, Role};
 
 /// Positions are told in milliseconds; what is written with fewer digits has lost zeros at its end.
 const RESOLUTION: u64 = 1_000;
@@ -22,13 +22,13 @@
 /// What a report such as `x0=1767225600.123,x1=0,queue=4` says: the position in seconds, and the role.
 ///
 /// ```
-/// use comethitch::{Role, time::Timestamp};
+/// use comethitch_policy::{Role, time::Timestamp};
 /// let standing = comethitchd::wire::standing::reported("queue=4,x0=1767225600.12,x1=1");
 /// assert_eq!(standing.position, Some(Timestamp::from_millis(1_767_225_600_119)), "never newer than it was");
 /// assert_eq!((standing.role, standing.queue), (Some(Role::Primary), Some(4.0)));
 /// // A host that has made no report yet says zero; that is no position, and no role either.
 /// let none = comethitchd::wire::standing::reported("x0=0.000,x1=0,queue=0");
-/// assert_eq!(none, comethitch::HostReport::default());
+/// assert_eq!(none, comethitch_policy::HostReport::default());
 /// ```
 pub fn reported(text: &str) -> HostReport {
     let fields = || text.split(',').filter_map(|field| field.trim().split_once('='));
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use comethitch_standin::{Asked, Client, Got, Host, Ledger, Protocol, Step};
+use comethitch_testkit::{Asked, Client, Got, Host, Ledger, Protocol, Step};
 use serde_json::{Value, json};
 use std::time::Duration;
 use support::{Router, entry, site};
@@ -133,7 +133,7 @@
     }
 
     fn replica_ran(&self) -> usize {
-        use comethitch_standin::ledger::Entry;
+        use comethitch_testkit::ledger::Entry;
         self.ledger.entries().iter().filter(|e| matches!(e, Entry::Ran { host, .. } if host == "r")).count()
     }
 }
@@ -375,7 +375,7 @@
             scene.primary.script(once(Step::HugeCut));
             scene.replica.script(once(Step::HugeCut));
             let text = if writes { scene.write() } else { scene.read() };
-            let key = comethitch_standin::key(&text).to_string();
+            let key = comethitch_testkit::key(&text).to_string();
             assert_eq!(client.ask(&text), Got::Closed, "{protocol:?}: the client is told by the end");
             assert_eq!(
                 scene.ledger.dispatches() - scene.before,
@@ -387,7 +387,7 @@
             let mut other = scene.client();
             for _ in 0..3 {
                 let text = scene.write();
-                let wanted = comethitch_standin::key(&text).to_string();
+                let wanted = comethitch_testkit::key(&text).to_string();
                 let got = other.ask(&text);
                 assert!(
                     got == Got::Answered(wanted) || got == Got::Closed && !writes,
@@ -418,7 +418,7 @@
         let mut other = scene.client();
         for _ in 0..20 {
             let text = scene.write();
-            let wanted = comethitch_standin::key(&text).to_string();
+            let wanted = comethitch_testkit::key(&text).to_string();
             assert_eq!(other.ask(&text), Got::Answered(wanted), "{protocol:?}");
         }
         // Then all of it comes.
@@ -436,7 +436,7 @@
 
 #[test]
 fn a_checker_that_finds_nothing_is_no_checker() {
-    use comethitch_standin::ledger::Entry;
+    use comethitch_testkit::ledger::Entry;
     let ledger = Ledger::default();
     let text = "INSERT INTO t VALUES ('k')".to_string();
     let ran = |primary| Entry::Ran { host: "h".into(), text: text.clone(), primary };
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -295,11 +295,11 @@
 
     /// With rules by which statements are judged by their text.
     pub fn judging(site: Value, rules: Option<Value>) -> Router {
-        Router::speaking(comethitch_standin::Protocol::Postgres, site, rules)
+        Router::speaking(comethitch_testkit::Protocol::Postgres, site, rules)
     }
 
     /// The same in either protocol.
-    pub fn speaking(protocol: comethitch_standin::Protocol, site: Value, rules: Option<Value>) -> Router {
+    pub fn speaking(protocol: comethitch_testkit::Protocol, site: Value, rules: Option<Value>) -> Router {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -311,8 +311,8 @@
             };
             let listener = Async::new(listener).expect("a listener");
             let protocol = match protocol {
-                comethitch_standin::Protocol::Postgres => Protocol::postgres(),
-                comethitch_standin::Protocol::Tds => {
+                comethitch_testkit::Protocol::Postgres => Protocol::postgres(),
+                comethitch_testkit::Protocol::Tds => {
                     let ways = Ways::read(include_str!("../../../../deploy/tds.json")).expect("ways");
                     Protocol::tds(ways, &site).expect("a protocol")
                 }
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -3,12 +3,12 @@
 mod support;
 
 use async_io::Async;
-use comethitch_standin::ledger::Entry;
-use comethitch_standin::tds::{attention, call};
-use comethitch_standin::{Client, Got, Host, Ledger, Protocol, Step};
 use comethitch_tds::packet::{FIRST_SIZE, Header, Kind, put_message, put_parts, status};
 use comethitch_tds::request::{Batch, CallWriter, Known};
 use comethitch_tds::token::{Token, Tokens};
+use comethitch_testkit::ledger::Entry;
+use comethitch_testkit::tds::{attention, call};
+use comethitch_testkit::{Client, Got, Host, Ledger, Protocol, Step};
 use comethitchd::protocols::tds::ways::Ways;
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
@@ -320,7 +320,7 @@
     let Scene { router, .. } = scene(rules());
     let ended = |wire: &[u8]| {
         let mut stream = TcpStream::connect(router.address).expect("a connection");
-        stream.set_read_timeout(Some(comethitch_standin::LONG)).expect("a limit");
+        stream.set_read_timeout(Some(comethitch_testkit::LONG)).expect("a limit");
         // The router may close before all is sent.
         let _ = stream.write_all(wire);
         let mut told = Vec::new();
@@ -351,7 +351,7 @@
         long.extend([0; 31_992]);
     }
     let mut stream = TcpStream::connect(router.address).expect("a connection");
-    stream.set_read_timeout(Some(comethitch_standin::LONG)).expect("a limit");
+    stream.set_read_timeout(Some(comethitch_testkit::LONG)).expect("a limit");
     let _ = stream.write_all(&long);
     // An error and the end, or a reset: no more of it is taken.
     let mut told = Vec::new();
@@ -472,7 +472,7 @@
     let took_over = Instant::now();
     let mut nth = 0;
     while client.ask(&format!("INSERT INTO t VALUES ('b{nth}')")) != Got::Answered(format!("b{nth}")) {
-        assert!(took_over.elapsed() < comethitch_standin::LONG, "nobody serves after the takeover");
+        assert!(took_over.elapsed() < comethitch_testkit::LONG, "nobody serves after the takeover");
         nth += 1;
         std::thread::sleep(Duration::from_millis(10));
     }
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use comethitch::chance::Chance;
-use comethitch::time::Timestamp;
-use comethitch::{AttemptOutcome, Lifecycle, Role};
+use comethitch_policy::chance::Chance;
+use comethitch_policy::time::Timestamp;
+use comethitch_policy::{AttemptOutcome, Lifecycle, Role};
 use comethitchd::memory::buffer::{Buffer, Room};
 use comethitchd::memory::connection::{Code, ConnectionEnd};
 use comethitchd::memory::list::List;
@@ -203,7 +203,7 @@
         let _ = standing::reported(&String::from_utf8_lossy(&bytes));
     }
     for odd in ["x0=.5", "x0=1.x", "x0=99999999999999999999", "x0=-1", "=", "x0", "x0=1e9,x1=?"] {
-        assert_eq!(standing::reported(odd), comethitch::HostReport::default(), "{odd}");
+        assert_eq!(standing::reported(odd), comethitch_policy::HostReport::default(), "{odd}");
     }
 }
 
