--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -5,8 +5,8 @@
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_statement::admission::{Path, StatementAdmission, StatementHints};
 use comethitch_statement::cache::Cache;
-use comethitch_statement::desk::{Desk, Path, Told};
 use comethitch_statement::{Rules, Secret, ShapeKey};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
@@ -143,7 +143,7 @@
     pages.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
 
-fn desk(limited: bool) -> Desk {
+fn desk(limited: bool) -> StatementAdmission {
     let rules: Rules = serde_json::from_str(
         r#"{"dialect": "postgres", "disagreement": "refuse", "elsewhere": 0, "groups": [
             {"group": "read", "effects": ["read"]},
@@ -165,8 +165,10 @@
     ];
     let names = ["read".into(), "write".into()];
     match limited {
-        true => Desk::new(rules, &groups, &names, Secret([5; 16]), Timestamp::ZERO).expect("rules"),
-        false => Desk::unlimited(rules, &groups, &names, Secret([5; 16])).expect("rules"),
+        true => {
+            StatementAdmission::new(rules, &groups, &names, Secret([5; 16]), Timestamp::ZERO).expect("rules")
+        }
+        false => StatementAdmission::unlimited(rules, &groups, &names, Secret([5; 16])).expect("rules"),
     }
 }
 
@@ -176,9 +178,10 @@
     // All that is built once, as the lists of functions, is there before the first look.
     let usual: Vec<String> =
         (0..200).map(|nth| format!("SELECT a{nth} FROM facts WHERE code = 'k'")).collect();
-    let ask = |desk: &mut Desk, text: &str, client: u64| {
+    let ask = |desk: &mut StatementAdmission, text: &str, client: u64| {
         let before = Instant::now();
-        let path = desk.admit(text.as_bytes(), Told::default(), client, &clock).map(|passed| passed.path);
+        let path =
+            desk.admit(text.as_bytes(), StatementHints::default(), client, &clock).map(|passed| passed.path);
         (before.elapsed(), path)
     };
     let mut first = desk(false);
--- a/crates/comethitch-statement/src/desk.rs
+++ b/crates/comethitch-statement/src/admission.rs
@@ -3,7 +3,7 @@
 //!
 //! ```
 //! use comethitch_policy::time::Timestamp;
-//! use comethitch_statement::desk::{Desk, Told};
+//! use comethitch_statement::admission::{StatementAdmission, StatementHints};
 //! use comethitch_statement::{Rules, Secret};
 //! let rules: Rules = serde_json::from_str(
 //!     r#"{"dialect": "postgres", "disagreement": "refuse", "elsewhere": 0,
@@ -17,9 +17,9 @@
 //! #     rules.cold_from=1\nrules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
 //! # let groups = comethitch_policy::Deployment::read(settings).unwrap().groups;
 //! let names = ["read".to_string(), "write".to_string()];
-//! let mut desk = Desk::new(rules, &groups, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
+//! let mut desk = StatementAdmission::new(rules, &groups, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
 //! let clock = || Timestamp::ZERO;
-//! let mut group = |text: &str| desk.admit(text.as_bytes(), Told::default(), 1, &clock).unwrap().assigned.group;
+//! let mut group = |text: &str| desk.admit(text.as_bytes(), StatementHints::default(), 1, &clock).unwrap().assigned.group;
 //! assert_eq!(group("SELECT data FROM facts"), 0);
 //! assert_eq!(group("SELECT cobrar(3)"), 1);
 //! ```
@@ -38,24 +38,25 @@
 
 /// What is known of a shape: its verdict, and what its statements have cost.
 #[derive(Debug)]
-pub struct Known {
+pub struct KnownShape {
     pub verdict: Verdict,
     cost: RefCell<Cost>,
 }
 
-impl Known {
-    fn new(verdict: Verdict) -> Rc<Known> {
-        Rc::new(Known { verdict, cost: RefCell::default() })
+impl KnownShape {
+    fn new(verdict: Verdict) -> Rc<KnownShape> {
+        Rc::new(KnownShape { verdict, cost: RefCell::default() })
     }
 
     fn bytes(&self) -> usize {
-        allocated(size_of::<Known>() + 2 * size_of::<usize>()) - size_of::<Verdict>() + self.verdict.bytes()
+        allocated(size_of::<KnownShape>() + 2 * size_of::<usize>()) - size_of::<Verdict>()
+            + self.verdict.bytes()
     }
 }
 
 /// What a statement's comment tells of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct StatementHints {
     /// The command group, by its place in the deployment.
     pub group: Option<usize>,
     pub shard: Option<Shard>,
@@ -76,14 +77,14 @@
 #[derive(Clone, Debug)]
 pub struct Passed {
     pub assigned: Assigned,
-    pub known: Rc<Known>,
+    pub known: Rc<KnownShape>,
     pub key: ShapeKey,
     pub path: Path,
 }
 
 /// Why a statement has not passed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum StatementRejection {
     Refused(Refusal),
     /// The budget for parsing was spent; trying again is harmless.
     Throttled,
@@ -104,33 +105,33 @@
     pub raised: u64,
 }
 
-pub struct Desk {
+pub struct StatementAdmission {
     rules: Rules,
     assignment: Assignment,
     lexer: Lexer,
     secret: Secret,
-    cache: Cache<Rc<Known>>,
+    cache: Cache<Rc<KnownShape>>,
     budget: Budget,
     pace: Cell<Pace>,
     done: Done,
 }
 
-impl Desk {
+impl StatementAdmission {
     /// Checks the rules against the deployment's command groups; an error names the key.
     pub fn new(
         rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret, now: Timestamp,
-    ) -> Result<Desk, String> {
+    ) -> Result<StatementAdmission, String> {
         let parts = Parts { all: rules.parsing.core_part, client: rules.parsing.client_part };
         for (key, part) in [("core_part", parts.all), ("client_part", parts.client)] {
             if !(part > 0.0 && part <= 1.0) {
                 return Err(format!("parsing.{key} must be above 0 and at most 1, not {part}"));
             }
         }
-        let least = Cache::<Rc<Known>>::LEAST >> 10;
+        let least = Cache::<Rc<KnownShape>>::LEAST >> 10;
         if rules.cache.kib < least || rules.cache.kib > 1 << 20 {
             return Err(format!("cache.kib must be {least} to {}, not {}", 1 << 20, rules.cache.kib));
         }
-        Ok(Desk {
+        Ok(StatementAdmission {
             assignment: Assignment::new(&rules, groups, names)?,
             lexer: Lexer::new(rules.dialect),
             secret,
@@ -145,8 +146,8 @@
     /// A desk without a budget, for tools: whatever comes is parsed.
     pub fn unlimited(
         rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret,
-    ) -> Result<Desk, String> {
-        let mut desk = Desk::new(rules, groups, names, secret, Timestamp::ZERO)?;
+    ) -> Result<StatementAdmission, String> {
+        let mut desk = StatementAdmission::new(rules, groups, names, secret, Timestamp::ZERO)?;
         desk.budget = Budget::new(Parts { all: f64::MAX.sqrt(), client: 1.0 }, Timestamp::ZERO);
         Ok(desk)
     }
@@ -174,13 +175,13 @@
     /// rules throttle. `clock` is asked only where something is parsed.
     pub fn look(
         &mut self, text: &[u8], client: u64, clock: &dyn Fn() -> Timestamp,
-    ) -> Option<(Rc<Known>, ShapeKey, Path)> {
+    ) -> Option<(Rc<KnownShape>, ShapeKey, Path)> {
         self.lexer.read(text);
         let key = self.secret.key(self.lexer.shape());
         let classifier = Classifier::new(self.rules.dialect, &self.rules.catalogue);
         let (known, path) = if self.lexer.doubt().is_some() {
             self.done.doubtful += 1;
-            (Known::new(classifier.classify(&self.lexer)), Path::Doubtful)
+            (KnownShape::new(classifier.classify(&self.lexer)), Path::Doubtful)
         } else if let Some(known) = self.cache.get(key, client) {
             self.done.hits += 1;
             (known.clone(), Path::Hit)
@@ -190,7 +191,7 @@
                 Grant::Granted(taken) => {
                     // A copy, once all that the parser held is free: what is kept long must not stand scattered
                     // among what is not.
-                    let known = Known::new(classifier.classify(&self.lexer).clone());
+                    let known = KnownShape::new(classifier.classify(&self.lexer).clone());
                     self.budget.settle(client, tokens, taken, clock() - began);
                     self.cache.put(key, known.clone(), known.bytes(), client);
                     self.done.parsed += 1;
@@ -205,7 +206,7 @@
                         return None;
                     }
                     let verdict = classifier.cautious(&self.lexer, "the budget for parsing is spent");
-                    (Known::new(verdict), Path::Beyond)
+                    (KnownShape::new(verdict), Path::Beyond)
                 }
             }
         };
@@ -215,16 +216,17 @@
 
     /// Judges a statement, and says where it goes.
     pub fn admit(
-        &mut self, text: &[u8], told: Told, client: u64, clock: &dyn Fn() -> Timestamp,
-    ) -> Result<Passed, Turned> {
+        &mut self, text: &[u8], told: StatementHints, client: u64, clock: &dyn Fn() -> Timestamp,
+    ) -> Result<Passed, StatementRejection> {
         self.admit_with(text, &[], told, client, clock)
     }
 
     /// The same for a statement whose parameters' values came beside it.
     pub fn admit_with(
-        &mut self, text: &[u8], arguments: &Arguments, told: Told, client: u64, clock: &dyn Fn() -> Timestamp,
-    ) -> Result<Passed, Turned> {
-        let looked = self.look(text, client, clock).ok_or(Turned::Throttled)?;
+        &mut self, text: &[u8], arguments: &Arguments, told: StatementHints, client: u64,
+        clock: &dyn Fn() -> Timestamp,
+    ) -> Result<Passed, StatementRejection> {
+        let looked = self.look(text, client, clock).ok_or(StatementRejection::Throttled)?;
         let (known, key, path) = looked;
         let passed = self.place(known, key, path, told, text, arguments);
         match &passed {
@@ -233,14 +235,15 @@
         }
         passed.map_err(|refusal| match refusal {
             // A later try may find the budget filled.
-            Refusal::NotParsed { .. } if path == Path::Beyond => Turned::Throttled,
-            refusal => Turned::Refused(refusal),
+            Refusal::NotParsed { .. } if path == Path::Beyond => StatementRejection::Throttled,
+            refusal => StatementRejection::Refused(refusal),
         })
     }
 
     /// Says where a statement goes that was looked at last.
     pub fn place(
-        &self, known: Rc<Known>, key: ShapeKey, path: Path, told: Told, text: &[u8], arguments: &Arguments,
+        &self, known: Rc<KnownShape>, key: ShapeKey, path: Path, told: StatementHints, text: &[u8],
+        arguments: &Arguments,
     ) -> Result<Passed, Refusal> {
         let values: &dyn Values = &InText { lexer: &self.lexer, text, arguments };
         let guess = known.verdict.features.guess();
@@ -250,7 +253,7 @@
     }
 
     /// A host has answered a statement of this shape after so long.
-    pub fn learn(&self, known: &Known, took: Duration) {
+    pub fn learn(&self, known: &KnownShape, took: Duration) {
         known.cost.borrow_mut().learn(took);
         let mut pace = self.pace.get();
         pace.learn(known.verdict.features.guess(), took);
--- a/crates/comethitch-statement/src/catalogue.rs
+++ b/crates/comethitch-statement/src/catalogue.rs
@@ -50,7 +50,7 @@
 }
 
 #[derive(Deserialize)]
-struct Known {
+struct KnownShape {
     functions: BTreeMap<String, String>,
     types: String,
     operators: String,
@@ -80,7 +80,8 @@
 }
 
 fn lists(text: &'static str) -> Lists {
-    let known: Known = serde_json::from_str(text).expect("the list of functions is sound: a test reads it");
+    let known: KnownShape =
+        serde_json::from_str(text).expect("the list of functions is sound: a test reads it");
     let set = |words: String| -> HashSet<&'static str> { words.leak().split_whitespace().collect() };
     let mut functions = HashMap::new();
     for (does, names) in known.functions {
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -22,13 +22,13 @@
 //! assert_eq!(effect("SELECT tienda.lower(code) FROM facts"), Effect::Write);
 //! ```
 
+pub mod admission;
 pub mod assign;
 pub mod budget;
 pub mod cache;
 pub mod catalogue;
 pub mod classify;
 pub mod cost;
-pub mod desk;
 pub mod lexer;
 pub mod rules;
 pub mod shape;
@@ -36,9 +36,9 @@
 mod uses;
 pub mod verdict;
 
+pub use admission::StatementAdmission;
 pub use catalogue::Catalogue;
 pub use classify::Classifier;
-pub use desk::Desk;
 pub use lexer::Lexer;
 pub use rules::Rules;
 pub use shape::{Secret, ShapeKey};
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -2,8 +2,8 @@
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_statement::admission::{Passed, Path, StatementAdmission, StatementHints, StatementRejection};
 use comethitch_statement::assign::{Refusal, fnv1a};
-use comethitch_statement::desk::{Desk, Passed, Path, Told, Turned};
 use comethitch_statement::{Rules, Secret};
 use serde_json::{Value, json};
 
@@ -49,15 +49,17 @@
     })
 }
 
-fn desk(rules: &Value) -> Result<Desk, String> {
+fn desk(rules: &Value) -> Result<StatementAdmission, String> {
     let rules: Rules = serde_json::from_value(rules.clone()).expect("rules");
     let (groups, names) = groups();
-    Desk::new(rules, &groups, &names, Secret([3; 16]), Timestamp::ZERO)
+    StatementAdmission::new(rules, &groups, &names, Secret([3; 16]), Timestamp::ZERO)
 }
 
-fn admit(desk: &mut Desk, text: &str, group: Option<&str>) -> Result<Passed, Turned> {
+fn admit(
+    desk: &mut StatementAdmission, text: &str, group: Option<&str>,
+) -> Result<Passed, StatementRejection> {
     let group = group.map(|group| groups().1.iter().position(|name| name == group).expect("a group"));
-    desk.admit(text.as_bytes(), Told { group, shard: None }, 1, &|| Timestamp::ZERO)
+    desk.admit(text.as_bytes(), StatementHints { group, shard: None }, 1, &|| Timestamp::ZERO)
 }
 
 #[test]
@@ -115,7 +117,7 @@
         ("BEGIN".into(), "transactions"),
         ("SHOW work_mem".into(), "no rule"),
     ] {
-        let Err(Turned::Refused(refusal)) = admit(&mut desk, &text, None) else {
+        let Err(StatementRejection::Refused(refusal)) = admit(&mut desk, &text, None) else {
             panic!("{text} has passed")
         };
         assert!(refusal.to_string().contains(wanted), "{text}: {refusal}");
@@ -139,7 +141,9 @@
         let passed = admit(&mut desk, text, Some(group));
         match passed {
             Ok(passed) => assert!(passes && !passed.assigned.raised, "{text} as {group}"),
-            Err(Turned::Refused(Refusal::Disagrees { .. })) => assert!(!passes, "{text} as {group}"),
+            Err(StatementRejection::Refused(Refusal::Disagrees { .. })) => {
+                assert!(!passes, "{text} as {group}")
+            }
             Err(other) => panic!("{text} as {group}: {other:?}"),
         }
     }
@@ -171,7 +175,7 @@
             ticks.set(ticks.get() + 50);
             Timestamp::from_micros(ticks.get())
         };
-        let told = |shard| Told { group: None, shard };
+        let told = |shard| StatementHints { group: None, shard };
         for nth in 0..500 {
             let _ = desk.admit(format!("SELECT c{nth} FROM series").as_bytes(), told(None), 1, &clock);
         }
@@ -181,9 +185,9 @@
                 assert_eq!((group.as_str(), passed.path), ("write", Path::Beyond));
                 // Without a parse its key is not known, and a later try may be parsed.
                 let turned = desk.admit(b"SELECT last FROM series", told(None), 1, &clock);
-                assert_eq!(turned.err(), Some(Turned::Throttled));
+                assert_eq!(turned.err(), Some(StatementRejection::Throttled));
             }
-            ("throttle", Err(Turned::Throttled)) => {}
+            ("throttle", Err(StatementRejection::Throttled)) => {}
             (beyond, other) => panic!("{beyond}: {other:?}"),
         }
         let hit = admit(&mut desk, known, None).expect("what is known costs nothing");
--- a/crates/comethitch-tds/src/lib.rs
+++ b/crates/comethitch-tds/src/lib.rs
@@ -24,4 +24,4 @@
 pub mod types;
 pub mod write;
 
-pub use read::{Broken, Reader, Short, Unread};
+pub use read::{MalformedMessage, ReadError, Reader, Short};
--- a/crates/comethitch-tds/src/login.rs
+++ b/crates/comethitch-tds/src/login.rs
@@ -1,6 +1,6 @@
 //! What opens a connection: PRELOGIN and LOGIN7, and what a server answers.
 
-use crate::read::{Broken, Reader, Unread};
+use crate::read::{MalformedMessage, ReadError, Reader};
 use crate::text;
 
 /// The version that is spoken: 7.4.
@@ -53,12 +53,12 @@
 
 impl Prelogin {
     /// Reads a whole message.
-    pub fn read(payload: &[u8]) -> Result<Prelogin, Broken> {
+    pub fn read(payload: &[u8]) -> Result<Prelogin, MalformedMessage> {
         let mut reader = Reader::new(payload);
         let mut found = Prelogin { encryption: Encryption::Off, ..Prelogin::default() };
         let mut has_version = false;
         loop {
-            let short = |unread: crate::Short| Unread::from(unread).at_end("a PRELOGIN has no end");
+            let short = |unread: crate::Short| ReadError::from(unread).at_end("a PRELOGIN has no end");
             let code = reader.u8().map_err(short)?;
             if code == option::END {
                 break;
@@ -66,14 +66,15 @@
             let (offset, length) = (reader.u16_be().map_err(short)?, reader.u16_be().map_err(short)?);
             let from = usize::from(offset);
             let data = payload.get(from..from + usize::from(length));
-            let data = data.ok_or(Broken("a PRELOGIN names bytes that it does not have"))?;
+            let data = data.ok_or(MalformedMessage("a PRELOGIN names bytes that it does not have"))?;
             match code {
                 option::VERSION => {
-                    found.version = *data.first_chunk().ok_or(Broken("a PRELOGIN's version is too short"))?;
+                    found.version =
+                        *data.first_chunk().ok_or(MalformedMessage("a PRELOGIN's version is too short"))?;
                     has_version = true;
                 }
                 option::ENCRYPTION => {
-                    let code = data.first().ok_or(Broken("a PRELOGIN's encryption is empty"))?;
+                    let code = data.first().ok_or(MalformedMessage("a PRELOGIN's encryption is empty"))?;
                     // Bits beyond the lowest two ask for certificates of clients.
                     found.encryption = Encryption::ALL[usize::from(code & 3)];
                 }
@@ -83,7 +84,7 @@
             }
         }
         if !has_version {
-            return Err(Broken("a PRELOGIN without a version"));
+            return Err(MalformedMessage("a PRELOGIN without a version"));
         }
         Ok(found)
     }
@@ -131,15 +132,15 @@
 
 impl Login {
     /// Reads a whole message. Every offset and length is checked before it is used.
-    pub fn read(payload: &[u8]) -> Result<Login, Broken> {
+    pub fn read(payload: &[u8]) -> Result<Login, MalformedMessage> {
         if payload.len() > LARGEST_LOGIN {
-            return Err(Broken("a login is larger than it may be"));
+            return Err(MalformedMessage("a login is larger than it may be"));
         }
-        let short = |unread: crate::Short| Unread::from(unread).at_end("a login is too short");
+        let short = |unread: crate::Short| ReadError::from(unread).at_end("a login is too short");
         let mut reader = Reader::new(payload);
         let length = reader.u32().map_err(short)? as usize;
         if length != payload.len() || length < FIXED {
-            return Err(Broken("a login's length is not its own"));
+            return Err(MalformedMessage("a login's length is not its own"));
         }
         let version = reader.u32().map_err(short)?;
         let packet_size = reader.u32().map_err(short)?;
@@ -147,19 +148,21 @@
         let (_flags1, flags2) = (reader.u8().map_err(short)?, reader.u8().map_err(short)?);
         let (type_flags, flags3) = (reader.u8().map_err(short)?, reader.u8().map_err(short)?);
         reader.take(8).map_err(short)?;
-        let mut field = || -> Result<(usize, u16), Broken> {
+        let mut field = || -> Result<(usize, u16), MalformedMessage> {
             Ok((usize::from(reader.u16().map_err(short)?), reader.u16().map_err(short)?))
         };
-        let text = |(from, length): (usize, u16), decode: fn(&[u8]) -> Vec<u8>| -> Result<String, Broken> {
+        let text = |(from, length): (usize, u16),
+                    decode: fn(&[u8]) -> Vec<u8>|
+         -> Result<String, MalformedMessage> {
             if length == 0 {
                 return Ok(String::new());
             }
             if length > LONGEST_TEXT {
-                return Err(Broken("a text of a login is longer than it may be"));
+                return Err(MalformedMessage("a text of a login is longer than it may be"));
             }
             let bytes = payload.get(from..from + usize::from(length) * 2).filter(|_| from >= FIXED);
-            let bytes = bytes.ok_or(Broken("a login names bytes that it does not have"))?;
-            text::decoded(&decode(bytes)).ok_or(Broken("a text of a login is no UTF-16"))
+            let bytes = bytes.ok_or(MalformedMessage("a login names bytes that it does not have"))?;
+            text::decoded(&decode(bytes)).ok_or(MalformedMessage("a text of a login is no UTF-16"))
         };
         let plain: fn(&[u8]) -> Vec<u8> = <[u8]>::to_vec;
         let host = text(field()?, plain)?;
@@ -243,10 +246,10 @@
 }
 
 /// The numbers of the features asked for, from the extension that ends in 0xff.
-fn features(payload: &[u8], (from, length): (usize, u16)) -> Result<Vec<u8>, Broken> {
-    let missing = Broken("a login names bytes that it does not have");
+fn features(payload: &[u8], (from, length): (usize, u16)) -> Result<Vec<u8>, MalformedMessage> {
+    let missing = MalformedMessage("a login names bytes that it does not have");
     if length != 4 {
-        return Err(Broken("a login's extension is no offset"));
+        return Err(MalformedMessage("a login's extension is no offset"));
     }
     let offset = payload.get(from..from + 4).and_then(<[u8]>::first_chunk).ok_or(missing)?;
     let offset = u32::from_le_bytes(*offset) as usize;
--- a/crates/comethitch-tds/src/packet.rs
+++ b/crates/comethitch-tds/src/packet.rs
@@ -1,6 +1,6 @@
 //! Packets, and messages made of them.
 
-use crate::read::{Broken, Reader, Unread};
+use crate::read::{MalformedMessage, ReadError, Reader};
 
 pub const HEADER: usize = 8;
 /// The size of packets until a login settles another.
@@ -70,13 +70,13 @@
 
 impl Header {
     /// The header at the beginning of these bytes. What can't be one is told by its first bytes.
-    pub fn read(bytes: &[u8]) -> Result<Header, Unread> {
+    pub fn read(bytes: &[u8]) -> Result<Header, ReadError> {
         let mut reader = Reader::new(bytes);
-        let kind = Kind::of(reader.u8()?).ok_or(Broken("a packet of unknown type"))?;
+        let kind = Kind::of(reader.u8()?).ok_or(MalformedMessage("a packet of unknown type"))?;
         let status = reader.u8()?;
         let length = usize::from(reader.u16_be()?);
         if !(HEADER..=LARGEST_SIZE + 1).contains(&length) {
-            return Err(Unread::Broken("a packet has an impossible length"));
+            return Err(ReadError::Malformed("a packet has an impossible length"));
         }
         let (spid, number, _window) = (reader.u16_be()?, reader.u8()?, reader.u8()?);
         Ok(Header { kind, status, length, spid, number })
@@ -123,7 +123,7 @@
     }
 
     /// Takes bytes up to the end of the message, and tells how many that were.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, Broken> {
+    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, MalformedMessage> {
         let mut at = 0;
         while !self.over && at < bytes.len() {
             if self.left == 0 {
@@ -132,8 +132,8 @@
                 at += wanted;
                 match Header::read(&self.header) {
                     Ok(header) => self.begin(header)?,
-                    Err(Unread::Short) => break,
-                    Err(Unread::Broken(why)) => return Err(Broken(why)),
+                    Err(ReadError::NeedMoreInput) => break,
+                    Err(ReadError::Malformed(why)) => return Err(MalformedMessage(why)),
                 }
             }
             let now = self.left.min(bytes.len() - at);
@@ -144,21 +144,23 @@
         Ok(at)
     }
 
-    fn begin(&mut self, header: Header) -> Result<(), Broken> {
+    fn begin(&mut self, header: Header) -> Result<(), MalformedMessage> {
         match self.kind {
             None => (self.kind, self.status) = (Some(header.kind), header.status),
             // An attention may come between the packets of a message that is being given up; no other may.
-            Some(kind) if kind != header.kind => return Err(Broken("a packet of another message's type")),
+            Some(kind) if kind != header.kind => {
+                return Err(MalformedMessage("a packet of another message's type"));
+            }
             Some(_) => self.status |= header.status & status::IGNORE,
         }
         self.packets += 1;
         self.left = header.length - HEADER;
         if self.payload.len() + self.left > self.most {
-            return Err(Broken("a message is larger than it may be"));
+            return Err(MalformedMessage("a message is larger than it may be"));
         }
         // A packet that carries nothing and ends nothing would let a peer keep a message open for ever.
         if self.left == 0 && header.status & status::END == 0 {
-            return Err(Broken("an empty packet within a message"));
+            return Err(MalformedMessage("an empty packet within a message"));
         }
         self.last = header.status & status::END != 0;
         self.header.clear();
--- a/crates/comethitch-tds/src/read.rs
+++ b/crates/comethitch-tds/src/read.rs
@@ -8,44 +8,44 @@
 
 /// These bytes are none that TDS has, whatever follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken(pub &'static str);
+pub struct MalformedMessage(pub &'static str);
 
 /// Why something could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    Short,
-    Broken(&'static str),
+pub enum ReadError {
+    NeedMoreInput,
+    Malformed(&'static str),
 }
 
-impl From<Short> for Unread {
-    fn from(_: Short) -> Unread {
-        Unread::Short
+impl From<Short> for ReadError {
+    fn from(_: Short) -> ReadError {
+        ReadError::NeedMoreInput
     }
 }
 
-impl From<Broken> for Unread {
-    fn from(broken: Broken) -> Unread {
-        Unread::Broken(broken.0)
+impl From<MalformedMessage> for ReadError {
+    fn from(broken: MalformedMessage) -> ReadError {
+        ReadError::Malformed(broken.0)
     }
 }
 
-impl Unread {
+impl ReadError {
     /// Where all bytes have come, too few of them are a fault as well.
-    pub fn at_end(self, why: &'static str) -> Broken {
+    pub fn at_end(self, why: &'static str) -> MalformedMessage {
         match self {
-            Unread::Short => Broken(why),
-            Unread::Broken(why) => Broken(why),
+            ReadError::NeedMoreInput => MalformedMessage(why),
+            ReadError::Malformed(why) => MalformedMessage(why),
         }
     }
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for MalformedMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for MalformedMessage {}
 
 /// Reads fields one behind the other.
 #[derive(Clone, Copy, Debug)]
--- a/crates/comethitch-tds/src/request.rs
+++ b/crates/comethitch-tds/src/request.rs
@@ -1,6 +1,6 @@
 //! What clients ask: batches of statements, and calls of procedures.
 
-use crate::read::{Broken, Reader, Unread};
+use crate::read::{MalformedMessage, ReadError, Reader};
 use crate::text;
 use crate::types::{Type, Value};
 use std::ops::Range;
@@ -18,19 +18,19 @@
 }
 
 impl Headers {
-    pub fn read(payload: &[u8]) -> Result<Headers, Broken> {
-        let short = |_| Broken("headers that are cut off");
+    pub fn read(payload: &[u8]) -> Result<Headers, MalformedMessage> {
+        let short = |_| MalformedMessage("headers that are cut off");
         let mut reader = Reader::new(payload);
         let length = reader.u32().map_err(short)? as usize;
         if length < 4 || length > payload.len() {
-            return Err(Broken("headers of an impossible length"));
+            return Err(MalformedMessage("headers of an impossible length"));
         }
         let mut headers = Headers { transaction: 0, length };
         while reader.at() < length {
             let from = reader.at();
             let one = reader.u32().map_err(short)? as usize;
             if one < 6 || from + one > length {
-                return Err(Broken("a header of an impossible length"));
+                return Err(MalformedMessage("a header of an impossible length"));
             }
             let kind = reader.u16().map_err(short)?;
             let data = reader.take(one - 6).map_err(short)?;
@@ -59,9 +59,10 @@
 }
 
 impl Batch {
-    pub fn read(payload: &[u8]) -> Result<Batch, Broken> {
+    pub fn read(payload: &[u8]) -> Result<Batch, MalformedMessage> {
         let headers = Headers::read(payload)?;
-        let text = text::decoded(&payload[headers.length..]).ok_or(Broken("a batch that is no UTF-16"))?;
+        let text =
+            text::decoded(&payload[headers.length..]).ok_or(MalformedMessage("a batch that is no UTF-16"))?;
         Ok(Batch { headers, text })
     }
 
@@ -158,23 +159,24 @@
 
 impl Call {
     /// Reads a whole message; of several calls in it the first.
-    pub fn read(payload: &[u8]) -> Result<Call, Broken> {
+    pub fn read(payload: &[u8]) -> Result<Call, MalformedMessage> {
         let headers = Headers::read(payload)?;
         let mut reader = Reader::new(&payload[headers.length..]);
         Call::from(headers, &mut reader).map_err(|unread| unread.at_end("a call that is cut off"))
     }
 
-    fn from(headers: Headers, reader: &mut Reader<'_>) -> Result<Call, Unread> {
+    fn from(headers: Headers, reader: &mut Reader<'_>) -> Result<Call, ReadError> {
         let length = reader.u16()?;
         let procedure = match length {
             u16::MAX => {
                 let number = reader.u16()?;
-                let known = Known::numbered(number).ok_or(Broken("a procedure of an unknown number"))?;
+                let known =
+                    Known::numbered(number).ok_or(MalformedMessage("a procedure of an unknown number"))?;
                 Procedure::Known(known)
             }
             length => {
                 let name = text::decoded(reader.take(usize::from(length) * 2)?);
-                let name = name.ok_or(Broken("a procedure's name that is no UTF-16"))?;
+                let name = name.ok_or(MalformedMessage("a procedure's name that is no UTF-16"))?;
                 Known::named(&name).map_or(Procedure::Named(name), Procedure::Known)
             }
         };
@@ -189,11 +191,11 @@
                 break;
             }
             if parameters.len() == MOST_PARAMETERS {
-                return Err(Unread::Broken("a call of too many parameters"));
+                return Err(ReadError::Malformed("a call of too many parameters"));
             }
             let from = headers.length + reader.at();
-            let name =
-                text::decoded(reader.b_varchar()?).ok_or(Broken("a parameter's name that is no UTF-16"))?;
+            let name = text::decoded(reader.b_varchar()?)
+                .ok_or(MalformedMessage("a parameter's name that is no UTF-16"))?;
             let status = reader.u8()?;
             let kind = Type::read(reader)?;
             let value = kind.told(kind.value(reader)?);
--- a/crates/comethitch-tds/src/token.rs
+++ b/crates/comethitch-tds/src/token.rs
@@ -1,6 +1,6 @@
 //! The tokens of an answer, told apart as they come in: where each ends, and what matters of it to a router.
 
-use crate::read::{Broken, Reader, Unread};
+use crate::read::{MalformedMessage, ReadError, Reader};
 use crate::text;
 use crate::types::{Raw, Type};
 
@@ -108,10 +108,10 @@
         self.over
     }
 
-    /// The next token of these bytes, and its length; [`Unread::Short`] while it has not come whole.
-    pub fn next(&mut self, bytes: &[u8]) -> Result<(Token, usize), Unread> {
+    /// The next token of these bytes, and its length; [`ReadError::NeedMoreInput`] while it has not come whole.
+    pub fn next(&mut self, bytes: &[u8]) -> Result<(Token, usize), ReadError> {
         if self.over {
-            return Err(Unread::Broken("a token behind the end of an answer"));
+            return Err(ReadError::Malformed("a token behind the end of an answer"));
         }
         let mut reader = Reader::new(bytes);
         let token = self.token(&mut reader)?;
@@ -119,7 +119,7 @@
         Ok((token, reader.at()))
     }
 
-    fn token(&mut self, reader: &mut Reader<'_>) -> Result<Token, Unread> {
+    fn token(&mut self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
         let code = reader.u8()?;
         Ok(match code {
             code::COLUMNS => {
@@ -162,8 +162,8 @@
                     let version = body.take(4)?;
                     Ok(version.first_chunk().map_or(0, |bytes| u32::from_be_bytes(*bytes)))
                 })();
-                let version =
-                    version.map_err(|_: crate::Short| Broken("a login's answer shorter than it says"))?;
+                let version = version
+                    .map_err(|_: crate::Short| MalformedMessage("a login's answer shorter than it says"))?;
                 Token::LoginAck { version }
             }
             code::CHANGE => {
@@ -193,13 +193,13 @@
                 }
                 Token::Other(code)
             }
-            _ => return Err(Unread::Broken("a token that is not spoken")),
+            _ => return Err(ReadError::Malformed("a token that is not spoken")),
         })
     }
 
-    fn in_columns(&self) -> Result<(), Unread> {
+    fn in_columns(&self) -> Result<(), ReadError> {
         match self.columns.is_empty() {
-            true => Err(Unread::Broken("a row without a description of its columns")),
+            true => Err(ReadError::Malformed("a row without a description of its columns")),
             false => Ok(()),
         }
     }
@@ -222,28 +222,28 @@
 }
 
 /// The body of a token behind its length in two bytes.
-fn sized<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, Unread> {
+fn sized<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
     let length = reader.u16()?;
     Ok(Reader::new(reader.take(usize::from(length))?))
 }
 
 /// The same with a length of four.
-fn long<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, Unread> {
+fn long<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
     let length = reader.u32()?;
     if length > LONGEST {
-        return Err(Unread::Broken("a token longer than it may be"));
+        return Err(ReadError::Malformed("a token longer than it may be"));
     }
     Ok(Reader::new(reader.take(length as usize)?))
 }
 
 /// The description of columns; none where it says that there is nothing new.
-fn columns(reader: &mut Reader<'_>) -> Result<Option<Vec<Type>>, Unread> {
+fn columns(reader: &mut Reader<'_>) -> Result<Option<Vec<Type>>, ReadError> {
     let count = reader.u16()?;
     if count == u16::MAX {
         return Ok(None);
     }
     if count > MOST_COLUMNS {
-        return Err(Unread::Broken("more columns than there may be"));
+        return Err(ReadError::Malformed("more columns than there may be"));
     }
     let mut columns = Vec::new();
     for _ in 0..count {
@@ -261,7 +261,7 @@
     Ok(Some(columns))
 }
 
-fn message(body: &mut Reader<'_>) -> Result<Message, Unread> {
+fn message(body: &mut Reader<'_>) -> Result<Message, ReadError> {
     let (number, state, class) = (body.i32()?, body.u8()?, body.u8()?);
     let text = text::shown(body.us_varchar()?);
     body.b_varchar()?;
@@ -270,14 +270,14 @@
     Ok(Message { number, state, class, text })
 }
 
-fn change(body: &mut Reader<'_>) -> Result<Change, Unread> {
+fn change(body: &mut Reader<'_>) -> Result<Change, ReadError> {
     Ok(match body.u8()? {
         1 => Change::Database(text::shown(body.b_varchar()?)),
         4 => {
             let size = text::shown(body.b_varchar()?).parse::<usize>();
-            let size = size.map_err(|_| Broken("a size of packets that is no number"))?;
+            let size = size.map_err(|_| MalformedMessage("a size of packets that is no number"))?;
             if !(crate::packet::LEAST_SIZE..=crate::packet::LARGEST_SIZE).contains(&size) {
-                return Err(Unread::Broken("an impossible size of packets"));
+                return Err(ReadError::Malformed("an impossible size of packets"));
             }
             Change::PacketSize(size)
         }
--- a/crates/comethitch-tds/src/types.rs
+++ b/crates/comethitch-tds/src/types.rs
@@ -1,6 +1,6 @@
 //! Types of columns and parameters, and how long their values are.
 
-use crate::read::{Reader, Unread};
+use crate::read::{ReadError, Reader};
 use crate::text;
 
 /// How a value's length is told.
@@ -91,7 +91,7 @@
     }
 
     /// Reads a type as it stands in the description of columns, or before a parameter.
-    pub fn read(reader: &mut Reader<'_>) -> Result<Type, Unread> {
+    pub fn read(reader: &mut Reader<'_>) -> Result<Type, ReadError> {
         use Length::{Byte, Chunks, Fixed, Long, Pointer, Short};
         use code::*;
         let code = reader.u8()?;
@@ -111,7 +111,7 @@
                     _ => matches!(most, 4 | 8),
                 };
                 if !fits {
-                    return Err(Unread::Broken("a type has an impossible length"));
+                    return Err(ReadError::Malformed("a type has an impossible length"));
                 }
                 Type::plain(code, Byte, u32::from(most))
             }
@@ -121,7 +121,7 @@
             TIMEN | DATETIME2N | DATETIMEOFFSETN => {
                 let scale = reader.u8()?;
                 if scale > 7 {
-                    return Err(Unread::Broken("a type has an impossible scale"));
+                    return Err(ReadError::Malformed("a type has an impossible scale"));
                 }
                 let time = match scale {
                     0..=2 => 3,
@@ -138,7 +138,7 @@
             DECIMALN | NUMERICN | OLD_DECIMAL | OLD_NUMERIC => {
                 let (most, precision, scale) = (reader.u8()?, reader.u8()?, reader.u8()?);
                 if most > 17 || precision > 38 || scale > precision {
-                    return Err(Unread::Broken("a decimal type with impossible digits"));
+                    return Err(ReadError::Malformed("a decimal type with impossible digits"));
                 }
                 Type { precision, scale, ..Type::plain(code, Byte, u32::from(most)) }
             }
@@ -149,7 +149,9 @@
                 }
                 match most {
                     u16::MAX => Type::plain(code, Chunks, MOST),
-                    most if most > 8000 => return Err(Unread::Broken("a type has an impossible length")),
+                    most if most > 8000 => {
+                        return Err(ReadError::Malformed("a type has an impossible length"));
+                    }
                     most => Type::plain(code, Short, u32::from(most)),
                 }
             }
@@ -176,32 +178,32 @@
             }
             IMAGE => Type::plain(code, Pointer, reader.u32()?.min(MOST)),
             VARIANT => Type::plain(code, Long, reader.u32()?.min(MOST)),
-            _ => return Err(Unread::Broken("a type that is not spoken")),
+            _ => return Err(ReadError::Malformed("a type that is not spoken")),
         })
     }
 
     /// Reads a value of this type; none if it is null.
-    pub fn value<'a>(&self, reader: &mut Reader<'a>) -> Result<Option<Raw<'a>>, Unread> {
+    pub fn value<'a>(&self, reader: &mut Reader<'a>) -> Result<Option<Raw<'a>>, ReadError> {
         Ok(match self.length {
             Length::Fixed(bytes) => Some(Raw::Whole(reader.take(usize::from(bytes))?)),
             Length::Byte => match reader.u8()? {
                 0 => None,
                 bytes if u32::from(bytes) > self.most => {
-                    return Err(Unread::Broken("a value is longer than its type"));
+                    return Err(ReadError::Malformed("a value is longer than its type"));
                 }
                 bytes => Some(Raw::Whole(reader.take(usize::from(bytes))?)),
             },
             Length::Short => match reader.u16()? {
                 u16::MAX => None,
                 bytes if u32::from(bytes) > self.most => {
-                    return Err(Unread::Broken("a value is longer than its type"));
+                    return Err(ReadError::Malformed("a value is longer than its type"));
                 }
                 bytes => Some(Raw::Whole(reader.take(usize::from(bytes))?)),
             },
             Length::Long => match reader.u32()? {
                 0 => None,
                 bytes if bytes > self.most.max(8016) => {
-                    return Err(Unread::Broken("a value is longer than its type"));
+                    return Err(ReadError::Malformed("a value is longer than its type"));
                 }
                 bytes => Some(Raw::Whole(reader.take(bytes as usize)?)),
             },
@@ -212,7 +214,7 @@
                     reader.take(8)?;
                     let bytes = reader.u32()?;
                     if bytes > MOST {
-                        return Err(Unread::Broken("a value is longer than its type"));
+                        return Err(ReadError::Malformed("a value is longer than its type"));
                     }
                     Some(Raw::Whole(reader.take(bytes as usize)?))
                 }
@@ -232,12 +234,12 @@
                     }
                     sum += u64::from(chunk);
                     if chunk > MOST || told != CHUNKS_UNTOLD && sum > told {
-                        return Err(Unread::Broken("a value's chunks are longer than it is"));
+                        return Err(ReadError::Malformed("a value's chunks are longer than it is"));
                     }
                     reader.take(chunk as usize)?;
                 }
                 if told != CHUNKS_UNTOLD && sum != told {
-                    return Err(Unread::Broken("a value's chunks are shorter than it is"));
+                    return Err(ReadError::Malformed("a value's chunks are shorter than it is"));
                 }
                 Some(Raw::Chunks(&from[..reader.at() - before]))
             }
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -6,10 +6,10 @@
 use comethitch_tds::token::{Change, Message, Token, Tokens, code, done};
 use comethitch_tds::types::{Value, code as kind};
 use comethitch_tds::write::{self, *};
-use comethitch_tds::{Broken, Unread};
+use comethitch_tds::{MalformedMessage, ReadError};
 use proptest::prelude::*;
 
-fn assembled(wire: &[u8], parts: &[usize]) -> Result<(Option<Kind>, Vec<u8>), Broken> {
+fn assembled(wire: &[u8], parts: &[usize]) -> Result<(Option<Kind>, Vec<u8>), MalformedMessage> {
     let mut assembly = Assembly::new(1 << 20);
     let (mut at, mut sizes) = (0, parts.iter().cycle());
     while at < wire.len() && !assembly.over() {
@@ -40,12 +40,12 @@
     let header =
         |kind: u8, status: u8, length: u16| [kind, status, (length >> 8) as u8, length as u8, 0, 0, 1, 0];
     let take = |bytes: &[u8], most: usize| Assembly::new(most).take(bytes).err();
-    assert_eq!(take(&[0x55], 100), Some(Broken("a packet of unknown type")));
-    assert_eq!(take(&header(1, 1, 7), 100), Some(Broken("a packet has an impossible length")));
-    assert_eq!(take(&header(1, 0, 8), 100), Some(Broken("an empty packet within a message")));
-    assert_eq!(take(&header(1, 1, 109), 100), Some(Broken("a message is larger than it may be")));
+    assert_eq!(take(&[0x55], 100), Some(MalformedMessage("a packet of unknown type")));
+    assert_eq!(take(&header(1, 1, 7), 100), Some(MalformedMessage("a packet has an impossible length")));
+    assert_eq!(take(&header(1, 0, 8), 100), Some(MalformedMessage("an empty packet within a message")));
+    assert_eq!(take(&header(1, 1, 109), 100), Some(MalformedMessage("a message is larger than it may be")));
     let mixed = [&header(1, 0, 9)[..], &[0], &header(3, 1, 9), &[0]].concat();
-    assert_eq!(take(&mixed, 100), Some(Broken("a packet of another message's type")));
+    assert_eq!(take(&mixed, 100), Some(MalformedMessage("a packet of another message's type")));
     // A login of 60 MB is turned down at the packet that passes the bound, not once it has come.
     let mut assembly = Assembly::new(128 * 1024);
     let packet = [&header(0x10, 0, 32_000)[..], &[0; 31_992]].concat();
@@ -97,7 +97,7 @@
     let batch = Batch::read(&wire).expect("a batch");
     assert_eq!((batch.text.as_str(), batch.headers.transaction), ("SELECT '🌙' AS luna", 0));
     wire.pop();
-    assert_eq!(Batch::read(&wire), Err(Broken("a batch that is no UTF-16")));
+    assert_eq!(Batch::read(&wire), Err(MalformedMessage("a batch that is no UTF-16")));
 
     for long in [false, true] {
         let text = if long { format!("SELECT @a /* {} */", "x".repeat(5_000)) } else { "SELECT @a".into() };
@@ -240,7 +240,7 @@
         for cut in at..at + length {
             assert_eq!(
                 tokens.clone().next(&wire[at..cut]),
-                Err(Unread::Short),
+                Err(ReadError::NeedMoreInput),
                 "{token:?} cut at {}",
                 cut - at
             );
@@ -266,7 +266,7 @@
         seen.iter().any(|token| matches!(token, Token::Error(m) if m.number == 1205 && m.text == "víctima"))
     );
     // A host that says DONE twice has said one thing too many.
-    assert!(matches!(tokens.next(&answer()), Err(Unread::Broken(_))));
+    assert!(matches!(tokens.next(&answer()), Err(ReadError::Malformed(_))));
 }
 
 #[test]
@@ -290,7 +290,7 @@
                 Err(why) => break why,
             }
         };
-        assert_eq!(why, Unread::Broken(wanted));
+        assert_eq!(why, ReadError::Malformed(wanted));
     }
 }
 
--- a/crates/comethitch-testkit/src/client.rs
+++ b/crates/comethitch-testkit/src/client.rs
@@ -6,7 +6,7 @@
 
 /// What a client got.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum Received {
     /// The first column of the last row; empty without one.
     Answered(String),
     Throttled,
@@ -53,14 +53,14 @@
     }
 
     /// The next answer.
-    pub fn got(&mut self) -> Got {
+    pub fn got(&mut self) -> Received {
         match self.protocol {
             Protocol::Postgres => postgres::got(&mut self.stream),
             Protocol::Tds => tds::got(&mut self.stream),
         }
     }
 
-    pub fn ask(&mut self, text: &str) -> Got {
+    pub fn ask(&mut self, text: &str) -> Received {
         self.send(text);
         self.got()
     }
--- a/crates/comethitch-testkit/src/engine.rs
+++ b/crates/comethitch-testkit/src/engine.rs
@@ -11,7 +11,7 @@
 
 /// What a host does with a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum HostBehavior {
     /// Runs it, and answers with its key.
     Answer,
     /// The same, once this has passed.
@@ -48,7 +48,7 @@
     Types,
 }
 
-type Script = Box<dyn Fn(usize, &str) -> Step + Send + Sync>;
+type Script = Box<dyn Fn(usize, &str) -> HostBehavior + Send + Sync>;
 
 pub(crate) struct Engine {
     pub name: String,
@@ -69,7 +69,7 @@
 
 /// What is to be answered.
 pub(crate) enum Act {
-    Step(Step, String),
+    HostBehavior(HostBehavior, String),
     /// It is no primary, and the command writes.
     Miss,
     Close,
@@ -102,16 +102,19 @@
             self.tell(text);
             return Act::Miss;
         }
-        if let Step::AnswerAfter(span) = step {
+        if let HostBehavior::AnswerAfter(span) = step {
             std::thread::sleep(span);
         }
-        let runs = !matches!(step, Step::ResetBefore | Step::Hang | Step::Refuse | Step::Fault);
+        let runs = !matches!(
+            step,
+            HostBehavior::ResetBefore | HostBehavior::Hang | HostBehavior::Refuse | HostBehavior::Fault
+        );
         if runs {
             let (host, primary) = (self.name.clone(), self.is_primary());
             self.ledger.note(Entry::Ran { host, text: text.into(), primary });
         }
         self.tell(text);
-        Act::Step(step, crate::key(text).to_string())
+        Act::HostBehavior(step, crate::key(text).to_string())
     }
 
     /// Something came on a connection on which a transaction was left open.
@@ -142,7 +145,7 @@
             primary: AtomicBool::new(primary),
             lag_ms: AtomicU64::new(0),
             down: AtomicBool::new(false),
-            script: Mutex::new(Box::new(|_, _| Step::Answer)),
+            script: Mutex::new(Box::new(|_, _| HostBehavior::Answer)),
             nth: AtomicUsize::new(0),
             ledger: ledger.clone(),
             told: Mutex::new(tell),
@@ -166,7 +169,7 @@
     }
 
     /// What it does from now on; `nth` counts commands from the start.
-    pub fn script(&self, script: impl Fn(usize, &str) -> Step + Send + Sync + 'static) {
+    pub fn script(&self, script: impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static) {
         *self.engine.script.lock().expect("no panic while it is held") = Box::new(script);
     }
 
--- a/crates/comethitch-testkit/src/ledger.rs
+++ b/crates/comethitch-testkit/src/ledger.rs
@@ -1,6 +1,6 @@
 //! What ran where, and whether it fits what clients were told.
 
-use crate::client::Got;
+use crate::client::Received;
 use crate::{key, writes};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub text: String,
-    pub got: Vec<Got>,
+    pub got: Vec<Received>,
 }
 
 impl Ledger {
@@ -76,11 +76,13 @@
                 broken.push(format!("ran {ran} times: {text}"));
             }
             match got.first() {
-                Some(Got::Answered(value)) if value != key => {
+                Some(Received::Answered(value)) if value != key => {
                     broken.push(format!("another's answer, {value:?}, to {text}"));
                 }
-                Some(Got::Answered(_)) if ran == 0 => broken.push(format!("answered and never run: {text}")),
-                Some(Got::Throttled) if writes(text) && ran > 0 => {
+                Some(Received::Answered(_)) if ran == 0 => {
+                    broken.push(format!("answered and never run: {text}"))
+                }
+                Some(Received::Throttled) if writes(text) && ran > 0 => {
                     broken.push(format!("throttled, and it ran: {text}"));
                 }
                 _ => {}
--- a/crates/comethitch-testkit/src/lib.rs
+++ b/crates/comethitch-testkit/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod postgres;
 pub mod tds;
 
-pub use client::{Client, Got};
-pub use engine::{Host, Step};
+pub use client::{Client, Received};
+pub use engine::{Host, HostBehavior};
 pub use ledger::{Asked, Ledger};
 
 use std::time::Duration;
--- a/crates/comethitch-testkit/src/postgres.rs
+++ b/crates/comethitch-testkit/src/postgres.rs
@@ -1,7 +1,7 @@
 //! The PostgreSQL protocol, version 3, as a host and as a client speak it.
 
-use crate::client::Got;
-use crate::engine::{Act, Engine, Step};
+use crate::client::Received;
+use crate::engine::{Act, Engine, HostBehavior};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
@@ -58,7 +58,7 @@
             continue;
         }
         let (step, key) = match engine.met(&text) {
-            Act::Step(step, key) => (step, key),
+            Act::HostBehavior(step, key) => (step, key),
             Act::Miss => {
                 stream.write_all(&[error("25006"), ready()].concat())?;
                 continue;
@@ -67,27 +67,29 @@
         };
         let whole = [row(key.as_bytes()), ready()].concat();
         match step {
-            Step::Answer | Step::AnswerAfter(_) | Step::Types => stream.write_all(&whole)?,
-            Step::LeaveOpen => {
+            HostBehavior::Answer | HostBehavior::AnswerAfter(_) | HostBehavior::Types => {
+                stream.write_all(&whole)?
+            }
+            HostBehavior::LeaveOpen => {
                 open = true;
                 stream.write_all(&[row(key.as_bytes()), message(b'Z', b"T")].concat())?;
             }
-            Step::Trickle => {
+            HostBehavior::Trickle => {
                 for byte in whole {
                     stream.write_all(&[byte])?;
                     std::thread::sleep(Duration::from_micros(300));
                 }
             }
-            Step::Twice => stream.write_all(&[whole, row(b"surplus")].concat())?,
-            Step::Cut => {
+            HostBehavior::Twice => stream.write_all(&[whole, row(b"surplus")].concat())?,
+            HostBehavior::Cut => {
                 stream.write_all(&whole[..whole.len() / 2])?;
                 return Ok(());
             }
-            Step::Spoil => stream.write_all(&message(b'?', b"nonsense"))?,
-            Step::Refuse => stream.write_all(&[error("53300"), ready()].concat())?,
-            Step::Fault => stream.write_all(&[error("XX000"), ready()].concat())?,
-            Step::Transient => stream.write_all(&[error("40001"), ready()].concat())?,
-            Step::Huge | Step::HugeCut => {
+            HostBehavior::Spoil => stream.write_all(&message(b'?', b"nonsense"))?,
+            HostBehavior::Refuse => stream.write_all(&[error("53300"), ready()].concat())?,
+            HostBehavior::Fault => stream.write_all(&[error("XX000"), ready()].concat())?,
+            HostBehavior::Transient => stream.write_all(&[error("40001"), ready()].concat())?,
+            HostBehavior::Huge | HostBehavior::HugeCut => {
                 // One answer of many rows: its description stands once, and its end.
                 let one = row(&vec![b'x'; 100 << 10]);
                 let (begin, end) = (one.len() - (7 + 4 + (100 << 10)) - 14, one.len() - 14);
@@ -96,14 +98,14 @@
                 let last = row(key.as_bytes());
                 huge.extend_from_slice(&last[begin..]);
                 huge.extend(ready());
-                if step == Step::HugeCut {
+                if step == HostBehavior::HugeCut {
                     stream.write_all(&huge[..huge.len() / 4 * 3])?;
                     return Ok(());
                 }
                 stream.write_all(&huge)?;
             }
-            Step::ResetBefore | Step::ResetAfter => return Ok(()),
-            Step::Hang | Step::HangAfter => {
+            HostBehavior::ResetBefore | HostBehavior::ResetAfter => return Ok(()),
+            HostBehavior::Hang | HostBehavior::HangAfter => {
                 let _ = stream.read(&mut [0]);
                 return Ok(());
             }
@@ -124,23 +126,25 @@
 }
 
 /// The next answer, up to the server's word that it is ready.
-pub(crate) fn got(stream: &mut TcpStream) -> Got {
-    let mut got = Got::Closed;
+pub(crate) fn got(stream: &mut TcpStream) -> Received {
+    let mut got = Received::Closed;
     loop {
-        let Ok((kind, body)) = read(stream) else { return Got::Closed };
+        let Ok((kind, body)) = read(stream) else { return Received::Closed };
         match kind {
             b'Z' => return got,
             b'D' => {
-                got = Got::Answered(String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned())
+                got = Received::Answered(
+                    String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned(),
+                )
             }
-            b'C' | b'I' if got == Got::Closed => got = Got::Answered(String::new()),
+            b'C' | b'I' if got == Received::Closed => got = Received::Answered(String::new()),
             b'E' => {
                 let code = body.split(|b| *b == 0).find(|field| field.first() == Some(&b'C'));
                 let code = String::from_utf8_lossy(code.map_or(&b""[..], |code| &code[1..])).into_owned();
                 got = match code.as_str() {
-                    "53300" => Got::Throttled,
-                    "42601" | "42809" | "0A000" | "22023" | "42710" => Got::Refused(code),
-                    _ => Got::Failed(code),
+                    "53300" => Received::Throttled,
+                    "42601" | "42809" | "0A000" | "22023" | "42710" => Received::Refused(code),
+                    _ => Received::Failed(code),
                 };
             }
             _ => {}
--- a/crates/comethitch-testkit/src/tds.rs
+++ b/crates/comethitch-testkit/src/tds.rs
@@ -1,7 +1,7 @@
 //! TDS 7.4, as a host and as a client speak it.
 
-use crate::client::Got;
-use crate::engine::{Act, Engine, Step};
+use crate::client::Received;
+use crate::engine::{Act, Engine, HostBehavior};
 use comethitch_tds::login::{Login, Prelogin, VERSION};
 use comethitch_tds::packet::{Assembly, FIRST_SIZE, Kind, put_message, status};
 use comethitch_tds::request::{Batch, Call};
@@ -20,7 +20,7 @@
 /// The sizes that a host settles on, whatever is asked for: small, so that answers come in several packets.
 const SIZE: usize = 512;
 
-fn broken(why: comethitch_tds::Broken) -> io::Error {
+fn broken(why: comethitch_tds::MalformedMessage) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.0)
 }
 
@@ -157,7 +157,7 @@
             continue;
         }
         let (step, key) = match engine.met(&text) {
-            Act::Step(step, key) => (step, key),
+            Act::HostBehavior(step, key) => (step, key),
             Act::Miss => {
                 write(&mut stream, Kind::Answer, SIZE, &[tokens, error(3906, 16)].concat())?;
                 continue;
@@ -178,50 +178,56 @@
         let mut whole = Vec::new();
         put_message(&mut whole, Kind::Answer, SIZE, &answer);
         match step {
-            Step::Answer | Step::AnswerAfter(_) => stream.write_all(&whole)?,
-            Step::LeaveOpen => {
+            HostBehavior::Answer | HostBehavior::AnswerAfter(_) => stream.write_all(&whole)?,
+            HostBehavior::LeaveOpen => {
                 open = true;
                 put_change_bytes(&mut tokens, 8, &[1; 8], &[]);
                 write(&mut stream, Kind::Answer, SIZE, &[tokens, answer].concat())?;
             }
-            Step::Types => {
+            HostBehavior::Types => {
                 tokens.extend(row_of_types());
                 end(&mut tokens);
                 write(&mut stream, Kind::Answer, SIZE, &tokens)?;
             }
-            Step::Trickle => {
+            HostBehavior::Trickle => {
                 for byte in whole {
                     stream.write_all(&[byte])?;
                     std::thread::sleep(Duration::from_micros(300));
                 }
             }
-            Step::Twice => {
+            HostBehavior::Twice => {
                 end(&mut answer);
                 write(&mut stream, Kind::Answer, SIZE, &answer)?;
             }
-            Step::Cut => {
+            HostBehavior::Cut => {
                 stream.write_all(&whole[..whole.len() / 2])?;
                 return Ok(());
             }
-            Step::Spoil => write(&mut stream, Kind::Answer, SIZE, &[0x42; 9])?,
-            Step::Refuse => write(&mut stream, Kind::Answer, SIZE, &[tokens, error(10_928, 16)].concat())?,
-            Step::Fault => write(&mut stream, Kind::Answer, SIZE, &[tokens, error(50_000, 16)].concat())?,
-            Step::Transient => write(&mut stream, Kind::Answer, SIZE, &[tokens, error(40_501, 16)].concat())?,
-            Step::Huge | Step::HugeCut => {
+            HostBehavior::Spoil => write(&mut stream, Kind::Answer, SIZE, &[0x42; 9])?,
+            HostBehavior::Refuse => {
+                write(&mut stream, Kind::Answer, SIZE, &[tokens, error(10_928, 16)].concat())?
+            }
+            HostBehavior::Fault => {
+                write(&mut stream, Kind::Answer, SIZE, &[tokens, error(50_000, 16)].concat())?
+            }
+            HostBehavior::Transient => {
+                write(&mut stream, Kind::Answer, SIZE, &[tokens, error(40_501, 16)].concat())?
+            }
+            HostBehavior::Huge | HostBehavior::HugeCut => {
                 tokens.extend(rows(&"x".repeat(50 << 10), 20));
                 let columns = [("data", Column::LongText)];
                 put_row(&mut tokens, &columns, &[Cell::Text(key)]);
                 end(&mut tokens);
                 let mut wire = Vec::new();
                 put_message(&mut wire, Kind::Answer, SIZE, &tokens);
-                if step == Step::HugeCut {
+                if step == HostBehavior::HugeCut {
                     stream.write_all(&wire[..wire.len() / 4 * 3])?;
                     return Ok(());
                 }
                 stream.write_all(&wire)?;
             }
-            Step::ResetBefore | Step::ResetAfter => return Ok(()),
-            Step::Hang | Step::HangAfter => {
+            HostBehavior::ResetBefore | HostBehavior::ResetAfter => return Ok(()),
+            HostBehavior::Hang | HostBehavior::HangAfter => {
                 let _ = stream.read(&mut [0]);
                 return Ok(());
             }
@@ -277,32 +283,32 @@
 }
 
 /// The next answer, and the integers that it gives back.
-pub(crate) fn got(stream: &mut TcpStream) -> Got {
-    let Ok((Kind::Answer, _, answer)) = read(stream) else { return Got::Closed };
-    let (mut tokens, mut at, mut got) = (Tokens::new(), 0, Got::Closed);
+pub(crate) fn got(stream: &mut TcpStream) -> Received {
+    let Ok((Kind::Answer, _, answer)) = read(stream) else { return Received::Closed };
+    let (mut tokens, mut at, mut got) = (Tokens::new(), 0, Received::Closed);
     while at < answer.len() {
-        let Ok((token, length)) = tokens.next(&answer[at..]) else { return Got::Spoilt };
+        let Ok((token, length)) = tokens.next(&answer[at..]) else { return Received::Spoilt };
         match token {
             Token::Row => {
                 let first = tokens
                     .values(&answer[at..at + length])
                     .and_then(|row| row.first().map(|(k, v)| k.told(*v)));
                 if let Some(Value::Text(value)) = first {
-                    got = Got::Answered(value);
+                    got = Received::Answered(value);
                 }
             }
             Token::Error(message) => {
                 got = match message.number {
-                    49_918 => Got::Throttled,
-                    50_001 => Got::Refused(message.text),
-                    number => Got::Failed(number.to_string()),
+                    49_918 => Received::Throttled,
+                    50_001 => Received::Refused(message.text),
+                    number => Received::Failed(number.to_string()),
                 };
             }
-            Token::Done { status, .. } if status & done::ATTENTION != 0 => got = Got::CalledOff,
-            Token::Done { .. } if got == Got::Closed => got = Got::Answered(String::new()),
+            Token::Done { status, .. } if status & done::ATTENTION != 0 => got = Received::CalledOff,
+            Token::Done { .. } if got == Received::Closed => got = Received::Answered(String::new()),
             _ => {}
         }
         at += length;
     }
-    if tokens.over() { got } else { Got::Spoilt }
+    if tokens.over() { got } else { Received::Spoilt }
 }
--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -1,11 +1,11 @@
 //! A router between stand-in hosts and clients, with one takeover in the middle: `make demo`.
 
 use async_io::Async;
-use comethitch_testkit::{Asked, Client, Got, Host, Ledger, Protocol, Step};
-use comethitchd::memory::clock::Clock;
-use comethitchd::memory::site::Site;
+use comethitch_testkit::{Asked, Client, Host, HostBehavior, Ledger, Protocol, Received};
 use comethitchd::service::listen;
 use comethitchd::stages::learn;
+use comethitchd::state::clock::Clock;
+use comethitchd::state::config::Config;
 use serde_json::{Value, json};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,7 +23,7 @@
         .enumerate()
         .map(|(nth, name)| Host::start(name, Protocol::Postgres, nth == 0, &ledger))
         .collect();
-    hosts.iter().for_each(|host| host.script(|_, _| Step::AnswerAfter(Duration::from_millis(3))));
+    hosts.iter().for_each(|host| host.script(|_, _| HostBehavior::AnswerAfter(Duration::from_millis(3))));
     let listed = |(nth, host): (usize, &Host)| {
         json!({"host": format!("db-{}", nth + 1), "dial": host.address.to_string(), "site": "north", "block": 0,
             "health": "ready", "share": 1.0, "rank": if nth == 0 { "source" } else { "copy" }, "born_ms": 0})
@@ -38,7 +38,7 @@
     let address = listener.local_addr().expect("an address");
     let (stop, stopped) = async_channel::bounded::<()>(1);
     let router = std::thread::spawn(move || {
-        let site = Site::read(&all.to_string(), |_| None).expect("a configuration");
+        let site = Config::read(&all.to_string(), |_| None).expect("a configuration");
         let site = site.judging(rules).expect("rules");
         let protocol = listen::Protocol::postgres();
         let hub = learn::start(site, Clock::start(), protocol.back);
@@ -88,12 +88,12 @@
         ("after the takeover", BEFORE + PAUSE, Duration::MAX),
     ];
     for (name, from, until) in spans {
-        let of = |kind: fn(&Got) -> bool| {
+        let of = |kind: fn(&Received) -> bool| {
             asked.iter().filter(|(at, one)| *at >= from && *at < until && kind(&one.got[0])).count()
         };
-        let answered = of(|got| matches!(got, Got::Answered(_)));
-        let failed = of(|got| matches!(got, Got::Failed(_)));
-        println!("| {name} | {answered} | {} | {failed} |", of(|got| *got == Got::Throttled));
+        let answered = of(|got| matches!(got, Received::Answered(_)));
+        let failed = of(|got| matches!(got, Received::Failed(_)));
+        println!("| {name} | {answered} | {} | {failed} |", of(|got| *got == Received::Throttled));
     }
     let asked: Vec<Asked> = asked.into_iter().map(|(_, one)| one).collect();
     let broken = ledger.broken(&asked);
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -4,12 +4,12 @@
 //!     cargo run --release -p comethitchd --example fronts
 
 use async_io::Async;
-use comethitch_testkit::{Client, Got, Host, Ledger, Protocol};
-use comethitchd::memory::clock::Clock;
-use comethitchd::memory::site::Site;
-use comethitchd::protocols::tds::ways::Ways;
+use comethitch_testkit::{Client, Host, Ledger, Protocol, Received};
+use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
 use comethitchd::stages::learn;
+use comethitchd::state::clock::Clock;
+use comethitchd::state::config::Config;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use rustix::time::{ClockId, clock_gettime};
 use serde_json::{Value, json};
@@ -50,13 +50,13 @@
             {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}]
     });
     let thread = std::thread::spawn(move || {
-        let site = Site::read(&all.to_string(), |_| None).expect("a configuration");
+        let site = Config::read(&all.to_string(), |_| None).expect("a configuration");
         let site = site.judging(&rules.to_string()).expect("rules");
         let listener = Async::new(listener).expect("a listener");
         let protocol = match protocol {
             Protocol::Postgres => listen::Protocol::postgres(),
             Protocol::Tds => {
-                let ways = Ways::read(include_str!("../../../deploy/tds.json")).expect("ways");
+                let ways = TdsSettings::read(include_str!("../../../deploy/tds.json")).expect("ways");
                 listen::Protocol::tds(ways, &site).expect("a protocol")
             }
         };
@@ -123,7 +123,7 @@
                 for nth in 0..EACH {
                     let key = format!("k{client}-{nth}");
                     let text = format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)");
-                    assert_eq!(asker.ask(&text), Got::Answered(key));
+                    assert_eq!(asker.ask(&text), Received::Answered(key));
                 }
             });
         }
--- a/crates/comethitchd/src/bin/comethitch.rs
+++ b/crates/comethitchd/src/bin/comethitch.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 use comethitch_statement::Rules;
-use comethitchd::protocols::tds::ways::Ways;
+use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::classify::Classify;
 use comethitchd::service::trail::TrailCommand;
 use std::process::ExitCode;
@@ -35,7 +35,7 @@
     fn run(self) -> Result<(), String> {
         let schema = match self.file.as_str() {
             "statements" => schemars::schema_for!(Rules),
-            "tds" => schemars::schema_for!(Ways),
+            "tds" => schemars::schema_for!(TdsSettings),
             other => return Err(format!("there are schemas of statements and tds, none of {other:?}")),
         };
         let text = serde_json::to_string_pretty(&schema).map_err(|e| e.to_string())?;
--- a/crates/comethitchd/src/lib.rs
+++ b/crates/comethitchd/src/lib.rs
@@ -4,8 +4,8 @@
 //! clients and hosts in [`protocols`], and start and stop in [`service`]. Each imports only from those before it.
 //! Nothing here chooses a host, a retry, a throttle or a time-out.
 
-pub mod memory;
 pub mod protocols;
 pub mod service;
 pub mod stages;
+pub mod state;
 pub mod wire;
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -2,12 +2,12 @@
 
 use argh::FromArgs;
 use comethitch_statement::Dialect;
-use comethitchd::memory::clock::Clock;
-use comethitchd::memory::site::Site;
-use comethitchd::protocols::tds::ways::Ways;
+use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::classify::Classify;
 use comethitchd::service::listen::{self, Protocol};
 use comethitchd::service::logger::{self, LogForm};
+use comethitchd::state::clock::Clock;
+use comethitchd::state::config::Config;
 use log::LevelFilter;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -69,19 +69,19 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn load(configuration: &Option<PathBuf>, statements: &Option<PathBuf>) -> Result<Site, String> {
+fn load(configuration: &Option<PathBuf>, statements: &Option<PathBuf>) -> Result<Config, String> {
     let named = configuration.clone().or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from));
     let path = named.ok_or("no configuration: give --configuration, or set RELAY_CONFIG")?;
-    let site = Site::load(&path, |name| std::env::var(name).ok())?;
+    let site = Config::load(&path, |name| std::env::var(name).ok())?;
     match statements {
         Some(path) => site.with_statements(path),
         None => Ok(site),
     }
 }
 
-fn protocol(tds: &Option<PathBuf>, site: &Site) -> Result<Protocol, String> {
+fn protocol(tds: &Option<PathBuf>, site: &Config) -> Result<Protocol, String> {
     match tds {
-        Some(path) => Protocol::tds(Ways::load(path)?, site),
+        Some(path) => Protocol::tds(TdsSettings::load(path)?, site),
         None if site.statements.as_ref().is_some_and(|rules| rules.dialect != Dialect::Postgres) => {
             Err("the rules for statements are not of the dialect postgres".into())
         }
--- a/crates/comethitchd/src/protocols/sending.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -1,14 +1,14 @@
 //! What any back does with a dispatch: it is numbered, given its time, put on a connection that is kept or new, and
 //! its end told. What is said on the connection is the protocol's.
 
-use crate::memory::clients::Permit;
-use crate::memory::clock::after;
-use crate::memory::commands::Statement;
-use crate::memory::connection::{ConnectionEnd, HostConnection};
-use crate::memory::hub::Hub;
-use crate::memory::protocol::Outcome;
 use crate::protocols::flow::Flow;
 use crate::stages::route;
+use crate::state::client_registry::DescriptorPermit;
+use crate::state::clock::after;
+use crate::state::host_connection::{ConnectionEnd, HostConnection};
+use crate::state::pending_commands::Statement;
+use crate::state::protocol::Outcome;
+use crate::state::router_state::RouterState;
 use async_io::Timer;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{CommandId, Host};
@@ -24,7 +24,7 @@
 
 /// One dispatch of a command.
 pub struct Dispatch {
-    pub hub: Rc<Hub>,
+    pub state: Rc<RouterState>,
     pub host: Host,
     pub time_out: Duration,
     pub statement: Rc<Statement>,
@@ -36,39 +36,39 @@
 impl Dispatch {
     /// Whether the module still lets it go, once a new connection has come up.
     pub fn may_go(&self) -> bool {
-        let router = self.hub.router.borrow();
+        let router = self.state.router.borrow();
         router
             .handle(self.id)
-            .is_some_and(|handle| handle.may_still_send(&router, self.nth, self.hub.clock.now()))
+            .is_some_and(|handle| handle.may_still_send(&router, self.nth, self.state.clock.now()))
     }
 }
 
 /// Starts the command's next dispatch. One that is too late before it begins, as after the router stood still,
 /// is not tried, and its number returned: the host has no part in that.
 pub fn start<F: Future<Output = Outcome> + 'static>(
-    hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration,
+    state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
     send: impl FnOnce(Rc<Dispatch>) -> F + 'static,
 ) -> Option<u16> {
-    let mut commands = hub.commands.borrow_mut();
+    let mut commands = state.commands.borrow_mut();
     let statement = commands.statement(id)?;
     let nth = commands.next_dispatch(id);
     if time_out == Duration::ZERO {
         commands.dispatched(id, None);
         return Some(nth);
     }
-    let (hub_held, flow) = (hub.clone(), Flow::new(hub, id, nth));
-    let dispatch = Rc::new(Dispatch { hub: hub_held, host, time_out, statement, flow, id, nth });
-    let task = hub.tasks.spawn(async move {
-        let hub = dispatch.hub.clone();
-        let began = hub.clock.now();
+    let (hub_held, flow) = (state.clone(), Flow::new(state, id, nth));
+    let dispatch = Rc::new(Dispatch { state: hub_held, host, time_out, statement, flow, id, nth });
+    let task = state.tasks.spawn(async move {
+        let state = dispatch.state.clone();
+        let began = state.clock.now();
         let mut outcome = send(dispatch.clone()).await;
         outcome.told = dispatch.flow.begun();
         let known = dispatch.statement.known.as_ref();
         if let Some(known) = known.filter(|_| outcome.end == ConnectionEnd::Whole) {
-            hub.answered_after(known, hub.clock.now() - began);
+            state.answered_after(known, state.clock.now() - began);
         }
-        hub.met(host, outcome.end.ending(), outcome.noted.role);
-        route::ended(&hub, id, nth, outcome);
+        state.met(host, outcome.end.ending(), outcome.noted.role);
+        route::ended(&state, id, nth, outcome);
     });
     commands.dispatched(id, Some(task));
     None
@@ -76,13 +76,13 @@
 
 /// An exchange within its time; what has begun to flow to the client may take longer, as long as it moves.
 pub async fn within<T>(
-    hub: &Hub, time_out: Duration, written: &Cell<bool>, flow: Option<&Flow>,
+    state: &RouterState, time_out: Duration, written: &Cell<bool>, flow: Option<&Flow>,
     exchange: impl Future<Output = Result<T, ConnectionEnd>>,
 ) -> Result<T, ConnectionEnd> {
     let late = async {
         Timer::after(time_out.to_std()).await;
         if let Some(flow) = flow {
-            flow.stalled(hub.longest_timeout.to_std()).await;
+            flow.stalled(state.longest_timeout.to_std()).await;
         }
         Err(if written.get() { ConnectionEnd::Silent } else { ConnectionEnd::Unsent })
     };
@@ -93,24 +93,24 @@
 /// connection can take long to come up, and so can this task's turn, so the module is asked just before whether they
 /// `may_go` still.
 pub async fn written(
-    hub: &Hub, host: Host, may_go: impl Fn() -> bool,
+    state: &RouterState, host: Host, may_go: impl Fn() -> bool,
     connect: impl AsyncFn(SocketAddr) -> Result<HostConnection, ConnectionEnd>,
     wire: impl Fn(&HostConnection) -> Vec<u8>,
 ) -> Result<HostConnection, ConnectionEnd> {
-    let dial = hub.list.borrow().dial(host).ok_or(ConnectionEnd::NotTried)?;
+    let dial = state.endpoints.borrow().dial(host).ok_or(ConnectionEnd::NotTried)?;
     loop {
-        let kept = hub.pool.borrow_mut().take(host, dial, hub.clock.now());
+        let kept = state.pool.borrow_mut().take(host, dial, state.clock.now());
         let fresh = kept.is_none();
         let connection = match kept {
             Some(kept) => kept,
             None => connect(dial).await.inspect_err(|end| {
                 if *end == ConnectionEnd::NoSlot {
-                    hub.pool.borrow_mut().turned_away(hub.clock.now());
+                    state.pool.borrow_mut().turned_away(state.clock.now());
                 }
             })?,
         };
         if !may_go() {
-            keep(hub, host, connection);
+            keep(state, host, connection);
             return Err(ConnectionEnd::NotTried);
         }
         let bytes = wire(&connection);
@@ -124,23 +124,23 @@
 }
 
 /// Keeps a connection for the next use, if the host is still listed where it goes to and nothing is left to read.
-pub fn keep(hub: &Hub, host: Host, connection: HostConnection) {
-    let listed = hub.list.borrow().is_at(host, connection.dial);
+pub fn keep(state: &RouterState, host: Host, connection: HostConnection) {
+    let listed = state.endpoints.borrow().is_at(host, connection.dial);
     if listed && connection.buffer.unread().is_empty() {
-        hub.pool.borrow_mut().put(host, connection, hub.clock.now());
+        state.pool.borrow_mut().put(host, connection, state.clock.now());
     }
 }
 
 /// The right to a descriptor for a connection to a host, waited for no longer than a connection may take.
-pub async fn descriptor(hub: &Hub) -> Result<Permit, ConnectionEnd> {
+pub async fn descriptor(state: &RouterState) -> Result<DescriptorPermit, ConnectionEnd> {
     let free = async {
         loop {
-            match hub.host_descriptor() {
+            match state.host_descriptor() {
                 Some(permit) => break Ok(permit),
                 None => Timer::after(PAUSE).await,
             };
         }
     };
-    let limit = hub.site.deployment.connect_timeout.to_std();
+    let limit = state.config.deployment.connect_timeout.to_std();
     free.or(after(limit, Err(ConnectionEnd::NotTried))).await
 }
--- a/crates/comethitchd/src/protocols/line.rs
+++ b/crates/comethitchd/src/protocols/client_connection.rs
@@ -1,13 +1,13 @@
 //! A client's connection, whatever is spoken on it: reading while nothing is in hand, waiting while something is,
 //! and how it ends.
 
-use crate::memory::arrivals::Arrivals;
-use crate::memory::buffer::Buffer;
-use crate::memory::clients::{Permit, Stage};
-use crate::memory::clock::after;
-use crate::memory::flag::{Close, Notice};
-use crate::memory::hub::Hub;
-use crate::memory::tally::count;
+use crate::state::arrivals::Arrivals;
+use crate::state::buffer::Buffer;
+use crate::state::client_registry::{ConnectionPhase, DescriptorPermit};
+use crate::state::clock::after;
+use crate::state::metrics::count;
+use crate::state::router_state::RouterState;
+use crate::state::signals::{CloseRequest, ConnectionSignal};
 use crate::wire::Malformed;
 use async_io::{Async, Timer};
 use comethitch_policy::time::Timestamp;
@@ -30,18 +30,18 @@
 /// A client that has sent this many statements in a row that are no commands is not listened to any more.
 const MOST_REJECTED: u32 = 8;
 
-pub struct Line {
-    pub hub: Rc<Hub>,
+pub struct ClientConnection {
+    pub state: Rc<RouterState>,
     pub stream: Async<TcpStream>,
     pub buffer: Buffer,
     pub number: u32,
     /// The client's machine, as a number: its connections share what it may cost.
     pub origin: u64,
-    pub notice: Rc<Notice>,
+    pub notice: Rc<ConnectionSignal>,
     /// When the last byte came that was taken out of the buffer.
     pub arrived: Timestamp,
     arrivals: Arrivals,
-    _permit: Permit,
+    _permit: DescriptorPermit,
     /// A command was answered here, so that the connection may be closed between two.
     pub served: bool,
     /// Statements in a row that were no commands.
@@ -51,39 +51,41 @@
 }
 
 /// Why a client's connection ends here.
-pub enum Stop {
-    Left,
+pub enum Disconnect {
+    ClientLeft,
     Closing,
     Lost(&'static str),
     Io(io::Error),
 }
 
-impl From<Malformed> for Stop {
-    fn from(malformed: Malformed) -> Stop {
-        Stop::Lost(malformed.0)
+impl From<Malformed> for Disconnect {
+    fn from(malformed: Malformed) -> Disconnect {
+        Disconnect::Lost(malformed.0)
     }
 }
 
-impl From<io::Error> for Stop {
-    fn from(error: io::Error) -> Stop {
-        Stop::Io(error)
+impl From<io::Error> for Disconnect {
+    fn from(error: io::Error) -> Disconnect {
+        Disconnect::Io(error)
     }
 }
 
-impl Line {
+impl ClientConnection {
     /// Enters a client at once: a connection that is unknown yet holds a descriptor all the same.
-    pub fn new(hub: Rc<Hub>, stream: Async<TcpStream>, permit: Permit, largest: usize) -> Line {
+    pub fn new(
+        state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, largest: usize,
+    ) -> ClientConnection {
         let _ = stream.get_ref().set_nodelay(true);
-        let arrived = hub.now();
-        let (number, notice) = hub.clients.enter(arrived);
-        let buffer = Buffer::new(largest, &hub.room);
+        let arrived = state.now();
+        let (number, notice) = state.clients.enter(arrived);
+        let buffer = Buffer::new(largest, &state.memory);
         let origin = stream.get_ref().peer_addr().map_or(0, |address| match address.ip() {
             IpAddr::V4(ip) => u64::from(ip.to_bits()),
             // An IPv6 network of 64 bits is one client's.
             IpAddr::V6(ip) => (ip.to_bits() >> 64) as u64,
         });
-        Line {
-            hub,
+        ClientConnection {
+            state,
             stream,
             buffer,
             number,
@@ -104,65 +106,71 @@
     }
 
     /// A statement was no command; an error once it is one too many.
-    pub fn rejected(&mut self, why: &str) -> Result<(), Stop> {
-        count(&self.hub.tally.rejected);
+    pub fn rejected(&mut self, why: &str) -> Result<(), Disconnect> {
+        count(&self.state.metrics.rejected);
         log::debug!("client {}: {why}", self.number);
         self.rejected += 1;
         match self.rejected >= MOST_REJECTED {
-            true => Err(Stop::Lost("too many statements that are no commands")),
+            true => Err(Disconnect::Lost("too many statements that are no commands")),
             false => Ok(()),
         }
     }
 
     /// Ends a client's connection: `told` writes what is said where something was wrong, by code and reason.
-    pub async fn end(mut self, stop: Stop, told: impl Fn(&'static str, &'static str) -> Vec<u8>) {
+    pub async fn end(mut self, stop: Disconnect, told: impl Fn(&'static str, &'static str) -> Vec<u8>) {
         match stop {
-            Stop::Lost(why) => {
-                count(&self.hub.tally.rejected);
+            Disconnect::Lost(why) => {
+                count(&self.state.metrics.rejected);
                 self.dismiss(told("08P01", why), why).await;
             }
-            Stop::Io(error) if error.kind() == io::ErrorKind::OutOfMemory => {
-                count(&self.hub.tally.at_limit);
+            Disconnect::Io(error) if error.kind() == io::ErrorKind::OutOfMemory => {
+                count(&self.state.metrics.at_limit);
                 let why = "no room for this now";
                 self.dismiss(told("53300", why), why).await;
             }
-            Stop::Io(error) => log::debug!("client {}: {error}", self.number),
+            Disconnect::Io(error) => log::debug!("client {}: {error}", self.number),
             // All is answered. What comes now the client sends again: it sees the end first.
-            Stop::Closing => self.dismiss(Vec::new(), "closed between two commands").await,
-            Stop::Left => {}
+            Disconnect::Closing => self.dismiss(Vec::new(), "closed between two commands").await,
+            Disconnect::ClientLeft => {}
         }
-        self.hub.clients.leave(self.number);
+        self.state.clients.leave(self.number);
     }
 
     /// Reads more, while nothing of this client is in hand. How long that may take is looked after by the
     /// sweep of all clients, so that a command costs no timer here.
-    pub async fn more(&mut self) -> Result<(), Stop> {
+    pub async fn more(&mut self) -> Result<(), Disconnect> {
         self.more_of(true).await
     }
 
     /// The same, where `between` tells that nothing of a message was taken out of the buffer.
-    pub async fn more_of(&mut self, between: bool) -> Result<(), Stop> {
-        let (empty, clients) = (between && self.buffer.unread().is_empty(), &self.hub.clients);
+    pub async fn more_of(&mut self, between: bool) -> Result<(), Disconnect> {
+        let (empty, clients) = (between && self.buffer.unread().is_empty(), &self.state.clients);
         let at_rest = empty && self.served;
-        clients.turn(self.number, if at_rest { Stage::Idle } else { Stage::Asking }, self.hub.clock.now());
+        clients.turn(
+            self.number,
+            if at_rest { ConnectionPhase::Idle } else { ConnectionPhase::Reading },
+            self.state.clock.now(),
+        );
         let (stream, notice) = (&self.stream, &self.notice);
         // A client that sends on and on is not waited for: what crosses the close it sends again.
         if at_rest && self.last_read {
-            return Err(Stop::Closing);
+            return Err(Disconnect::Closing);
         }
         let fill = async { Ok(self.buffer.fill(stream).await?) };
         let close = async {
-            notice.reaches(if at_rest { Close::AtRest } else { Close::Now }).await;
-            Err(Stop::Closing)
+            notice.reaches(if at_rest { CloseRequest::WhenIdle } else { CloseRequest::Now }).await;
+            Err(Disconnect::Closing)
         };
         let read = match fill.or(close).await {
-            Err(Stop::Closing) if !empty => return Err(Stop::Lost("the rest of a message did not come")),
+            Err(Disconnect::Closing) if !empty => {
+                return Err(Disconnect::Lost("the rest of a message did not come"));
+            }
             // Something came at the last moment.
-            Err(Stop::Closing) if self.has_come() => self.buffer.fill(&self.stream).await?,
+            Err(Disconnect::Closing) if self.has_come() => self.buffer.fill(&self.stream).await?,
             read => read?,
         };
         if read == 0 {
-            return Err(Stop::Left);
+            return Err(Disconnect::ClientLeft);
         }
         self.has_read(read);
         Ok(())
@@ -176,8 +184,8 @@
 
     /// So many bytes were read just now.
     fn has_read(&mut self, length: usize) {
-        self.arrivals.read(length, self.hub.arrival());
-        self.last_read = self.notice.asked() != Close::Never;
+        self.arrivals.read(length, self.state.arrival());
+        self.last_read = self.notice.asked() != CloseRequest::Never;
     }
 
     /// Ends a connection: tells the client why, if there is anything to tell, and ends the sending. What it still sends
@@ -185,7 +193,7 @@
     /// the client might never read its error, or its last answer.
     async fn dismiss(&mut self, out: Vec<u8>, why: &'static str) {
         log::debug!("client {}: {why}", self.number);
-        self.hub.clients.turn(self.number, Stage::Closing, self.hub.clock.now());
+        self.state.clients.turn(self.number, ConnectionPhase::Closing, self.state.clock.now());
         let notice = self.notice.clone();
         let told = async {
             self.write(&out).await.ok()?;
@@ -193,7 +201,7 @@
             self.consume(self.buffer.unread().len());
             loop {
                 self.stream.readable().await.ok()?;
-                match self.stream.get_ref().read(&mut self.hub.dropped.borrow_mut()) {
+                match self.stream.get_ref().read(&mut self.state.dropped.borrow_mut()) {
                     Ok(length) if length > 0 => {}
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     _ => return None,
@@ -201,7 +209,7 @@
             }
         };
         told.or(async {
-            notice.reaches(Close::Now).await;
+            notice.reaches(CloseRequest::Now).await;
             after(LINGER, None::<()>).await
         })
         .await;
@@ -238,20 +246,20 @@
 
     /// Records the bytes that wait in the system to be read: they have come by now.
     fn time_waiting(&mut self) {
-        let waiting = self.stream.get_ref().peek(&mut self.hub.dropped.borrow_mut());
-        self.arrivals.waiting(waiting.unwrap_or(0), self.hub.arrival());
+        let waiting = self.stream.get_ref().peek(&mut self.state.dropped.borrow_mut());
+        self.arrivals.waiting(waiting.unwrap_or(0), self.state.arrival());
     }
 
     /// Waits for something, and notices if the client goes away before it.
-    pub async fn while_here<T>(&mut self, event: impl Future<Output = T>) -> Result<T, Stop> {
+    pub async fn while_here<T>(&mut self, event: impl Future<Output = T>) -> Result<T, Disconnect> {
         // Without interruptions something comes, or the client leaves.
-        self.unless(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Stop::Left)
+        self.unless(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Disconnect::ClientLeft)
     }
 
     /// The same, up to what the client sends meanwhile is an interruption, if it can send any; then nothing has come.
     pub async fn unless<T>(
         &mut self, event: impl Future<Output = T>, interrupts: Option<impl Fn(&[u8]) -> bool>,
-    ) -> Result<Option<T>, Stop> {
+    ) -> Result<Option<T>, Disconnect> {
         let mut event = std::pin::pin!(event);
         let mut no_room = false;
         loop {
@@ -276,15 +284,15 @@
                 }
                 // No room to read what comes next is no reason to give up what is in hand.
                 Err(Err(error)) if error.kind() == io::ErrorKind::OutOfMemory => no_room = true,
-                Err(_) => return Err(Stop::Left),
+                Err(_) => return Err(Disconnect::ClientLeft),
             }
         }
     }
 
     /// Writes within the longest time that a client waits.
-    pub async fn write(&self, bytes: &[u8]) -> Result<(), Stop> {
+    pub async fn write(&self, bytes: &[u8]) -> Result<(), Disconnect> {
         let mut stream = &self.stream;
         let late = Err(io::ErrorKind::TimedOut.into());
-        Ok(stream.write_all(bytes).or(after(self.hub.longest_timeout.to_std(), late)).await?)
+        Ok(stream.write_all(bytes).or(after(self.state.longest_timeout.to_std(), late)).await?)
     }
 }
--- a/crates/comethitchd/src/protocols/flow.rs
+++ b/crates/comethitchd/src/protocols/flow.rs
@@ -4,10 +4,10 @@
 //! What has begun is the command's final answer: the module is told that it was answered, and nothing else is
 //! sent for it. If the host fails midway, the client is told by the end of its connection.
 
-use crate::memory::commands::{Part, Reply};
-use crate::memory::connection::ConnectionEnd;
-use crate::memory::hub::Hub;
 use crate::stages::{relay, route};
+use crate::state::host_connection::ConnectionEnd;
+use crate::state::pending_commands::{Part, Reply};
+use crate::state::router_state::RouterState;
 use async_channel::{Sender, bounded};
 use async_io::Timer;
 use comethitch_policy::CommandId;
@@ -20,7 +20,7 @@
 pub const HELD_WHOLE: usize = 256 * 1024;
 
 pub struct Flow {
-    hub: Rc<Hub>,
+    state: Rc<RouterState>,
     id: CommandId,
     nth: u16,
     parts: RefCell<Option<Sender<Part>>>,
@@ -28,9 +28,9 @@
 }
 
 impl Flow {
-    pub fn new(hub: &Rc<Hub>, id: CommandId, nth: u16) -> Flow {
-        let moved = Cell::new(hub.clock.now());
-        Flow { hub: hub.clone(), id, nth, parts: RefCell::default(), moved }
+    pub fn new(state: &Rc<RouterState>, id: CommandId, nth: u16) -> Flow {
+        let moved = Cell::new(state.clock.now());
+        Flow { state: state.clone(), id, nth, parts: RefCell::default(), moved }
     }
 
     /// Its first part has gone to the client.
@@ -45,14 +45,14 @@
             Some(parts) => parts.send(Part::Bytes(bytes)).await.map_err(|_| ConnectionEnd::Cancelled)?,
             None => {
                 let (sender, receiver) = bounded(1);
-                if !relay::answer(&self.hub, self.id, Reply::Begun(bytes, receiver)) {
+                if !relay::answer(&self.state, self.id, Reply::Begun(bytes, receiver)) {
                     return Err(ConnectionEnd::Cancelled);
                 }
                 *self.parts.borrow_mut() = Some(sender);
-                route::begun(&self.hub, self.id, self.nth);
+                route::begun(&self.state, self.id, self.nth);
             }
         }
-        self.moved.set(self.hub.clock.now());
+        self.moved.set(self.state.clock.now());
         Ok(())
     }
 
--- a/crates/comethitchd/src/protocols/postgres/send.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -1,17 +1,17 @@
 //! Fourth stage: one dispatch, or one probe, on a connection to a host.
 
-use crate::memory::buffer::{Buffer, Held};
-use crate::memory::clock::after;
-use crate::memory::commands::Statement;
-use crate::memory::connection::{Code, ConnectionEnd, HostConnection, Kept};
-use crate::memory::hub::Hub;
-use crate::memory::protocol::Outcome;
-use crate::memory::tally::count;
+use crate::protocols::attempt;
 use crate::protocols::flow::{Flow, HELD_WHOLE};
-use crate::protocols::sending;
 use crate::stages::route;
+use crate::state::buffer::{Buffer, Reservation};
+use crate::state::clock::after;
+use crate::state::host_connection::{Code, ConnectionEnd, HostConnection, Kept};
+use crate::state::metrics::count;
+use crate::state::pending_commands::Statement;
+use crate::state::protocol::Outcome;
+use crate::state::router_state::RouterState;
+use crate::wire::host_report;
 use crate::wire::postgres::{self, Answer, Form, LARGEST_MESSAGE};
-use crate::wire::standing;
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport};
@@ -25,11 +25,11 @@
     fn from(ended: Result<Answer, ConnectionEnd>) -> Outcome {
         match ended {
             Ok(answer) => Outcome {
-                noted: standing::noted(&answer),
-                reported: answer.vitals.as_deref().map(standing::reported).unwrap_or_default(),
+                noted: host_report::noted(&answer),
+                reported: answer.vitals.as_deref().map(host_report::reported).unwrap_or_default(),
                 end: answer
                     .code
-                    .map_or(ConnectionEnd::Whole, |code| ConnectionEnd::Told(Code::Postgres(code))),
+                    .map_or(ConnectionEnd::Whole, |code| ConnectionEnd::HostError(Code::Postgres(code))),
                 value: if answer.error.is_empty() { answer.value } else { answer.error },
                 told: false,
             },
@@ -45,11 +45,11 @@
 }
 
 /// Starts the command's next dispatch; its number, if it is too late before it begins.
-pub fn start(hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
-    sending::start(hub, id, host, time_out, |dispatch| async move {
+pub fn start(state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
+    attempt::start(state, id, host, time_out, |dispatch| async move {
         let query = query(&dispatch.statement, dispatch.time_out);
-        let (hub, may_go, flow) = (&*dispatch.hub, || dispatch.may_go(), Some(&dispatch.flow));
-        within(hub, dispatch.host, &query, dispatch.time_out, may_go, flow).await.into()
+        let (state, may_go, flow) = (&*dispatch.state, || dispatch.may_go(), Some(&dispatch.flow));
+        within(state, dispatch.host, &query, dispatch.time_out, may_go, flow).await.into()
     })
 }
 
@@ -67,48 +67,50 @@
 }
 
 /// Asks a host how it stands. A probe waits no longer than a connection may take.
-pub fn probe(hub: &Rc<Hub>, host: Host) {
-    count(&hub.tally.probes);
-    let held = hub.clone();
+pub fn probe(state: &Rc<RouterState>, host: Host) {
+    count(&state.metrics.probes);
+    let held = state.clone();
     let probe = async move {
         let mut query = Vec::new();
         postgres::put_query(&mut query, &[b"SHOW vitals"]);
-        let limit = held.site.deployment.connect_timeout;
+        let limit = held.config.deployment.connect_timeout;
         let ended = within(&held, host, &query, limit, || true, None).await;
         let row =
-            ended.as_ref().ok().and_then(|answer| answer.column().map(|text| standing::reported(&text)));
+            ended.as_ref().ok().and_then(|answer| answer.column().map(|text| host_report::reported(&text)));
         let outcome = Outcome::from(ended);
         if outcome.end != ConnectionEnd::Whole {
-            count(&held.tally.probes_failed);
+            count(&held.metrics.probes_failed);
         }
         let told = row.unwrap_or(outcome.reported);
         held.met(host, outcome.end.ending(), told.role);
-        log::debug!("probe of {}: {:?}, {told:?}", held.list.borrow().name(host), outcome.end);
+        log::debug!("probe of {}: {:?}, {told:?}", held.endpoints.borrow().name(host), outcome.end);
         route::decide(&held, |router, out| router.health_checked(host, outcome.end.ending(), told, out));
     };
-    hub.tasks.spawn(probe).detach();
+    state.tasks.spawn(probe).detach();
 }
 
 /// Asks a host within a time.
 async fn within(
-    hub: &Hub, host: Host, query: &[u8], time_out: Duration, may_go: impl Fn() -> bool, flow: Option<&Flow>,
+    state: &RouterState, host: Host, query: &[u8], time_out: Duration, may_go: impl Fn() -> bool,
+    flow: Option<&Flow>,
 ) -> Result<Answer, ConnectionEnd> {
     let written = Cell::new(false);
-    let exchange = exchange(hub, host, query, may_go, &written, flow);
-    sending::within(hub, time_out, &written, flow, exchange).await
+    let exchange = exchange(state, host, query, may_go, &written, flow);
+    attempt::within(state, time_out, &written, flow, exchange).await
 }
 
 async fn exchange(
-    hub: &Hub, host: Host, query: &[u8], may_go: impl Fn() -> bool, written: &Cell<bool>, flow: Option<&Flow>,
+    state: &RouterState, host: Host, query: &[u8], may_go: impl Fn() -> bool, written: &Cell<bool>,
+    flow: Option<&Flow>,
 ) -> Result<Answer, ConnectionEnd> {
-    let connect = async |dial| connect(hub, dial).await;
-    let mut connection = sending::written(hub, host, may_go, connect, |_| query.to_vec()).await?;
+    let connect = async |dial| connect(state, dial).await;
+    let mut connection = attempt::written(state, host, may_go, connect, |_| query.to_vec()).await?;
     written.set(true);
-    let form = if hub.desk.borrow().is_some() { Form::Any } else { Form::OneValue };
+    let form = if state.admission.borrow().is_some() { Form::Any } else { Form::OneValue };
     let flow = flow.filter(|_| form == Form::Any);
-    let (mut answer, mut held) = (Answer::of(form), Held::new(&hub.room));
+    let (mut answer, mut held) = (Answer::of(form), Reservation::new(&state.memory));
     let ended = loop {
-        let has_room = |answer: &Answer| form == Form::OneValue || held.is(answer.value.len());
+        let has_room = |answer: &Answer| form == Form::OneValue || held.resize_to(answer.value.len());
         let pauses = |answer: &Answer| flow.is_some() && answer.value.len() >= HELD_WHOLE;
         match read(&mut connection, &mut answer, has_room, pauses).await {
             Ok(false) => {
@@ -140,7 +142,7 @@
         return Err(ended.err().unwrap_or(ConnectionEnd::Malformed));
     }
     if ended.is_ok() && !answer.in_transaction {
-        sending::keep(hub, host, connection);
+        attempt::keep(state, host, connection);
     }
     Ok(answer)
 }
@@ -180,29 +182,29 @@
 }
 
 /// Connects and lets the host greet, so that what breaks until then is known never to have run.
-async fn connect(hub: &Hub, dial: SocketAddr) -> Result<HostConnection, ConnectionEnd> {
-    let limit = hub.site.deployment.connect_timeout.to_std();
-    let permit = sending::descriptor(hub).await?;
+async fn connect(state: &RouterState, dial: SocketAddr) -> Result<HostConnection, ConnectionEnd> {
+    let limit = state.config.deployment.connect_timeout.to_std();
+    let permit = attempt::descriptor(state).await?;
     let open = async {
         let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionEnd::NeverUp)?;
-        count(&hub.tally.connected);
+        count(&state.metrics.connected);
         let _ = stream.get_ref().set_nodelay(true);
         let mut startup = Vec::new();
         postgres::put_startup(&mut startup, "portal", "crm");
         (&stream).write_all(&startup).await.map_err(|_| ConnectionEnd::NeverUp)?;
-        let buffer = Buffer::new(LARGEST_MESSAGE + 1, &hub.room);
+        let buffer = Buffer::new(LARGEST_MESSAGE + 1, &state.memory);
         let mut connection = HostConnection {
             stream,
             buffer,
             dial,
-            idle_since: hub.clock.now(),
+            idle_since: state.clock.now(),
             kept: Kept::default(),
             permit,
         };
         let mut greeting = Answer::default();
         let greeted = read(&mut connection, &mut greeting, |_| true, |_| false).await;
         // Of the codes in a greeting, one tells more than that no connection came up.
-        let full = greeting.code.map(|code| ConnectionEnd::Told(Code::Postgres(code)).ending());
+        let full = greeting.code.map(|code| ConnectionEnd::HostError(Code::Postgres(code)).ending());
         match full {
             Some(AttemptOutcome::Overloaded) => Err(ConnectionEnd::NoSlot),
             _ if greeted.is_ok() => Ok(connection),
--- a/crates/comethitchd/src/protocols/postgres/take_in.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -1,12 +1,12 @@
 //! First stage: a client's connection, from its startup message to its end.
 
-use crate::memory::clients::{Permit, Stage};
-use crate::memory::commands::{Part, Reply};
-use crate::memory::hub::Hub;
-use crate::memory::tally::count;
-use crate::protocols::line::{Line, Stop};
+use crate::protocols::client_connection::{ClientConnection, Disconnect};
 use crate::stages::admit::{Asked, NotTaken};
 use crate::stages::{admit, route};
+use crate::state::client_registry::{ConnectionPhase, DescriptorPermit};
+use crate::state::metrics::count;
+use crate::state::pending_commands::{Part, Reply};
+use crate::state::router_state::RouterState;
 use crate::wire::postgres::{self, LARGEST_MESSAGE, Opening};
 use async_channel::Receiver;
 use async_io::Async;
@@ -16,15 +16,17 @@
 use std::rc::Rc;
 
 struct Client {
-    line: Line,
+    connection: ClientConnection,
     /// A message that is not spoken here was met: all is skipped up to the next Sync.
     skipping: bool,
 }
 
 /// Serves a client.
-pub fn serve(hub: Rc<Hub>, stream: Async<TcpStream>, permit: Permit) -> impl Future<Output = ()> {
-    let line = Line::new(hub, stream, permit, LARGEST_MESSAGE + 1);
-    run(Client { line, skipping: false })
+pub fn serve(
+    state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
+) -> impl Future<Output = ()> {
+    let line = ClientConnection::new(state, stream, permit, LARGEST_MESSAGE + 1);
+    run(Client { connection: line, skipping: false })
 }
 
 async fn run(mut client: Client) {
@@ -37,36 +39,42 @@
         postgres::put_error(&mut out, "FATAL", code, why, None);
         out
     };
-    client.line.end(stop, told).await;
+    client.connection.end(stop, told).await;
 }
 
 impl Client {
-    async fn open(&mut self) -> Result<(), Stop> {
+    async fn open(&mut self) -> Result<(), Disconnect> {
         loop {
-            match postgres::opening(self.line.buffer.unread())? {
-                None => self.line.more().await?,
+            match postgres::opening(self.connection.buffer.unread())? {
+                None => self.connection.more().await?,
                 Some((Opening::Cancel, length)) => {
                     // As the protocol has it, whoever asks learns nothing of what comes of it.
-                    if let Some((number, key)) = postgres::cancels(&self.line.buffer.unread()[..length]) {
-                        self.line.hub.clients.cancel(number, key);
+                    if let Some((number, key)) = postgres::cancels(&self.connection.buffer.unread()[..length])
+                    {
+                        self.connection.state.clients.cancel(number, key);
                     }
-                    return Err(Stop::Left);
+                    return Err(Disconnect::ClientLeft);
                 }
                 Some((Opening::Encryption, length)) => {
-                    self.line.consume(length);
-                    self.line.write(b"N").await?;
+                    self.connection.consume(length);
+                    self.connection.write(b"N").await?;
                 }
                 Some((Opening::Startup { minor }, length)) => {
-                    self.line.consume(length);
+                    self.connection.consume(length);
                     let mut out = Vec::new();
-                    postgres::put_welcome(&mut out, minor, self.line.number, self.line.notice.key);
-                    return self.line.write(&out).await;
+                    postgres::put_welcome(
+                        &mut out,
+                        minor,
+                        self.connection.number,
+                        self.connection.notice.key,
+                    );
+                    return self.connection.write(&out).await;
                 }
             }
         }
     }
 
-    async fn converse(&mut self) -> Stop {
+    async fn converse(&mut self) -> Disconnect {
         loop {
             if let Err(stop) = self.message().await {
                 return stop;
@@ -74,15 +82,15 @@
         }
     }
 
-    async fn message(&mut self) -> Result<(), Stop> {
-        let Some(message) = postgres::message(self.line.buffer.unread())? else {
-            return self.line.more().await;
+    async fn message(&mut self) -> Result<(), Disconnect> {
+        let Some(message) = postgres::message(self.connection.buffer.unread())? else {
+            return self.connection.more().await;
         };
         let length = message.raw.len();
         let mut out = Vec::new();
         let query = match message.kind {
             b'Q' => Some(postgres::query_text(message.body)?.to_vec()),
-            b'X' => return Err(Stop::Left),
+            b'X' => return Err(Disconnect::ClientLeft),
             b'S' => {
                 self.skipping = false;
                 postgres::put_ready(&mut out);
@@ -96,91 +104,99 @@
                 None
             }
             b'H' | b'd' | b'c' | b'f' => None,
-            _ => return Err(Stop::Lost("a message of unknown type")),
+            _ => return Err(Disconnect::Lost("a message of unknown type")),
         };
-        self.line.consume(length);
+        self.connection.consume(length);
         match query.filter(|_| !self.skipping) {
             Some(text) => self.query(text, out).await,
             None if out.is_empty() => Ok(()),
-            None => self.line.write(&out).await,
+            None => self.connection.write(&out).await,
         }
     }
 
     /// Passes the parts of a large value on; without an end the connection's own tells that it is not whole.
-    async fn pass_on(&self, parts: &Receiver<Part>) -> Result<(), Stop> {
+    async fn pass_on(&self, parts: &Receiver<Part>) -> Result<(), Disconnect> {
         while let Ok(part) = parts.recv().await {
             match part {
-                Part::Bytes(bytes) => self.line.write(&bytes).await?,
+                Part::Bytes(bytes) => self.connection.write(&bytes).await?,
                 Part::End => return Ok(()),
             }
         }
-        Err(Stop::Closing)
+        Err(Disconnect::Closing)
     }
 
-    async fn query(&mut self, text: Vec<u8>, mut out: Vec<u8>) -> Result<(), Stop> {
+    async fn query(&mut self, text: Vec<u8>, mut out: Vec<u8>) -> Result<(), Disconnect> {
         if text.iter().all(|b| b.is_ascii_whitespace() || *b == b';') {
-            let hub = self.line.hub.clone();
-            self.line.while_here(hub.ready.raised()).await?;
+            let state = self.connection.state.clone();
+            self.connection.while_here(state.ready.raised()).await?;
             postgres::put_empty(&mut out);
-        } else if let Some(tag) = admit::session_statement(&self.line.hub, &text) {
+        } else if let Some(tag) = admit::session_statement(&self.connection.state, &text) {
             postgres::put_complete(&mut out, tag);
         } else {
-            let asked =
-                Asked { text: &text, arguments: &[], arrived: self.line.arrived, origin: self.line.origin };
-            match admit::admit(&self.line.hub, &asked) {
+            let asked = Asked {
+                text: &text,
+                arguments: &[],
+                arrived: self.connection.arrived,
+                origin: self.connection.origin,
+            };
+            match admit::admit(&self.connection.state, &asked) {
                 // A hard limit: no decision is asked for.
-                Ok(admitted) if self.line.hub.is_full() => {
-                    count(&self.line.hub.tally.at_limit);
-                    self.line.hub.turned_away(&admitted.name, "at_limit");
+                Ok(admitted) if self.connection.state.is_full() => {
+                    count(&self.connection.state.metrics.at_limit);
+                    self.connection.state.turned_away(&admitted.name, "at_limit");
                     put_reply(&mut out, Reply::Throttled(None));
                 }
                 // It went while its statement waited to be read: nothing begins for it.
-                Ok(_) if self.line.has_left() => return Err(Stop::Left),
+                Ok(_) if self.connection.has_left() => return Err(Disconnect::ClientLeft),
                 Ok(admitted) => {
-                    self.line.hub.clients.turn(self.line.number, Stage::Busy, self.line.hub.clock.now());
-                    let notice = self.line.notice.clone();
+                    self.connection.state.clients.turn(
+                        self.connection.number,
+                        ConnectionPhase::Busy,
+                        self.connection.state.clock.now(),
+                    );
+                    let notice = self.connection.notice.clone();
                     notice.begins();
-                    let (id, reply) = route::take(&self.line.hub, admitted, text, b'Q');
+                    let (id, reply) = route::take(&self.connection.state, admitted, text, b'Q');
                     let cancelled = async {
                         notice.cancelled().await;
                         Ok(Reply::Cancelled)
                     };
-                    match self.line.while_here(reply.recv().or(cancelled)).await {
+                    match self.connection.while_here(reply.recv().or(cancelled)).await {
                         Ok(Ok(Reply::Cancelled)) => {
-                            route::left(&self.line.hub, id);
+                            route::left(&self.connection.state, id);
                             put_reply(&mut out, Reply::Cancelled);
-                            self.line.answered();
+                            self.connection.answered();
                         }
                         Ok(Ok(Reply::Begun(first, parts))) => {
                             out.extend(first);
-                            self.line.write(&out).await?;
+                            self.connection.write(&out).await?;
                             out.clear();
                             self.pass_on(&parts).await?;
-                            self.line.answered();
+                            self.connection.answered();
                         }
                         Ok(Ok(reply)) => {
                             put_reply(&mut out, reply);
-                            self.line.answered();
+                            self.connection.answered();
                         }
                         _ => {
-                            route::left(&self.line.hub, id);
-                            return Err(Stop::Left);
+                            route::left(&self.connection.state, id);
+                            return Err(Disconnect::ClientLeft);
                         }
                     }
                 }
                 Err(NotTaken::Throttled) => {
-                    count(&self.line.hub.tally.throttled);
-                    self.line.hub.turned_away("", "statement_budget");
+                    count(&self.connection.state.metrics.throttled);
+                    self.connection.state.turned_away("", "statement_budget");
                     put_reply(&mut out, Reply::Throttled(None));
                 }
                 Err(NotTaken::Rejected(rejected)) => {
-                    self.line.rejected(&rejected.text)?;
+                    self.connection.rejected(&rejected.text)?;
                     postgres::put_error(&mut out, "ERROR", rejected.code, &rejected.text, None);
                 }
             }
         }
         postgres::put_ready(&mut out);
-        self.line.write(&out).await
+        self.connection.write(&out).await
     }
 }
 
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -1,11 +1,11 @@
 //! PostgreSQL, version 3 of its protocol, by simple queries.
 
-pub mod send;
-pub mod take_in;
+pub mod backend;
+pub mod client;
 
-use crate::memory::clients::Permit;
-use crate::memory::hub::Hub;
-use crate::memory::protocol::{Back, Front, Serving};
+use crate::state::client_registry::DescriptorPermit;
+use crate::state::protocol::{BackendProtocol, ClientProtocol, Serving};
+use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{CommandId, Host};
@@ -15,18 +15,20 @@
 /// Speaks with clients and hosts.
 pub struct Postgres;
 
-impl Front for Postgres {
-    fn serve(&self, hub: Rc<Hub>, stream: Async<TcpStream>, permit: Permit) -> Serving {
-        Box::pin(take_in::serve(hub, stream, permit))
+impl ClientProtocol for Postgres {
+    fn serve(&self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit) -> Serving {
+        Box::pin(client::serve(state, stream, permit))
     }
 }
 
-impl Back for Postgres {
-    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
-        send::start(hub, id, host, time_out)
+impl BackendProtocol for Postgres {
+    fn dispatch(
+        &self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
+    ) -> Option<u16> {
+        backend::start(state, id, host, time_out)
     }
 
-    fn probe(&self, hub: &Rc<Hub>, host: Host) {
-        send::probe(hub, host);
+    fn probe(&self, state: &Rc<RouterState>, host: Host) {
+        backend::probe(state, host);
     }
 }
--- a/crates/comethitchd/src/protocols/tds/answer.rs
+++ b/crates/comethitchd/src/protocols/tds/answer.rs
@@ -1,11 +1,11 @@
 //! What a host has answered so far: packets are taken off, tokens told apart, and what concerns the router's own
 //! session left out.
 
-use crate::memory::connection::Code;
+use crate::state::host_connection::Code;
 use comethitch_tds::packet::{Header, Kind, status};
 use comethitch_tds::token::{Change, Token, Tokens, code, done};
 use comethitch_tds::types::Value;
-use comethitch_tds::{Broken, Unread};
+use comethitch_tds::{MalformedMessage, ReadError};
 
 /// A token of more bytes is not passed on.
 pub const LARGEST_TOKEN: usize = 1 << 20;
@@ -48,23 +48,23 @@
     }
 
     /// Takes bytes as they come, and tells how many were taken: none that stand behind the answer's end.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, Broken> {
+    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, MalformedMessage> {
         let mut at = 0;
         while !self.over() && at < bytes.len() {
             if self.left == 0 {
                 let header = match Header::read(&bytes[at..]) {
                     Ok(header) => header,
-                    Err(Unread::Short) => break,
-                    Err(Unread::Broken(why)) => return Err(Broken(why)),
+                    Err(ReadError::NeedMoreInput) => break,
+                    Err(ReadError::Malformed(why)) => return Err(MalformedMessage(why)),
                 };
                 if header.kind != Kind::Answer {
-                    return Err(Broken("a packet that is no answer"));
+                    return Err(MalformedMessage("a packet that is no answer"));
                 }
                 self.left = header.length - comethitch_tds::packet::HEADER;
                 self.last = header.status & status::END != 0;
                 at += comethitch_tds::packet::HEADER;
                 if self.left == 0 && !self.last {
-                    return Err(Broken("an empty packet within an answer"));
+                    return Err(MalformedMessage("an empty packet within an answer"));
                 }
             }
             let now = self.left.min(bytes.len() - at);
@@ -72,7 +72,7 @@
             (self.left, at) = (self.left - now, at + now);
             self.read()?;
             if self.left == 0 && self.last && !self.tokens.over() {
-                return Err(Broken("an answer that ends within its tokens"));
+                return Err(MalformedMessage("an answer that ends within its tokens"));
             }
         }
         Ok(at)
@@ -92,7 +92,7 @@
         self.raw.len() + self.value.len()
     }
 
-    fn read(&mut self) -> Result<(), Broken> {
+    fn read(&mut self) -> Result<(), MalformedMessage> {
         let mut at = 0;
         while at < self.raw.len() {
             match self.tokens.next(&self.raw[at..]) {
@@ -110,8 +110,8 @@
                     at += length;
                     self.note(token);
                 }
-                Err(Unread::Short) => break,
-                Err(Unread::Broken(why)) => return Err(Broken(why)),
+                Err(ReadError::NeedMoreInput) => break,
+                Err(ReadError::Malformed(why)) => return Err(MalformedMessage(why)),
             }
         }
         self.raw.drain(..at);
--- a/crates/comethitchd/src/protocols/tds/send.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -1,16 +1,16 @@
 //! One dispatch, or one probe, on a connection to a host.
 
 use super::answer::{Answer, LARGEST_TOKEN};
-use super::ways::Ways;
-use crate::memory::buffer::{Buffer, Held};
-use crate::memory::clock::after;
-use crate::memory::connection::{ConnectionEnd, HostConnection, Kept};
-use crate::memory::hub::Hub;
-use crate::memory::protocol::Outcome;
-use crate::memory::tally::count;
+use super::settings::TdsSettings;
+use crate::protocols::attempt;
 use crate::protocols::flow::{Flow, HELD_WHOLE};
-use crate::protocols::sending;
 use crate::stages::route;
+use crate::state::buffer::{Buffer, Reservation};
+use crate::state::clock::after;
+use crate::state::host_connection::{ConnectionEnd, HostConnection, Kept};
+use crate::state::metrics::count;
+use crate::state::protocol::Outcome;
+use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport, Role};
@@ -28,20 +28,22 @@
 const LARGEST_PRELOGIN: usize = 4096;
 
 /// Starts the command's next dispatch; its number, if it is too late before it begins.
-pub fn start(hub: &Rc<Hub>, ways: &Rc<Ways>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
+pub fn start(
+    state: &Rc<RouterState>, ways: &Rc<TdsSettings>, id: CommandId, host: Host, time_out: Duration,
+) -> Option<u16> {
     let ways = ways.clone();
-    sending::start(hub, id, host, time_out, |dispatch| async move {
+    attempt::start(state, id, host, time_out, |dispatch| async move {
         let kind = Kind::of(dispatch.statement.kind).unwrap_or(Kind::Batch);
         let message = (kind, &dispatch.statement.text[..]);
-        let (hub, may_go, flow) = (&*dispatch.hub, || dispatch.may_go(), Some(&dispatch.flow));
-        outcome(within(hub, &ways, dispatch.host, message, dispatch.time_out, may_go, flow).await)
+        let (state, may_go, flow) = (&*dispatch.state, || dispatch.may_go(), Some(&dispatch.flow));
+        outcome(within(state, &ways, dispatch.host, message, dispatch.time_out, may_go, flow).await)
     })
 }
 
 fn outcome(ended: Result<Answer, ConnectionEnd>) -> Outcome {
     let (end, value) = match ended {
         Ok(answer) => match answer.error {
-            Some(code) => (ConnectionEnd::Told(code), answer.value),
+            Some(code) => (ConnectionEnd::HostError(code), answer.value),
             None => (ConnectionEnd::Whole, answer.value),
         },
         Err(end) => (end, Vec::new()),
@@ -50,13 +52,13 @@
 }
 
 /// Asks a host how it stands. A probe waits no longer than a connection may take.
-pub fn probe(hub: &Rc<Hub>, ways: &Rc<Ways>, host: Host) {
-    count(&hub.tally.probes);
-    let (held, ways) = (hub.clone(), ways.clone());
+pub fn probe(state: &Rc<RouterState>, ways: &Rc<TdsSettings>, host: Host) {
+    count(&state.metrics.probes);
+    let (held, ways) = (state.clone(), ways.clone());
     let probe = async move {
         let mut payload = Vec::new();
         Batch::put(&mut payload, &ways.probe.sql);
-        let limit = held.site.deployment.connect_timeout;
+        let limit = held.config.deployment.connect_timeout;
         let ended = within(&held, &ways, host, (Kind::Batch, &payload), limit, || true, None).await;
         let told = ended.as_ref().ok().and_then(|answer| answer.row.as_ref());
         let told = told.map(|row| standing(row, &ways.probe.primary)).unwrap_or_default();
@@ -66,13 +68,13 @@
             end = ConnectionEnd::Malformed;
         }
         if end != ConnectionEnd::Whole {
-            count(&held.tally.probes_failed);
+            count(&held.metrics.probes_failed);
         }
         held.met(host, end.ending(), told.role);
-        log::debug!("probe of {}: {end:?}, {told:?}", held.list.borrow().name(host));
+        log::debug!("probe of {}: {end:?}, {told:?}", held.endpoints.borrow().name(host));
         route::decide(&held, |router, out| router.health_checked(host, end.ending(), told, out));
     };
-    hub.tasks.spawn(probe).detach();
+    state.tasks.spawn(probe).detach();
 }
 
 /// What a probe's row says: the role, and the position in milliseconds.
@@ -98,19 +100,19 @@
 
 /// Asks a host within a time.
 async fn within(
-    hub: &Hub, ways: &Ways, host: Host, message: (Kind, &[u8]), time_out: Duration,
+    state: &RouterState, ways: &TdsSettings, host: Host, message: (Kind, &[u8]), time_out: Duration,
     may_go: impl Fn() -> bool, flow: Option<&Flow>,
 ) -> Result<Answer, ConnectionEnd> {
     let written = Cell::new(false);
-    let exchange = exchange(hub, ways, host, message, may_go, &written, flow);
-    sending::within(hub, time_out, &written, flow, exchange).await
+    let exchange = exchange(state, ways, host, message, may_go, &written, flow);
+    attempt::within(state, time_out, &written, flow, exchange).await
 }
 
 async fn exchange(
-    hub: &Hub, ways: &Ways, host: Host, (kind, payload): (Kind, &[u8]), may_go: impl Fn() -> bool,
-    written: &Cell<bool>, flow: Option<&Flow>,
+    state: &RouterState, ways: &TdsSettings, host: Host, (kind, payload): (Kind, &[u8]),
+    may_go: impl Fn() -> bool, written: &Cell<bool>, flow: Option<&Flow>,
 ) -> Result<Answer, ConnectionEnd> {
-    let connect = async |dial| connect(hub, ways, dial).await;
+    let connect = async |dial| connect(state, ways, dial).await;
     let wire = |connection: &HostConnection| {
         // What another's command left in the session is gone before this one runs.
         let first = if connection.kept.used { status::RESET } else { 0 };
@@ -118,10 +120,10 @@
         put_parts(&mut wire, kind, connection.kept.packet, payload, first, true);
         wire
     };
-    let mut connection = sending::written(hub, host, may_go, connect, wire).await?;
+    let mut connection = attempt::written(state, host, may_go, connect, wire).await?;
     written.set(true);
     connection.kept.used = true;
-    let (mut answer, mut held) = (Answer::new(), Held::new(&hub.room));
+    let (mut answer, mut held) = (Answer::new(), Reservation::new(&state.memory));
     let ended = loop {
         match read(&mut connection, &mut answer, &mut held, flow.is_some()).await {
             Ok(false) => {
@@ -140,21 +142,21 @@
     if let Some(flow) = flow.filter(|flow| flow.begun()) {
         flow.end(std::mem::take(&mut answer.value)).await?;
     }
-    let end = answer.error.clone().map(|code| ConnectionEnd::Told(code).ending());
+    let end = answer.error.clone().map(|code| ConnectionEnd::HostError(code).ending());
     if ended.is_ok() && !answer.in_transaction && end != Some(AttemptOutcome::ConnectionReset) {
-        sending::keep(hub, host, connection);
+        attempt::keep(state, host, connection);
     }
     Ok(answer)
 }
 
 /// Reads up to the answer's end, or up to a pause once there is enough to be passed on; true at the end.
 async fn read(
-    connection: &mut HostConnection, answer: &mut Answer, held: &mut Held, pauses: bool,
+    connection: &mut HostConnection, answer: &mut Answer, held: &mut Reservation, pauses: bool,
 ) -> Result<bool, ConnectionEnd> {
     loop {
         let taken = answer.take(connection.buffer.unread()).map_err(|_| ConnectionEnd::Malformed)?;
         connection.buffer.consume(taken);
-        if answer.held() > HELD_WHOLE + LARGEST_TOKEN || !held.is(answer.held()) {
+        if answer.held() > HELD_WHOLE + LARGEST_TOKEN || !held.resize_to(answer.held()) {
             return Err(ConnectionEnd::TooLarge);
         }
         if answer.over() {
@@ -174,19 +176,21 @@
 }
 
 /// Connects and logs in, so that what breaks until then is known never to have run.
-async fn connect(hub: &Hub, ways: &Ways, dial: SocketAddr) -> Result<HostConnection, ConnectionEnd> {
-    let limit = hub.site.deployment.connect_timeout.to_std();
-    let permit = sending::descriptor(hub).await?;
+async fn connect(
+    state: &RouterState, ways: &TdsSettings, dial: SocketAddr,
+) -> Result<HostConnection, ConnectionEnd> {
+    let limit = state.config.deployment.connect_timeout.to_std();
+    let permit = attempt::descriptor(state).await?;
     let open = async {
         let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionEnd::NeverUp)?;
-        count(&hub.tally.connected);
+        count(&state.metrics.connected);
         let _ = stream.get_ref().set_nodelay(true);
-        let buffer = Buffer::new(LARGEST_SIZE + 1, &hub.room);
+        let buffer = Buffer::new(LARGEST_SIZE + 1, &state.memory);
         let kept = Kept { packet: FIRST_SIZE, used: false };
-        let idle_since = hub.clock.now();
+        let idle_since = state.clock.now();
         let mut connection = HostConnection { stream, buffer, dial, idle_since, kept, permit };
         prelogin(&mut connection).await?;
-        log_in(hub, ways, &mut connection).await?;
+        log_in(state, ways, &mut connection).await?;
         Ok(connection)
     };
     open.or(after(limit, Err(ConnectionEnd::NeverUp))).await
@@ -216,11 +220,13 @@
     }
 }
 
-async fn log_in(hub: &Hub, ways: &Ways, connection: &mut HostConnection) -> Result<(), ConnectionEnd> {
+async fn log_in(
+    state: &RouterState, ways: &TdsSettings, connection: &mut HostConnection,
+) -> Result<(), ConnectionEnd> {
     let login = Login {
         version: VERSION,
         packet_size: ways.packet_size as u32,
-        host: hub.site.name.clone(),
+        host: state.config.name.clone(),
         user: ways.hosts.user.clone(),
         password: ways.hosts.password.clone(),
         application: "comethitch".into(),
@@ -232,11 +238,11 @@
     login.put(&mut payload);
     put_message(&mut wire, Kind::Login, FIRST_SIZE, &payload);
     (&connection.stream).write_all(&wire).await.map_err(|_| ConnectionEnd::NeverUp)?;
-    let (mut answer, mut held) = (Answer::new(), Held::new(&hub.room));
+    let (mut answer, mut held) = (Answer::new(), Reservation::new(&state.memory));
     let ended = read(connection, &mut answer, &mut held, false).await;
     match answer.error.take() {
         // Of the errors at a login one tells more than that no connection came up.
-        Some(code) => match ConnectionEnd::Told(code) {
+        Some(code) => match ConnectionEnd::HostError(code) {
             end if end.ending() == AttemptOutcome::Overloaded => Err(ConnectionEnd::NoSlot),
             _ => Err(ConnectionEnd::NeverUp),
         },
--- a/crates/comethitchd/src/protocols/tds/take_in.rs
+++ b/crates/comethitchd/src/protocols/tds/client.rs
@@ -1,15 +1,15 @@
 //! A client's connection, from its PRELOGIN to its end.
 
 use super::prepared::Prepared;
-use super::ways::{TRIED_AGAIN, Ways};
-use crate::memory::buffer::Held;
-use crate::memory::clients::{Permit, Stage};
-use crate::memory::commands::{Part, Reply};
-use crate::memory::hub::Hub;
-use crate::memory::tally::count;
-use crate::protocols::line::{Line, Stop};
+use super::settings::{TRIED_AGAIN, TdsSettings};
+use crate::protocols::client_connection::{ClientConnection, Disconnect};
 use crate::stages::admit::{self, Asked, NotTaken};
 use crate::stages::route;
+use crate::state::buffer::Reservation;
+use crate::state::client_registry::{ConnectionPhase, DescriptorPermit};
+use crate::state::metrics::count;
+use crate::state::pending_commands::{Part, Reply};
+use crate::state::router_state::RouterState;
 use async_channel::Receiver;
 use async_io::Async;
 use comethitch_statement::classify::only_settings;
@@ -39,8 +39,8 @@
 const DONE_BYTES: usize = 13;
 
 struct Client {
-    line: Line,
-    ways: Rc<Ways>,
+    connection: ClientConnection,
+    ways: Rc<TdsSettings>,
     /// The size of packets that was settled.
     packet: usize,
     prepared: Prepared,
@@ -77,11 +77,11 @@
 
 /// Serves a client.
 pub fn serve(
-    hub: Rc<Hub>, ways: Rc<Ways>, stream: Async<TcpStream>, permit: Permit,
+    state: Rc<RouterState>, ways: Rc<TdsSettings>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
-    let line = Line::new(hub, stream, permit, LARGEST_SIZE + 1);
-    let prepared = Prepared::new(&line.hub.room);
-    run(Client { line, ways, packet: FIRST_SIZE, prepared })
+    let line = ClientConnection::new(state, stream, permit, LARGEST_SIZE + 1);
+    let prepared = Prepared::new(&line.state.memory);
+    run(Client { connection: line, ways, packet: FIRST_SIZE, prepared })
 }
 
 async fn run(mut client: Client) {
@@ -97,7 +97,7 @@
         put_done(&mut tokens, code::DONE, done::ERROR, 0);
         packets(packet, &tokens)
     };
-    client.line.end(stop, told).await;
+    client.connection.end(stop, told).await;
 }
 
 fn packets(size: usize, tokens: &[u8]) -> Vec<u8> {
@@ -111,12 +111,12 @@
 }
 
 impl Client {
-    async fn open(&mut self) -> Result<(), Stop> {
+    async fn open(&mut self) -> Result<(), Disconnect> {
         let (kind, _, payload) = self.message(LARGEST_LOGIN).await?;
         if kind != Kind::Prelogin {
-            return Err(Stop::Lost("a connection begins with a PRELOGIN"));
+            return Err(Disconnect::Lost("a connection begins with a PRELOGIN"));
         }
-        Prelogin::read(&payload).map_err(|broken| Stop::Lost(broken.0))?;
+        Prelogin::read(&payload).map_err(|broken| Disconnect::Lost(broken.0))?;
         let mut told = Vec::new();
         let own = Prelogin {
             version: [16, 0, 0, 0, 0, 0],
@@ -124,22 +124,22 @@
             ..Prelogin::default()
         };
         own.put(&mut told);
-        self.line.write(&packets(FIRST_SIZE, &told)).await?;
+        self.connection.write(&packets(FIRST_SIZE, &told)).await?;
         let (kind, _, payload) = self.message(LARGEST_LOGIN).await?;
         if kind != Kind::Login {
-            return Err(Stop::Lost("a PRELOGIN is followed by a LOGIN7"));
+            return Err(Disconnect::Lost("a PRELOGIN is followed by a LOGIN7"));
         }
-        let login = Login::read(&payload).map_err(|broken| Stop::Lost(broken.0))?;
+        let login = Login::read(&payload).map_err(|broken| Disconnect::Lost(broken.0))?;
         let mut tokens = Vec::new();
         if login.integrated {
             put_fault(&mut tokens, 18_456, 14, "only logins by name and password are spoken here");
             put_done(&mut tokens, code::DONE, done::ERROR, 0);
-            self.line.write(&packets(FIRST_SIZE, &tokens)).await?;
-            return Err(Stop::Closing);
+            self.connection.write(&packets(FIRST_SIZE, &tokens)).await?;
+            return Err(Disconnect::Closing);
         }
         // Until the list is held no command could be served.
-        let hub = self.line.hub.clone();
-        self.line.while_here(hub.ready.raised()).await?;
+        let state = self.connection.state.clone();
+        self.connection.while_here(state.ready.raised()).await?;
         let asked = usize::try_from(login.packet_size).unwrap_or(FIRST_SIZE);
         let size = match asked {
             0 => FIRST_SIZE,
@@ -152,31 +152,32 @@
         put_login_ack(&mut tokens, VERSION, SERVER);
         put_change(&mut tokens, 4, &size.to_string(), &FIRST_SIZE.to_string());
         put_done(&mut tokens, code::DONE, 0, 0);
-        self.line.write(&packets(FIRST_SIZE, &tokens)).await?;
+        self.connection.write(&packets(FIRST_SIZE, &tokens)).await?;
         self.packet = size;
         Ok(())
     }
 
     /// The next message whole: its kind, status and payload.
-    async fn message(&mut self, most: usize) -> Result<(Kind, u8, Vec<u8>), Stop> {
-        let (mut message, mut held) = (Assembly::new(most), Held::new(&self.line.hub.room));
+    async fn message(&mut self, most: usize) -> Result<(Kind, u8, Vec<u8>), Disconnect> {
+        let (mut message, mut held) = (Assembly::new(most), Reservation::new(&self.connection.state.memory));
         loop {
-            let taken = message.take(self.line.buffer.unread()).map_err(|broken| Stop::Lost(broken.0))?;
-            self.line.consume(taken);
-            if !held.is(message.payload().len()) {
-                return Err(Stop::Io(std::io::ErrorKind::OutOfMemory.into()));
+            let taken =
+                message.take(self.connection.buffer.unread()).map_err(|broken| Disconnect::Lost(broken.0))?;
+            self.connection.consume(taken);
+            if !held.resize_to(message.payload().len()) {
+                return Err(Disconnect::Io(std::io::ErrorKind::OutOfMemory.into()));
             }
             if message.over() {
                 break;
             }
             // Between two messages the connection is at rest, within one it is not.
-            self.line.more_of(message.is_empty()).await?;
+            self.connection.more_of(message.is_empty()).await?;
         }
         let (kind, status) = (message.kind(), message.status());
         Ok((kind.unwrap_or(Kind::Batch), status, message.finish()))
     }
 
-    async fn converse(&mut self) -> Stop {
+    async fn converse(&mut self) -> Disconnect {
         loop {
             if let Err(stop) = self.turn().await {
                 return stop;
@@ -184,7 +185,7 @@
         }
     }
 
-    async fn turn(&mut self) -> Result<(), Stop> {
+    async fn turn(&mut self) -> Result<(), Disconnect> {
         let (kind, status, payload) = self.message(LARGEST_REQUEST).await?;
         if status & (status::RESET | status::RESET_KEEPING_TRANSACTION) != 0 {
             self.prepared.clear();
@@ -203,7 +204,7 @@
                 Request::Refused(why.into(), Called::No)
             }
             Kind::BulkLoad => Request::Refused("bulk loads are not carried".into(), Called::No),
-            _ => return Err(Stop::Lost("a message that no client sends now")),
+            _ => return Err(Disconnect::Lost("a message that no client sends now")),
         };
         let mut tokens = Vec::new();
         if status & (status::RESET | status::RESET_KEEPING_TRANSACTION) != 0 {
@@ -218,24 +219,24 @@
                 }
             }
         }
-        self.line.write(&packets(self.packet, &tokens)).await
+        self.connection.write(&packets(self.packet, &tokens)).await
     }
 
     /// Tells the client that what it called off is off.
-    async fn acknowledge(&mut self) -> Result<(), Stop> {
+    async fn acknowledge(&mut self) -> Result<(), Disconnect> {
         let mut tokens = Vec::new();
         put_done(&mut tokens, code::DONE, done::ATTENTION, 0);
-        self.line.write(&packets(self.packet, &tokens)).await
+        self.connection.write(&packets(self.packet, &tokens)).await
     }
 
-    fn refuse(&mut self, tokens: &mut Vec<u8>, why: &str, called: Called) -> Result<(), Stop> {
+    fn refuse(&mut self, tokens: &mut Vec<u8>, why: &str, called: Called) -> Result<(), Disconnect> {
         put_fault(tokens, self.ways.numbers.refused, 16, why);
         put_done(tokens, called.done(), done::ERROR, 0);
-        self.line.rejected(why)
+        self.connection.rejected(why)
     }
 
-    fn batch(&mut self, payload: Vec<u8>) -> Result<Request, Stop> {
-        let batch = Batch::read(&payload).map_err(|broken| Stop::Lost(broken.0))?;
+    fn batch(&mut self, payload: Vec<u8>) -> Result<Request, Disconnect> {
+        let batch = Batch::read(&payload).map_err(|broken| Disconnect::Lost(broken.0))?;
         if batch.headers.transaction != 0 {
             let why = "this connection is in no transaction";
             return Ok(Request::Refused(why.into(), Called::No));
@@ -250,8 +251,8 @@
         Ok(Request::Command { text, arguments, kind: Kind::Batch, payload, called: Called::No })
     }
 
-    fn call(&mut self, payload: Vec<u8>) -> Result<Request, Stop> {
-        let call = Call::read(&payload).map_err(|broken| Stop::Lost(broken.0))?;
+    fn call(&mut self, payload: Vec<u8>) -> Result<Request, Disconnect> {
+        let call = Call::read(&payload).map_err(|broken| Disconnect::Lost(broken.0))?;
         let refused = |why: &str| Ok(Request::Refused(why.into(), Called::Yes));
         if call.more {
             return refused("several calls in one message are not carried");
@@ -322,15 +323,19 @@
     async fn command(
         &mut self, tokens: &mut Vec<u8>, text: &str, arguments: &[(String, Option<Vec<u8>>)], kind: Kind,
         payload: Vec<u8>, called: Called,
-    ) -> Result<bool, Stop> {
-        let (hub, numbers) = (self.line.hub.clone(), self.ways.numbers);
-        let asked =
-            Asked { text: text.as_bytes(), arguments, arrived: self.line.arrived, origin: self.line.origin };
-        let admitted = match admit::admit(&hub, &asked) {
+    ) -> Result<bool, Disconnect> {
+        let (state, numbers) = (self.connection.state.clone(), self.ways.numbers);
+        let asked = Asked {
+            text: text.as_bytes(),
+            arguments,
+            arrived: self.connection.arrived,
+            origin: self.connection.origin,
+        };
+        let admitted = match admit::admit(&state, &asked) {
             Ok(admitted) => admitted,
             Err(NotTaken::Throttled) => {
-                count(&hub.tally.throttled);
-                hub.turned_away("", "statement_budget");
+                count(&state.metrics.throttled);
+                state.turned_away("", "statement_budget");
                 put_reply(tokens, Reply::Throttled(None), numbers, called, true);
                 return Ok(true);
             }
@@ -340,41 +345,41 @@
             }
         };
         // A hard limit: no decision is asked for.
-        if hub.is_full() {
-            count(&hub.tally.at_limit);
-            hub.turned_away(&admitted.name, "at_limit");
+        if state.is_full() {
+            count(&state.metrics.at_limit);
+            state.turned_away(&admitted.name, "at_limit");
             put_reply(tokens, Reply::Throttled(None), numbers, called, true);
             return Ok(true);
         }
         // It went while its statement waited to be read: nothing begins for it.
-        if self.line.has_left() {
-            return Err(Stop::Left);
+        if self.connection.has_left() {
+            return Err(Disconnect::ClientLeft);
         }
         let repeatable = admitted.known.as_ref().is_some_and(|known| known.verdict.effect.may_repeat());
-        hub.clients.turn(self.line.number, Stage::Busy, hub.clock.now());
-        let (id, reply) = route::take(&hub, admitted, payload, kind.code());
+        state.clients.turn(self.connection.number, ConnectionPhase::Busy, state.clock.now());
+        let (id, reply) = route::take(&state, admitted, payload, kind.code());
         let attention = |unread: &[u8]| unread.first() == Some(&Kind::Attention.code());
-        match self.line.unless(reply.recv(), Some(attention)).await {
+        match self.connection.unless(reply.recv(), Some(attention)).await {
             Ok(Some(Ok(Reply::Begun(first, parts)))) => {
                 self.pass_on(tokens, first, &parts, called).await?;
-                self.line.answered();
+                self.connection.answered();
                 Ok(true)
             }
             Ok(Some(Ok(reply))) => {
                 put_reply(tokens, reply, numbers, called, repeatable);
-                self.line.answered();
+                self.connection.answered();
                 Ok(true)
             }
             Ok(None) => {
-                route::left(&hub, id);
+                route::left(&state, id);
                 // The attention itself is taken off; its acknowledgement is the one answer.
                 self.message(HEADER).await?;
-                self.line.answered();
+                self.connection.answered();
                 Ok(false)
             }
             _ => {
-                route::left(&hub, id);
-                Err(Stop::Left)
+                route::left(&state, id);
+                Err(Disconnect::ClientLeft)
             }
         }
     }
@@ -385,7 +390,7 @@
     /// before it. Where the end does not come, the connection's own tells that the answer is not whole.
     async fn pass_on(
         &mut self, tokens: &mut Vec<u8>, first: Vec<u8>, parts: &Receiver<Part>, called: Called,
-    ) -> Result<(), Stop> {
+    ) -> Result<(), Disconnect> {
         tokens.extend(first);
         loop {
             if tokens.len() > DONE_BYTES {
@@ -393,12 +398,12 @@
                 let mut wire = Vec::with_capacity(tokens.len() + tokens.len() / 64 + HEADER);
                 put_parts(&mut wire, Kind::Answer, self.packet, tokens, 0, false);
                 *tokens = rest;
-                self.line.write(&wire).await?;
+                self.connection.write(&wire).await?;
             }
             match parts.recv().await {
                 Ok(Part::Bytes(bytes)) => tokens.extend(bytes),
                 Ok(Part::End) => break,
-                Err(_) => return Err(Stop::Closing),
+                Err(_) => return Err(Disconnect::Closing),
             }
         }
         if let Called::Preparing(handle) = called {
@@ -459,7 +464,7 @@
 
 /// Writes the one final answer.
 fn put_reply(
-    out: &mut Vec<u8>, reply: Reply, numbers: super::ways::Numbers, called: Called, repeatable: bool,
+    out: &mut Vec<u8>, reply: Reply, numbers: super::settings::Numbers, called: Called, repeatable: bool,
 ) {
     let fault = |out: &mut Vec<u8>, number, text: &str| {
         put_fault(out, number, 16, text);
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -1,37 +1,39 @@
 //! TDS 7.4, on both sides: batches and calls of `sp_executesql` and its kin.
 
 mod answer;
+mod backend;
+mod client;
 mod prepared;
-mod send;
-mod take_in;
-pub mod ways;
+pub mod settings;
 
-use crate::memory::clients::Permit;
-use crate::memory::hub::Hub;
-use crate::memory::protocol::{Back, Front, Serving};
+use crate::state::client_registry::DescriptorPermit;
+use crate::state::protocol::{BackendProtocol, ClientProtocol, Serving};
+use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{CommandId, Host};
+use settings::TdsSettings;
 use std::net::TcpStream;
 use std::rc::Rc;
-use ways::Ways;
 
 /// Speaks with clients and hosts, in the operator's ways.
 #[derive(Clone)]
-pub struct Tds(pub Rc<Ways>);
+pub struct Tds(pub Rc<TdsSettings>);
 
-impl Front for Tds {
-    fn serve(&self, hub: Rc<Hub>, stream: Async<TcpStream>, permit: Permit) -> Serving {
-        Box::pin(take_in::serve(hub, self.0.clone(), stream, permit))
+impl ClientProtocol for Tds {
+    fn serve(&self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit) -> Serving {
+        Box::pin(client::serve(state, self.0.clone(), stream, permit))
     }
 }
 
-impl Back for Tds {
-    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16> {
-        send::start(hub, &self.0, id, host, time_out)
+impl BackendProtocol for Tds {
+    fn dispatch(
+        &self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
+    ) -> Option<u16> {
+        backend::start(state, &self.0, id, host, time_out)
     }
 
-    fn probe(&self, hub: &Rc<Hub>, host: Host) {
-        send::probe(hub, &self.0, host);
+    fn probe(&self, state: &Rc<RouterState>, host: Host) {
+        backend::probe(state, &self.0, host);
     }
 }
--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -1,7 +1,7 @@
 //! Statements that a client has prepared. They are kept here and not at hosts: each execution is a call of
 //! `sp_executesql`, which any host can take.
 
-use crate::memory::buffer::{Held, Room};
+use crate::state::buffer::{MemoryBudget, Reservation};
 use std::collections::BTreeMap;
 
 /// The most bytes of all statements that a client may keep.
@@ -11,21 +11,21 @@
 
 pub struct Prepared {
     /// Counted against the room that all connections share.
-    held: Held,
+    held: Reservation,
     last: i32,
     kept: BTreeMap<i32, (String, String)>,
     bytes: usize,
 }
 
 impl Prepared {
-    pub fn new(room: &Room) -> Prepared {
-        Prepared { held: Held::new(room), last: 0, kept: BTreeMap::new(), bytes: 0 }
+    pub fn new(room: &MemoryBudget) -> Prepared {
+        Prepared { held: Reservation::new(room), last: 0, kept: BTreeMap::new(), bytes: 0 }
     }
 
     /// Keeps a statement and the declarations of its parameters; none where it has no room.
     pub fn keep(&mut self, statement: &str, declarations: &str) -> Option<i32> {
         let bytes = statement.len() + declarations.len() + EACH;
-        if self.bytes + bytes > MOST_BYTES || !self.held.is(self.bytes + bytes) {
+        if self.bytes + bytes > MOST_BYTES || !self.held.resize_to(self.bytes + bytes) {
             return None;
         }
         self.bytes += bytes;
@@ -44,7 +44,7 @@
         let found = i32::try_from(handle).ok().and_then(|handle| self.kept.remove(&handle));
         if let Some((statement, declarations)) = &found {
             self.bytes -= statement.len() + declarations.len() + EACH;
-            self.held.is(self.bytes);
+            self.held.resize_to(self.bytes);
         }
         found.is_some()
     }
@@ -52,6 +52,6 @@
     pub fn clear(&mut self) {
         self.kept.clear();
         self.bytes = 0;
-        self.held.is(0);
+        self.held.resize_to(0);
     }
 }
--- a/crates/comethitchd/src/protocols/tds/ways.rs
+++ b/crates/comethitchd/src/protocols/tds/settings.rs
@@ -9,7 +9,9 @@
 /// The whole file. With it an instance speaks TDS with clients, at the configuration's `listen`, and with hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Ways {
+// The published schema keeps its title.
+#[schemars(rename = "Ways")]
+pub struct TdsSettings {
     /// Further addresses to listen at, `127.0.0.1:1434`.
     #[serde(default)]
     pub also_listen: Vec<String>,
@@ -80,17 +82,17 @@
     10_929, 10_936, 40_143, 40_197, 40_501, 40_540, 40_613, 42_108, 49_918, 49_919, 49_920,
 ];
 
-impl Ways {
-    pub fn load(path: &Path) -> Result<Ways, String> {
+impl TdsSettings {
+    pub fn load(path: &Path) -> Result<TdsSettings, String> {
         let shown = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{shown} can't be read: {e}"))?;
-        Ways::read(&text).map_err(|e| format!("{shown}: {e}"))
+        TdsSettings::read(&text).map_err(|e| format!("{shown}: {e}"))
     }
 
     /// Reads and checks the file; an error names the key.
-    pub fn read(text: &str) -> Result<Ways, String> {
+    pub fn read(text: &str) -> Result<TdsSettings, String> {
         let mut reader = serde_json::Deserializer::from_str(text);
-        let mut ways: Ways = serde_path_to_error::deserialize(&mut reader)
+        let mut ways: TdsSettings = serde_path_to_error::deserialize(&mut reader)
             .map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
         reader.end().map_err(|e| format!("behind the ways: {e}"))?;
         ways.addresses()?;
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -1,10 +1,10 @@
 //! `classify`: verdicts for statements, one JSON object a line in and out, in the same order.
 
-use crate::memory::site::{Site, read_rules, secret};
+use crate::state::config::{Config, read_rules, secret};
 use argh::FromArgs;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
-use comethitch_statement::desk::{Desk, Told, Turned};
+use comethitch_statement::admission::{StatementAdmission, StatementHints, StatementRejection};
 use comethitch_statement::rules::{CacheSize, Disagreement, GroupRule, Parsing};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
 use serde::{Deserialize, Serialize};
@@ -74,20 +74,21 @@
         }
     }
 
-    fn desk(&self) -> Result<(Desk, Vec<String>, bool), String> {
+    fn desk(&self) -> Result<(StatementAdmission, Vec<String>, bool), String> {
         let rules = self.rules.as_deref().map(load).transpose()?;
         let ruled = rules.is_some();
         let mut rules = rules.unwrap_or_else(|| bare(self.dialect.unwrap_or(Dialect::Postgres)));
         rules.dialect = self.dialect.unwrap_or(rules.dialect);
         let (groups, names) = match &self.configuration {
             Some(path) => {
-                let site = Site::load(path, |name| std::env::var(name).ok())?;
+                let site = Config::load(path, |name| std::env::var(name).ok())?;
                 (site.deployment.groups, site.groups)
             }
             None => groups_of(&rules),
         };
         let shown = self.rules.as_deref().unwrap_or(Path::new("the rules")).display().to_string();
-        let desk = Desk::unlimited(rules, &groups, &names, secret()).map_err(|e| format!("{shown}: {e}"))?;
+        let desk = StatementAdmission::unlimited(rules, &groups, &names, secret())
+            .map_err(|e| format!("{shown}: {e}"))?;
         Ok((desk, names, ruled))
     }
 }
@@ -144,7 +145,7 @@
     (names.iter().map(group).collect(), names)
 }
 
-fn judged(desk: &mut Desk, names: &[String], ruled: bool, line: &[u8]) -> Line {
+fn judged(desk: &mut StatementAdmission, names: &[String], ruled: bool, line: &[u8]) -> Line {
     let asked: Asked = match serde_json::from_slice(line) {
         Ok(asked) => asked,
         Err(why) => return Line::Error { error: format!("no statement: {why}") },
@@ -153,13 +154,15 @@
     let Some((known, key, path)) = desk.look(text, 0, &|| Timestamp::ZERO) else {
         return Line::Error { error: "the budget for parsing is spent".into() };
     };
-    let placed = desk.place(known.clone(), key, path, Told::default(), text, &[]).map_err(Turned::Refused);
+    let placed = desk
+        .place(known.clone(), key, path, StatementHints::default(), text, &[])
+        .map_err(StatementRejection::Refused);
     let verdict = &known.verdict;
     let (group, hosts, why) = match placed {
         Ok(passed) if ruled => {
             (Some(names[passed.assigned.group].clone()), Some(passed.assigned.shard), verdict.why.to_string())
         }
-        Err(Turned::Refused(refusal)) if ruled => (None, None, refusal.to_string()),
+        Err(StatementRejection::Refused(refusal)) if ruled => (None, None, refusal.to_string()),
         _ => (None, None, verdict.why.to_string()),
     };
     Line::Verdict {
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -1,15 +1,15 @@
 //! Listens from start to stop.
 
-use crate::memory::clock::{Clock, after};
-use crate::memory::flag::Flag;
-use crate::memory::hub::Hub;
-use crate::memory::protocol::{Back, Front};
-use crate::memory::site::Site;
 use crate::protocols::postgres::Postgres;
 use crate::protocols::tds::Tds;
-use crate::protocols::tds::ways::Ways;
+use crate::protocols::tds::settings::TdsSettings;
 use crate::service::watch;
 use crate::stages::{learn, route};
+use crate::state::clock::{Clock, after};
+use crate::state::config::Config;
+use crate::state::protocol::{BackendProtocol, ClientProtocol};
+use crate::state::router_state::RouterState;
+use crate::state::signals::OneShotEvent;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use comethitch_statement::Dialect;
@@ -40,8 +40,8 @@
 
 /// What is spoken with clients and with hosts, and where else clients come.
 pub struct Protocol {
-    pub front: Rc<dyn Front>,
-    pub back: Box<dyn Back>,
+    pub front: Rc<dyn ClientProtocol>,
+    pub back: Box<dyn BackendProtocol>,
     pub also_listen: Vec<SocketAddr>,
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// TDS, in the operator's ways. Its statements are judged by their text, so that rules are needed.
-    pub fn tds(ways: Ways, site: &Site) -> Result<Protocol, String> {
+    pub fn tds(ways: TdsSettings, site: &Config) -> Result<Protocol, String> {
         match &site.statements {
             None => return Err("TDS needs rules for statements: give --statements".into()),
             Some(rules) if rules.dialect != Dialect::Tsql => {
@@ -67,7 +67,7 @@
 
 /// Serves until SIGTERM or SIGINT; at SIGHUP the configuration is read again.
 pub fn run(
-    site: Site, clock: Clock, protocol: Protocol, reread: impl Fn() -> Result<Site, String> + 'static,
+    site: Config, clock: Clock, protocol: Protocol, reread: impl Fn() -> Result<Config, String> + 'static,
 ) -> Result<(), String> {
     async_io::block_on(async {
         let mut signals =
@@ -77,8 +77,8 @@
         };
         let addresses = std::iter::once(&site.listen).chain(&protocol.also_listen);
         let listeners = addresses.map(bind).collect::<Result<Vec<_>, String>>()?;
-        let hub = learn::start(site, clock, protocol.back);
-        let (held, stop) = (hub.clone(), Flag::default());
+        let state = learn::start(site, clock, protocol.back);
+        let (held, stop) = (state.clone(), OneShotEvent::default());
         let asked = stop.clone();
         // Listened to up to the end: neither signal may end a router that is stopping.
         let heard = async move {
@@ -89,67 +89,70 @@
                 }
             }
         };
-        hub.tasks.spawn(heard).detach();
-        serve(hub, protocol.front, listeners, stop.raised()).await;
+        state.tasks.spawn(heard).detach();
+        serve(state, protocol.front, listeners, stop.raised()).await;
         Ok(())
     })
 }
 
 /// Serves until `stop` is through, then answers what was taken and what still comes.
 pub async fn serve(
-    hub: Rc<Hub>, front: Rc<dyn Front>, listeners: Vec<Async<TcpListener>>, stop: impl Future<Output = ()>,
+    state: Rc<RouterState>, front: Rc<dyn ClientProtocol>, listeners: Vec<Async<TcpListener>>,
+    stop: impl Future<Output = ()>,
 ) {
     for listener in &listeners {
-        let address = listener.get_ref().local_addr().unwrap_or(hub.site.listen);
+        let address = listener.get_ref().local_addr().unwrap_or(state.config.listen);
         // The standard library's own is short for clients that come by the hundred.
         if let Err(why) = rustix::net::listen(listener.get_ref(), BACKLOG) {
             log::warn!("no more connections may wait than the system's own limit: {why}");
         }
-        log::info!("{} listens on {address}", hub.site.name);
+        log::info!("{} listens on {address}", state.config.name);
     }
-    hub.tasks.spawn(watch::follow(hub.clone())).detach();
-    hub.tasks.spawn(sweep(hub.clone())).detach();
-    hub.tasks.spawn(watch::look(hub.clone())).detach();
-    let first = if hub.list.borrow().is_empty() { NO_LIST } else { FIRST_LIST };
-    let held = hub.clone();
+    state.tasks.spawn(watch::follow(state.clone())).detach();
+    state.tasks.spawn(sweep(state.clone())).detach();
+    state.tasks.spawn(watch::look(state.clone())).detach();
+    let first = if state.endpoints.borrow().is_empty() { NO_LIST } else { FIRST_LIST };
+    let held = state.clone();
     let ready = async move {
         Timer::after(first).await;
         held.ready.raise();
     };
-    hub.tasks.spawn(ready).detach();
+    state.tasks.spawn(ready).detach();
     let work = async {
-        stop.or(accept_all(&hub, &front, &listeners)).await;
-        log::info!("asked to stop: {} connections, {} commands", hub.clients.len(), in_hand(&hub));
+        stop.or(accept_all(&state, &front, &listeners)).await;
+        log::info!("asked to stop: {} connections, {} commands", state.clients.len(), in_hand(&state));
         // Looked at last before the listeners close: what waits there to be accepted would be reset.
-        accept_all(&hub, &front, &listeners).or(after(STILL_COMING, ())).await;
+        accept_all(&state, &front, &listeners).or(after(STILL_COMING, ())).await;
         drop(listeners);
-        hub.clients.close_all();
+        state.clients.close_all();
         let through = async {
-            while !hub.clients.is_empty() {
+            while !state.clients.is_empty() {
                 Timer::after(PAUSE).await;
             }
         };
-        let limit = hub.longest_timeout.to_std() + LAST_WORDS - STILL_COMING;
+        let limit = state.longest_timeout.to_std() + LAST_WORDS - STILL_COMING;
         let given_up = async {
             // A client may wait longer than its command group says: it is answered while there is time to.
             Timer::after(limit.saturating_sub(WRITTEN)).await;
-            route::decide(&hub, |router, out| router.shut_down(out));
+            route::decide(&state, |router, out| router.shut_down(out));
             Timer::after(WRITTEN).await;
         };
         through.or(given_up).await;
-        hub.report();
-        log::info!("stopped with {} commands in hand", in_hand(&hub));
+        state.report();
+        log::info!("stopped with {} commands in hand", in_hand(&state));
     };
-    hub.tasks.run(work).await;
+    state.tasks.run(work).await;
 }
 
-fn in_hand(hub: &Hub) -> usize {
-    hub.commands.borrow().len()
+fn in_hand(state: &RouterState) -> usize {
+    state.commands.borrow().len()
 }
 
 /// Accepts at all listeners for ever.
-async fn accept_all(hub: &Rc<Hub>, front: &Rc<dyn Front>, listeners: &[Async<TcpListener>]) {
-    let mut all: Vec<_> = listeners.iter().map(|listener| Box::pin(accept(hub, front, listener))).collect();
+async fn accept_all(
+    state: &Rc<RouterState>, front: &Rc<dyn ClientProtocol>, listeners: &[Async<TcpListener>],
+) {
+    let mut all: Vec<_> = listeners.iter().map(|listener| Box::pin(accept(state, front, listener))).collect();
     poll_fn(|context| {
         for one in &mut all {
             let _ = one.as_mut().poll(context);
@@ -160,16 +163,16 @@
 }
 
 /// Accepts for ever. What waits to be accepted counts as taken, so no more than a moment may pass.
-async fn accept(hub: &Rc<Hub>, front: &Rc<dyn Front>, listener: &Async<TcpListener>) {
+async fn accept(state: &Rc<RouterState>, front: &Rc<dyn ClientProtocol>, listener: &Async<TcpListener>) {
     let mut incoming = std::pin::pin!(listener.incoming());
     loop {
-        let Some(permit) = hub.client_descriptor() else {
+        let Some(permit) = state.client_descriptor() else {
             Timer::after(PAUSE).await;
             continue;
         };
         match incoming.next().await {
             Some(Ok(stream)) => {
-                hub.tasks.spawn(front.serve(hub.clone(), stream, permit)).detach();
+                state.tasks.spawn(front.serve(state.clone(), stream, permit)).detach();
             }
             failed => {
                 let why = failed.and_then(Result::err);
@@ -181,14 +184,14 @@
 }
 
 /// Closes what has been idle too long, and tells now and then what was done.
-async fn sweep(hub: Rc<Hub>) {
+async fn sweep(state: Rc<RouterState>) {
     for round in 1.. {
         Timer::after(SWEEP).await;
-        let now = hub.clock.now();
-        hub.pool.borrow_mut().sweep(now);
-        hub.clients.sweep(now);
+        let now = state.clock.now();
+        state.pool.borrow_mut().sweep(now);
+        state.clients.sweep(now);
         if round % SWEEPS_TOLD == 0 {
-            hub.report();
+            state.report();
         }
     }
 }
--- a/crates/comethitchd/src/service/trail.rs
+++ b/crates/comethitchd/src/service/trail.rs
@@ -9,7 +9,7 @@
 //! use comethitchd::service::trail::Trail;
 //! let mut trail = Trail::default();
 //! trail.read("n1", "0.5 2026-12-01T20:00:00Z INFO comethitchd::stages::route: route.rs:9 given up id=7 why=time_up answer=throttled");
-//! trail.read("n1", "9.0 2026-12-01T20:00:09Z INFO comethitchd::memory::hub: :0 counts taken=4 answered=3 probes=6");
+//! trail.read("n1", "9.0 2026-12-01T20:00:09Z INFO comethitchd::state::router_state: :0 counts taken=4 answered=3 probes=6");
 //! assert_eq!(trail.reasons[&("time_up".to_string(), "throttled".to_string())], 1);
 //! assert_eq!(trail.per_answered("probes"), Some(2.0));
 //! ```
--- a/crates/comethitchd/src/service/trail/tests.rs
+++ b/crates/comethitchd/src/service/trail/tests.rs
@@ -20,7 +20,7 @@
     for router in ["a", "b"] {
         trail.read(
             router,
-            "9 t INFO comethitchd::memory::hub: :0 counts taken=5 answered=4 connected=2 now_clients=9",
+            "9 t INFO comethitchd::state::router_state: :0 counts taken=5 answered=4 connected=2 now_clients=9",
         );
     }
     assert_eq!((trail.counts["taken"], trail.counts.get("now_clients")), (10, None));
--- a/crates/comethitchd/src/service/watch.rs
+++ b/crates/comethitchd/src/service/watch.rs
@@ -5,10 +5,10 @@
 //! (fall silent, never come up, be reset, send parts of a line for ever), the list held is never older than [`OVERDUE`]
 //! and one call: [`look`] asks on, however the watch fares.
 
-use crate::memory::buffer::{Buffer, Room};
-use crate::memory::clock::after;
-use crate::memory::hub::Hub;
 use crate::stages::learn;
+use crate::state::buffer::{Buffer, MemoryBudget};
+use crate::state::clock::after;
+use crate::state::router_state::RouterState;
 use crate::wire::discovery::{self, Entry, Piece, Pieces};
 use crate::wire::http::{self, Body};
 use async_io::{Async, Timer};
@@ -34,11 +34,11 @@
 const CLOSED: &str = "it closed the connection";
 
 /// Follows discovery for ever.
-pub async fn follow(hub: Rc<Hub>) {
+pub async fn follow(state: Rc<RouterState>) {
     let mut told = false;
     loop {
-        let (address, moved) = hub.discovery.borrow().clone();
-        let since = hub.list.borrow().since;
+        let (address, moved) = state.discovery.borrow().clone();
+        let since = state.endpoints.borrow().since;
         // Looked at before the watch, so that nothing of one that is left counts any more.
         let left = async {
             moved.raised().await;
@@ -46,8 +46,10 @@
         };
         let step = async {
             match since {
-                Some(since) => watch(&hub, address, since).await,
-                None => whole(&hub, address).await.inspect(|()| hub.heard.set(hub.clock.now())),
+                Some(since) => watch(&state, address, since).await,
+                None => {
+                    whole(&state, address).await.inspect(|()| state.last_watch_event.set(state.clock.now()))
+                }
             }
         };
         match left.or(step).await {
@@ -61,25 +63,28 @@
             Err(_) => {}
         }
         // A list that was just told is followed at once.
-        let pause = if since.is_none() && hub.list.borrow().since.is_some() { Duration::ZERO } else { AGAIN };
+        let pause =
+            if since.is_none() && state.endpoints.borrow().since.is_some() { Duration::ZERO } else { AGAIN };
         after(pause, ()).or(moved.raised()).await;
     }
 }
 
 /// Asks for the whole list while no watch tells anything.
-pub async fn look(hub: Rc<Hub>) {
+pub async fn look(state: Rc<RouterState>) {
     loop {
         Timer::after(LOOK).await;
         // Without a list, whoever follows discovery asks for the whole one already.
-        if hub.list.borrow().since.is_none() || (hub.clock.now() - hub.heard.get()).to_std() < OVERDUE {
+        if state.endpoints.borrow().since.is_none()
+            || (state.clock.now() - state.last_watch_event.get()).to_std() < OVERDUE
+        {
             continue;
         }
-        let (address, moved) = hub.discovery.borrow().clone();
+        let (address, moved) = state.discovery.borrow().clone();
         let left = async {
             moved.raised().await;
             Ok(())
         };
-        match left.or(whole(&hub, address)).await {
+        match left.or(whole(&state, address)).await {
             Ok(()) => log::debug!("no watch tells anything: the whole list was asked for"),
             Err(why) => log::debug!("discovery {address}: no whole list: {why}"),
         }
@@ -87,24 +92,24 @@
 }
 
 /// A watch, up to its end: what changes after a version.
-async fn watch(hub: &Rc<Hub>, address: SocketAddr, since: u64) -> Result<(), String> {
+async fn watch(state: &Rc<RouterState>, address: SocketAddr, since: u64) -> Result<(), String> {
     let path = format!("/api/targets?follow=1&since={since}");
-    let mut answer = Answer::of(address, &path, &hub.room).await?;
+    let mut answer = Answer::of(address, &path, &state.memory).await?;
     while let Some(piece) = soon("it has fallen silent", SILENT, answer.piece()).await? {
-        hub.heard.set(hub.clock.now());
+        state.last_watch_event.set(state.clock.now());
         if let Piece::Object(text) = piece {
-            let held = hub.list.borrow().since;
-            take(hub, &text, held)?;
+            let held = state.endpoints.borrow().since;
+            take(state, &text, held)?;
         }
     }
     Ok(())
 }
 
 /// One call for the whole list, which counts only if all of it came.
-async fn whole(hub: &Rc<Hub>, address: SocketAddr) -> Result<(), String> {
-    let before = hub.list.borrow().since;
+async fn whole(state: &Rc<RouterState>, address: SocketAddr) -> Result<(), String> {
+    let before = state.endpoints.borrow().since;
     let call = async {
-        let mut answer = Answer::of(address, "/api/targets", &hub.room).await?;
+        let mut answer = Answer::of(address, "/api/targets", &state.memory).await?;
         let mut text = None;
         while let Some(piece) = answer.piece().await? {
             if let Piece::Object(object) = piece {
@@ -114,14 +119,14 @@
         text.ok_or_else(|| "an answer without a list".to_string())
     };
     let text = soon("it does not end its answer", AT_ONCE, call).await?;
-    take(hub, &text, before)
+    take(state, &text, before)
 }
 
 /// Takes in an object of the list. `before` is the version held as it was asked for: one that is older than what
 /// another call has brought since then tells of the past.
-fn take(hub: &Rc<Hub>, text: &[u8], before: Option<u64>) -> Result<(), String> {
-    let listing = discovery::listing(text, &hub.site.zones)?;
-    let held = hub.list.borrow().since;
+fn take(state: &Rc<RouterState>, text: &[u8], before: Option<u64>) -> Result<(), String> {
+    let listing = discovery::listing(text, &state.config.zones)?;
+    let held = state.endpoints.borrow().since;
     let outrun = held != before || !listing.whole;
     if outrun && held.is_some_and(|held| listing.seq < held) {
         log::debug!("list {} is older than what is held, {held:?}", listing.seq);
@@ -133,8 +138,8 @@
         let (lifecycle, shard) = (endpoint.lifecycle, endpoint.shard);
         log::info!("list {}: {name} at {dial} is {lifecycle:?}{primary}, group {shard}", listing.seq);
     }
-    learn::listed(hub, &listing);
-    hub.ready.raise();
+    learn::listed(state, &listing);
+    state.ready.raise();
     Ok(())
 }
 
@@ -148,7 +153,7 @@
 
 impl Answer {
     /// Asks, and reads the head of what is answered.
-    async fn of(address: SocketAddr, path: &str, room: &Room) -> Result<Answer, String> {
+    async fn of(address: SocketAddr, path: &str, room: &MemoryBudget) -> Result<Answer, String> {
         let connect = async { Async::<TcpStream>::connect(address).await.map_err(|e| e.to_string()) };
         let stream = soon("no connection comes up", AT_ONCE, connect).await?;
         let _ = stream.get_ref().set_nodelay(true);
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,12 +1,12 @@
 //! Second stage: what a statement's comment says becomes what the module is told.
 
-use crate::memory::hub::Hub;
+use crate::state::router_state::RouterState;
 use crate::wire::statement::{self, Fields};
 use comethitch_policy::Shard;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_statement::Desk;
+use comethitch_statement::StatementAdmission;
+use comethitch_statement::admission::{KnownShape, StatementHints, StatementRejection};
 use comethitch_statement::assign::Arguments;
-use comethitch_statement::desk::{Known, Told, Turned};
 use std::ops::Range;
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
     /// Where in the text stands how long the client waits, if it tells.
     pub wait_at: Option<Range<usize>>,
     /// What is known of its shape, where statements are judged by their text.
-    pub known: Option<Rc<Known>>,
+    pub known: Option<Rc<KnownShape>>,
     pub group: usize,
     pub shard: Shard,
     pub session: u64,
@@ -65,17 +65,17 @@
 const LONGEST_WAIT_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// Admits a statement: by its comment alone, or, where an operator's rules are on, by its text besides.
-pub fn admit(hub: &Hub, asked: &Asked<'_>) -> Result<Admitted, NotTaken> {
-    match &mut *hub.desk.borrow_mut() {
-        None => Ok(by_comment(hub, asked)?),
-        Some(desk) => by_text(hub, desk, asked),
+pub fn admit(state: &RouterState, asked: &Asked<'_>) -> Result<Admitted, NotTaken> {
+    match &mut *state.admission.borrow_mut() {
+        None => Ok(by_comment(state, asked)?),
+        Some(desk) => by_text(state, desk, asked),
     }
 }
 
-fn by_comment(hub: &Hub, asked: &Asked<'_>) -> Result<Admitted, Rejected> {
+fn by_comment(state: &RouterState, asked: &Asked<'_>) -> Result<Admitted, Rejected> {
     let comment = statement::comment(asked.text).map_err(|text| rejected("42601", text))?;
-    let group = group_named(hub, comment.group)?;
-    checked(hub, comment.id, comment.wait_ms)?;
+    let group = group_named(state, comment.group)?;
+    checked(state, comment.id, comment.wait_ms)?;
     Ok(Admitted {
         group,
         shard: comment.shard,
@@ -89,7 +89,9 @@
 }
 
 /// What the comment leaves out, the rules supply; what it tells must not be less strict than the text.
-fn by_text(hub: &Hub, desk: &mut Desk, asked: &Asked<'_>) -> Result<Admitted, NotTaken> {
+fn by_text(
+    state: &RouterState, desk: &mut StatementAdmission, asked: &Asked<'_>,
+) -> Result<Admitted, NotTaken> {
     let Asked { text, arguments, .. } = *asked;
     let fields = match statement::fields(text) {
         Ok(fields) => fields,
@@ -107,15 +109,17 @@
             return Err(rejected("42601", why).into());
         }
     };
-    let group = fields.group.map(|name| group_named(hub, name)).transpose()?;
-    let name = fields.id.map_or_else(|| hub.commands.borrow_mut().own_name(), String::from);
-    checked(hub, &name, wait_ms)?;
-    let told = Told { group, shard: fields.shard };
-    let clock = || hub.clock.now();
+    let group = fields.group.map(|name| group_named(state, name)).transpose()?;
+    let name = fields.id.map_or_else(|| state.commands.borrow_mut().own_name(), String::from);
+    checked(state, &name, wait_ms)?;
+    let told = StatementHints { group, shard: fields.shard };
+    let clock = || state.clock.now();
     let passed = desk.admit_with(text, arguments, told, asked.origin, &clock);
     let passed = passed.map_err(|turned| match turned {
-        Turned::Refused(refusal) => NotTaken::Rejected(rejected(refusal.code(), refusal.to_string())),
-        Turned::Throttled => NotTaken::Throttled,
+        StatementRejection::Refused(refusal) => {
+            NotTaken::Rejected(rejected(refusal.code(), refusal.to_string()))
+        }
+        StatementRejection::Throttled => NotTaken::Throttled,
     })?;
     Ok(Admitted {
         group: passed.assigned.group,
@@ -129,13 +133,13 @@
     })
 }
 
-fn group_named(hub: &Hub, name: &str) -> Result<usize, Rejected> {
-    let group = hub.site.groups.iter().position(|known| known == name);
+fn group_named(state: &RouterState, name: &str) -> Result<usize, Rejected> {
+    let group = state.config.groups.iter().position(|known| known == name);
     group.ok_or_else(|| rejected("22023", format!("unknown command group {name:?}")))
 }
 
-fn checked(hub: &Hub, id: &str, wait_ms: u64) -> Result<(), Rejected> {
-    if hub.commands.borrow().is_open(id) {
+fn checked(state: &RouterState, id: &str, wait_ms: u64) -> Result<(), Rejected> {
+    if state.commands.borrow().is_open(id) {
         return Err(rejected("42710", format!("a command of the id {id} is in hand")));
     }
     if wait_ms > LONGEST_WAIT_MS {
@@ -145,9 +149,9 @@
 }
 
 /// The tag that answers a statement about the session alone, which has no effect here.
-pub fn session_statement(hub: &Hub, text: &[u8]) -> Option<&'static str> {
+pub fn session_statement(state: &RouterState, text: &[u8]) -> Option<&'static str> {
     // Where any statement may come, one that goes on behind a semicolon is looked at whole.
-    if hub.desk.borrow().is_some() && several(text) {
+    if state.admission.borrow().is_some() && several(text) {
         return None;
     }
     let word = text.trim_ascii_start().split(|b| !b.is_ascii_alphabetic()).next().unwrap_or_default();
--- a/crates/comethitchd/src/stages/route.rs
+++ b/crates/comethitchd/src/stages/route.rs
@@ -1,12 +1,12 @@
 //! Third stage: calls into the module, and its acts, which are carried out once the call has returned.
 
-use crate::memory::commands::{Reply, Statement};
-use crate::memory::connection::ConnectionEnd;
-use crate::memory::hub::Hub;
-use crate::memory::protocol::Outcome;
-use crate::memory::tally::{count, count_kind};
 use crate::stages::admit::Admitted;
 use crate::stages::{book, relay};
+use crate::state::host_connection::ConnectionEnd;
+use crate::state::metrics::{count, count_kind};
+use crate::state::pending_commands::{Reply, Statement};
+use crate::state::protocol::Outcome;
+use crate::state::router_state::RouterState;
 use async_channel::Receiver;
 use async_io::Timer;
 use comethitch_policy::time::Duration;
@@ -17,61 +17,63 @@
 use std::rc::Rc;
 
 /// Calls into the policy, then carries out what it decided.
-pub fn decide(hub: &Rc<Hub>, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
-    let mut queue = ActionQueue::at(hub.now());
-    call(&mut hub.router.borrow_mut(), &mut queue);
-    carry_out(hub, queue);
+pub fn decide(state: &Rc<RouterState>, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
+    let mut queue = ActionQueue::at(state.now());
+    call(&mut state.router.borrow_mut(), &mut queue);
+    carry_out(state, queue);
 }
 
 /// Carries out actions in their order. Attempts that ended as they began are told to the policy once all is done.
-pub fn carry_out(hub: &Rc<Hub>, queue: ActionQueue) {
+pub fn carry_out(state: &Rc<RouterState>, queue: ActionQueue) {
     let mut ended_at_once = Vec::new();
     for action in queue.actions {
         match action {
             Action::SendAttempt { command, host, timeout } => {
-                let late = hub.back.dispatch(hub, command, host, timeout);
+                let late = state.backend.dispatch(state, command, host, timeout);
                 ended_at_once.extend(late.map(|attempt| (command, attempt, ConnectionEnd::NotTried)));
             }
             Action::CancelAttempt { command, attempt } => {
                 // Dropping the task closes its connection.
-                let task = hub.commands.borrow_mut().take_dispatch(command, attempt);
+                let task = state.commands.borrow_mut().take_dispatch(command, attempt);
                 ended_at_once.extend(task.map(|_| (command, attempt, ConnectionEnd::Cancelled)));
             }
             Action::Throttle { command, retry_after, reason } => {
-                reject(hub, command, Reply::Throttled(retry_after), reason, "throttled");
+                reject(state, command, Reply::Throttled(retry_after), reason, "throttled");
             }
-            Action::Fail { command, reason } => reject(hub, command, Reply::Failed, reason, "failed"),
-            Action::CheckHealth(host) => hub.back.probe(hub, host),
+            Action::Fail { command, reason } => reject(state, command, Reply::Failed, reason, "failed"),
+            Action::CheckHealth(host) => state.backend.probe(state, host),
             Action::CloseIdleConnections(host) => {
                 log::warn!(
                     "failover: {} is not taken for the primary any more",
-                    hub.list.borrow().name(host)
+                    state.endpoints.borrow().name(host)
                 );
-                hub.pool.borrow_mut().close(host);
+                state.pool.borrow_mut().close(host);
             }
-            Action::WakeAfter(delay) => wake(hub, delay),
+            Action::WakeAfter(delay) => wake(state, delay),
             // The watch is always on.
             Action::WatchEndpoints => {}
         }
     }
     for (command, attempt, end) in ended_at_once {
         let (noted, reported) = (HostReport::default(), HostReport::default());
-        ended(hub, command, attempt, Outcome { end, noted, reported, value: Vec::new(), told: false });
+        ended(state, command, attempt, Outcome { end, noted, reported, value: Vec::new(), told: false });
     }
 }
 
 /// Gives a final answer that is no host's, and logs which check it came from.
-fn reject(hub: &Hub, command: CommandId, reply: Reply, reason: RejectionReason, answer: &'static str) {
-    let name = hub.commands.borrow().statement(command).map(|statement| statement.name.clone());
-    if relay::answer(hub, command, reply) {
-        count_kind(&hub.tally.given_up, reason.name());
+fn reject(
+    state: &RouterState, command: CommandId, reply: Reply, reason: RejectionReason, answer: &'static str,
+) {
+    let name = state.commands.borrow().statement(command).map(|statement| statement.name.clone());
+    if relay::answer(state, command, reply) {
+        count_kind(&state.metrics.given_up, reason.name());
         let id = name.unwrap_or_default();
         log::info!(id, why = reason.name(), answer; "given up");
     }
 }
 
 /// An answer has begun and goes to the client: for the module the dispatch has ended with it.
-pub fn begun(hub: &Rc<Hub>, id: CommandId, nth: u16) {
+pub fn begun(state: &Rc<RouterState>, id: CommandId, nth: u16) {
     let end = AttemptEnd {
         attempt: nth,
         outcome: AttemptOutcome::Answered,
@@ -79,7 +81,7 @@
         note: HostReport::default(),
         report: HostReport::default(),
     };
-    decide(hub, |router, out| {
+    decide(state, |router, out| {
         if let Some(handle) = router.handle(id) {
             handle.attempt_ended(router, end, out);
         }
@@ -87,38 +89,40 @@
 }
 
 /// A dispatch has ended: it is booked, and the module told.
-pub fn ended(hub: &Rc<Hub>, id: CommandId, nth: u16, outcome: Outcome) {
+pub fn ended(state: &Rc<RouterState>, id: CommandId, nth: u16, outcome: Outcome) {
     let Outcome { end, noted, reported, value, told } = outcome;
-    let over = book::ended(hub, id, nth, &end, value);
+    let over = book::ended(state, id, nth, &end, value);
     if told {
         return;
     }
     let outcome = end.ending();
     let end = AttemptEnd { attempt: nth, outcome, command_finished: over, note: noted, report: reported };
-    decide(hub, |router, out| {
+    decide(state, |router, out| {
         if let Some(handle) = router.handle(id) {
             handle.attempt_ended(router, end, out);
         }
     });
 }
 
-fn wake(hub: &Rc<Hub>, after: Duration) {
-    hub.beat.set(after);
-    let sleeper = hub.clone();
+fn wake(state: &Rc<RouterState>, after: Duration) {
+    state.tick.set(after);
+    let sleeper = state.clone();
     let woken = async move {
         Timer::after(after.to_std()).await;
         decide(&sleeper, |router, out| router.tick(out));
     };
-    hub.tasks.spawn(woken).detach();
+    state.tasks.spawn(woken).detach();
 }
 
 /// Hands a command to the module; its final answer comes through the channel.
-pub fn take(hub: &Rc<Hub>, admitted: Admitted, text: Vec<u8>, kind: u8) -> (CommandId, Receiver<Reply>) {
-    count(&hub.tally.taken);
+pub fn take(
+    state: &Rc<RouterState>, admitted: Admitted, text: Vec<u8>, kind: u8,
+) -> (CommandId, Receiver<Reply>) {
+    count(&state.metrics.taken);
     let Admitted { name, wait_at, known, group, shard, session, after, expiry } = admitted;
     let statement = Statement { text, kind, name, wait_at, known };
-    let (id, reply) = hub.commands.borrow_mut().enter(statement);
-    decide(hub, |router, out| {
+    let (id, reply) = state.commands.borrow_mut().enter(statement);
+    decide(state, |router, out| {
         let now = out.now();
         let since_write = after.map(|after| now - after);
         let timeout = expiry - now;
@@ -128,10 +132,10 @@
 }
 
 /// The client has gone: nothing is owed any more.
-pub fn left(hub: &Rc<Hub>, id: CommandId) {
-    count(&hub.tally.left);
-    hub.commands.borrow_mut().abandon(id);
-    decide(hub, |router, out| {
+pub fn left(state: &Rc<RouterState>, id: CommandId) {
+    count(&state.metrics.left);
+    state.commands.borrow_mut().abandon(id);
+    decide(state, |router, out| {
         if let Some(handle) = router.handle(id) {
             handle.client_disconnected(router, out);
         }
--- a/crates/comethitchd/src/memory/buffer.rs
+++ b/crates/comethitchd/src/state/buffer.rs
@@ -11,11 +11,11 @@
 
 /// The bytes that all buffers together may hold, so that memory is bounded however many there are.
 #[derive(Clone)]
-pub struct Room(Rc<Cell<usize>>);
+pub struct MemoryBudget(Rc<Cell<usize>>);
 
-impl Room {
-    pub fn new(bytes: usize) -> Room {
-        Room(Rc::new(Cell::new(bytes)))
+impl MemoryBudget {
+    pub fn new(bytes: usize) -> MemoryBudget {
+        MemoryBudget(Rc::new(Cell::new(bytes)))
     }
 
     pub fn left(&self) -> usize {
@@ -33,15 +33,15 @@
 }
 
 /// Bytes held outside of a buffer, counted against the same room until this is dropped.
-pub struct Held(Room, usize);
+pub struct Reservation(MemoryBudget, usize);
 
-impl Held {
-    pub fn new(room: &Room) -> Held {
-        Held(room.clone(), 0)
+impl Reservation {
+    pub fn new(room: &MemoryBudget) -> Reservation {
+        Reservation(room.clone(), 0)
     }
 
     /// Whether so many bytes may be held from now on.
-    pub fn is(&mut self, bytes: usize) -> bool {
+    pub fn resize_to(&mut self, bytes: usize) -> bool {
         let enough = self.0.change(self.1, bytes);
         if enough {
             self.1 = bytes;
@@ -50,7 +50,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.0.change(self.1, 0);
     }
@@ -58,7 +58,7 @@
 
 /// It grows as it needs, up to a limit and while there is room, and is compacted in place.
 pub struct Buffer {
-    room: Room,
+    room: MemoryBudget,
     bytes: Vec<u8>,
     start: usize,
     end: usize,
@@ -66,7 +66,7 @@
 }
 
 impl Buffer {
-    pub fn new(most: usize, room: &Room) -> Buffer {
+    pub fn new(most: usize, room: &MemoryBudget) -> Buffer {
         Buffer { room: room.clone(), bytes: Vec::new(), start: 0, end: 0, most }
     }
 
--- a/crates/comethitchd/src/memory/clients.rs
+++ b/crates/comethitchd/src/state/client_registry.rs
@@ -1,6 +1,6 @@
 //! Descriptors, and the connections of clients that hold most of them.
 
-use crate::memory::flag::{Close, Notice};
+use crate::state::signals::{CloseRequest, ConnectionSignal};
 use comethitch_policy::time::{Duration, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,30 +9,30 @@
 use std::rc::Rc;
 
 /// How many descriptors one kind of connection may use, and how many it does.
-pub struct Descriptors {
+pub struct DescriptorLimit {
     most: usize,
     used: Rc<Cell<usize>>,
 }
 
 /// The right to one descriptor, given back when dropped.
-pub struct Permit(Rc<Cell<usize>>);
+pub struct DescriptorPermit(Rc<Cell<usize>>);
 
-impl Drop for Permit {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-impl Descriptors {
-    pub fn new(most: usize) -> Descriptors {
-        Descriptors { most, used: Rc::default() }
+impl DescriptorLimit {
+    pub fn new(most: usize) -> DescriptorLimit {
+        DescriptorLimit { most, used: Rc::default() }
     }
 
-    pub fn take(&self) -> Option<Permit> {
+    pub fn take(&self) -> Option<DescriptorPermit> {
         let used = self.used.get();
         (used < self.most).then(|| {
             self.used.set(used + 1);
-            Permit(self.used.clone())
+            DescriptorPermit(self.used.clone())
         })
     }
 
@@ -47,11 +47,11 @@
 
 /// What a client's connection is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum ConnectionPhase {
     /// It was told an error that ends it, and what it still sends is dropped.
     Closing,
     /// Its first command, or the rest of a command that has begun, is waited for.
-    Asking,
+    Reading,
     /// It has been answered, and has begun nothing since.
     Idle,
     /// A command of its own is in hand.
@@ -59,13 +59,13 @@
 }
 
 struct Open {
-    stage: Stage,
+    stage: ConnectionPhase,
     since: Timestamp,
-    notice: Rc<Notice>,
+    notice: Rc<ConnectionSignal>,
 }
 
 /// For how long a connection may be at a stage.
-pub struct Patience {
+pub struct IdleTimeouts {
     /// Until a whole command has come, or while what a lost client still sends is dropped. One that is idle
     /// for as long may be closed.
     pub rest: Duration,
@@ -76,26 +76,31 @@
 }
 
 /// The clients' open connections.
-pub struct Clients {
-    patience: Patience,
+pub struct ClientRegistry {
+    patience: IdleTimeouts,
     next: Cell<u32>,
     stopping: Cell<bool>,
     open: RefCell<BTreeMap<u32, Open>>,
 }
 
-impl Clients {
-    pub fn new(patience: Patience) -> Clients {
-        Clients { patience, next: Cell::default(), stopping: Cell::default(), open: RefCell::default() }
+impl ClientRegistry {
+    pub fn new(patience: IdleTimeouts) -> ClientRegistry {
+        ClientRegistry {
+            patience,
+            next: Cell::default(),
+            stopping: Cell::default(),
+            open: RefCell::default(),
+        }
     }
 
     /// Enters a connection; what it returns tells it when to close.
-    pub fn enter(&self, now: Timestamp) -> (u32, Rc<Notice>) {
+    pub fn enter(&self, now: Timestamp) -> (u32, Rc<ConnectionSignal>) {
         // From the system's own random numbers: nobody else's client may guess it.
         let key = RandomState::new().build_hasher().finish() as u32;
-        let notice = Rc::new(Notice::with(key));
+        let notice = Rc::new(ConnectionSignal::with(key));
         let number = self.next.get();
         self.next.set(number.wrapping_add(1));
-        let open = Open { stage: Stage::Asking, since: now, notice: notice.clone() };
+        let open = Open { stage: ConnectionPhase::Reading, since: now, notice: notice.clone() };
         self.open.borrow_mut().insert(number, open);
         (number, notice)
     }
@@ -112,7 +117,7 @@
     }
 
     /// Notes what a connection is at; the same stage again does not begin anew.
-    pub fn turn(&self, number: u32, stage: Stage, now: Timestamp) {
+    pub fn turn(&self, number: u32, stage: ConnectionPhase, now: Timestamp) {
         if let Some(open) = self.open.borrow_mut().get_mut(&number).filter(|open| open.stage != stage) {
             (open.stage, open.since) = (stage, now);
         }
@@ -122,40 +127,40 @@
     /// Once there is no room left, by one that has hardly had the time to ask; by whichever is idle only if
     /// no connection is new.
     pub fn shed(&self, now: Timestamp, full: bool) {
-        let Patience { rest, least, .. } = self.patience;
+        let IdleTimeouts { rest, least, .. } = self.patience;
         let open = self.open.borrow();
-        let waits = |one: &Open| matches!(one.stage, Stage::Asking | Stage::Closing);
+        let waits = |one: &Open| matches!(one.stage, ConnectionPhase::Reading | ConnectionPhase::Closing);
         let in_use = full && !open.values().any(waits);
         let rank = |one: &Open| {
             let age = now - one.since;
             match one.stage {
-                Stage::Closing if age >= least => Some(0),
-                Stage::Asking if age >= least => Some(1),
-                Stage::Idle if age >= rest => Some(2),
-                Stage::Asking if full && age >= least / 8 => Some(3),
-                Stage::Idle if in_use => Some(4),
+                ConnectionPhase::Closing if age >= least => Some(0),
+                ConnectionPhase::Reading if age >= least => Some(1),
+                ConnectionPhase::Idle if age >= rest => Some(2),
+                ConnectionPhase::Reading if full && age >= least / 8 => Some(3),
+                ConnectionPhase::Idle if in_use => Some(4),
                 _ => None,
             }
         };
-        let ready = open.values().filter(|one| one.notice.asked() != Close::Now);
+        let ready = open.values().filter(|one| one.notice.asked() != CloseRequest::Now);
         let ranked = ready.filter_map(|one| Some((rank(one)?, one.since, &one.notice)));
         if let Some((_, _, notice)) = ranked.min_by_key(|(rank, since, _)| (*rank, *since)) {
-            notice.ask(Close::Now);
+            notice.ask(CloseRequest::Now);
         }
     }
 
     /// Ends connections that have been at one stage for too long.
     pub fn sweep(&self, now: Timestamp) {
-        let Patience { rest, idle, least } = self.patience;
+        let IdleTimeouts { rest, idle, least } = self.patience;
         for one in self.open.borrow().values() {
             let limit = match one.stage {
-                Stage::Busy => continue,
-                Stage::Idle => idle,
+                ConnectionPhase::Busy => continue,
+                ConnectionPhase::Idle => idle,
                 _ if self.stopping.get() => least,
                 _ => rest,
             };
             if now - one.since >= limit {
-                one.notice.ask(Close::Now);
+                one.notice.ask(CloseRequest::Now);
             }
         }
     }
@@ -163,7 +168,7 @@
     /// Asks every connection to close once it has nothing in hand.
     pub fn close_all(&self) {
         self.stopping.set(true);
-        self.open.borrow().values().for_each(|one| one.notice.ask(Close::AtRest));
+        self.open.borrow().values().for_each(|one| one.notice.ask(CloseRequest::WhenIdle));
     }
 
     pub fn len(&self) -> usize {
--- a/crates/comethitchd/src/memory/site.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -1,9 +1,9 @@
 //! The one place where the configuration is read, checked and given defaults.
 
-use crate::wire::discovery::{Listing, listing_of};
+use crate::wire::discovery::{EndpointList, listing_of};
 use comethitch_policy::Deployment;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_statement::{Desk, Rules, Secret};
+use comethitch_statement::{Rules, Secret, StatementAdmission};
 use serde_json::Value;
 use std::collections::hash_map::RandomState;
 use std::fmt::Write;
@@ -13,14 +13,14 @@
 
 /// Where a router runs, within which limits, and what it knows as it starts.
 #[derive(Debug)]
-pub struct Site {
+pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
     pub memory_mb: u64,
     pub sockets: usize,
-    pub known: Listing,
+    pub known: EndpointList,
     pub deployment: Deployment,
     /// The command groups' names, in the module's order.
     pub groups: Vec<String>,
@@ -35,16 +35,16 @@
 const FEWEST_SOCKETS: u64 = 64;
 const LEAST_MEMORY_MB: u64 = 32;
 
-impl Site {
+impl Config {
     /// Reads the file; what it lacks of name and addresses is taken from `variable`.
-    pub fn load(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Site, String> {
+    pub fn load(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let shown = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{shown} can't be read: {e}"))?;
-        Site::read(&text, variable).map_err(|e| format!("{shown}: {e}"))
+        Config::read(&text, variable).map_err(|e| format!("{shown}: {e}"))
     }
 
     /// What differs in another configuration and can't be changed in a running router.
-    pub fn fixed_keys_changed(&self, other: &Site) -> Vec<&'static str> {
+    pub fn fixed_keys_changed(&self, other: &Config) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != other.name),
             ("listen", self.listen != other.listen),
@@ -60,7 +60,7 @@
         changed.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
     }
 
-    pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Site, String> {
+    pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let all: Value = serde_json::from_str(text).map_err(|e| format!("this is no JSON: {e}"))?;
         let all = Keys(&all);
         let or_variable = |key: &str, name: &str| match all.at(key) {
@@ -80,13 +80,13 @@
         let zones = all.names("settings.dcs", None)?;
         let known = match all.at("known") {
             Some(known) => listing_of(known, &zones).map_err(|e| format!("known.{e}"))?,
-            None => Listing { whole: true, ..Listing::default() },
+            None => EndpointList { whole: true, ..EndpointList::default() },
         };
         let groups = all.names("settings.classes", Some("name"))?;
         if groups.is_empty() {
             return Err("settings.classes must name one command group or more".into());
         }
-        Ok(Site {
+        Ok(Config {
             name: or_variable("name", "RELAY_NAME")?,
             listen: address("listen", "RELAY_LISTEN")?,
             discovery: address("discovery", "RELAY_DISCOVERY")?,
@@ -108,16 +108,16 @@
     }
 
     /// Adds the operator's rules for statements, checked against this site's command groups and memory.
-    pub fn with_statements(self, path: &Path) -> Result<Site, String> {
+    pub fn with_statements(self, path: &Path) -> Result<Config, String> {
         let shown = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{shown} can't be read: {e}"))?;
         self.judging(&text).map_err(|e| format!("{shown}: {e}"))
     }
 
     /// The same, with the rules as a text.
-    pub fn judging(mut self, text: &str) -> Result<Site, String> {
+    pub fn judging(mut self, text: &str) -> Result<Config, String> {
         let rules = read_rules(text)?;
-        self.desk_by(rules.clone(), Timestamp::ZERO)?;
+        self.admission_by(rules.clone(), Timestamp::ZERO)?;
         if rules.cache.kib as u64 > self.memory_mb << 10 >> 2 {
             return Err(format!("cache.kib is more than a quarter of {} MB, the limit", self.memory_mb));
         }
@@ -126,13 +126,13 @@
     }
 
     /// The place where statements are judged, if there are rules for it.
-    pub fn desk(&self, now: Timestamp) -> Result<Option<Desk>, String> {
-        self.statements.clone().map(|rules| self.desk_by(rules, now)).transpose()
+    pub fn admission(&self, now: Timestamp) -> Result<Option<StatementAdmission>, String> {
+        self.statements.clone().map(|rules| self.admission_by(rules, now)).transpose()
     }
 
     /// The same by other rules, for the command groups of this site.
-    pub fn desk_by(&self, rules: Rules, now: Timestamp) -> Result<Desk, String> {
-        Desk::new(rules, &self.deployment.groups, &self.groups, secret(), now)
+    pub fn admission_by(&self, rules: Rules, now: Timestamp) -> Result<StatementAdmission, String> {
+        StatementAdmission::new(rules, &self.deployment.groups, &self.groups, secret(), now)
     }
 }
 
