--- a/crates/comethitchd/src/memory/pool.rs
+++ b/crates/comethitchd/src/state/connection_pool.rs
@@ -1,13 +1,13 @@
 //! Idle connections to hosts, kept to be used again.
 
-use crate::memory::connection::HostConnection;
+use crate::state::host_connection::HostConnection;
 use comethitch_fleet::slots;
 use comethitch_policy::Host;
 use comethitch_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub struct Pool {
+pub struct ConnectionPool {
     /// Kept no longer than this: the host closes what has been idle for its own limit.
     longest: Duration,
     /// When a host last had no place for one more connection.
@@ -15,9 +15,9 @@
     idle: BTreeMap<Host, Vec<HostConnection>>,
 }
 
-impl Pool {
-    pub fn new(host_limit: Duration) -> Pool {
-        Pool { longest: host_limit / 4 * 3, turned_away: None, idle: BTreeMap::new() }
+impl ConnectionPool {
+    pub fn new(host_limit: Duration) -> ConnectionPool {
+        ConnectionPool { longest: host_limit / 4 * 3, turned_away: None, idle: BTreeMap::new() }
     }
 
     pub fn turned_away(&mut self, now: Timestamp) {
--- a/crates/comethitchd/src/memory/list.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -1,12 +1,12 @@
 //! The list of hosts as last told: here only where each is dialled; all else is the module's.
 
-use crate::wire::discovery::Listing;
+use crate::wire::discovery::EndpointList;
 use comethitch_policy::{Host, Lifecycle, Role};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 #[derive(Default)]
-pub struct List {
+pub struct EndpointDirectory {
     /// The version last told by the discovery that is followed; nothing is known of another's.
     pub since: Option<u64>,
     hosts: BTreeMap<Host, (String, SocketAddr)>,
@@ -19,9 +19,9 @@
 /// How many hosts are kept that have gone.
 const GONE: usize = 32;
 
-impl List {
+impl EndpointDirectory {
     /// Takes in what was told, and returns the hosts that have gone or moved.
-    pub fn take(&mut self, listing: &Listing) -> Vec<Host> {
+    pub fn take(&mut self, listing: &EndpointList) -> Vec<Host> {
         self.since = Some(listing.seq);
         let named = |host: &Host| listing.entries.iter().any(|entry| entry.endpoint.host == *host);
         let mut left: Vec<Host> = match listing.whole {
--- a/crates/comethitchd/src/memory/connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -1,7 +1,7 @@
 //! Connections to hosts, and the ways in which they can end.
 
-use crate::memory::buffer::Buffer;
-use crate::memory::clients::Permit;
+use crate::state::buffer::Buffer;
+use crate::state::client_registry::DescriptorPermit;
 use async_io::Async;
 use comethitch_policy::AttemptOutcome;
 use comethitch_policy::time::Timestamp;
@@ -14,7 +14,7 @@
     pub idle_since: Timestamp,
     /// What its protocol keeps of it.
     pub kept: Kept,
-    pub permit: Permit,
+    pub permit: DescriptorPermit,
 }
 
 /// What a protocol keeps of a connection from one use to the next.
@@ -73,7 +73,7 @@
     /// The value came whole.
     Whole,
     /// The host answered with an error.
-    Told(Code),
+    HostError(Code),
     /// There was no time, descriptor or such host, or no use for it any more once it was up: never sent.
     NotTried,
     /// The host has no place for one more connection.
@@ -99,7 +99,7 @@
     pub fn ending(&self) -> AttemptOutcome {
         match self {
             ConnectionEnd::Whole => AttemptOutcome::Answered,
-            ConnectionEnd::Told(code) => code.ending(),
+            ConnectionEnd::HostError(code) => code.ending(),
             ConnectionEnd::NotTried => AttemptOutcome::NotSent,
             ConnectionEnd::NoSlot => AttemptOutcome::NoConnectionSlot,
             ConnectionEnd::NeverUp | ConnectionEnd::Unsent => AttemptOutcome::ConnectionFailed,
--- a/crates/comethitchd/src/memory/tally.rs
+++ b/crates/comethitchd/src/state/metrics.rs
@@ -5,7 +5,7 @@
 
 /// Counts since the last line of the log that told them.
 #[derive(Default)]
-pub struct Tally {
+pub struct Metrics {
     pub taken: Cell<u64>,
     pub answered: Cell<u64>,
     pub throttled: Cell<u64>,
@@ -36,7 +36,7 @@
     }
 }
 
-impl Tally {
+impl Metrics {
     /// What was counted, as fields by name, and from nothing again; empty if nothing was.
     pub fn told(&self) -> Vec<(String, u64)> {
         let named = [
--- /dev/null
+++ b/crates/comethitchd/src/state/mod.rs
@@ -0,0 +1,18 @@
+//! What a running router holds: its configuration, buffers, connections, commands in flight, the endpoint list and its counts.
+//!
+//! [`router_state::RouterState`] owns all of it.
+
+pub mod arrivals;
+pub mod buffer;
+pub mod client_registry;
+pub mod clock;
+pub mod config;
+pub mod connection_pool;
+pub mod endpoints;
+pub mod host_connection;
+pub mod log_fields;
+pub mod metrics;
+pub mod pending_commands;
+pub mod protocol;
+pub mod router_state;
+pub mod signals;
--- a/crates/comethitchd/src/memory/commands.rs
+++ b/crates/comethitchd/src/state/pending_commands.rs
@@ -4,7 +4,7 @@
 use async_executor::Task;
 use comethitch_policy::CommandId;
 use comethitch_policy::time::Duration;
-use comethitch_statement::desk::Known;
+use comethitch_statement::admission::KnownShape;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
     pub name: String,
     pub wait_at: Option<Range<usize>>,
     /// What is known of its shape, where statements are judged by their text.
-    pub known: Option<Rc<Known>>,
+    pub known: Option<Rc<KnownShape>>,
 }
 
 /// The final answer to a command.
@@ -54,7 +54,7 @@
 }
 
 #[derive(Default)]
-pub struct Commands {
+pub struct PendingCommands {
     last: CommandId,
     /// How many were named here.
     unnamed: u64,
@@ -63,7 +63,7 @@
     names: BTreeSet<String>,
 }
 
-impl Commands {
+impl PendingCommands {
     pub fn enter(&mut self, statement: Statement) -> (CommandId, Receiver<Reply>) {
         self.last = self.last.wrapping_add(1);
         self.names.insert(statement.name.clone());
--- a/crates/comethitchd/src/memory/protocol.rs
+++ b/crates/comethitchd/src/state/protocol.rs
@@ -1,9 +1,9 @@
 //! The seam between the core and a protocol. A front turns what clients send into commands and hands them their
 //! answers; a back sends a command to a host and asks a host how it stands. Neither decides anything.
 
-use crate::memory::clients::Permit;
-use crate::memory::connection::ConnectionEnd;
-use crate::memory::hub::Hub;
+use crate::state::client_registry::DescriptorPermit;
+use crate::state::host_connection::ConnectionEnd;
+use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{CommandId, Host, HostReport};
@@ -16,20 +16,21 @@
 pub type Serving = Pin<Box<dyn Future<Output = ()>>>;
 
 /// What speaks with clients.
-pub trait Front {
+pub trait ClientProtocol {
     /// Serves a client's connection to its end. The client counts as there from this call on.
-    fn serve(&self, hub: Rc<Hub>, stream: Async<TcpStream>, permit: Permit) -> Serving;
+    fn serve(&self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit) -> Serving;
 }
 
 /// What speaks with hosts.
-pub trait Back {
+pub trait BackendProtocol {
     /// Starts the command's next dispatch, whose end is told to `stages::route::ended`. One that is too late
     /// before it begins, as after the router stood still, is not tried, and its number returned: the host has
     /// no part in that.
-    fn dispatch(&self, hub: &Rc<Hub>, id: CommandId, host: Host, time_out: Duration) -> Option<u16>;
+    fn dispatch(&self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration)
+    -> Option<u16>;
 
     /// Asks a host how it stands; the answer goes to the module.
-    fn probe(&self, hub: &Rc<Hub>, host: Host);
+    fn probe(&self, state: &Rc<RouterState>, host: Host);
 }
 
 /// How a dispatch ended, and what its answer told.
--- a/crates/comethitchd/src/memory/flag.rs
+++ b/crates/comethitchd/src/state/signals.rs
@@ -7,16 +7,16 @@
 
 /// Raised once; any number of tasks can wait for it.
 #[derive(Clone)]
-pub struct Flag(Sender<()>, Receiver<()>);
+pub struct OneShotEvent(Sender<()>, Receiver<()>);
 
-impl Default for Flag {
-    fn default() -> Flag {
+impl Default for OneShotEvent {
+    fn default() -> OneShotEvent {
         let (sender, receiver) = async_channel::bounded(1);
-        Flag(sender, receiver)
+        OneShotEvent(sender, receiver)
     }
 }
 
-impl Flag {
+impl OneShotEvent {
     pub fn raise(&self) {
         self.0.close();
     }
@@ -32,33 +32,33 @@
 
 /// When a connection is to close.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Close {
+pub enum CloseRequest {
     #[default]
     Never,
     /// Once nothing of it is in hand or has begun to come in.
-    AtRest,
+    WhenIdle,
     Now,
 }
 
 /// What tells one connection to close. One task alone waits for it, many times over its life, so that this
 /// costs nothing while nobody asks.
 #[derive(Default)]
-pub struct Notice {
+pub struct ConnectionSignal {
     /// Whoever knows this may cancel the connection's command.
     pub key: u32,
-    asked: Cell<Close>,
+    asked: Cell<CloseRequest>,
     /// The command in hand was cancelled.
     cancel: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Notice {
-    pub fn with(key: u32) -> Notice {
-        Notice { key, ..Notice::default() }
+impl ConnectionSignal {
+    pub fn with(key: u32) -> ConnectionSignal {
+        ConnectionSignal { key, ..ConnectionSignal::default() }
     }
 
     /// Asks for this much, or for more if that was asked before.
-    pub fn ask(&self, close: Close) {
+    pub fn ask(&self, close: CloseRequest) {
         self.asked.set(self.asked.get().max(close));
         if let Some(waker) = self.waker.take() {
             waker.wake();
@@ -83,12 +83,12 @@
         self.until(|| self.cancel.get()).await;
     }
 
-    pub fn asked(&self) -> Close {
+    pub fn asked(&self) -> CloseRequest {
         self.asked.get()
     }
 
     /// Waits until it is asked for this much.
-    pub async fn reaches(&self, close: Close) {
+    pub async fn reaches(&self, close: CloseRequest) {
         self.until(|| self.asked.get() >= close).await;
     }
 
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -8,7 +8,7 @@
 
 /// One object of the list: all of it, or what changed.
 #[derive(Debug, Default)]
-pub struct Listing {
+pub struct EndpointList {
     pub seq: u64,
     pub whole: bool,
     pub entries: Vec<Entry>,
@@ -118,14 +118,14 @@
 }
 
 /// Reads one object of the list; `zones` are the names of the zones in the order of the settings.
-pub fn listing(text: &[u8], zones: &[String]) -> Result<Listing, String> {
+pub fn listing(text: &[u8], zones: &[String]) -> Result<EndpointList, String> {
     let value: Value = serde_json::from_slice(text).map_err(|e| format!("the list is no JSON: {e}"))?;
     listing_of(&value, zones)
 }
 
-pub fn listing_of(value: &Value, zones: &[String]) -> Result<Listing, String> {
+pub fn listing_of(value: &Value, zones: &[String]) -> Result<EndpointList, String> {
     let hosts = value["hosts"].as_array().ok_or("hosts is missing")?;
-    Ok(Listing {
+    Ok(EndpointList {
         seq: value["seq"].as_u64().ok_or("seq is missing")?,
         whole: value["whole"].as_bool().ok_or("whole is missing")?,
         entries: hosts
--- a/crates/comethitchd/src/wire/standing.rs
+++ b/crates/comethitchd/src/wire/host_report.rs
@@ -23,11 +23,11 @@
 ///
 /// ```
 /// use comethitch_policy::{Role, time::Timestamp};
-/// let standing = comethitchd::wire::standing::reported("queue=4,x0=1767225600.12,x1=1");
+/// let standing = comethitchd::wire::host_report::reported("queue=4,x0=1767225600.12,x1=1");
 /// assert_eq!(standing.position, Some(Timestamp::from_millis(1_767_225_600_119)), "never newer than it was");
 /// assert_eq!((standing.role, standing.queue), (Some(Role::Primary), Some(4.0)));
 /// // A host that has made no report yet says zero; that is no position, and no role either.
-/// let none = comethitchd::wire::standing::reported("x0=0.000,x1=0,queue=0");
+/// let none = comethitchd::wire::host_report::reported("x0=0.000,x1=0,queue=0");
 /// assert_eq!(none, comethitch_policy::HostReport::default());
 /// ```
 pub fn reported(text: &str) -> HostReport {
--- a/crates/comethitchd/src/wire/postgres.rs
+++ b/crates/comethitchd/src/wire/postgres.rs
@@ -198,13 +198,13 @@
     /// The host holds a transaction open: the connection can't carry another's query.
     pub in_transaction: bool,
     row: Option<std::ops::Range<usize>>,
-    stage: Stage,
+    stage: ConnectionPhase,
     /// Some of the value was taken out already.
     passed: bool,
 }
 
 #[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-enum Stage {
+enum ConnectionPhase {
     #[default]
     Begun,
     Described,
@@ -282,7 +282,7 @@
         let next = match (message.kind, &self.stage) {
             (b'N' | b'A' | b'K' | b'v', _) => return Ok(()),
             (b'S', _) => return self.told(message.body),
-            (b'R', Stage::Begun) if message.body == [0; 4] => return Ok(()),
+            (b'R', ConnectionPhase::Begun) if message.body == [0; 4] => return Ok(()),
             (b'R', _) => return Err(Malformed("the host asks for a password")),
             (b'E', _) => {
                 let code = error_code(message.body).ok_or(Malformed("an error without a code"))?;
@@ -294,23 +294,31 @@
                 }
                 return Ok(());
             }
-            (b'I', Stage::Begun) => Stage::Complete,
-            (b'T', Stage::Begun | Stage::Complete) if self.form == Form::Any => Stage::Described,
-            (b'D', Stage::Described | Stage::Row) if self.form == Form::Any => Stage::Row,
-            (b'I' | b'C', stage) if self.form == Form::Any && *stage < Stage::Ready => Stage::Complete,
-            (b'T', Stage::Begun) if describes_one(message.body) => Stage::Described,
-            (b'D', Stage::Described) => Stage::Row,
-            (b'C', Stage::Begun | Stage::Row) if one_text() => Stage::Complete,
+            (b'I', ConnectionPhase::Begun) => ConnectionPhase::Complete,
+            (b'T', ConnectionPhase::Begun | ConnectionPhase::Complete) if self.form == Form::Any => {
+                ConnectionPhase::Described
+            }
+            (b'D', ConnectionPhase::Described | ConnectionPhase::Row) if self.form == Form::Any => {
+                ConnectionPhase::Row
+            }
+            (b'I' | b'C', stage) if self.form == Form::Any && *stage < ConnectionPhase::Ready => {
+                ConnectionPhase::Complete
+            }
+            (b'T', ConnectionPhase::Begun) if describes_one(message.body) => ConnectionPhase::Described,
+            (b'D', ConnectionPhase::Described) => ConnectionPhase::Row,
+            (b'C', ConnectionPhase::Begun | ConnectionPhase::Row) if one_text() => ConnectionPhase::Complete,
             (b'Z', _) if !b"ITE".contains(&message.body[0]) => return Err(Malformed("an unknown state")),
-            (b'Z', stage) if *stage == Stage::Complete || self.code.is_some() => Stage::Ready,
-            (b'Z', Stage::Begun) => Stage::Ready,
+            (b'Z', stage) if *stage == ConnectionPhase::Complete || self.code.is_some() => {
+                ConnectionPhase::Ready
+            }
+            (b'Z', ConnectionPhase::Begun) => ConnectionPhase::Ready,
             _ => return Err(Malformed("a message out of its order")),
         };
         self.in_transaction |= message.kind == b'Z' && message.body != b"I";
-        if next == Stage::Row {
+        if next == ConnectionPhase::Row {
             self.row = Some(self.value.len() + 5..self.value.len() + message.raw.len());
         }
-        if next != Stage::Ready {
+        if next != ConnectionPhase::Ready {
             let most = if self.form == Form::Any { LARGEST_ANSWER } else { LARGEST_MESSAGE };
             // What is taken out in time never reaches the bound.
             if self.value.len() + message.raw.len() > most {
@@ -349,13 +357,13 @@
 
     /// The host has nothing more to say, and the connection can carry the next query.
     pub fn ready(&self) -> bool {
-        self.stage == Stage::Ready
+        self.stage == ConnectionPhase::Ready
     }
 
     /// The value is whole, whether or not anything follows it.
     pub fn whole(&self) -> bool {
         let any = self.form == Form::Any && (self.passed || !self.value.is_empty());
-        (any || self.row.is_some()) && self.stage >= Stage::Complete && self.code.is_none()
+        (any || self.row.is_some()) && self.stage >= ConnectionPhase::Complete && self.code.is_none()
     }
 
     /// The text of the row's one column.
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use comethitch_testkit::{Asked, Client, Got, Host, Ledger, Protocol, Step};
+use comethitch_testkit::{Asked, Client, Host, HostBehavior, Ledger, Protocol, Received};
 use serde_json::{Value, json};
 use std::time::Duration;
 use support::{Router, entry, site};
@@ -79,7 +79,7 @@
         format!("SELECT data FROM facts WHERE code = 'r{}'", self.keys)
     }
 
-    fn ask(&mut self, client: &mut Client, text: String) -> Got {
+    fn ask(&mut self, client: &mut Client, text: String) -> Received {
         let got = client.ask(&text);
         self.asked.push(Asked { text, got: vec![got.clone()] });
         got
@@ -124,7 +124,7 @@
     fn settle(&mut self, client: &mut Client) {
         for _ in 0..500 {
             let text = self.write();
-            if matches!(self.ask(client, text), Got::Answered(_)) {
+            if matches!(self.ask(client, text), Received::Answered(_)) {
                 return self.begin();
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -142,26 +142,26 @@
 type Play = fn(&mut Scene, &mut Client);
 
 /// A write that a step happens to once, and one behind it.
-fn write_meets(scene: &mut Scene, client: &mut Client, step: Step) {
+fn write_meets(scene: &mut Scene, client: &mut Client, step: HostBehavior) {
     scene.primary.script(once(step));
     for nth in 0..2 {
         let text = scene.write();
         // A debug build on a crowded machine may take a second for two megabytes: this is no test of the time.
         let patient = format!("/* id=p{nth},c=write,d=3000,cluster=0 */ {text}");
-        scene.ask(client, if step == Step::Huge { patient } else { text });
+        scene.ask(client, if step == HostBehavior::Huge { patient } else { text });
     }
 }
 
 /// The first command that comes from now on meets a step, and the others are answered.
-fn once(step: Step) -> impl Fn(usize, &str) -> Step + Send + Sync + 'static {
+fn once(step: HostBehavior) -> impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static {
     let met = std::sync::atomic::AtomicBool::new(false);
-    move |_, _| if met.swap(true, std::sync::atomic::Ordering::SeqCst) { Step::Answer } else { step }
+    move |_, _| if met.swap(true, std::sync::atomic::Ordering::SeqCst) { HostBehavior::Answer } else { step }
 }
 
 /// Reads of which the first meets a step at either host.
-fn read_meets(scene: &mut Scene, client: &mut Client, step: Step) {
+fn read_meets(scene: &mut Scene, client: &mut Client, step: HostBehavior) {
     scene.replica.script(once(step));
-    scene.primary.script(|_, _| Step::Answer);
+    scene.primary.script(|_, _| HostBehavior::Answer);
     for _ in 0..2 {
         let text = scene.read();
         scene.ask(client, text);
@@ -169,39 +169,47 @@
 }
 
 const SCENARIOS: [(&str, Play, [usize; 4]); 35] = [
-    ("writes are answered", |s, c| write_meets(s, c, Step::Answer), [2, 0, 0, 0]),
-    ("a write, reset before it ran", |s, c| write_meets(s, c, Step::ResetBefore), [1, 0, 1, 0]),
-    ("a write, reset after it ran", |s, c| write_meets(s, c, Step::ResetAfter), [1, 0, 1, 0]),
-    ("a write, its answer cut off", |s, c| write_meets(s, c, Step::Cut), [1, 0, 1, 0]),
-    ("a write, its answer spoilt", |s, c| write_meets(s, c, Step::Spoil), [1, 0, 1, 0]),
-    ("a write, hung before it ran", |s, c| write_meets(s, c, Step::Hang), [1, 0, 1, 0]),
-    ("a write, hung after it ran", |s, c| write_meets(s, c, Step::HangAfter), [1, 0, 1, 0]),
-    ("a write, turned away once", |s, c| write_meets(s, c, Step::Refuse), [2, 0, 0, 0]),
-    ("a write, met by an error", |s, c| write_meets(s, c, Step::Fault), [1, 0, 1, 0]),
-    ("a write, met by an error that drivers retry", |s, c| write_meets(s, c, Step::Transient), [1, 0, 1, 0]),
-    ("a write, answered byte by byte", |s, c| write_meets(s, c, Step::Trickle), [2, 0, 0, 0]),
-    ("a write, answered twice", |s, c| write_meets(s, c, Step::Twice), [2, 0, 0, 0]),
-    ("a write, answered with two megabytes", |s, c| write_meets(s, c, Step::Huge), [2, 0, 0, 0]),
-    ("a write that leaves a transaction open", |s, c| write_meets(s, c, Step::LeaveOpen), [2, 0, 0, 0]),
+    ("writes are answered", |s, c| write_meets(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
+    ("a write, reset before it ran", |s, c| write_meets(s, c, HostBehavior::ResetBefore), [1, 0, 1, 0]),
+    ("a write, reset after it ran", |s, c| write_meets(s, c, HostBehavior::ResetAfter), [1, 0, 1, 0]),
+    ("a write, its answer cut off", |s, c| write_meets(s, c, HostBehavior::Cut), [1, 0, 1, 0]),
+    ("a write, its answer spoilt", |s, c| write_meets(s, c, HostBehavior::Spoil), [1, 0, 1, 0]),
+    ("a write, hung before it ran", |s, c| write_meets(s, c, HostBehavior::Hang), [1, 0, 1, 0]),
+    ("a write, hung after it ran", |s, c| write_meets(s, c, HostBehavior::HangAfter), [1, 0, 1, 0]),
+    ("a write, turned away once", |s, c| write_meets(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
+    ("a write, met by an error", |s, c| write_meets(s, c, HostBehavior::Fault), [1, 0, 1, 0]),
+    (
+        "a write, met by an error that drivers retry",
+        |s, c| write_meets(s, c, HostBehavior::Transient),
+        [1, 0, 1, 0],
+    ),
+    ("a write, answered byte by byte", |s, c| write_meets(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
+    ("a write, answered twice", |s, c| write_meets(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
+    ("a write, answered with two megabytes", |s, c| write_meets(s, c, HostBehavior::Huge), [2, 0, 0, 0]),
+    (
+        "a write that leaves a transaction open",
+        |s, c| write_meets(s, c, HostBehavior::LeaveOpen),
+        [2, 0, 0, 0],
+    ),
     (
         "a write, answered late",
-        |s, c| write_meets(s, c, Step::AnswerAfter(Duration::from_millis(200))),
+        |s, c| write_meets(s, c, HostBehavior::AnswerAfter(Duration::from_millis(200))),
         [2, 0, 0, 0],
     ),
-    ("reads are answered", |s, c| read_meets(s, c, Step::Answer), [2, 0, 0, 0]),
-    ("a read, reset before it ran", |s, c| read_meets(s, c, Step::ResetBefore), [2, 0, 0, 0]),
-    ("a read, reset after it ran", |s, c| read_meets(s, c, Step::ResetAfter), [2, 0, 0, 0]),
-    ("a read, its answer cut off", |s, c| read_meets(s, c, Step::Cut), [2, 0, 0, 0]),
-    ("a read, its answer spoilt", |s, c| read_meets(s, c, Step::Spoil), [2, 0, 0, 0]),
-    ("a read, hung", |s, c| read_meets(s, c, Step::Hang), [1, 1, 0, 0]),
-    ("a read, turned away", |s, c| read_meets(s, c, Step::Refuse), [2, 0, 0, 0]),
-    ("a read, answered byte by byte", |s, c| read_meets(s, c, Step::Trickle), [2, 0, 0, 0]),
-    ("a read, answered twice", |s, c| read_meets(s, c, Step::Twice), [2, 0, 0, 0]),
+    ("reads are answered", |s, c| read_meets(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
+    ("a read, reset before it ran", |s, c| read_meets(s, c, HostBehavior::ResetBefore), [2, 0, 0, 0]),
+    ("a read, reset after it ran", |s, c| read_meets(s, c, HostBehavior::ResetAfter), [2, 0, 0, 0]),
+    ("a read, its answer cut off", |s, c| read_meets(s, c, HostBehavior::Cut), [2, 0, 0, 0]),
+    ("a read, its answer spoilt", |s, c| read_meets(s, c, HostBehavior::Spoil), [2, 0, 0, 0]),
+    ("a read, hung", |s, c| read_meets(s, c, HostBehavior::Hang), [1, 1, 0, 0]),
+    ("a read, turned away", |s, c| read_meets(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
+    ("a read, answered byte by byte", |s, c| read_meets(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
+    ("a read, answered twice", |s, c| read_meets(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
     (
         "a read, the replica dead",
         |s, c| {
             s.replica.set_down(true);
-            read_meets(s, c, Step::Answer);
+            read_meets(s, c, HostBehavior::Answer);
         },
         [2, 0, 0, 0],
     ),
@@ -211,7 +219,7 @@
             s.replica.set_lag(Duration::from_secs(10));
             s.leave_replica(c);
             let before = s.replica_ran();
-            read_meets(s, c, Step::Answer);
+            read_meets(s, c, HostBehavior::Answer);
             if s.replica_ran() > before {
                 s.broken.push("a stale read".into());
             }
@@ -232,11 +240,11 @@
     (
         "writes through a takeover",
         |s, c| {
-            write_meets(s, c, Step::Answer);
+            write_meets(s, c, HostBehavior::Answer);
             s.primary.set_primary(false);
             s.replica.set_primary(true);
             s.settle(c);
-            write_meets(s, c, Step::Answer);
+            write_meets(s, c, HostBehavior::Answer);
         },
         [2, 0, 0, 0],
     ),
@@ -309,10 +317,10 @@
     let mut counts = Counts::default();
     for asked in &scene.asked {
         match &asked.got[0] {
-            Got::Answered(_) => counts.answered += 1,
-            Got::Throttled => counts.throttled += 1,
-            Got::Failed(_) => counts.failed += 1,
-            Got::Refused(_) => counts.refused += 1,
+            Received::Answered(_) => counts.answered += 1,
+            Received::Throttled => counts.throttled += 1,
+            Received::Failed(_) => counts.failed += 1,
+            Received::Refused(_) => counts.refused += 1,
             other => panic!("{other:?} to {}", asked.text),
         }
     }
@@ -324,7 +332,7 @@
     // Without a row there is no key in the answer.
     let with_key: Vec<Asked> = asked
         .into_iter()
-        .filter(|asked| !matches!(&asked.got[0], Got::Answered(value) if value.is_empty()))
+        .filter(|asked| !matches!(&asked.got[0], Received::Answered(value) if value.is_empty()))
         .collect();
     let mut broken = scene.ledger.broken(&with_key);
     broken.append(&mut scene.broken);
@@ -372,11 +380,11 @@
             let mut scene = Scene::new(protocol);
             let mut client = scene.client();
             scene.warm(&mut client);
-            scene.primary.script(once(Step::HugeCut));
-            scene.replica.script(once(Step::HugeCut));
+            scene.primary.script(once(HostBehavior::HugeCut));
+            scene.replica.script(once(HostBehavior::HugeCut));
             let text = if writes { scene.write() } else { scene.read() };
             let key = comethitch_testkit::key(&text).to_string();
-            assert_eq!(client.ask(&text), Got::Closed, "{protocol:?}: the client is told by the end");
+            assert_eq!(client.ask(&text), Received::Closed, "{protocol:?}: the client is told by the end");
             assert_eq!(
                 scene.ledger.dispatches() - scene.before,
                 1,
@@ -390,10 +398,10 @@
                 let wanted = comethitch_testkit::key(&text).to_string();
                 let got = other.ask(&text);
                 assert!(
-                    got == Got::Answered(wanted) || got == Got::Closed && !writes,
+                    got == Received::Answered(wanted) || got == Received::Closed && !writes,
                     "{protocol:?}: {got:?}"
                 );
-                if got == Got::Closed {
+                if got == Received::Closed {
                     other = scene.client();
                 }
             }
@@ -410,7 +418,7 @@
         let mut scene = Scene::new(protocol);
         let mut client = scene.client();
         scene.warm(&mut client);
-        scene.primary.script(once(Step::Huge));
+        scene.primary.script(once(HostBehavior::Huge));
         let slow_text = scene.write();
         client.send(&slow_text);
         // Its first byte is there; the rest is left where it is.
@@ -419,7 +427,7 @@
         for _ in 0..20 {
             let text = scene.write();
             let wanted = comethitch_testkit::key(&text).to_string();
-            assert_eq!(other.ask(&text), Got::Answered(wanted), "{protocol:?}");
+            assert_eq!(other.ask(&text), Received::Answered(wanted), "{protocol:?}");
         }
         // Then all of it comes.
         let mut left = 2_000_000_usize;
@@ -442,13 +450,16 @@
     let ran = |primary| Entry::Ran { host: "h".into(), text: text.clone(), primary };
     ledger.note(ran(true));
     ledger.note(ran(false));
-    let asked = |got: Vec<Got>| vec![Asked { text: text.clone(), got }];
+    let asked = |got: Vec<Received>| vec![Asked { text: text.clone(), got }];
     for (got, wanted) in [
-        (vec![Got::Failed("x".into())], vec!["a write ran at the replica", "ran 2 times"]),
-        (vec![Got::Throttled], vec!["a write ran at the replica", "ran 2 times", "throttled, and it ran"]),
+        (vec![Received::Failed("x".into())], vec!["a write ran at the replica", "ran 2 times"]),
+        (
+            vec![Received::Throttled],
+            vec!["a write ran at the replica", "ran 2 times", "throttled, and it ran"],
+        ),
         (vec![], vec!["a write ran at the replica", "0 final answers", "ran 2 times"]),
         (
-            vec![Got::Answered("other".into())],
+            vec![Received::Answered("other".into())],
             vec!["a write ran at the replica", "ran 2 times", "another's answer"],
         ),
     ] {
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use comethitchd::memory::site::{Site, read_rules};
+use comethitchd::state::config::{Config, read_rules};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::Write;
@@ -351,7 +351,7 @@
 
 #[test]
 fn the_sample_of_rules_fits_the_sample_of_a_configuration_and_its_schema() {
-    let site = Site::read(SAMPLE, |_| None).expect("the sample");
+    let site = Config::read(SAMPLE, |_| None).expect("the sample");
     site.judging(include_str!("../../../deploy/statements.json")).expect("the sample of rules");
     let schema: Value =
         serde_json::from_str(include_str!("../../../deploy/statements.schema.json")).expect("JSON");
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -3,12 +3,12 @@
 #![allow(dead_code)]
 
 use async_io::Async;
-use comethitchd::memory::clock::Clock;
-use comethitchd::memory::site::Site;
-use comethitchd::protocols::tds::ways::Ways;
+use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
 use comethitchd::service::listen::Protocol;
 use comethitchd::stages::learn;
+use comethitchd::state::clock::Clock;
+use comethitchd::state::config::Config;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -304,7 +304,7 @@
         let address = listener.local_addr().expect("an address");
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = spawn(move || {
-            let site = Site::read(&site.to_string(), |_| None).expect("a configuration");
+            let site = Config::read(&site.to_string(), |_| None).expect("a configuration");
             let site = match rules {
                 Some(rules) => site.judging(&rules.to_string()).expect("rules"),
                 None => site,
@@ -313,7 +313,7 @@
             let protocol = match protocol {
                 comethitch_testkit::Protocol::Postgres => Protocol::postgres(),
                 comethitch_testkit::Protocol::Tds => {
-                    let ways = Ways::read(include_str!("../../../../deploy/tds.json")).expect("ways");
+                    let ways = TdsSettings::read(include_str!("../../../../deploy/tds.json")).expect("ways");
                     Protocol::tds(ways, &site).expect("a protocol")
                 }
             };
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -8,8 +8,8 @@
 use comethitch_tds::token::{Token, Tokens};
 use comethitch_testkit::ledger::Entry;
 use comethitch_testkit::tds::{attention, call};
-use comethitch_testkit::{Client, Got, Host, Ledger, Protocol, Step};
-use comethitchd::protocols::tds::ways::Ways;
+use comethitch_testkit::{Client, Host, HostBehavior, Ledger, Protocol, Received};
+use comethitchd::protocols::tds::settings::TdsSettings;
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -62,7 +62,7 @@
         let claims =
             ["read", "write"].map(|group| format!("/* id={nth}-{group},c={group},d=900,cluster=0 */ {sql}"));
         for text in std::iter::once(sql.to_string()).chain(claims) {
-            if client.ask(&text) == Got::Closed {
+            if client.ask(&text) == Received::Closed {
                 client = Client::connect(Protocol::Tds, router.address);
             }
         }
@@ -94,7 +94,7 @@
     // The first parse takes what is saved; nothing worth a token is added in the test's time.
     for nth in 0..10 {
         let text = format!("SELECT a{nth} FROM t");
-        assert_eq!(client.ask(&text), Got::Answered(String::new()), "{text}");
+        assert_eq!(client.ask(&text), Received::Answered(String::new()), "{text}");
     }
     drop(client);
     router.wait();
@@ -107,7 +107,9 @@
 fn a_client_library_reads_every_type_and_asks_with_parameters() {
     let Scene { primary, replica, router, .. } = scene(rules());
     for host in [&primary, &replica] {
-        host.script(|_, text| if text.contains("tipos") { Step::Types } else { Step::Answer });
+        host.script(
+            |_, text| if text.contains("tipos") { HostBehavior::Types } else { HostBehavior::Answer },
+        );
     }
     block_on(async {
         let mut config = Config::new();
@@ -154,14 +156,18 @@
 #[test]
 fn an_attention_calls_the_command_off_and_is_acknowledged_once() {
     let Scene { primary, replica: _replica, ledger, router } = scene(rules());
-    primary.script(|nth, _| if nth == 0 { Step::HangAfter } else { Step::Answer });
+    primary.script(|nth, _| if nth == 0 { HostBehavior::HangAfter } else { HostBehavior::Answer });
     let mut client = Client::connect(Protocol::Tds, router.address);
     client.send("INSERT INTO t VALUES ('a')");
     assert!(primary.next().contains("'a'"));
     client.stream.write_all(&attention()).expect("sent");
-    assert_eq!(client.got(), Got::CalledOff);
+    assert_eq!(client.got(), Received::CalledOff);
     assert!(client.is_quiet(), "one acknowledgement");
-    assert_eq!(client.ask("INSERT INTO t VALUES ('b')"), Got::Answered("b".into()), "the connection goes on");
+    assert_eq!(
+        client.ask("INSERT INTO t VALUES ('b')"),
+        Received::Answered("b".into()),
+        "the connection goes on"
+    );
     // An attention that crosses the answer: it is answered, or called off, and then acknowledged once.
     for nth in 0..40 {
         let text = format!("INSERT INTO t VALUES ('c{nth}')");
@@ -171,11 +177,11 @@
         }
         client.stream.write_all(&attention()).expect("sent");
         let mut got = client.got();
-        if got == Got::Answered(format!("c{nth}")) {
+        if got == Received::Answered(format!("c{nth}")) {
             got = client.got();
         }
-        assert_eq!(got, Got::CalledOff, "after {text}");
-        assert_eq!(client.ask("INSERT INTO t VALUES ('d')"), Got::Answered("d".into()));
+        assert_eq!(got, Received::CalledOff, "after {text}");
+        assert_eq!(client.ask("INSERT INTO t VALUES ('d')"), Received::Answered("d".into()));
     }
     drop(client);
     router.wait();
@@ -192,7 +198,7 @@
         if nth == 0 {
             go.lock().expect("a turn").recv().expect("told to go on");
         }
-        Step::Answer
+        HostBehavior::Answer
     });
     let mut client = Client::connect(Protocol::Tds, router.address);
     let insert = |id: u32, wait_ms: u32| {
@@ -205,9 +211,9 @@
     // The second's time is over; reckoned from the third's last byte most of it would be left.
     std::thread::sleep(Duration::from_millis(100));
     tell.send(()).expect("told");
-    assert_eq!(client.got(), Got::Answered("1".into()));
-    assert_eq!(client.got(), Got::Throttled, "nobody waits for it any more");
-    assert_eq!(client.got(), Got::Answered("3".into()), "the third has its whole time");
+    assert_eq!(client.got(), Received::Answered("1".into()));
+    assert_eq!(client.got(), Received::Throttled, "nobody waits for it any more");
+    assert_eq!(client.got(), Received::Answered("3".into()), "the third has its whole time");
     drop(client);
     router.wait();
     assert_eq!([1, 2, 3].map(|id| ledger.ran(&id.to_string())), [1, 0, 1]);
@@ -358,7 +364,7 @@
     let _ = stream.read_to_end(&mut told);
     assert_eq!(
         Client::connect(Protocol::Tds, router.address).ask("INSERT INTO t VALUES ('k')"),
-        Got::Answered("k".into())
+        Received::Answered("k".into())
     );
     router.wait();
 }
@@ -366,14 +372,14 @@
 #[test]
 fn the_sample_and_its_schema_fit_and_faults_are_named_by_key() {
     let sample = include_str!("../../../deploy/tds.json");
-    Ways::read(sample).expect("the sample");
+    TdsSettings::read(sample).expect("the sample");
     let schema: Value = serde_json::from_str(include_str!("../../../deploy/tds.schema.json")).expect("JSON");
-    assert_eq!(serde_json::to_value(schemars::schema_for!(Ways)).expect("a schema"), schema);
+    assert_eq!(serde_json::to_value(schemars::schema_for!(TdsSettings)).expect("a schema"), schema);
     let sample: Value = serde_json::from_str(sample).expect("JSON");
     let with = |key: &str, value: Value| {
         let mut ways = sample.clone();
         *ways.pointer_mut(key).expect(key) = value;
-        Ways::read(&ways.to_string()).expect_err(key)
+        TdsSettings::read(&ways.to_string()).expect_err(key)
     };
     for (key, value, told) in [
         ("/packet_size", json!(100), "packet_size must be 512 to 32767"),
@@ -403,7 +409,9 @@
         send_chunk(watch, &format!("{}\n", json!({"seq": seq, "whole": false, "hosts": hosts})));
     };
     tell(&mut watch, 8, json!([]));
-    old.script(|nth, _| if nth == 0 { Step::AnswerAfter(Duration::from_millis(400)) } else { Step::Answer });
+    old.script(|nth, _| {
+        if nth == 0 { HostBehavior::AnswerAfter(Duration::from_millis(400)) } else { HostBehavior::Answer }
+    });
     let mut client = Client::connect(Protocol::Tds, router.address);
     let text = "INSERT INTO t VALUES ('first'); UPDATE u SET n = 1";
     client.send(text);
@@ -417,7 +425,7 @@
         9,
         json!([entry("old", old.address, false, "draining"), entry("new", new.address, true, "ready")]),
     );
-    assert_eq!(client.got(), Got::Answered("first".into()), "what runs ends");
+    assert_eq!(client.got(), Received::Answered("first".into()), "what runs ends");
     old.set_primary(false);
     new.set_primary(true);
     // A second past the grace; each batch is answered once, wherever it goes.
@@ -429,7 +437,7 @@
         let (key, sent) = (format!("k{nth}"), noticed.elapsed());
         let got = client.ask(&format!("INSERT INTO t VALUES ('{key}')"));
         if sent > Duration::from_secs(2) {
-            assert_eq!(got, Got::Answered(key.clone()), "the other host serves");
+            assert_eq!(got, Received::Answered(key.clone()), "the other host serves");
             late.push(key);
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -450,7 +458,7 @@
 fn an_attention_in_the_middle_of_a_takeover_is_acknowledged_and_harms_nothing() {
     let Scene { primary, replica, ledger, router } = scene(rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
-    assert_eq!(client.ask("INSERT INTO t VALUES ('a')"), Got::Answered("a".into()));
+    assert_eq!(client.ask("INSERT INTO t VALUES ('a')"), Received::Answered("a".into()));
     primary.set_down(true);
     // Reads that must be fresh wait for the next primary, or are turned away: some are called off meanwhile.
     let mut called_off = 0;
@@ -459,19 +467,19 @@
         std::thread::sleep(Duration::from_millis(10));
         client.stream.write_all(&attention()).expect("sent");
         let mut got = client.got();
-        if got != Got::CalledOff {
-            assert!(matches!(got, Got::Throttled | Got::Failed(_)), "{got:?}");
+        if got != Received::CalledOff {
+            assert!(matches!(got, Received::Throttled | Received::Failed(_)), "{got:?}");
             got = client.got();
         } else {
             called_off += 1;
         }
-        assert_eq!(got, Got::CalledOff, "acknowledged once");
+        assert_eq!(got, Received::CalledOff, "acknowledged once");
     }
     assert!(called_off > 0, "some were in hand");
     replica.set_primary(true);
     let took_over = Instant::now();
     let mut nth = 0;
-    while client.ask(&format!("INSERT INTO t VALUES ('b{nth}')")) != Got::Answered(format!("b{nth}")) {
+    while client.ask(&format!("INSERT INTO t VALUES ('b{nth}')")) != Received::Answered(format!("b{nth}")) {
         assert!(took_over.elapsed() < comethitch_testkit::LONG, "nobody serves after the takeover");
         nth += 1;
         std::thread::sleep(Duration::from_millis(10));
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -5,13 +5,13 @@
 use comethitch_policy::chance::Chance;
 use comethitch_policy::time::Timestamp;
 use comethitch_policy::{AttemptOutcome, Lifecycle, Role};
-use comethitchd::memory::buffer::{Buffer, Room};
-use comethitchd::memory::connection::{Code, ConnectionEnd};
-use comethitchd::memory::list::List;
-use comethitchd::memory::site::Site;
+use comethitchd::state::buffer::{Buffer, MemoryBudget};
+use comethitchd::state::config::Config;
+use comethitchd::state::endpoints::EndpointDirectory;
+use comethitchd::state::host_connection::{Code, ConnectionEnd};
 use comethitchd::wire::http::{self, Body};
 use comethitchd::wire::postgres::{self, Answer, LARGEST_MESSAGE, Opening, host_message, message};
-use comethitchd::wire::{Malformed, discovery, standing, statement};
+use comethitchd::wire::{Malformed, discovery, host_report, statement};
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
 use support::*;
@@ -38,7 +38,7 @@
         let answer = answer_in(pieces, &bytes).expect("an answer");
         assert!(answer.whole() && answer.ready() && answer.code.is_none());
         assert_eq!(answer.value, row(b"\x9f\x00\x03"), "only the value itself is passed on");
-        let noted = standing::noted(&answer);
+        let noted = host_report::noted(&answer);
         assert_eq!(
             (noted.role, noted.position),
             (Some(Role::Primary), Some(Timestamp::from_millis(1_767_225_600_123)))
@@ -200,16 +200,16 @@
         }
         let _ = (postgres::opening(&bytes), statement::comment(&bytes), statement::session(&bytes));
         let _ = (http::head(&bytes), discovery::listing(&bytes, &[]).is_ok());
-        let _ = standing::reported(&String::from_utf8_lossy(&bytes));
+        let _ = host_report::reported(&String::from_utf8_lossy(&bytes));
     }
     for odd in ["x0=.5", "x0=1.x", "x0=99999999999999999999", "x0=-1", "=", "x0", "x0=1e9,x1=?"] {
-        assert_eq!(standing::reported(odd), comethitch_policy::HostReport::default(), "{odd}");
+        assert_eq!(host_report::reported(odd), comethitch_policy::HostReport::default(), "{odd}");
     }
 }
 
 #[test]
 fn every_end_of_a_connection_has_its_outcome() {
-    let code = |code: &str| ConnectionEnd::Told(Code::Postgres(code.into()));
+    let code = |code: &str| ConnectionEnd::HostError(Code::Postgres(code.into()));
     let table = [
         (ConnectionEnd::Whole, AttemptOutcome::Answered, false),
         (code("25006"), AttemptOutcome::NotPrimary, true),
@@ -232,7 +232,7 @@
 
 #[test]
 fn a_buffer_grows_is_compacted_and_has_a_limit() {
-    let room = Room::new(3_500);
+    let room = MemoryBudget::new(3_500);
     let (mut buffer, mut other) = (Buffer::new(3_000, &room), Buffer::new(3_000, &room));
     let bytes = [7u8; 5_000];
     let mut from = &bytes[..];
@@ -282,7 +282,7 @@
 #[test]
 fn a_list_whose_hosts_are_replaced_without_end_stays_small() {
     let address = "127.0.0.1:5433".parse().expect("an address");
-    let mut list = List::default();
+    let mut list = EndpointDirectory::default();
     for round in 0..3_000 {
         let (new, old) = (format!("s-{}", round + 1), format!("s-{round}"));
         let hosts = [entry(&new, address, false, "ready"), entry(&old, address, false, "gone")];
@@ -320,15 +320,15 @@
         (changed("settings.permissions.max_attempts", json!(0)), "settings.permissions.max_attempts must be"),
     ];
     for (text, wanted) in cases {
-        let message = Site::read(&text, |_| None).expect_err(wanted);
+        let message = Config::read(&text, |_| None).expect_err(wanted);
         assert!(message.contains(wanted) && !message.contains('\n'), "{message}");
     }
-    let site = Site::read(&changed("listen", Value::Null), |name| {
+    let site = Config::read(&changed("listen", Value::Null), |name| {
         (name == "RELAY_LISTEN").then(|| "127.0.0.1:7000".into())
     });
     assert_eq!(site.expect("a configuration").listen.port(), 7000, "the variable stands in");
     assert!(
-        Site::read(&changed("settings.more", json!([1, 2])), |_| None).is_ok(),
+        Config::read(&changed("settings.more", json!([1, 2])), |_| None).is_ok(),
         "unknown keys are let be"
     );
 }
