--- a/crates/comethitch-testkit/src/client.rs
+++ b/crates/comethitch-testkit/src/client.rs
@@ -13,11 +13,11 @@
     /// By its code or number.
     Failed(String),
     /// It became no command.
-    Refused(String),
+    Rejected(String),
     /// What was called off is off.
-    CalledOff,
+    Cancelled,
     /// An answer that could not be read to its end.
-    Spoilt,
+    Malformed,
     Closed,
 }
 
@@ -53,16 +53,16 @@
     }
 
     /// The next answer.
-    pub fn got(&mut self) -> Received {
+    pub fn receive(&mut self) -> Received {
         match self.protocol {
             Protocol::Postgres => postgres::got(&mut self.stream),
             Protocol::Tds => tds::got(&mut self.stream),
         }
     }
 
-    pub fn ask(&mut self, text: &str) -> Received {
+    pub fn execute(&mut self, text: &str) -> Received {
         self.send(text);
-        self.got()
+        self.receive()
     }
 
     /// Whether nothing has come beyond the answers read: a second answer would be here.
--- a/crates/comethitch-testkit/src/engine.rs
+++ b/crates/comethitch-testkit/src/engine.rs
@@ -19,33 +19,33 @@
     /// The same, the answer byte by byte.
     Trickle,
     /// The same, with a surplus behind the answer.
-    Twice,
+    AnswerTwice,
     /// Closes the connection before it runs.
     ResetBefore,
     /// Runs it, and closes the connection without a word.
     ResetAfter,
     /// Runs it, sends half of the answer, and closes the connection.
-    Cut,
+    Truncate,
     /// Runs it, and answers nonsense.
-    Spoil,
+    Malformed,
     /// Says nothing, and never runs it.
     Hang,
     /// Runs it, and says nothing.
     HangAfter,
     /// Turns it away: no room.
-    Refuse,
+    Overloaded,
     /// Answers with an error of its own, without an effect.
-    Fault,
+    Error,
     /// An error on which drivers try again, once it ran.
-    Transient,
+    TransientError,
     /// Runs it, and answers with two megabytes in rows of which the last is its key.
-    Huge,
+    LargeAnswer,
     /// The same, and closes the connection after three quarters of it.
-    HugeCut,
+    TruncateLargeAnswer,
     /// Runs it, and leaves a transaction open.
-    LeaveOpen,
+    LeaveTransactionOpen,
     /// Runs it, and answers with a row of every type, where the protocol has types.
-    Types,
+    AllTypes,
 }
 
 type Script = Box<dyn Fn(usize, &str) -> HostBehavior + Send + Sync>;
@@ -95,7 +95,7 @@
         if self.is_down() {
             return Act::Close;
         }
-        self.ledger.note(Entry::Came { host: self.name.clone(), text: text.into() });
+        self.ledger.record(Entry::Arrived { host: self.name.clone(), text: text.into() });
         let nth = self.nth.fetch_add(1, Ordering::SeqCst);
         let step = self.script.lock().expect("no panic while it is held")(nth, text);
         if writes(text) && !self.is_primary() {
@@ -107,11 +107,11 @@
         }
         let runs = !matches!(
             step,
-            HostBehavior::ResetBefore | HostBehavior::Hang | HostBehavior::Refuse | HostBehavior::Fault
+            HostBehavior::ResetBefore | HostBehavior::Hang | HostBehavior::Overloaded | HostBehavior::Error
         );
         if runs {
             let (host, primary) = (self.name.clone(), self.is_primary());
-            self.ledger.note(Entry::Ran { host, text: text.into(), primary });
+            self.ledger.record(Entry::Executed { host, text: text.into(), primary });
         }
         self.tell(text);
         Act::HostBehavior(step, crate::key(text).to_string())
@@ -119,7 +119,7 @@
 
     /// Something came on a connection on which a transaction was left open.
     pub fn mixed(&self, text: &str) {
-        self.ledger.note(Entry::Mixed { host: self.name.clone(), text: text.into() });
+        self.ledger.record(Entry::Interleaved { host: self.name.clone(), text: text.into() });
     }
 
     fn tell(&self, text: &str) {
@@ -195,7 +195,7 @@
     }
 
     /// Waits for the next command.
-    pub fn next(&self) -> String {
+    pub fn next_command(&self) -> String {
         self.came.recv_timeout(LONG).expect("a command at the host")
     }
 
--- a/crates/comethitch-testkit/src/ledger.rs
+++ b/crates/comethitch-testkit/src/ledger.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// A command came, with its last byte.
-    Came { host: String, text: String },
+    Arrived { host: String, text: String },
     /// It ran, at a primary or at a replica.
-    Ran { host: String, text: String, primary: bool },
+    Executed { host: String, text: String, primary: bool },
     /// Something was sent on a connection on which another's transaction is open.
-    Mixed { host: String, text: String },
+    Interleaved { host: String, text: String },
 }
 
 /// Kept by all hosts of a test together, in the order of what happened.
@@ -22,13 +22,13 @@
 
 /// A command as a client asked it, and all answers that it got.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Exchange {
     pub text: String,
-    pub got: Vec<Received>,
+    pub answers: Vec<Received>,
 }
 
 impl Ledger {
-    pub fn note(&self, entry: Entry) {
+    pub fn record(&self, entry: Entry) {
         self.0.lock().expect("no panic while it is held").push(entry);
     }
 
@@ -37,28 +37,28 @@
     }
 
     /// How many commands came to hosts: the router's dispatches.
-    pub fn dispatches(&self) -> usize {
-        self.entries().iter().filter(|entry| matches!(entry, Entry::Came { .. })).count()
+    pub fn attempts(&self) -> usize {
+        self.entries().iter().filter(|entry| matches!(entry, Entry::Arrived { .. })).count()
     }
 
     /// How often the command of a key ran.
-    pub fn ran(&self, wanted: &str) -> usize {
-        let ran = |entry: &&Entry| matches!(entry, Entry::Ran { text, .. } if key(text) == wanted);
+    pub fn executions(&self, wanted: &str) -> usize {
+        let ran = |entry: &&Entry| matches!(entry, Entry::Executed { text, .. } if key(text) == wanted);
         self.entries().iter().filter(ran).count()
     }
 
     /// What breaks a rule, in words; empty if nothing does.
-    pub fn broken(&self, asked: &[Asked]) -> Vec<String> {
+    pub fn violations(&self, asked: &[Exchange]) -> Vec<String> {
         let mut broken = Vec::new();
         let mut came: BTreeMap<String, usize> = BTreeMap::new();
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for entry in self.entries() {
             match entry {
-                Entry::Came { text, .. } => *came.entry(key(&text).to_string()).or_default() += 1,
-                Entry::Mixed { host, text } => {
+                Entry::Arrived { text, .. } => *came.entry(key(&text).to_string()).or_default() += 1,
+                Entry::Interleaved { host, text } => {
                     broken.push(format!("within another's transaction at {host}: {text}"));
                 }
-                Entry::Ran { host, text, primary } => {
+                Entry::Executed { host, text, primary } => {
                     *runs.entry(key(&text).to_string()).or_default() += 1;
                     if writes(&text) && !primary {
                         broken.push(format!("a write ran at the replica {host}: {text}"));
@@ -66,7 +66,7 @@
                 }
             }
         }
-        for Asked { text, got } in asked {
+        for Exchange { text, answers: got } in asked {
             let key = key(text);
             let ran = runs.get(key).copied().unwrap_or(0);
             if got.len() != 1 {
--- a/crates/comethitch-testkit/src/lib.rs
+++ b/crates/comethitch-testkit/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use client::{Client, Received};
 pub use engine::{Host, HostBehavior};
-pub use ledger::{Asked, Ledger};
+pub use ledger::{Exchange, Ledger};
 
 use std::time::Duration;
 
--- a/crates/comethitch-testkit/src/postgres.rs
+++ b/crates/comethitch-testkit/src/postgres.rs
@@ -67,10 +67,10 @@
         };
         let whole = [row(key.as_bytes()), ready()].concat();
         match step {
-            HostBehavior::Answer | HostBehavior::AnswerAfter(_) | HostBehavior::Types => {
+            HostBehavior::Answer | HostBehavior::AnswerAfter(_) | HostBehavior::AllTypes => {
                 stream.write_all(&whole)?
             }
-            HostBehavior::LeaveOpen => {
+            HostBehavior::LeaveTransactionOpen => {
                 open = true;
                 stream.write_all(&[row(key.as_bytes()), message(b'Z', b"T")].concat())?;
             }
@@ -80,16 +80,16 @@
                     std::thread::sleep(Duration::from_micros(300));
                 }
             }
-            HostBehavior::Twice => stream.write_all(&[whole, row(b"surplus")].concat())?,
-            HostBehavior::Cut => {
+            HostBehavior::AnswerTwice => stream.write_all(&[whole, row(b"surplus")].concat())?,
+            HostBehavior::Truncate => {
                 stream.write_all(&whole[..whole.len() / 2])?;
                 return Ok(());
             }
-            HostBehavior::Spoil => stream.write_all(&message(b'?', b"nonsense"))?,
-            HostBehavior::Refuse => stream.write_all(&[error("53300"), ready()].concat())?,
-            HostBehavior::Fault => stream.write_all(&[error("XX000"), ready()].concat())?,
-            HostBehavior::Transient => stream.write_all(&[error("40001"), ready()].concat())?,
-            HostBehavior::Huge | HostBehavior::HugeCut => {
+            HostBehavior::Malformed => stream.write_all(&message(b'?', b"nonsense"))?,
+            HostBehavior::Overloaded => stream.write_all(&[error("53300"), ready()].concat())?,
+            HostBehavior::Error => stream.write_all(&[error("XX000"), ready()].concat())?,
+            HostBehavior::TransientError => stream.write_all(&[error("40001"), ready()].concat())?,
+            HostBehavior::LargeAnswer | HostBehavior::TruncateLargeAnswer => {
                 // One answer of many rows: its description stands once, and its end.
                 let one = row(&vec![b'x'; 100 << 10]);
                 let (begin, end) = (one.len() - (7 + 4 + (100 << 10)) - 14, one.len() - 14);
@@ -98,7 +98,7 @@
                 let last = row(key.as_bytes());
                 huge.extend_from_slice(&last[begin..]);
                 huge.extend(ready());
-                if step == HostBehavior::HugeCut {
+                if step == HostBehavior::TruncateLargeAnswer {
                     stream.write_all(&huge[..huge.len() / 4 * 3])?;
                     return Ok(());
                 }
@@ -143,7 +143,7 @@
                 let code = String::from_utf8_lossy(code.map_or(&b""[..], |code| &code[1..])).into_owned();
                 got = match code.as_str() {
                     "53300" => Received::Throttled,
-                    "42601" | "42809" | "0A000" | "22023" | "42710" => Received::Refused(code),
+                    "42601" | "42809" | "0A000" | "22023" | "42710" => Received::Rejected(code),
                     _ => Received::Failed(code),
                 };
             }
--- a/crates/comethitch-testkit/src/tds.rs
+++ b/crates/comethitch-testkit/src/tds.rs
@@ -179,12 +179,12 @@
         put_message(&mut whole, Kind::Answer, SIZE, &answer);
         match step {
             HostBehavior::Answer | HostBehavior::AnswerAfter(_) => stream.write_all(&whole)?,
-            HostBehavior::LeaveOpen => {
+            HostBehavior::LeaveTransactionOpen => {
                 open = true;
                 put_change_bytes(&mut tokens, 8, &[1; 8], &[]);
                 write(&mut stream, Kind::Answer, SIZE, &[tokens, answer].concat())?;
             }
-            HostBehavior::Types => {
+            HostBehavior::AllTypes => {
                 tokens.extend(row_of_types());
                 end(&mut tokens);
                 write(&mut stream, Kind::Answer, SIZE, &tokens)?;
@@ -195,32 +195,32 @@
                     std::thread::sleep(Duration::from_micros(300));
                 }
             }
-            HostBehavior::Twice => {
+            HostBehavior::AnswerTwice => {
                 end(&mut answer);
                 write(&mut stream, Kind::Answer, SIZE, &answer)?;
             }
-            HostBehavior::Cut => {
+            HostBehavior::Truncate => {
                 stream.write_all(&whole[..whole.len() / 2])?;
                 return Ok(());
             }
-            HostBehavior::Spoil => write(&mut stream, Kind::Answer, SIZE, &[0x42; 9])?,
-            HostBehavior::Refuse => {
+            HostBehavior::Malformed => write(&mut stream, Kind::Answer, SIZE, &[0x42; 9])?,
+            HostBehavior::Overloaded => {
                 write(&mut stream, Kind::Answer, SIZE, &[tokens, error(10_928, 16)].concat())?
             }
-            HostBehavior::Fault => {
+            HostBehavior::Error => {
                 write(&mut stream, Kind::Answer, SIZE, &[tokens, error(50_000, 16)].concat())?
             }
-            HostBehavior::Transient => {
+            HostBehavior::TransientError => {
                 write(&mut stream, Kind::Answer, SIZE, &[tokens, error(40_501, 16)].concat())?
             }
-            HostBehavior::Huge | HostBehavior::HugeCut => {
+            HostBehavior::LargeAnswer | HostBehavior::TruncateLargeAnswer => {
                 tokens.extend(rows(&"x".repeat(50 << 10), 20));
                 let columns = [("data", Column::LongText)];
                 put_row(&mut tokens, &columns, &[Cell::Text(key)]);
                 end(&mut tokens);
                 let mut wire = Vec::new();
                 put_message(&mut wire, Kind::Answer, SIZE, &tokens);
-                if step == HostBehavior::HugeCut {
+                if step == HostBehavior::TruncateLargeAnswer {
                     stream.write_all(&wire[..wire.len() / 4 * 3])?;
                     return Ok(());
                 }
@@ -287,7 +287,7 @@
     let Ok((Kind::Answer, _, answer)) = read(stream) else { return Received::Closed };
     let (mut tokens, mut at, mut got) = (Tokens::new(), 0, Received::Closed);
     while at < answer.len() {
-        let Ok((token, length)) = tokens.next(&answer[at..]) else { return Received::Spoilt };
+        let Ok((token, length)) = tokens.next(&answer[at..]) else { return Received::Malformed };
         match token {
             Token::Row => {
                 let first = tokens
@@ -300,15 +300,15 @@
             Token::Error(message) => {
                 got = match message.number {
                     49_918 => Received::Throttled,
-                    50_001 => Received::Refused(message.text),
+                    50_001 => Received::Rejected(message.text),
                     number => Received::Failed(number.to_string()),
                 };
             }
-            Token::Done { status, .. } if status & done::ATTENTION != 0 => got = Received::CalledOff,
+            Token::Done { status, .. } if status & done::ATTENTION != 0 => got = Received::Cancelled,
             Token::Done { .. } if got == Received::Closed => got = Received::Answered(String::new()),
             _ => {}
         }
         at += length;
     }
-    if tokens.over() { got } else { Received::Spoilt }
+    if tokens.over() { got } else { Received::Malformed }
 }
--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -1,7 +1,7 @@
 //! A router between stand-in hosts and clients, with one takeover in the middle: `make demo`.
 
 use async_io::Async;
-use comethitch_testkit::{Asked, Client, Host, HostBehavior, Ledger, Protocol, Received};
+use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Received};
 use comethitchd::service::listen;
 use comethitchd::stages::learn;
 use comethitchd::state::clock::Clock;
@@ -64,8 +64,11 @@
                         0 => format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)"),
                         _ => format!("SELECT data FROM facts WHERE code = '{key}'"),
                     };
-                    let got = own.ask(&text);
-                    asked.lock().expect("no panic").push((began.elapsed(), Asked { text, got: vec![got] }));
+                    let got = own.execute(&text);
+                    asked
+                        .lock()
+                        .expect("no panic")
+                        .push((began.elapsed(), Exchange { text, answers: vec![got] }));
                 }
             });
         }
@@ -89,15 +92,15 @@
     ];
     for (name, from, until) in spans {
         let of = |kind: fn(&Received) -> bool| {
-            asked.iter().filter(|(at, one)| *at >= from && *at < until && kind(&one.got[0])).count()
+            asked.iter().filter(|(at, one)| *at >= from && *at < until && kind(&one.answers[0])).count()
         };
         let answered = of(|got| matches!(got, Received::Answered(_)));
         let failed = of(|got| matches!(got, Received::Failed(_)));
         println!("| {name} | {answered} | {} | {failed} |", of(|got| *got == Received::Throttled));
     }
-    let asked: Vec<Asked> = asked.into_iter().map(|(_, one)| one).collect();
-    let broken = ledger.broken(&asked);
-    println!("\n{} commands, {} dispatches, {} rules broken", asked.len(), ledger.dispatches(), broken.len());
+    let asked: Vec<Exchange> = asked.into_iter().map(|(_, one)| one).collect();
+    let broken = ledger.violations(&asked);
+    println!("\n{} commands, {} dispatches, {} rules broken", asked.len(), ledger.attempts(), broken.len());
     broken.iter().take(10).for_each(|why| println!("  {why}"));
     assert!(broken.is_empty(), "a rule was broken");
 }
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -123,7 +123,7 @@
                 for nth in 0..EACH {
                     let key = format!("k{client}-{nth}");
                     let text = format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)");
-                    assert_eq!(asker.ask(&text), Received::Answered(key));
+                    assert_eq!(asker.execute(&text), Received::Answered(key));
                 }
             });
         }
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use comethitch_testkit::{Asked, Client, Host, HostBehavior, Ledger, Protocol, Received};
+use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Received};
 use serde_json::{Value, json};
 use std::time::Duration;
 use support::{Router, entry, site};
@@ -25,7 +25,7 @@
     replica: Host,
     router: Router,
     ledger: Ledger,
-    asked: Vec<Asked>,
+    asked: Vec<Exchange>,
     keys: usize,
     /// Dispatches that belong to no scenario.
     before: usize,
@@ -80,8 +80,8 @@
     }
 
     fn ask(&mut self, client: &mut Client, text: String) -> Received {
-        let got = client.ask(&text);
-        self.asked.push(Asked { text, got: vec![got.clone()] });
+        let got = client.execute(&text);
+        self.asked.push(Exchange { text, answers: vec![got.clone()] });
         got
     }
 
@@ -102,7 +102,7 @@
     /// What was needed to get here is no part of the scenario.
     fn begin(&mut self) {
         self.asked.clear();
-        self.before = self.ledger.dispatches();
+        self.before = self.ledger.attempts();
     }
 
     /// Asks reads until the replica has taken none of ten.
@@ -134,7 +134,11 @@
 
     fn replica_ran(&self) -> usize {
         use comethitch_testkit::ledger::Entry;
-        self.ledger.entries().iter().filter(|e| matches!(e, Entry::Ran { host, .. } if host == "r")).count()
+        self.ledger
+            .entries()
+            .iter()
+            .filter(|e| matches!(e, Entry::Executed { host, .. } if host == "r"))
+            .count()
     }
 }
 
@@ -148,7 +152,7 @@
         let text = scene.write();
         // A debug build on a crowded machine may take a second for two megabytes: this is no test of the time.
         let patient = format!("/* id=p{nth},c=write,d=3000,cluster=0 */ {text}");
-        scene.ask(client, if step == HostBehavior::Huge { patient } else { text });
+        scene.ask(client, if step == HostBehavior::LargeAnswer { patient } else { text });
     }
 }
 
@@ -172,23 +176,27 @@
     ("writes are answered", |s, c| write_meets(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
     ("a write, reset before it ran", |s, c| write_meets(s, c, HostBehavior::ResetBefore), [1, 0, 1, 0]),
     ("a write, reset after it ran", |s, c| write_meets(s, c, HostBehavior::ResetAfter), [1, 0, 1, 0]),
-    ("a write, its answer cut off", |s, c| write_meets(s, c, HostBehavior::Cut), [1, 0, 1, 0]),
-    ("a write, its answer spoilt", |s, c| write_meets(s, c, HostBehavior::Spoil), [1, 0, 1, 0]),
+    ("a write, its answer cut off", |s, c| write_meets(s, c, HostBehavior::Truncate), [1, 0, 1, 0]),
+    ("a write, its answer spoilt", |s, c| write_meets(s, c, HostBehavior::Malformed), [1, 0, 1, 0]),
     ("a write, hung before it ran", |s, c| write_meets(s, c, HostBehavior::Hang), [1, 0, 1, 0]),
     ("a write, hung after it ran", |s, c| write_meets(s, c, HostBehavior::HangAfter), [1, 0, 1, 0]),
-    ("a write, turned away once", |s, c| write_meets(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
-    ("a write, met by an error", |s, c| write_meets(s, c, HostBehavior::Fault), [1, 0, 1, 0]),
+    ("a write, turned away once", |s, c| write_meets(s, c, HostBehavior::Overloaded), [2, 0, 0, 0]),
+    ("a write, met by an error", |s, c| write_meets(s, c, HostBehavior::Error), [1, 0, 1, 0]),
     (
         "a write, met by an error that drivers retry",
-        |s, c| write_meets(s, c, HostBehavior::Transient),
+        |s, c| write_meets(s, c, HostBehavior::TransientError),
         [1, 0, 1, 0],
     ),
     ("a write, answered byte by byte", |s, c| write_meets(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
-    ("a write, answered twice", |s, c| write_meets(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
-    ("a write, answered with two megabytes", |s, c| write_meets(s, c, HostBehavior::Huge), [2, 0, 0, 0]),
+    ("a write, answered twice", |s, c| write_meets(s, c, HostBehavior::AnswerTwice), [2, 0, 0, 0]),
+    (
+        "a write, answered with two megabytes",
+        |s, c| write_meets(s, c, HostBehavior::LargeAnswer),
+        [2, 0, 0, 0],
+    ),
     (
         "a write that leaves a transaction open",
-        |s, c| write_meets(s, c, HostBehavior::LeaveOpen),
+        |s, c| write_meets(s, c, HostBehavior::LeaveTransactionOpen),
         [2, 0, 0, 0],
     ),
     (
@@ -199,12 +207,12 @@
     ("reads are answered", |s, c| read_meets(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
     ("a read, reset before it ran", |s, c| read_meets(s, c, HostBehavior::ResetBefore), [2, 0, 0, 0]),
     ("a read, reset after it ran", |s, c| read_meets(s, c, HostBehavior::ResetAfter), [2, 0, 0, 0]),
-    ("a read, its answer cut off", |s, c| read_meets(s, c, HostBehavior::Cut), [2, 0, 0, 0]),
-    ("a read, its answer spoilt", |s, c| read_meets(s, c, HostBehavior::Spoil), [2, 0, 0, 0]),
+    ("a read, its answer cut off", |s, c| read_meets(s, c, HostBehavior::Truncate), [2, 0, 0, 0]),
+    ("a read, its answer spoilt", |s, c| read_meets(s, c, HostBehavior::Malformed), [2, 0, 0, 0]),
     ("a read, hung", |s, c| read_meets(s, c, HostBehavior::Hang), [1, 1, 0, 0]),
-    ("a read, turned away", |s, c| read_meets(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
+    ("a read, turned away", |s, c| read_meets(s, c, HostBehavior::Overloaded), [2, 0, 0, 0]),
     ("a read, answered byte by byte", |s, c| read_meets(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
-    ("a read, answered twice", |s, c| read_meets(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
+    ("a read, answered twice", |s, c| read_meets(s, c, HostBehavior::AnswerTwice), [2, 0, 0, 0]),
     (
         "a read, the replica dead",
         |s, c| {
@@ -316,11 +324,11 @@
     play(&mut scene, &mut client);
     let mut counts = Counts::default();
     for asked in &scene.asked {
-        match &asked.got[0] {
+        match &asked.answers[0] {
             Received::Answered(_) => counts.answered += 1,
             Received::Throttled => counts.throttled += 1,
             Received::Failed(_) => counts.failed += 1,
-            Received::Refused(_) => counts.refused += 1,
+            Received::Rejected(_) => counts.refused += 1,
             other => panic!("{other:?} to {}", asked.text),
         }
     }
@@ -328,13 +336,13 @@
     drop(client);
     let asked = std::mem::take(&mut scene.asked);
     scene.router.wait();
-    counts.dispatches = scene.ledger.dispatches() - scene.before;
+    counts.dispatches = scene.ledger.attempts() - scene.before;
     // Without a row there is no key in the answer.
-    let with_key: Vec<Asked> = asked
+    let with_key: Vec<Exchange> = asked
         .into_iter()
-        .filter(|asked| !matches!(&asked.got[0], Received::Answered(value) if value.is_empty()))
+        .filter(|asked| !matches!(&asked.answers[0], Received::Answered(value) if value.is_empty()))
         .collect();
-    let mut broken = scene.ledger.broken(&with_key);
+    let mut broken = scene.ledger.violations(&with_key);
     broken.append(&mut scene.broken);
     if !quiet {
         broken.push("something came behind the last answer".into());
@@ -380,23 +388,27 @@
             let mut scene = Scene::new(protocol);
             let mut client = scene.client();
             scene.warm(&mut client);
-            scene.primary.script(once(HostBehavior::HugeCut));
-            scene.replica.script(once(HostBehavior::HugeCut));
+            scene.primary.script(once(HostBehavior::TruncateLargeAnswer));
+            scene.replica.script(once(HostBehavior::TruncateLargeAnswer));
             let text = if writes { scene.write() } else { scene.read() };
             let key = comethitch_testkit::key(&text).to_string();
-            assert_eq!(client.ask(&text), Received::Closed, "{protocol:?}: the client is told by the end");
             assert_eq!(
-                scene.ledger.dispatches() - scene.before,
+                client.execute(&text),
+                Received::Closed,
+                "{protocol:?}: the client is told by the end"
+            );
+            assert_eq!(
+                scene.ledger.attempts() - scene.before,
                 1,
                 "{protocol:?}: what has begun is the answer"
             );
-            assert_eq!(scene.ledger.ran(&key), 1);
+            assert_eq!(scene.ledger.executions(&key), 1);
             // Another client is served, and nothing of the broken answer reaches it.
             let mut other = scene.client();
             for _ in 0..3 {
                 let text = scene.write();
                 let wanted = comethitch_testkit::key(&text).to_string();
-                let got = other.ask(&text);
+                let got = other.execute(&text);
                 assert!(
                     got == Received::Answered(wanted) || got == Received::Closed && !writes,
                     "{protocol:?}: {got:?}"
@@ -418,7 +430,7 @@
         let mut scene = Scene::new(protocol);
         let mut client = scene.client();
         scene.warm(&mut client);
-        scene.primary.script(once(HostBehavior::Huge));
+        scene.primary.script(once(HostBehavior::LargeAnswer));
         let slow_text = scene.write();
         client.send(&slow_text);
         // Its first byte is there; the rest is left where it is.
@@ -427,7 +439,7 @@
         for _ in 0..20 {
             let text = scene.write();
             let wanted = comethitch_testkit::key(&text).to_string();
-            assert_eq!(other.ask(&text), Received::Answered(wanted), "{protocol:?}");
+            assert_eq!(other.execute(&text), Received::Answered(wanted), "{protocol:?}");
         }
         // Then all of it comes.
         let mut left = 2_000_000_usize;
@@ -447,10 +459,10 @@
     use comethitch_testkit::ledger::Entry;
     let ledger = Ledger::default();
     let text = "INSERT INTO t VALUES ('k')".to_string();
-    let ran = |primary| Entry::Ran { host: "h".into(), text: text.clone(), primary };
-    ledger.note(ran(true));
-    ledger.note(ran(false));
-    let asked = |got: Vec<Received>| vec![Asked { text: text.clone(), got }];
+    let ran = |primary| Entry::Executed { host: "h".into(), text: text.clone(), primary };
+    ledger.record(ran(true));
+    ledger.record(ran(false));
+    let asked = |got: Vec<Received>| vec![Exchange { text: text.clone(), answers: got }];
     for (got, wanted) in [
         (vec![Received::Failed("x".into())], vec!["a write ran at the replica", "ran 2 times"]),
         (
@@ -463,7 +475,7 @@
             vec!["a write ran at the replica", "ran 2 times", "another's answer"],
         ),
     ] {
-        let broken = ledger.broken(&asked(got));
+        let broken = ledger.violations(&asked(got));
         assert_eq!(broken.len(), wanted.len(), "{broken:?}");
         assert!(broken.iter().zip(wanted).all(|(broken, wanted)| broken.contains(wanted)), "{broken:?}");
     }
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -62,7 +62,7 @@
         let claims =
             ["read", "write"].map(|group| format!("/* id={nth}-{group},c={group},d=900,cluster=0 */ {sql}"));
         for text in std::iter::once(sql.to_string()).chain(claims) {
-            if client.ask(&text) == Received::Closed {
+            if client.execute(&text) == Received::Closed {
                 client = Client::connect(Protocol::Tds, router.address);
             }
         }
@@ -73,8 +73,7 @@
         let of = |row: &&Value| row["effect"] == effect;
         let came = |row: &&Value| {
             let sql = row["sql"].as_str().expect("sql");
-            let at =
-                |e: &Entry| matches!(e, Entry::Came { host, text } if host == wanted && text.ends_with(sql));
+            let at = |e: &Entry| matches!(e, Entry::Arrived { host, text } if host == wanted && text.ends_with(sql));
             ledger.entries().iter().any(at)
         };
         rows.iter().filter(of).filter(came).count()
@@ -94,13 +93,13 @@
     // The first parse takes what is saved; nothing worth a token is added in the test's time.
     for nth in 0..10 {
         let text = format!("SELECT a{nth} FROM t");
-        assert_eq!(client.ask(&text), Received::Answered(String::new()), "{text}");
+        assert_eq!(client.execute(&text), Received::Answered(String::new()), "{text}");
     }
     drop(client);
     router.wait();
-    let at_replica = |e: &&Entry| matches!(e, Entry::Came { host, .. } if host == "r");
+    let at_replica = |e: &&Entry| matches!(e, Entry::Arrived { host, .. } if host == "r");
     assert!(ledger.entries().iter().filter(at_replica).count() <= 1, "the first alone may be parsed");
-    assert_eq!(ledger.dispatches(), 10, "each was sent once");
+    assert_eq!(ledger.attempts(), 10, "each was sent once");
 }
 
 #[test]
@@ -108,7 +107,7 @@
     let Scene { primary, replica, router, .. } = scene(rules());
     for host in [&primary, &replica] {
         host.script(
-            |_, text| if text.contains("tipos") { HostBehavior::Types } else { HostBehavior::Answer },
+            |_, text| if text.contains("tipos") { HostBehavior::AllTypes } else { HostBehavior::Answer },
         );
     }
     block_on(async {
@@ -159,12 +158,12 @@
     primary.script(|nth, _| if nth == 0 { HostBehavior::HangAfter } else { HostBehavior::Answer });
     let mut client = Client::connect(Protocol::Tds, router.address);
     client.send("INSERT INTO t VALUES ('a')");
-    assert!(primary.next().contains("'a'"));
+    assert!(primary.next_command().contains("'a'"));
     client.stream.write_all(&attention()).expect("sent");
-    assert_eq!(client.got(), Received::CalledOff);
+    assert_eq!(client.receive(), Received::Cancelled);
     assert!(client.is_quiet(), "one acknowledgement");
     assert_eq!(
-        client.ask("INSERT INTO t VALUES ('b')"),
+        client.execute("INSERT INTO t VALUES ('b')"),
         Received::Answered("b".into()),
         "the connection goes on"
     );
@@ -173,20 +172,20 @@
         let text = format!("INSERT INTO t VALUES ('c{nth}')");
         client.send(&text);
         if nth % 2 == 0 {
-            primary.next();
+            primary.next_command();
         }
         client.stream.write_all(&attention()).expect("sent");
-        let mut got = client.got();
+        let mut got = client.receive();
         if got == Received::Answered(format!("c{nth}")) {
-            got = client.got();
+            got = client.receive();
         }
-        assert_eq!(got, Received::CalledOff, "after {text}");
-        assert_eq!(client.ask("INSERT INTO t VALUES ('d')"), Received::Answered("d".into()));
+        assert_eq!(got, Received::Cancelled, "after {text}");
+        assert_eq!(client.execute("INSERT INTO t VALUES ('d')"), Received::Answered("d".into()));
     }
     drop(client);
     router.wait();
-    assert_eq!(ledger.ran("a"), 1, "it ran, and was not sent again");
-    assert!((0..40).all(|nth| ledger.ran(&format!("c{nth}")) <= 1));
+    assert_eq!(ledger.executions("a"), 1, "it ran, and was not sent again");
+    assert!((0..40).all(|nth| ledger.executions(&format!("c{nth}")) <= 1));
 }
 
 #[test]
@@ -211,12 +210,12 @@
     // The second's time is over; reckoned from the third's last byte most of it would be left.
     std::thread::sleep(Duration::from_millis(100));
     tell.send(()).expect("told");
-    assert_eq!(client.got(), Received::Answered("1".into()));
-    assert_eq!(client.got(), Received::Throttled, "nobody waits for it any more");
-    assert_eq!(client.got(), Received::Answered("3".into()), "the third has its whole time");
+    assert_eq!(client.receive(), Received::Answered("1".into()));
+    assert_eq!(client.receive(), Received::Throttled, "nobody waits for it any more");
+    assert_eq!(client.receive(), Received::Answered("3".into()), "the third has its whole time");
     drop(client);
     router.wait();
-    assert_eq!([1, 2, 3].map(|id| ledger.ran(&id.to_string())), [1, 0, 1]);
+    assert_eq!([1, 2, 3].map(|id| ledger.executions(&id.to_string())), [1, 0, 1]);
 }
 
 /// The answer's tokens.
@@ -252,7 +251,7 @@
         .text("", statement)
         .integer("", Some(1));
     let told = send(&mut client, &payload);
-    assert!(told.contains(&Token::ReturnValue) && ledger.dispatches() == 0, "{told:?}");
+    assert!(told.contains(&Token::ReturnValue) && ledger.attempts() == 0, "{told:?}");
     let execute = |handle: i32| {
         let mut payload = Vec::new();
         CallWriter::known(&mut payload, Known::Execute).integer("", Some(handle)).integer("", Some(9));
@@ -260,7 +259,7 @@
     };
     let told = send(&mut client, &execute(1));
     assert!(told.contains(&Token::Row) && told.contains(&Token::ReturnStatus(0)), "{told:?}");
-    assert_eq!(primary.next(), statement);
+    assert_eq!(primary.next_command(), statement);
     // Prepared and executed in one: the handle comes back with the answer.
     let mut payload = Vec::new();
     let both = CallWriter::known(&mut payload, Known::PrepareExecute).out("@handle").text("", "@a int");
@@ -283,7 +282,7 @@
     assert!(failed(&tokens(&mut client.stream)));
     drop(client);
     router.wait();
-    assert_eq!(ledger.dispatches(), 3);
+    assert_eq!(ledger.attempts(), 3);
 }
 
 #[test]
@@ -311,7 +310,7 @@
         let came = ledger
             .entries()
             .iter()
-            .filter(|e| matches!(e, Entry::Came { host: at, .. } if at == host))
+            .filter(|e| matches!(e, Entry::Arrived { host: at, .. } if at == host))
             .count();
         let refused =
             told.iter().any(|token| matches!(token, Token::Error(m) if m.text.contains("facts lies by n")));
@@ -363,7 +362,7 @@
     let mut told = Vec::new();
     let _ = stream.read_to_end(&mut told);
     assert_eq!(
-        Client::connect(Protocol::Tds, router.address).ask("INSERT INTO t VALUES ('k')"),
+        Client::connect(Protocol::Tds, router.address).execute("INSERT INTO t VALUES ('k')"),
         Received::Answered("k".into())
     );
     router.wait();
@@ -416,7 +415,7 @@
     let text = "INSERT INTO t VALUES ('first'); UPDATE u SET n = 1";
     client.send(text);
     // The host runs it now, and will tell so once it has answered: the notice comes in between.
-    while ledger.dispatches() == 0 {
+    while ledger.attempts() == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     let noticed = Instant::now();
@@ -425,7 +424,7 @@
         9,
         json!([entry("old", old.address, false, "draining"), entry("new", new.address, true, "ready")]),
     );
-    assert_eq!(client.got(), Received::Answered("first".into()), "what runs ends");
+    assert_eq!(client.receive(), Received::Answered("first".into()), "what runs ends");
     old.set_primary(false);
     new.set_primary(true);
     // A second past the grace; each batch is answered once, wherever it goes.
@@ -435,7 +434,7 @@
             break;
         }
         let (key, sent) = (format!("k{nth}"), noticed.elapsed());
-        let got = client.ask(&format!("INSERT INTO t VALUES ('{key}')"));
+        let got = client.execute(&format!("INSERT INTO t VALUES ('{key}')"));
         if sent > Duration::from_secs(2) {
             assert_eq!(got, Received::Answered(key.clone()), "the other host serves");
             late.push(key);
@@ -447,7 +446,7 @@
         ledger
             .entries()
             .iter()
-            .any(|e| matches!(e, Entry::Came { host, text } if host == "old" && text.contains(&wanted)))
+            .any(|e| matches!(e, Entry::Arrived { host, text } if host == "old" && text.contains(&wanted)))
     };
     assert!(late.len() > 10 && !late.iter().any(at_old), "nothing new past the grace");
     drop(client);
@@ -458,7 +457,7 @@
 fn an_attention_in_the_middle_of_a_takeover_is_acknowledged_and_harms_nothing() {
     let Scene { primary, replica, ledger, router } = scene(rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
-    assert_eq!(client.ask("INSERT INTO t VALUES ('a')"), Received::Answered("a".into()));
+    assert_eq!(client.execute("INSERT INTO t VALUES ('a')"), Received::Answered("a".into()));
     primary.set_down(true);
     // Reads that must be fresh wait for the next primary, or are turned away: some are called off meanwhile.
     let mut called_off = 0;
@@ -466,25 +465,26 @@
         client.send(&format!("/* id=f{nth},c=fresh,d=700,cluster=0 */ SELECT n FROM t WHERE a = 'f{nth}'"));
         std::thread::sleep(Duration::from_millis(10));
         client.stream.write_all(&attention()).expect("sent");
-        let mut got = client.got();
-        if got != Received::CalledOff {
+        let mut got = client.receive();
+        if got != Received::Cancelled {
             assert!(matches!(got, Received::Throttled | Received::Failed(_)), "{got:?}");
-            got = client.got();
+            got = client.receive();
         } else {
             called_off += 1;
         }
-        assert_eq!(got, Received::CalledOff, "acknowledged once");
+        assert_eq!(got, Received::Cancelled, "acknowledged once");
     }
     assert!(called_off > 0, "some were in hand");
     replica.set_primary(true);
     let took_over = Instant::now();
     let mut nth = 0;
-    while client.ask(&format!("INSERT INTO t VALUES ('b{nth}')")) != Received::Answered(format!("b{nth}")) {
+    while client.execute(&format!("INSERT INTO t VALUES ('b{nth}')")) != Received::Answered(format!("b{nth}"))
+    {
         assert!(took_over.elapsed() < comethitch_testkit::LONG, "nobody serves after the takeover");
         nth += 1;
         std::thread::sleep(Duration::from_millis(10));
     }
     drop(client);
     router.wait();
-    assert!((0..20).all(|nth| ledger.ran(&format!("f{nth}")) <= 1), "nothing called off was sent on");
+    assert!((0..20).all(|nth| ledger.executions(&format!("f{nth}")) <= 1), "nothing called off was sent on");
 }
