--- /dev/null
+++ b/crates/comethitch-testkit/src/behavior.rs
@@ -0,0 +1,52 @@
+//! The behaviors that a test can script a host with: fault injection, command by command.
+
+use std::time::Duration;
+
+/// What a host does with a command. Unless a variant says otherwise the command is executed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HostBehavior {
+    /// Answers with the command's key.
+    Answer,
+    /// Answers with the key after a delay.
+    AnswerAfter(Duration),
+    /// Answers with the key, one byte at a time.
+    Trickle,
+    /// Answers with the key and sends surplus data after it.
+    AnswerTwice,
+    /// Closes the connection without executing the command.
+    ResetBefore,
+    /// Executes the command and closes the connection without an answer.
+    ResetAfter,
+    /// Sends the first half of the answer and closes the connection.
+    Truncate,
+    /// Sends bytes that the protocol does not allow.
+    Malformed,
+    /// Neither executes the command nor answers.
+    Hang,
+    /// Executes the command and does not answer.
+    HangAfter,
+    /// Rejects the command for lack of capacity, without executing it.
+    Overloaded,
+    /// Answers with an error that is not retryable, without executing the command.
+    Error,
+    /// Executes the command and answers with an error on which drivers retry.
+    TransientError,
+    /// Answers with two megabytes of rows; the last row holds the key.
+    LargeAnswer,
+    /// Sends three quarters of a [`HostBehavior::LargeAnswer`] and closes the connection.
+    TruncateLargeAnswer,
+    /// Answers with the key and leaves a transaction open on the connection.
+    LeaveTransactionOpen,
+    /// Answers with a row that has a column of every type, in a protocol that types its columns.
+    AllTypes,
+}
+
+impl HostBehavior {
+    /// Whether the host executes the command before it answers or fails.
+    pub(crate) fn executes(self) -> bool {
+        !matches!(
+            self,
+            HostBehavior::ResetBefore | HostBehavior::Hang | HostBehavior::Overloaded | HostBehavior::Error
+        )
+    }
+}
--- a/crates/comethitch-testkit/src/client.rs
+++ b/crates/comethitch-testkit/src/client.rs
@@ -1,50 +1,45 @@
-//! A client of either protocol.
+//! A client of either protocol that sends commands one at a time and reads their answers, blocking.
 
-use crate::{LONG, Protocol, postgres, tds};
+use crate::protocol::{LONG, Protocol};
+use crate::received::Received;
+use crate::{postgres, tds};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// What a client got.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Received {
-    /// The first column of the last row; empty without one.
-    Answered(String),
-    Throttled,
-    /// By its code or number.
-    Failed(String),
-    /// It became no command.
-    Rejected(String),
-    /// What was called off is off.
-    Cancelled,
-    /// An answer that could not be read to its end.
-    Malformed,
-    Closed,
-}
-
+/// A connection to a router, past its login.
 pub struct Client {
     protocol: Protocol,
+    /// The socket, for tests that send or read bytes of their own.
     pub stream: TcpStream,
 }
 
 impl Client {
-    /// Connects and is let in.
+    /// Connects and logs in.
+    ///
+    /// # Panics
+    ///
+    /// If the connection or the login fails.
     pub fn connect(protocol: Protocol, address: SocketAddr) -> Client {
-        let mut stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a limit");
+        let mut stream = TcpStream::connect(address).expect("the router accepts connections");
+        stream.set_read_timeout(Some(LONG)).expect("the timeout is not zero");
         let _ = stream.set_nodelay(true);
         match protocol {
-            Protocol::Postgres => postgres::open(&mut stream),
-            Protocol::Tds => tds::open(&mut stream),
+            Protocol::Postgres => postgres::client::log_in(&mut stream),
+            Protocol::Tds => tds::client::log_in(&mut stream),
         }
-        .expect("let in");
+        .expect("the login succeeds");
         Client { protocol, stream }
     }
 
-    /// Sends a command. That the connection is closed shows with the next answer.
+    /// Sends a command. If the router has closed the connection, the next [`Client::receive`] says so.
+    ///
+    /// # Panics
+    ///
+    /// If the socket fails in any other way.
     pub fn send(&mut self, text: &str) {
         let wire = match self.protocol {
-            Protocol::Postgres => postgres::put(text),
-            Protocol::Tds => tds::put(text),
+            Protocol::Postgres => postgres::query(text),
+            Protocol::Tds => tds::client::batch(text),
         };
         if let Err(error) = self.stream.write_all(&wire) {
             let closed = matches!(error.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset);
@@ -52,24 +47,29 @@
         }
     }
 
-    /// The next answer.
+    /// Reads the next answer.
     pub fn receive(&mut self) -> Received {
         match self.protocol {
-            Protocol::Postgres => postgres::got(&mut self.stream),
-            Protocol::Tds => tds::got(&mut self.stream),
+            Protocol::Postgres => postgres::client::receive(&mut self.stream),
+            Protocol::Tds => tds::client::receive(&mut self.stream),
         }
     }
 
+    /// Sends a command and reads its answer.
     pub fn execute(&mut self, text: &str) -> Received {
         self.send(text);
         self.receive()
     }
 
-    /// Whether nothing has come beyond the answers read: a second answer would be here.
+    /// Whether nothing has arrived after the answers read so far, such as a second answer to one command.
+    ///
+    /// # Panics
+    ///
+    /// If the socket cannot be switched to non-blocking reads and back.
     pub fn is_quiet(&mut self) -> bool {
-        self.stream.set_nonblocking(true).expect("set");
-        let nothing = self.stream.read(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
-        self.stream.set_nonblocking(false).expect("set");
+        self.stream.set_nonblocking(true).expect("an open socket takes the mode");
+        let nothing = self.stream.read(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
+        self.stream.set_nonblocking(false).expect("an open socket takes the mode");
         nothing
     }
 }
--- a/crates/comethitch-testkit/src/engine.rs
+++ b/crates/comethitch-testkit/src/engine.rs
@@ -1,220 +1,124 @@
-//! A database host: one engine, whatever is spoken with it.
+//! The database behind a scripted host, independent of the protocol: it executes commands as its script says, and
+//! records them in the ledger.
 
+use crate::behavior::HostBehavior;
+use crate::command::{key, writes};
 use crate::ledger::{Entry, Ledger};
-use crate::{LONG, Protocol, writes};
-use std::io;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
-use std::sync::mpsc::{Receiver, Sender, channel};
-use std::sync::{Arc, Mutex};
+use std::sync::mpsc::Sender;
 use std::time::{Duration, SystemTime};
 
-/// What a host does with a command.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostBehavior {
-    /// Runs it, and answers with its key.
-    Answer,
-    /// The same, once this has passed.
-    AnswerAfter(Duration),
-    /// The same, the answer byte by byte.
-    Trickle,
-    /// The same, with a surplus behind the answer.
-    AnswerTwice,
-    /// Closes the connection before it runs.
-    ResetBefore,
-    /// Runs it, and closes the connection without a word.
-    ResetAfter,
-    /// Runs it, sends half of the answer, and closes the connection.
-    Truncate,
-    /// Runs it, and answers nonsense.
-    Malformed,
-    /// Says nothing, and never runs it.
-    Hang,
-    /// Runs it, and says nothing.
-    HangAfter,
-    /// Turns it away: no room.
-    Overloaded,
-    /// Answers with an error of its own, without an effect.
-    Error,
-    /// An error on which drivers try again, once it ran.
-    TransientError,
-    /// Runs it, and answers with two megabytes in rows of which the last is its key.
-    LargeAnswer,
-    /// The same, and closes the connection after three quarters of it.
-    TruncateLargeAnswer,
-    /// Runs it, and leaves a transaction open.
-    LeaveTransactionOpen,
-    /// Runs it, and answers with a row of every type, where the protocol has types.
-    AllTypes,
-}
-
 type Script = Box<dyn Fn(usize, &str) -> HostBehavior + Send + Sync>;
 
+/// How a connection must respond to a command.
+pub(crate) enum Response {
+    /// As this behavior says; an answer holds the command's key.
+    Scripted {
+        /// What the script chose.
+        behavior: HostBehavior,
+        /// The command's key.
+        key: String,
+    },
+    /// With an error: the command writes, and the host is a replica.
+    ReadOnly,
+    /// Not at all: the host is down, and the connection ends.
+    Close,
+}
+
+/// A host's state, shared by its connections and the test that scripts it.
 pub(crate) struct Engine {
-    pub name: String,
+    name: String,
     primary: AtomicBool,
-    /// Its data are this many milliseconds old.
-    lag_ms: AtomicU64,
-    /// Connections are refused, and those that are open end at their next command.
+    replication_lag_ms: AtomicU64,
+    /// New connections are dropped, and open ones end at their next command.
     down: AtomicBool,
     script: Mutex<Script>,
-    /// Commands that have come.
-    nth: AtomicUsize,
+    command_count: AtomicUsize,
     ledger: Ledger,
-    told: Mutex<Sender<String>>,
-    pub connections: AtomicUsize,
-    /// Those that are open, to be broken when it dies.
-    open: Mutex<Vec<TcpStream>>,
-}
-
-/// What is to be answered.
-pub(crate) enum Act {
-    HostBehavior(HostBehavior, String),
-    /// It is no primary, and the command writes.
-    Miss,
-    Close,
+    /// Notifies the test of each command.
+    commands: Mutex<Sender<String>>,
 }
 
 impl Engine {
-    /// A probe's answer: milliseconds of Unix time up to which all is applied here.
-    pub fn position_ms(&self) -> u64 {
-        let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        (now.as_millis() as u64).saturating_sub(self.lag_ms.load(Ordering::SeqCst))
-    }
-
-    pub fn is_primary(&self) -> bool {
-        self.primary.load(Ordering::SeqCst)
-    }
-
-    pub fn is_down(&self) -> bool {
-        self.down.load(Ordering::SeqCst)
-    }
-
-    /// A command has come whole: what happens with it. What runs is in the ledger before anything is answered.
-    pub fn met(&self, text: &str) -> Act {
-        if self.is_down() {
-            return Act::Close;
-        }
-        self.ledger.record(Entry::Arrived { host: self.name.clone(), text: text.into() });
-        let nth = self.nth.fetch_add(1, Ordering::SeqCst);
-        let step = self.script.lock().expect("no panic while it is held")(nth, text);
-        if writes(text) && !self.is_primary() {
-            self.tell(text);
-            return Act::Miss;
-        }
-        if let HostBehavior::AnswerAfter(span) = step {
-            std::thread::sleep(span);
-        }
-        let runs = !matches!(
-            step,
-            HostBehavior::ResetBefore | HostBehavior::Hang | HostBehavior::Overloaded | HostBehavior::Error
-        );
-        if runs {
-            let (host, primary) = (self.name.clone(), self.is_primary());
-            self.ledger.record(Entry::Executed { host, text: text.into(), primary });
+    /// An engine that answers every command.
+    pub(crate) fn new(name: &str, primary: bool, ledger: &Ledger, commands: Sender<String>) -> Engine {
+        Engine {
+            name: name.into(),
+            primary: AtomicBool::new(primary),
+            replication_lag_ms: AtomicU64::new(0),
+            down: AtomicBool::new(false),
+            script: Mutex::new(Box::new(|_, _| HostBehavior::Answer)),
+            command_count: AtomicUsize::new(0),
+            ledger: ledger.clone(),
+            commands: Mutex::new(commands),
         }
-        self.tell(text);
-        Act::HostBehavior(step, crate::key(text).to_string())
     }
 
-    /// Something came on a connection on which a transaction was left open.
-    pub fn mixed(&self, text: &str) {
-        self.ledger.record(Entry::Interleaved { host: self.name.clone(), text: text.into() });
+    /// The position that a health check reports: the Unix time in milliseconds up to which all writes are applied.
+    pub(crate) fn position_ms(&self) -> u64 {
+        let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        (now.as_millis() as u64).saturating_sub(self.replication_lag_ms.load(Ordering::SeqCst))
     }
 
-    fn tell(&self, text: &str) {
-        let _ = self.told.lock().expect("no panic while it is held").send(text.into());
+    pub(crate) fn is_primary(&self) -> bool {
+        self.primary.load(Ordering::SeqCst)
     }
-}
-
-/// A host on loopback.
-pub struct Host {
-    pub address: SocketAddr,
-    engine: Arc<Engine>,
-    came: Receiver<String>,
-}
 
-impl Host {
-    /// Starts one. It answers each command until it is told otherwise.
-    pub fn start(name: &str, protocol: Protocol, primary: bool, ledger: &Ledger) -> Host {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (tell, came) = channel();
-        let engine = Arc::new(Engine {
-            name: name.into(),
-            primary: AtomicBool::new(primary),
-            lag_ms: AtomicU64::new(0),
-            down: AtomicBool::new(false),
-            script: Mutex::new(Box::new(|_, _| HostBehavior::Answer)),
-            nth: AtomicUsize::new(0),
-            ledger: ledger.clone(),
-            told: Mutex::new(tell),
-            connections: AtomicUsize::new(0),
-            open: Mutex::new(Vec::new()),
-        });
-        let held = engine.clone();
-        std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let engine = held.clone();
-                if engine.is_down() {
-                    continue;
-                }
-                engine.connections.fetch_add(1, Ordering::SeqCst);
-                let copy = stream.try_clone();
-                engine.open.lock().expect("no panic while it is held").extend(copy);
-                std::thread::spawn(move || serve(protocol, stream, &engine));
-            }
-        });
-        Host { address, engine, came }
+    pub(crate) fn is_down(&self) -> bool {
+        self.down.load(Ordering::SeqCst)
     }
 
-    /// What it does from now on; `nth` counts commands from the start.
-    pub fn script(&self, script: impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static) {
-        *self.engine.script.lock().expect("no panic while it is held") = Box::new(script);
+    pub(crate) fn set_primary(&self, primary: bool) {
+        self.primary.store(primary, Ordering::SeqCst);
     }
 
-    pub fn set_primary(&self, primary: bool) {
-        self.engine.primary.store(primary, Ordering::SeqCst);
+    pub(crate) fn set_lag(&self, lag: Duration) {
+        self.replication_lag_ms.store(lag.as_millis() as u64, Ordering::SeqCst);
     }
 
-    pub fn set_lag(&self, lag: Duration) {
-        self.engine.lag_ms.store(lag.as_millis() as u64, Ordering::SeqCst);
+    pub(crate) fn set_down(&self, down: bool) {
+        self.down.store(down, Ordering::SeqCst);
     }
 
-    /// It dies: its connections break, and what comes finds nobody.
-    pub fn set_down(&self, down: bool) {
-        self.engine.down.store(down, Ordering::SeqCst);
-        self.break_connections();
+    pub(crate) fn set_script(&self, script: impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static) {
+        *self.script.lock().expect("scripts do not panic") = Box::new(script);
     }
 
-    /// Breaks all connections; new ones may come.
-    pub fn break_connections(&self) {
-        for stream in self.engine.open.lock().expect("no panic while it is held").drain(..) {
-            let _ = stream.shutdown(std::net::Shutdown::Both);
+    /// Runs a command that has arrived completely. An execution is in the ledger before anything is answered.
+    pub(crate) fn execute(&self, text: &str) -> Response {
+        if self.is_down() {
+            return Response::Close;
+        }
+        self.ledger.record(Entry::Arrived { host: self.name.clone(), text: text.into() });
+        let behavior = self.next_behavior(text);
+        if writes(text) && !self.is_primary() {
+            self.notify_test(text);
+            return Response::ReadOnly;
+        }
+        if let HostBehavior::AnswerAfter(delay) = behavior {
+            std::thread::sleep(delay);
         }
+        if behavior.executes() {
+            let primary = self.is_primary();
+            self.ledger.record(Entry::Executed { host: self.name.clone(), text: text.into(), primary });
+        }
+        self.notify_test(text);
+        Response::Scripted { behavior, key: key(text).to_string() }
     }
 
-    /// Waits for the next command.
-    pub fn next_command(&self) -> String {
-        self.came.recv_timeout(LONG).expect("a command at the host")
+    /// Records a command on a connection on which a transaction was left open.
+    pub(crate) fn record_interleaved(&self, text: &str) {
+        self.ledger.record(Entry::Interleaved { host: self.name.clone(), text: text.into() });
     }
 
-    /// How many connections it has had.
-    pub fn connections(&self) -> usize {
-        self.engine.connections.load(Ordering::SeqCst)
+    fn next_behavior(&self, text: &str) -> HostBehavior {
+        let nth = self.command_count.fetch_add(1, Ordering::SeqCst);
+        self.script.lock().expect("scripts do not panic")(nth, text)
     }
-}
 
-fn serve(protocol: Protocol, stream: TcpStream, engine: &Engine) {
-    let _ = stream.set_nodelay(true);
-    let copy = stream.try_clone();
-    // A connection that breaks is the router's own doing, or was asked for.
-    let _: io::Result<()> = match protocol {
-        Protocol::Postgres => crate::postgres::serve(stream, engine),
-        Protocol::Tds => crate::tds::serve(stream, engine),
-    };
-    // Its copies stay open by themselves.
-    if let Ok(copy) = copy {
-        let _ = copy.shutdown(std::net::Shutdown::Both);
+    fn notify_test(&self, text: &str) {
+        // A test that has dropped its host no longer waits for commands.
+        let _ = self.commands.lock().expect("sending does not panic").send(text.into());
     }
 }
--- /dev/null
+++ b/crates/comethitch-testkit/src/error.rs
@@ -0,0 +1,21 @@
+//! Why a connection between a scripted host or client and its peer ended early.
+
+use comethitch_tds::{MalformedMessage, ReadError};
+use std::io;
+
+/// A fault on one connection, at either end.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum ConnectionError {
+    /// The socket failed or was closed.
+    #[error("the connection failed")]
+    Io(#[from] io::Error),
+    /// The peer sent a TDS message that cannot be decoded.
+    #[error("the peer sent a malformed TDS message")]
+    MalformedMessage(#[from] MalformedMessage),
+    /// The server's login response holds a token that cannot be decoded, or ends within one.
+    #[error("the server's login response cannot be read: {0:?}")]
+    MalformedLoginResponse(ReadError),
+    /// The server's login response holds no LOGINACK token.
+    #[error("the server did not acknowledge the login")]
+    LoginNotAcknowledged,
+}
--- a/crates/comethitch-testkit/src/lib.rs
+++ b/crates/comethitch-testkit/src/lib.rs
@@ -1,42 +1,31 @@
-//! Stand-ins for what a router meets, for tests and tools: database hosts with one engine and two protocols, clients
-//! of both, and a ledger that is held against what clients were told. They are written from the protocols'
-//! public specifications and listen on loopback addresses alone.
+//! Test doubles for what a router talks to: scripted database hosts, and clients of both protocols, on loopback.
 //!
-//! Every wait is for an event; the limits on waiting only end a test that has failed.
+//! A [`Host`] listens on a loopback port and follows a script of [`HostBehavior`]s; a [`Client`] connects to a router
+//! and sends commands. All hosts of a test record what reaches them in one [`Ledger`], which then checks the answers
+//! that clients received against the router's rules. The two protocols, in [`postgres`] and [`tds`], are written from
+//! their public specifications and share no code with the router except the TDS codec.
+//!
+//! Every wait is for an event; timeouts only end a test that has already failed.
+
+#![warn(missing_docs)]
 
+pub mod behavior;
 pub mod client;
-pub mod engine;
+pub mod command;
+mod connection;
+mod engine;
+mod error;
+pub mod host;
 pub mod ledger;
 pub mod postgres;
+pub mod protocol;
+pub mod received;
 pub mod tds;
 
-pub use client::{Client, Received};
-pub use engine::{Host, HostBehavior};
-pub use ledger::{Exchange, Ledger};
-
-use std::time::Duration;
-
-/// A wait that ends only a test that has failed.
-pub const LONG: Duration = Duration::from_secs(20);
-
-/// What is spoken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Protocol {
-    Postgres,
-    Tds,
-}
-
-impl Protocol {
-    pub const BOTH: [Protocol; 2] = [Protocol::Postgres, Protocol::Tds];
-}
-
-/// The key of a command: the first text in single quotes.
-pub fn key(text: &str) -> &str {
-    text.split('\'').nth(1).unwrap_or_default()
-}
-
-/// Whether a command writes: all that these tests send begins with its verb.
-pub fn writes(text: &str) -> bool {
-    let bare = text.rsplit_once("*/").map_or(text, |(_, bare)| bare).trim_start();
-    ["insert", "update", "delete"].iter().any(|verb| bare.to_ascii_lowercase().starts_with(verb))
-}
+pub use behavior::HostBehavior;
+pub use client::Client;
+pub use command::{key, writes};
+pub use host::Host;
+pub use ledger::{Exchange, Ledger, Violation};
+pub use protocol::{LONG, Protocol};
+pub use received::Received;
--- /dev/null
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -0,0 +1,87 @@
+//! The PostgreSQL frontend/backend protocol, version 3, as far as hosts and clients of a test need it: messages and
+//! the few answers that a scripted host gives. [`server`] and [`client`] are the two ends of a connection.
+
+pub(crate) mod client;
+pub(crate) mod server;
+
+use std::io::{self, Read};
+use std::net::TcpStream;
+
+/// The types of messages that are sent or read here.
+mod message_type {
+    pub const AUTHENTICATION: u8 = b'R';
+    pub const COMMAND_COMPLETE: u8 = b'C';
+    pub const DATA_ROW: u8 = b'D';
+    pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
+    pub const ERROR_RESPONSE: u8 = b'E';
+    pub const QUERY: u8 = b'Q';
+    pub const READY_FOR_QUERY: u8 = b'Z';
+    pub const ROW_DESCRIPTION: u8 = b'T';
+}
+
+/// The transaction status in a ReadyForQuery message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TransactionStatus {
+    Idle,
+    InTransaction,
+}
+
+/// A message of this type, with its length before the body.
+pub fn message(message_type: u8, body: &[u8]) -> Vec<u8> {
+    [&[message_type], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
+}
+
+/// An answer of one row with one column, up to CommandComplete; ReadyForQuery must follow.
+pub fn row(value: &[u8]) -> Vec<u8> {
+    [row_description(), data_row(value), command_complete()].concat()
+}
+
+/// An ErrorResponse with this SQLSTATE; ReadyForQuery must follow.
+pub fn error(code: &str) -> Vec<u8> {
+    message(message_type::ERROR_RESPONSE, format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
+}
+
+/// A simple query.
+pub(crate) fn query(text: &str) -> Vec<u8> {
+    message(message_type::QUERY, format!("{text}\0").as_bytes())
+}
+
+fn row_description() -> Vec<u8> {
+    let one_column = [0, 1];
+    let column_attributes = [0; 18];
+    message(message_type::ROW_DESCRIPTION, &[&one_column[..], b"data\0", &column_attributes].concat())
+}
+
+fn data_row(value: &[u8]) -> Vec<u8> {
+    let one_column = [0, 1];
+    let length = (value.len() as u32).to_be_bytes();
+    message(message_type::DATA_ROW, &[&one_column[..], &length, value].concat())
+}
+
+fn command_complete() -> Vec<u8> {
+    message(message_type::COMMAND_COMPLETE, b"SELECT 1\0")
+}
+
+fn ready_for_query(status: TransactionStatus) -> Vec<u8> {
+    let code = match status {
+        TransactionStatus::Idle => b"I",
+        TransactionStatus::InTransaction => b"T",
+    };
+    message(message_type::READY_FOR_QUERY, code)
+}
+
+/// A message as it was read.
+struct Message {
+    message_type: u8,
+    body: Vec<u8>,
+}
+
+fn read_message(stream: &mut TcpStream) -> io::Result<Message> {
+    let mut header = [0; 5];
+    stream.read_exact(&mut header)?;
+    let [message_type, length @ ..] = header;
+    let length = u32::from_be_bytes(length) as usize;
+    let mut body = vec![0; length.saturating_sub(4)];
+    stream.read_exact(&mut body)?;
+    Ok(Message { message_type, body })
+}
--- /dev/null
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -0,0 +1,108 @@
+//! The client's end of a TDS connection: the login, batches, and how an answer is read.
+
+use super::{CLIENT_PACKET_SIZE, encode, read_message, write_message};
+use crate::error::ConnectionError;
+use crate::received::Received;
+use comethitch_tds::login::{Login, Prelogin, VERSION};
+use comethitch_tds::packet::{FIRST_SIZE, Kind};
+use comethitch_tds::request::Batch;
+use comethitch_tds::token::{Message, Token, Tokens, done};
+use comethitch_tds::types::Value;
+use std::net::TcpStream;
+
+/// The error numbers with which a router sheds a command, and rejects what became none.
+const THROTTLED: i32 = 49_918;
+const REJECTED: i32 = 50_001;
+
+/// Sends PRELOGIN and LOGIN7, and checks that the server acknowledges the login.
+pub(crate) fn log_in(stream: &mut TcpStream) -> Result<(), ConnectionError> {
+    let mut payload = Vec::new();
+    Prelogin::default().put(&mut payload);
+    write_message(stream, Kind::Prelogin, FIRST_SIZE, &payload)?;
+    read_message(stream)?;
+    payload.clear();
+    login().put(&mut payload);
+    write_message(stream, Kind::Login, FIRST_SIZE, &payload)?;
+    let response = read_message(stream)?.payload;
+    if acknowledges_login(&response)? { Ok(()) } else { Err(ConnectionError::LoginNotAcknowledged) }
+}
+
+fn login() -> Login {
+    Login {
+        version: VERSION,
+        packet_size: CLIENT_PACKET_SIZE as u32,
+        user: "portal".into(),
+        database: "crm".into(),
+        ..Login::default()
+    }
+}
+
+/// Whether a login response holds a LOGINACK token.
+fn acknowledges_login(response: &[u8]) -> Result<bool, ConnectionError> {
+    let mut tokens = Tokens::new();
+    let mut position = 0;
+    let mut acknowledged = false;
+    while !tokens.over() {
+        let next = tokens.next(&response[position..]);
+        let (token, length) = next.map_err(ConnectionError::MalformedLoginResponse)?;
+        acknowledged |= matches!(token, Token::LoginAck { .. });
+        position += length;
+    }
+    Ok(acknowledged)
+}
+
+/// A batch of statements as a message.
+pub(crate) fn batch(text: &str) -> Vec<u8> {
+    let mut payload = Vec::new();
+    Batch::put(&mut payload, text);
+    encode(Kind::Batch, CLIENT_PACKET_SIZE, &payload)
+}
+
+/// Reads the next answer, up to its final DONE token.
+pub(crate) fn receive(stream: &mut TcpStream) -> Received {
+    let Ok(message) = read_message(stream) else { return Received::Closed };
+    if message.kind != Kind::Answer {
+        return Received::Closed;
+    }
+    let answer = message.payload;
+    let mut tokens = Tokens::new();
+    let mut position = 0;
+    let mut received = Received::Closed;
+    while position < answer.len() {
+        let Ok((token, length)) = tokens.next(&answer[position..]) else { return Received::Malformed };
+        match token {
+            Token::Row => {
+                if let Some(value) = first_column(&tokens, &answer[position..position + length]) {
+                    received = Received::Answered(value);
+                }
+            }
+            Token::Error(message) => received = classify_error(message),
+            Token::Done { status, .. } if status & done::ATTENTION != 0 => received = Received::Cancelled,
+            Token::Done { .. } if received == Received::Closed => {
+                received = Received::Answered(String::new());
+            }
+            _ => {}
+        }
+        position += length;
+    }
+    if tokens.over() { received } else { Received::Malformed }
+}
+
+/// The first column of a row token, if it is a text.
+fn first_column(tokens: &Tokens, row: &[u8]) -> Option<String> {
+    let values = tokens.values(row)?;
+    let (column, raw) = values.first()?;
+    match column.told(*raw) {
+        Value::Text(value) => Some(value),
+        _ => None,
+    }
+}
+
+/// What an ERROR token means, by its number.
+fn classify_error(message: Message) -> Received {
+    match message.number {
+        THROTTLED => Received::Throttled,
+        REJECTED => Received::Rejected(message.text),
+        number => Received::Failed(number.to_string()),
+    }
+}
--- /dev/null
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -0,0 +1,56 @@
+//! TDS 7.4 as far as hosts and clients of a test need it, on top of the `comethitch-tds` codec: reading and writing
+//! messages on a socket. [`server`] and [`client`] are the two ends of a connection.
+
+pub(crate) mod client;
+mod samples;
+pub(crate) mod server;
+
+use crate::error::ConnectionError;
+use comethitch_tds::packet::{Assembly, FIRST_SIZE, Kind, put_message};
+use std::io::{self, Read, Write};
+use std::net::TcpStream;
+
+/// The largest message that either end reads.
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// The packet size that clients ask for and send their requests in.
+const CLIENT_PACKET_SIZE: usize = 4096;
+
+/// An attention message, which cancels the command in progress.
+pub fn attention() -> Vec<u8> {
+    encode(Kind::Attention, FIRST_SIZE, b"")
+}
+
+/// An RPC request with this payload.
+pub fn call(payload: &[u8]) -> Vec<u8> {
+    encode(Kind::Rpc, CLIENT_PACKET_SIZE, payload)
+}
+
+/// A message as it was read.
+struct Message {
+    kind: Kind,
+    status: u8,
+    payload: Vec<u8>,
+}
+
+fn read_message(stream: &mut TcpStream) -> Result<Message, ConnectionError> {
+    let mut assembly = Assembly::new(MAX_MESSAGE_BYTES);
+    while !assembly.over() {
+        // Byte by byte, so that nothing of the next message is taken.
+        let mut byte = [0; 1];
+        stream.read_exact(&mut byte)?;
+        assembly.take(&byte)?;
+    }
+    let kind = assembly.kind().unwrap_or(Kind::Batch);
+    let status = assembly.status();
+    Ok(Message { kind, status, payload: assembly.finish() })
+}
+
+fn write_message(stream: &mut TcpStream, kind: Kind, packet_size: usize, payload: &[u8]) -> io::Result<()> {
+    stream.write_all(&encode(kind, packet_size, payload))
+}
+
+fn encode(kind: Kind, packet_size: usize, payload: &[u8]) -> Vec<u8> {
+    let mut wire = Vec::new();
+    put_message(&mut wire, kind, packet_size, payload);
+    wire
+}
--- /dev/null
+++ b/crates/comethitch-testkit/src/tds/samples.rs
@@ -0,0 +1,96 @@
+//! A sample value of every column type that a client library must read through the router.
+
+use comethitch_tds::types::code;
+use comethitch_tds::write::{Cell, Column, put_columns, put_row};
+
+/// A collation as TYPE_INFO carries it: its locale and flags, and its sort order.
+const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
+/// The size in TYPE_INFO of types without a limit.
+const UNLIMITED: u16 = 0xffff;
+
+/// A column with its description and its value, both as they stand on the wire.
+struct Sample {
+    name: &'static str,
+    type_info: Vec<u8>,
+    value: Vec<u8>,
+}
+
+/// Writes the description of all columns and a row with a value in each.
+pub(super) fn put_row_of_all_types(tokens: &mut Vec<u8>) {
+    let samples: Vec<Sample> = [numbers(), times(), texts_and_bytes()].into_iter().flatten().collect();
+    let columns: Vec<(&str, Column)> =
+        samples.iter().map(|sample| (sample.name, Column::Raw(sample.type_info.clone()))).collect();
+    let cells: Vec<Cell> = samples.iter().map(|sample| Cell::Raw(sample.value.clone())).collect();
+    put_columns(tokens, &columns);
+    put_row(tokens, &columns, &cells);
+}
+
+fn sample(name: &'static str, type_info: impl Into<Vec<u8>>, value: Vec<u8>) -> Sample {
+    Sample { name, type_info: type_info.into(), value }
+}
+
+fn numbers() -> Vec<Sample> {
+    vec![
+        sample("tinyint", [code::INT1], vec![200]),
+        sample("smallint", [code::INT2], (-2_i16).to_le_bytes().to_vec()),
+        sample("int", [code::INTN, 4], byte_sized(&7_i32.to_le_bytes())),
+        sample("bigint", [code::INTN, 8], byte_sized(&(1_i64 << 40).to_le_bytes())),
+        sample("bit", [code::BITN, 1], byte_sized(&[1])),
+        sample("real", [code::FLTN, 4], byte_sized(&1.5_f32.to_le_bytes())),
+        sample("float", [code::FLTN, 8], byte_sized(&2.5_f64.to_le_bytes())),
+        sample("decimal", [code::DECIMALN, 5, 9, 2], byte_sized(&[1, 0x39, 0x30, 0, 0])),
+        sample("money", [code::MONEYN, 8], byte_sized(&[0, 0, 0, 0, 0x10, 0x27, 0, 0])),
+    ]
+}
+
+fn times() -> Vec<Sample> {
+    vec![
+        sample("datetime", [code::DATETIMN, 8], byte_sized(&[0; 8])),
+        sample("date", [code::DATEN], byte_sized(&[1, 0, 0])),
+        sample("time", [code::TIMEN, 0], byte_sized(&[60, 0, 0])),
+        sample("datetime2", [code::DATETIME2N, 0], byte_sized(&[60, 0, 0, 1, 0, 0])),
+        sample("datetimeoffset", [code::DATETIMEOFFSETN, 0], byte_sized(&[60, 0, 0, 1, 0, 0, 0, 0])),
+    ]
+}
+
+fn texts_and_bytes() -> Vec<Sample> {
+    let long_text = utf16(&"luna".repeat(2_000));
+    vec![
+        sample("guid", [code::GUID, 16], byte_sized(&[7; 16])),
+        sample("nvarchar", character_type(code::NVARCHAR, 40), short_sized(&utf16("año"))),
+        sample("nchar", character_type(code::NCHAR, 6), short_sized(&utf16("abc"))),
+        sample("varchar", character_type(code::VARCHAR, 40), short_sized(b"abc")),
+        sample("char", character_type(code::CHAR, 3), short_sized(b"abc")),
+        sample("varbinary", [code::VARBINARY, 10, 0], short_sized(&[1, 2, 3])),
+        sample("binary", [code::BINARY, 3, 0], short_sized(&[1, 2, 3])),
+        sample("nvarchar_max", character_type(code::NVARCHAR, UNLIMITED), one_chunk(&long_text)),
+        sample("varbinary_max", [code::VARBINARY, 0xff, 0xff], one_chunk(&[9; 3_000])),
+        sample("nothing", [code::INTN, 4], byte_sized(&[])),
+    ]
+}
+
+fn character_type(code: u8, max_bytes: u16) -> Vec<u8> {
+    [&[code][..], &max_bytes.to_le_bytes(), &COLLATION].concat()
+}
+
+fn utf16(text: &str) -> Vec<u8> {
+    text.encode_utf16().flat_map(u16::to_le_bytes).collect()
+}
+
+/// A value behind a length of one byte.
+fn byte_sized(value: &[u8]) -> Vec<u8> {
+    [&[value.len() as u8][..], value].concat()
+}
+
+/// A value behind a length of two bytes.
+fn short_sized(value: &[u8]) -> Vec<u8> {
+    [&(value.len() as u16).to_le_bytes()[..], value].concat()
+}
+
+/// A value of partially length-prefixed (PLP) bytes: the total length, one chunk and the terminator.
+fn one_chunk(value: &[u8]) -> Vec<u8> {
+    let total = (value.len() as u64).to_le_bytes();
+    let chunk = (value.len() as u32).to_le_bytes();
+    let terminator = [0; 4];
+    [&total[..], &chunk, value, &terminator].concat()
+}
--- /dev/null
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -0,0 +1,224 @@
+//! The server's end of a TDS connection: what a scripted host sends.
+
+use super::{encode, read_message, samples, write_message};
+use crate::connection::{ServerError, ServerProtocol, serve_commands};
+use crate::engine::Engine;
+use crate::error::ConnectionError;
+use comethitch_tds::login::{Login, Prelogin, VERSION};
+use comethitch_tds::packet::{FIRST_SIZE, Kind, status};
+use comethitch_tds::request::{Batch, Call};
+use comethitch_tds::token::{Message, code, done};
+use comethitch_tds::write::{
+    Cell, Column, put_change, put_change_bytes, put_columns, put_done, put_login_ack,
+    put_message as put_error, put_return_status, put_row,
+};
+use std::net::TcpStream;
+
+/// The packet size that a host settles on, whatever the client asks for: the smallest, so that answers span several
+/// packets.
+const PACKET_SIZE: usize = 512;
+const SERVER_NAME: &str = "standin";
+/// The application name in a router's login. Its connections are shared by many clients.
+const ROUTER_APPLICATION: &str = "comethitch";
+/// The error of a host whose shared session is used again without a reset.
+const SESSION_NOT_RESET: i32 = 50_999;
+const ERROR_CLASS: u8 = 16;
+/// The length of a large answer's row, and the number of rows before the last.
+const LARGE_ROW_BYTES: usize = 50 << 10;
+const LARGE_ROW_COUNT: usize = 20;
+const COLUMNS: [(&str, Column); 1] = [("data", Column::LongText)];
+
+/// ENVCHANGE types that a host sends.
+mod change {
+    pub const DATABASE: u8 = 1;
+    pub const PACKET_SIZE: u8 = 4;
+    pub const BEGIN_TRANSACTION: u8 = 8;
+    pub const RESET_CONNECTION: u8 = 18;
+}
+
+/// How a command was sent, which decides the DONE tokens of its answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RequestKind {
+    Batch,
+    Call,
+}
+
+struct TdsServer {
+    stream: TcpStream,
+    /// The client is a router: its session must be reset before it is used again.
+    shared: bool,
+    used: bool,
+    request_kind: RequestKind,
+    /// Tokens that precede every answer to the current command: the acknowledged reset, if it asked for one.
+    prefix: Vec<u8>,
+}
+
+/// Logs the client in with any password and serves its commands.
+pub(crate) fn serve(mut stream: TcpStream, engine: &Engine) -> Result<(), ConnectionError> {
+    exchange_prelogin(&mut stream)?;
+    let login = Login::read(&read_message(&mut stream)?.payload)?;
+    write_message(&mut stream, Kind::Answer, FIRST_SIZE, &login_response())?;
+    let server = TdsServer {
+        stream,
+        shared: login.application == ROUTER_APPLICATION,
+        used: false,
+        request_kind: RequestKind::Batch,
+        prefix: Vec::new(),
+    };
+    serve_commands(server, engine)
+}
+
+fn exchange_prelogin(stream: &mut TcpStream) -> Result<(), ConnectionError> {
+    Prelogin::read(&read_message(stream)?.payload)?;
+    let mut response = Vec::new();
+    Prelogin { version: [16, 0, 0, 0, 0, 0], ..Prelogin::default() }.put(&mut response);
+    write_message(stream, Kind::Answer, FIRST_SIZE, &response)?;
+    Ok(())
+}
+
+fn login_response() -> Vec<u8> {
+    let mut tokens = Vec::new();
+    put_change(&mut tokens, change::DATABASE, "crm", "master");
+    put_login_ack(&mut tokens, VERSION, SERVER_NAME);
+    put_change(&mut tokens, change::PACKET_SIZE, &PACKET_SIZE.to_string(), "4096");
+    put_done(&mut tokens, code::DONE, 0, 0);
+    tokens
+}
+
+impl TdsServer {
+    /// The text of a request: a batch, or the statement that a call carries.
+    fn decode(&mut self, kind: Kind, payload: &[u8]) -> Result<String, ConnectionError> {
+        if kind == Kind::Rpc {
+            self.request_kind = RequestKind::Call;
+            let call = Call::read(payload)?;
+            return Ok(call.statement().unwrap_or("EXEC").to_string());
+        }
+        self.request_kind = RequestKind::Batch;
+        Ok(Batch::read(payload)?.text)
+    }
+
+    /// The tokens of an answer of one row.
+    fn answer_tokens(&self, key: &str) -> Vec<u8> {
+        let mut tokens = self.prefix.clone();
+        put_columns(&mut tokens, &COLUMNS);
+        put_row(&mut tokens, &COLUMNS, &[Cell::Text(key.into())]);
+        self.put_end(&mut tokens);
+        tokens
+    }
+
+    /// The tokens that end an answer of one row.
+    fn put_end(&self, tokens: &mut Vec<u8>) {
+        match self.request_kind {
+            RequestKind::Call => {
+                put_done(tokens, code::DONE_IN_PROCEDURE, done::MORE | done::COUNT, 1);
+                put_return_status(tokens, 0);
+                put_done(tokens, code::DONE_PROCEDURE, 0, 0);
+            }
+            RequestKind::Batch => put_done(tokens, code::DONE, done::COUNT, 1),
+        }
+    }
+}
+
+fn answer_message(tokens: &[u8]) -> Vec<u8> {
+    encode(Kind::Answer, PACKET_SIZE, tokens)
+}
+
+fn error_tokens(number: i32) -> Vec<u8> {
+    let mut tokens = Vec::new();
+    let message = Message { number, state: 1, class: ERROR_CLASS, text: "no".into() };
+    put_error(&mut tokens, &message, SERVER_NAME);
+    put_done(&mut tokens, code::DONE, done::ERROR, 0);
+    tokens
+}
+
+fn error_number(error: ServerError) -> i32 {
+    match error {
+        ServerError::ReadOnly => 3906,
+        ServerError::Overloaded => 10_928,
+        ServerError::Internal => 50_000,
+        ServerError::Transient => 40_501,
+    }
+}
+
+impl ServerProtocol for TdsServer {
+    const HEALTH_CHECK: &'static str = "SELECT rol, posicion_ms FROM estado.replica";
+
+    fn stream(&mut self) -> &mut TcpStream {
+        &mut self.stream
+    }
+
+    fn read_command(&mut self) -> Result<Option<String>, ConnectionError> {
+        loop {
+            let message = read_message(&mut self.stream)?;
+            let text = self.decode(message.kind, &message.payload)?;
+            self.prefix.clear();
+            if message.status & status::RESET != 0 {
+                put_change_bytes(&mut self.prefix, change::RESET_CONNECTION, &[], &[]);
+            } else if self.used && self.shared {
+                let tokens = error_tokens(SESSION_NOT_RESET);
+                write_message(&mut self.stream, Kind::Answer, PACKET_SIZE, &tokens)?;
+                continue;
+            }
+            self.used = true;
+            return Ok(Some(text));
+        }
+    }
+
+    fn health_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
+        let columns = [("rol", Column::Text), ("posicion_ms", Column::Integer)];
+        let role = if is_primary { "PRIMARY" } else { "SECONDARY" };
+        let cells = [Cell::Text(role.into()), Cell::Integer(position_ms as i64)];
+        let mut tokens = self.prefix.clone();
+        put_columns(&mut tokens, &columns);
+        put_row(&mut tokens, &columns, &cells);
+        put_done(&mut tokens, code::DONE, done::COUNT, 1);
+        answer_message(&tokens)
+    }
+
+    fn answer(&self, key: &str) -> Vec<u8> {
+        answer_message(&self.answer_tokens(key))
+    }
+
+    fn answer_in_transaction(&self, key: &str) -> Vec<u8> {
+        let mut tokens = self.prefix.clone();
+        put_change_bytes(&mut tokens, change::BEGIN_TRANSACTION, &[1; 8], &[]);
+        tokens.extend(self.answer_tokens(key));
+        answer_message(&tokens)
+    }
+
+    fn answer_twice(&self, key: &str) -> Vec<u8> {
+        let mut tokens = self.answer_tokens(key);
+        self.put_end(&mut tokens);
+        answer_message(&tokens)
+    }
+
+    fn answer_of_all_types(&self, _key: &str) -> Vec<u8> {
+        let mut tokens = self.prefix.clone();
+        samples::put_row_of_all_types(&mut tokens);
+        self.put_end(&mut tokens);
+        answer_message(&tokens)
+    }
+
+    fn large_answer(&self, key: &str) -> Vec<u8> {
+        let mut tokens = self.prefix.clone();
+        put_columns(&mut tokens, &COLUMNS);
+        let filler = [Cell::Text("x".repeat(LARGE_ROW_BYTES))];
+        for _ in 0..LARGE_ROW_COUNT {
+            put_row(&mut tokens, &COLUMNS, &filler);
+        }
+        put_row(&mut tokens, &COLUMNS, &[Cell::Text(key.into())]);
+        self.put_end(&mut tokens);
+        answer_message(&tokens)
+    }
+
+    fn malformed_answer(&self) -> Vec<u8> {
+        let no_token = [0x42; 9];
+        answer_message(&no_token)
+    }
+
+    fn error(&self, error: ServerError) -> Vec<u8> {
+        let mut tokens = self.prefix.clone();
+        tokens.extend(error_tokens(error_number(error)));
+        answer_message(&tokens)
+    }
+}
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -342,7 +342,8 @@
         .into_iter()
         .filter(|asked| !matches!(&asked.answers[0], Received::Answered(value) if value.is_empty()))
         .collect();
-    let mut broken = scene.ledger.violations(&with_key);
+    let mut broken: Vec<String> =
+        scene.ledger.violations(&with_key).iter().map(ToString::to_string).collect();
     broken.append(&mut scene.broken);
     if !quiet {
         broken.push("something came behind the last answer".into());
@@ -475,7 +476,7 @@
             vec!["a write ran at the replica", "ran 2 times", "another's answer"],
         ),
     ] {
-        let broken = ledger.violations(&asked(got));
+        let broken: Vec<String> = ledger.violations(&asked(got)).iter().map(ToString::to_string).collect();
         assert_eq!(broken.len(), wanted.len(), "{broken:?}");
         assert!(broken.iter().zip(wanted).all(|(broken, wanted)| broken.contains(wanted)), "{broken:?}");
     }
