--- a/crates/comethitch-tds/src/lib.rs
+++ b/crates/comethitch-tds/src/lib.rs
@@ -1,10 +1,11 @@
-//! The TDS protocol (version 7.4, from its public specification, MS-TDS) as far as a router needs it: packets and
-//! the messages that they carry, logins, batches and calls of procedures, and the tokens of an answer, which are
-//! measured and told apart but not changed.
+//! A codec for TDS 7.4, the protocol of SQL Server, as far as a router needs it: packets and the messages in them,
+//! logins, batches and procedure calls, and the tokens of a response. Written from the public specification
+//! (\[MS-TDS\]: Tabular Data Stream Protocol), whose section titles and names the modules cite.
 //!
-//! Everything is a function over bytes that have come so far. Where more are needed the answer is [`Short`]; what
-//! can't become valid by more bytes is [`Broken`], and says why. No length that a peer tells is believed before
-//! it is checked, and nothing is allocated by it.
+//! There is no I/O and no clock: everything is a function over the bytes received so far. While more are needed the
+//! error is [`Incomplete`] or [`ReadError::NeedMoreInput`]; bytes that no continuation can make valid are a
+//! [`MalformedMessage`], which says why. No length that a peer states is trusted before it is checked, and no memory is
+//! allocated by it.
 //!
 //! ```
 //! use comethitch_tds::packet::{self, Kind};
@@ -15,6 +16,9 @@
 //! assert_eq!((message.kind(), message.payload()), (Some(Kind::Batch), &b"payload"[..]));
 //! ```
 
+#![warn(missing_docs)]
+
+mod error;
 pub mod login;
 pub mod packet;
 pub mod read;
@@ -24,4 +28,5 @@
 pub mod types;
 pub mod write;
 
-pub use read::{MalformedMessage, ReadError, Reader, Short};
+pub use error::{Incomplete, MalformedMessage, ReadError};
+pub use read::Reader;
--- /dev/null
+++ b/crates/comethitch-tds/src/login/mod.rs
@@ -0,0 +1,12 @@
+//! The messages that open a connection: [`Prelogin`], which negotiates encryption, and [`Login`].
+
+mod login7;
+mod prelogin;
+
+pub use login7::Login;
+pub use prelogin::{Encryption, Prelogin};
+
+/// The protocol version that is spoken: TDS 7.4.
+pub const VERSION: u32 = 0x7400_0004;
+/// The most bytes that a LOGIN7 message may have.
+pub const LARGEST_LOGIN: usize = 128 * 1024;
--- /dev/null
+++ b/crates/comethitch-tds/src/request/call_writer.rs
@@ -0,0 +1,94 @@
+//! Writes calls of procedures as clients do.
+
+use super::{Headers, Known};
+use crate::text;
+use crate::types::code;
+
+/// A name length that announces a procedure's id in place of its name.
+const PROCEDURE_ID_FOLLOWS: u16 = u16::MAX;
+const OPTION_FLAGS: [u8; 2] = [0; 2];
+/// The status of a parameter that is passed by value, and of one that the server returns.
+const BY_VALUE: u8 = 0;
+const BY_REFERENCE: u8 = 1;
+const NO_COLLATION: [u8; 5] = [0; 5];
+const MAX_SHORT_BYTES: u16 = 8000;
+const UNLIMITED: u16 = u16::MAX;
+const INTEGER_BYTES: u8 = 4;
+
+/// Appends a call to a buffer, parameter by parameter. Parameters with an empty name are bound by position.
+pub struct CallWriter<'a>(&'a mut Vec<u8>);
+
+impl<'a> CallWriter<'a> {
+    /// Begins a call of a system procedure by its id.
+    pub fn known(out: &'a mut Vec<u8>, known: Known) -> CallWriter<'a> {
+        Headers::put(out, 0);
+        out.extend(PROCEDURE_ID_FOLLOWS.to_le_bytes());
+        out.extend(known.number().to_le_bytes());
+        out.extend(OPTION_FLAGS);
+        CallWriter(out)
+    }
+
+    /// Begins a call of a procedure by its name.
+    pub fn named(out: &'a mut Vec<u8>, name: &str) -> CallWriter<'a> {
+        Headers::put(out, 0);
+        text::put_us_varchar(out, name);
+        out.extend(OPTION_FLAGS);
+        CallWriter(out)
+    }
+
+    /// Appends a text as an `nvarchar`.
+    pub fn text(mut self, name: &str, value: &str) -> CallWriter<'a> {
+        let out = self.begin(name, BY_VALUE, code::NVARCHAR);
+        let bytes = value.encode_utf16().count() * 2;
+        if bytes > usize::from(MAX_SHORT_BYTES) {
+            out.extend(UNLIMITED.to_le_bytes());
+            out.extend(NO_COLLATION);
+            out.extend((bytes as u64).to_le_bytes());
+            out.extend((bytes as u32).to_le_bytes());
+            text::put(out, value);
+            let chunk_terminator = [0; 4];
+            out.extend(chunk_terminator);
+        } else {
+            out.extend(MAX_SHORT_BYTES.to_le_bytes());
+            out.extend(NO_COLLATION);
+            out.extend((bytes as u16).to_le_bytes());
+            text::put(out, value);
+        }
+        self
+    }
+
+    /// Appends an integer of four bytes, or a null one.
+    pub fn integer(mut self, name: &str, value: Option<i32>) -> CallWriter<'a> {
+        let out = self.begin(name, BY_VALUE, code::INTN);
+        out.push(INTEGER_BYTES);
+        match value {
+            Some(value) => {
+                out.push(INTEGER_BYTES);
+                out.extend(value.to_le_bytes());
+            }
+            None => out.push(0),
+        }
+        self
+    }
+
+    /// Appends encoded parameters, as [`super::Call::raw_arguments`] returns them.
+    pub fn raw(self, bytes: &[u8]) -> CallWriter<'a> {
+        self.0.extend_from_slice(bytes);
+        self
+    }
+
+    /// Appends a null integer that the server returns.
+    pub fn out(mut self, name: &str) -> CallWriter<'a> {
+        let out = self.begin(name, BY_REFERENCE, code::INTN);
+        let null = 0;
+        out.extend([INTEGER_BYTES, null]);
+        self
+    }
+
+    /// Writes a parameter's name, status and type.
+    fn begin(&mut self, name: &str, status: u8, type_code: u8) -> &mut Vec<u8> {
+        text::put_b_varchar(self.0, name);
+        self.0.extend([status, type_code]);
+        self.0
+    }
+}
--- /dev/null
+++ b/crates/comethitch-tds/src/request/mod.rs
@@ -0,0 +1,16 @@
+//! The requests of clients: [`Batch`] for SQL text, and [`Call`] for remote procedure calls, among them those by which
+//! drivers send and prepare parameterized statements.
+
+mod batch;
+mod call;
+mod call_writer;
+mod declarations;
+mod headers;
+mod procedure;
+
+pub use batch::Batch;
+pub use call::{Call, Parameter};
+pub use call_writer::CallWriter;
+pub use declarations::declared;
+pub use headers::Headers;
+pub use procedure::{Known, Procedure};
--- /dev/null
+++ b/crates/comethitch-tds/src/token/decode.rs
@@ -0,0 +1,171 @@
+//! Decodes what stands behind the code of each token.
+
+use super::{Change, Message, Token};
+use crate::error::{Incomplete, MalformedMessage, ReadError};
+use crate::packet::{LARGEST_SIZE, LEAST_SIZE};
+use crate::read::Reader;
+use crate::text;
+use crate::types::{Length, Type};
+
+/// The most columns of a row that servers allow.
+const MAX_COLUMNS: u16 = 4096;
+/// The column count that means "no description".
+const NO_METADATA: u16 = u16::MAX;
+/// The most bytes that are accepted in a token with a length of four bytes.
+const MAX_LONG_BODY_BYTES: u32 = 1 << 20;
+/// The user type and the flags of a column or an output parameter.
+const USER_TYPE_AND_FLAGS_BYTES: usize = 4 + 2;
+const FEATURE_TERMINATOR: u8 = 0xff;
+
+/// The types of ENVCHANGE tokens that matter to a router.
+mod change_type {
+    pub const DATABASE: u8 = 1;
+    pub const PACKET_SIZE: u8 = 4;
+    pub const BEGIN_TRANSACTION: u8 = 8;
+    pub const COMMIT_TRANSACTION: u8 = 9;
+    pub const ROLLBACK_TRANSACTION: u8 = 10;
+    pub const DEFECT_TRANSACTION: u8 = 12;
+    pub const TRANSACTION_ENDED: u8 = 17;
+    pub const RESET_ACKNOWLEDGED: u8 = 18;
+    pub const ROUTING: u8 = 20;
+}
+
+/// The body of a token behind its length of two bytes.
+pub(super) fn short_body<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
+    let length = reader.u16()?;
+    Ok(Reader::new(reader.take(usize::from(length))?))
+}
+
+/// The body of a token behind its length of four bytes.
+pub(super) fn long_body<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
+    let length = reader.u32()?;
+    if length > MAX_LONG_BODY_BYTES {
+        return Err(ReadError::Malformed("a token longer than it may be"));
+    }
+    Ok(Reader::new(reader.take(length as usize)?))
+}
+
+/// COLMETADATA; none if it says that there is no new description.
+pub(super) fn columns(reader: &mut Reader<'_>) -> Result<Option<Vec<Type>>, ReadError> {
+    let count = reader.u16()?;
+    if count == NO_METADATA {
+        return Ok(None);
+    }
+    if count > MAX_COLUMNS {
+        return Err(ReadError::Malformed("more columns than there may be"));
+    }
+    let mut columns = Vec::new();
+    for _ in 0..count {
+        columns.push(column(reader)?);
+    }
+    Ok(Some(columns))
+}
+
+fn column(reader: &mut Reader<'_>) -> Result<Type, ReadError> {
+    reader.take(USER_TYPE_AND_FLAGS_BYTES)?;
+    let column_type = Type::read(reader)?;
+    if column_type.length == Length::Pointer {
+        skip_table_name(reader)?;
+    }
+    let _name = reader.b_varchar()?;
+    Ok(column_type)
+}
+
+fn skip_table_name(reader: &mut Reader<'_>) -> Result<(), Incomplete> {
+    let parts = reader.u8()?;
+    for _ in 0..parts {
+        reader.us_varchar()?;
+    }
+    Ok(())
+}
+
+/// DONE, DONEPROC or DONEINPROC.
+pub(super) fn done(code: u8, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
+    let status = reader.u16()?;
+    let _current_command = reader.u16()?;
+    let count = reader.u64()?;
+    Ok(Token::Done { code, status, count })
+}
+
+/// ERROR or INFO.
+pub(super) fn message(reader: &mut Reader<'_>) -> Result<Message, ReadError> {
+    let mut body = short_body(reader)?;
+    let message = message_body(&mut body);
+    Ok(message.map_err(|error| ReadError::from(error).at_end("a message shorter than it says"))?)
+}
+
+fn message_body(body: &mut Reader<'_>) -> Result<Message, Incomplete> {
+    let number = body.i32()?;
+    let state = body.u8()?;
+    let class = body.u8()?;
+    let text = text::decode_lossy(body.us_varchar()?);
+    let _server_name = body.b_varchar()?;
+    let _procedure_name = body.b_varchar()?;
+    let _line_number = body.u32()?;
+    Ok(Message { number, state, class, text })
+}
+
+/// LOGINACK.
+pub(super) fn login_ack(reader: &mut Reader<'_>) -> Result<Token, ReadError> {
+    let mut body = short_body(reader)?;
+    match login_ack_version(&mut body) {
+        Ok(version) => Ok(Token::LoginAck { version }),
+        Err(Incomplete) => Err(ReadError::Malformed("a login's answer shorter than it says")),
+    }
+}
+
+/// The version is the one big-endian integer in a token.
+fn login_ack_version(body: &mut Reader<'_>) -> Result<u32, Incomplete> {
+    let _interface = body.u8()?;
+    let version = body.take(4)?;
+    Ok(version.first_chunk().map_or(0, |bytes| u32::from_be_bytes(*bytes)))
+}
+
+/// ENVCHANGE.
+pub(super) fn change(reader: &mut Reader<'_>) -> Result<Change, ReadError> {
+    let mut body = short_body(reader)?;
+    Ok(change_body(&mut body).map_err(|error| error.at_end("a change shorter than it says"))?)
+}
+
+fn change_body(body: &mut Reader<'_>) -> Result<Change, ReadError> {
+    Ok(match body.u8()? {
+        change_type::DATABASE => Change::Database(text::decode_lossy(body.b_varchar()?)),
+        change_type::PACKET_SIZE => Change::PacketSize(packet_size(body)?),
+        change_type::BEGIN_TRANSACTION => Change::TransactionBegan,
+        change_type::COMMIT_TRANSACTION
+        | change_type::ROLLBACK_TRANSACTION
+        | change_type::DEFECT_TRANSACTION
+        | change_type::TRANSACTION_ENDED => Change::TransactionEnded,
+        change_type::RESET_ACKNOWLEDGED => Change::Reset,
+        change_type::ROUTING => Change::Routed,
+        other => Change::Other(other),
+    })
+}
+
+fn packet_size(body: &mut Reader<'_>) -> Result<usize, ReadError> {
+    let size = text::decode_lossy(body.b_varchar()?).parse::<usize>();
+    let size = size.map_err(|_| MalformedMessage("a size of packets that is no number"))?;
+    if !(LEAST_SIZE..=LARGEST_SIZE).contains(&size) {
+        return Err(ReadError::Malformed("an impossible size of packets"));
+    }
+    Ok(size)
+}
+
+/// RETURNVALUE.
+pub(super) fn return_value(reader: &mut Reader<'_>) -> Result<Token, ReadError> {
+    let _ordinal = reader.u16()?;
+    let _name = reader.b_varchar()?;
+    let _status = reader.u8()?;
+    reader.take(USER_TYPE_AND_FLAGS_BYTES)?;
+    let value_type = Type::read(reader)?;
+    value_type.value(reader)?;
+    Ok(Token::ReturnValue)
+}
+
+/// The features of FEATUREEXTACK, up to the terminator.
+pub(super) fn skip_features(reader: &mut Reader<'_>) -> Result<(), ReadError> {
+    while reader.u8()? != FEATURE_TERMINATOR {
+        long_body(reader)?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/comethitch-tds/src/token/tokens.rs
@@ -0,0 +1,130 @@
+//! Reads the tokens of a response one by one, from bytes that may end anywhere.
+
+use super::{Token, code, decode};
+use crate::error::ReadError;
+use crate::read::Reader;
+use crate::types::{Raw, Type};
+
+/// Reads the tokens of one response. Keeps the last description of columns, without which rows have no boundaries.
+#[derive(Clone, Debug, Default)]
+pub struct Tokens {
+    columns: Vec<Type>,
+    over: bool,
+}
+
+impl Tokens {
+    /// A reader at the beginning of a response.
+    pub fn new() -> Tokens {
+        Tokens::default()
+    }
+
+    /// Whether the response is complete.
+    pub fn over(&self) -> bool {
+        self.over
+    }
+
+    /// Reads the token at the beginning of these bytes, and returns it with its length in bytes.
+    ///
+    /// # Errors
+    ///
+    /// [`ReadError::NeedMoreInput`] while the token is not complete: the caller tries again from the token's first
+    /// byte. [`ReadError::Malformed`] for an unknown or invalid token, and for any token after the response's end.
+    pub fn next(&mut self, bytes: &[u8]) -> Result<(Token, usize), ReadError> {
+        if self.over {
+            return Err(ReadError::Malformed("a token behind the end of an answer"));
+        }
+        let mut reader = Reader::new(bytes);
+        let token = self.read_token(&mut reader)?;
+        self.over = token.ends();
+        Ok((token, reader.position()))
+    }
+
+    fn read_token(&mut self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
+        let code = reader.u8()?;
+        match code {
+            code::COLUMNS => self.read_columns(reader),
+            code::ROW => self.skip_row(reader),
+            code::ROW_WITH_NULLS => self.skip_row_with_nulls(reader),
+            code::DONE | code::DONE_PROCEDURE | code::DONE_IN_PROCEDURE => decode::done(code, reader),
+            code::ERROR => decode::message(reader).map(Token::Error),
+            code::INFO => decode::message(reader).map(Token::Info),
+            code::LOGIN_ACK => decode::login_ack(reader),
+            code::CHANGE => decode::change(reader).map(Token::Change),
+            code::RETURN_STATUS => Ok(Token::ReturnStatus(reader.i32()?)),
+            code::RETURN_VALUE => decode::return_value(reader),
+            code::TABLE_NAMES | code::COLUMN_INFO | code::ORDER | code::SSPI => {
+                decode::short_body(reader)?;
+                Ok(Token::Other(code))
+            }
+            code::SESSION_STATE | code::FEDERATED => {
+                decode::long_body(reader)?;
+                Ok(Token::Other(code))
+            }
+            code::FEATURE_ACK => {
+                decode::skip_features(reader)?;
+                Ok(Token::Other(code))
+            }
+            _ => Err(ReadError::Malformed("a token that is not spoken")),
+        }
+    }
+
+    fn read_columns(&mut self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
+        if let Some(columns) = decode::columns(reader)? {
+            self.columns = columns;
+        }
+        Ok(Token::Columns(self.columns.len()))
+    }
+
+    fn skip_row(&self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
+        self.check_described()?;
+        for column in &self.columns {
+            column.value(reader)?;
+        }
+        Ok(Token::Row)
+    }
+
+    fn skip_row_with_nulls(&self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
+        self.check_described()?;
+        let nulls = reader.take(self.null_bitmap_bytes())?;
+        for (nth, column) in self.columns.iter().enumerate() {
+            if !is_null(nulls, nth) {
+                column.value(reader)?;
+            }
+        }
+        Ok(Token::Row)
+    }
+
+    fn check_described(&self) -> Result<(), ReadError> {
+        if self.columns.is_empty() {
+            return Err(ReadError::Malformed("a row without a description of its columns"));
+        }
+        Ok(())
+    }
+
+    fn null_bitmap_bytes(&self) -> usize {
+        self.columns.len().div_ceil(8)
+    }
+
+    /// The type and the bytes of each value in a row token, which must belong to the last description of columns; none
+    /// for any other token.
+    pub fn values<'a>(&self, token: &'a [u8]) -> Option<Vec<(Type, Option<Raw<'a>>)>> {
+        let mut reader = Reader::new(token);
+        let nulls = match reader.u8().ok()? {
+            code::ROW => None,
+            code::ROW_WITH_NULLS => Some(reader.take(self.null_bitmap_bytes()).ok()?),
+            _ => return None,
+        };
+        let mut values = Vec::new();
+        for (nth, column) in self.columns.iter().enumerate() {
+            let null = nulls.is_some_and(|nulls| is_null(nulls, nth));
+            let value = if null { None } else { column.value(&mut reader).ok()? };
+            values.push((*column, value));
+        }
+        Some(values)
+    }
+}
+
+/// Whether a bitmap of null values has the bit of this column.
+fn is_null(nulls: &[u8], column: usize) -> bool {
+    nulls[column / 8] >> (column % 8) & 1 == 1
+}
--- a/crates/comethitch-tds/src/write.rs
+++ b/crates/comethitch-tds/src/write.rs
@@ -1,62 +1,88 @@
-//! Writing the tokens that a server sends: for the router's own answers, and for stand-ins.
+//! Writes the tokens that a server sends: for a router's own responses, and for scripted servers in tests.
 
 use crate::text;
 use crate::token::{Message, code};
-use crate::types::code as kind;
+use crate::types::code as type_code;
 
-/// A token's body behind its length in two bytes.
-fn sized(out: &mut Vec<u8>, code: u8, body: impl FnOnce(&mut Vec<u8>)) {
+/// The highest severity of a message that is no error.
+const MAX_INFO_CLASS: u8 = 10;
+/// The most characters of a message's text, so that the token surely fits its length of two bytes.
+const MAX_MESSAGE_CHARACTERS: usize = 4000;
+/// LOGINACK: the interface that takes T-SQL.
+const SQL_TSQL: u8 = 1;
+/// LOGINACK: the version of the server program.
+const PROGRAM_VERSION: [u8; 4] = [16, 0, 0, 0];
+/// COLMETADATA: no user type, and a column that may be null and written.
+const USER_TYPE_AND_FLAGS: [u8; 6] = [0, 0, 0, 0, 9, 0];
+/// A collation as TYPE_INFO carries it: its locale and flags, and its sort order.
+const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
+const MAX_SHORT_BYTES: u16 = 8000;
+const UNLIMITED: u16 = u16::MAX;
+const NULL_SHORT: u16 = u16::MAX;
+const NULL_CHUNKS: u64 = u64::MAX;
+const CHUNK_TERMINATOR: [u8; 4] = [0; 4];
+/// RETURNVALUE: the status of an output parameter.
+const OUTPUT_PARAMETER: u8 = 1;
+
+/// Writes a token's code and its body behind a length of two bytes.
+fn put_sized(out: &mut Vec<u8>, code: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(code);
-    let at = out.len();
+    let start = out.len();
     out.extend([0; 2]);
     body(out);
-    let length = (out.len() - at - 2) as u16;
-    out[at..at + 2].copy_from_slice(&length.to_le_bytes());
+    let length = (out.len() - start - 2) as u16;
+    out[start..start + 2].copy_from_slice(&length.to_le_bytes());
 }
 
-/// An ERROR token, or an INFO where the class is below 11.
+/// Writes an ERROR token, or an INFO token if the class is below 11. A long text is truncated.
 pub fn put_message(out: &mut Vec<u8>, message: &Message, server: &str) {
-    let code = if message.class > 10 { code::ERROR } else { code::INFO };
-    // The token's length has two bytes: the text is cut to what surely fits.
-    let text: String = message.text.chars().take(4000).collect();
-    sized(out, code, |out| {
+    let code = if message.class > MAX_INFO_CLASS { code::ERROR } else { code::INFO };
+    let text: String = message.text.chars().take(MAX_MESSAGE_CHARACTERS).collect();
+    let procedure = "";
+    let line = 1_u32;
+    put_sized(out, code, |out| {
         out.extend(message.number.to_le_bytes());
         out.extend([message.state, message.class]);
-        text::put_us(out, &text);
-        text::put_b(out, server);
-        text::put_b(out, "");
-        out.extend(1_u32.to_le_bytes());
+        text::put_us_varchar(out, &text);
+        text::put_b_varchar(out, server);
+        text::put_b_varchar(out, procedure);
+        out.extend(line.to_le_bytes());
     });
 }
 
+/// Writes a DONE, DONEPROC or DONEINPROC token, by its `code`, with status bits from [`crate::token::done`].
 pub fn put_done(out: &mut Vec<u8>, code: u8, status: u16, count: u64) {
+    let current_command = [0; 2];
     out.push(code);
     out.extend(status.to_le_bytes());
-    out.extend([0; 2]);
+    out.extend(current_command);
     out.extend(count.to_le_bytes());
 }
 
+/// Writes a LOGINACK token with the TDS version and the name of the server program.
 pub fn put_login_ack(out: &mut Vec<u8>, version: u32, program: &str) {
-    sized(out, code::LOGIN_ACK, |out| {
-        out.push(1);
+    put_sized(out, code::LOGIN_ACK, |out| {
+        out.push(SQL_TSQL);
         out.extend(version.to_be_bytes());
-        text::put_b(out, program);
-        out.extend([16, 0, 0, 0]);
+        text::put_b_varchar(out, program);
+        out.extend(PROGRAM_VERSION);
     });
 }
 
-/// A change whose values are texts: 1 the database, 2 the language, 4 the size of packets.
+/// Writes an ENVCHANGE token whose values are texts. Its type is 1 for the database, 2 for the language or 4 for the
+/// packet size.
 pub fn put_change(out: &mut Vec<u8>, change: u8, new: &str, old: &str) {
-    sized(out, code::CHANGE, |out| {
+    put_sized(out, code::CHANGE, |out| {
         out.push(change);
-        text::put_b(out, new);
-        text::put_b(out, old);
+        text::put_b_varchar(out, new);
+        text::put_b_varchar(out, old);
     });
 }
 
-/// A change whose values are bytes: 7 the collation, 8 a transaction begun, 18 the session made as new.
+/// Writes an ENVCHANGE token whose values are bytes. Its type is 7 for the collation, 8 for a transaction that began
+/// or 18 for a reset session.
 pub fn put_change_bytes(out: &mut Vec<u8>, change: u8, new: &[u8], old: &[u8]) {
-    sized(out, code::CHANGE, |out| {
+    put_sized(out, code::CHANGE, |out| {
         out.push(change);
         for bytes in [new, old] {
             out.push(bytes.len() as u8);
@@ -65,44 +91,55 @@
     });
 }
 
-/// A column, as far as stand-ins and the router's own rows have them.
+/// The type of a column.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Column {
-    /// Integers of eight bytes that may be null.
+    /// `bigint`, nullable.
     Integer,
-    /// Texts of up to 4,000 characters.
+    /// `nvarchar(4000)`.
     Text,
-    /// Texts of any length.
+    /// `nvarchar(max)`.
     LongText,
-    /// A description of a type's own, as it stands behind the flags.
+    /// Any other type, by its encoded TYPE_INFO.
     Raw(Vec<u8>),
 }
 
 /// A value of a column.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cell {
+    /// Null, in a column of any type but [`Column::Raw`].
     Null,
+    /// A value of [`Column::Integer`].
     Integer(i64),
+    /// A value of [`Column::Text`] or [`Column::LongText`].
     Text(String),
-    /// The value's bytes with their length, as the type has it.
+    /// The value's encoded bytes, with its length as the column's type states it.
     Raw(Vec<u8>),
 }
 
+/// Writes a COLMETADATA token: the name and the type of each column.
 pub fn put_columns(out: &mut Vec<u8>, columns: &[(&str, Column)]) {
     out.push(code::COLUMNS);
     out.extend((columns.len() as u16).to_le_bytes());
     for (name, column) in columns {
-        out.extend([0, 0, 0, 0, 9, 0]);
+        out.extend(USER_TYPE_AND_FLAGS);
         match column {
-            Column::Integer => out.extend([kind::INTN, 8]),
-            Column::Text => out.extend([kind::NVARCHAR, 0x40, 0x1f, 9, 4, 0xd0, 0, 0x34]),
-            Column::LongText => out.extend([kind::NVARCHAR, 0xff, 0xff, 9, 4, 0xd0, 0, 0x34]),
-            Column::Raw(bytes) => out.extend_from_slice(bytes),
+            Column::Integer => out.extend([type_code::INTN, 8]),
+            Column::Text => put_nvarchar_type(out, MAX_SHORT_BYTES),
+            Column::LongText => put_nvarchar_type(out, UNLIMITED),
+            Column::Raw(type_info) => out.extend_from_slice(type_info),
         }
-        text::put_b(out, name);
+        text::put_b_varchar(out, name);
     }
 }
 
+fn put_nvarchar_type(out: &mut Vec<u8>, max_bytes: u16) {
+    out.push(type_code::NVARCHAR);
+    out.extend(max_bytes.to_le_bytes());
+    out.extend(COLLATION);
+}
+
+/// Writes a ROW token. A value that does not fit its column's type is written as null.
 pub fn put_row(out: &mut Vec<u8>, columns: &[(&str, Column)], cells: &[Cell]) {
     out.push(code::ROW);
     for ((_, column), cell) in columns.iter().zip(cells) {
@@ -116,34 +153,39 @@
                 out.extend((value.encode_utf16().count() as u16 * 2).to_le_bytes());
                 text::put(out, value);
             }
-            (Column::LongText, Cell::Text(value)) => {
-                let bytes = value.encode_utf16().count() * 2;
-                out.extend((bytes as u64).to_le_bytes());
-                if bytes > 0 {
-                    out.extend((bytes as u32).to_le_bytes());
-                    text::put(out, value);
-                }
-                out.extend([0; 4]);
-            }
-            (Column::Text, _) => out.extend([0xff; 2]),
-            (Column::LongText, _) => out.extend([0xff; 8]),
+            (Column::LongText, Cell::Text(value)) => put_chunked_text(out, value),
+            (Column::Text, _) => out.extend(NULL_SHORT.to_le_bytes()),
+            (Column::LongText, _) => out.extend(NULL_CHUNKS.to_le_bytes()),
             _ => out.push(0),
         }
     }
 }
 
+/// A text in one chunk, or in none if it is empty.
+fn put_chunked_text(out: &mut Vec<u8>, value: &str) {
+    let bytes = value.encode_utf16().count() * 2;
+    out.extend((bytes as u64).to_le_bytes());
+    if bytes > 0 {
+        out.extend((bytes as u32).to_le_bytes());
+        text::put(out, value);
+    }
+    out.extend(CHUNK_TERMINATOR);
+}
+
+/// Writes a RETURNSTATUS token: the status of a procedure.
 pub fn put_return_status(out: &mut Vec<u8>, status: i32) {
     out.push(code::RETURN_STATUS);
     out.extend(status.to_le_bytes());
 }
 
-/// An integer that a call gives back.
+/// Writes a RETURNVALUE token: an integer that a call returns as an output parameter.
 pub fn put_return_value(out: &mut Vec<u8>, ordinal: u16, name: &str, value: i32) {
+    let user_type_and_flags = [0; 4 + 2];
     out.push(code::RETURN_VALUE);
     out.extend(ordinal.to_le_bytes());
-    text::put_b(out, name);
-    out.push(1);
-    out.extend([0; 4 + 2]);
-    out.extend([kind::INTN, 4, 4]);
+    text::put_b_varchar(out, name);
+    out.push(OUTPUT_PARAMETER);
+    out.extend(user_type_and_flags);
+    out.extend([type_code::INTN, 4, 4]);
     out.extend(value.to_le_bytes());
 }
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -247,7 +247,7 @@
         }
         assert_eq!(tokens.next(&wire[at..]), Ok((token.clone(), length)));
         if let Some(row) = tokens.values(&wire[at..at + length]) {
-            assert_eq!(Some(row[0].0.told(row[0].1)), values.next());
+            assert_eq!(Some(row[0].0.decode(row[0].1)), values.next());
             assert_eq!(row[1].1, None);
             rows += 1;
         }
@@ -260,7 +260,8 @@
             && seen.contains(&Token::Change(Change::Reset))
     );
     assert!(
-        seen.contains(&Token::Change(Change::Began)) && seen.contains(&Token::LoginAck { version: VERSION })
+        seen.contains(&Token::Change(Change::TransactionBegan))
+            && seen.contains(&Token::LoginAck { version: VERSION })
     );
     assert!(
         seen.iter().any(|token| matches!(token, Token::Error(m) if m.number == 1205 && m.text == "víctima"))
@@ -343,7 +344,7 @@
         for text in &texts {
             let (_, length) = tokens.next(&wire[at..]).expect("a row");
             let row = tokens.values(&wire[at..at + length]).expect("values");
-            let told: Vec<Value> = row.iter().map(|(kind, raw)| kind.told(*raw)).collect();
+            let told: Vec<Value> = row.iter().map(|(kind, raw)| kind.decode(*raw)).collect();
             prop_assert_eq!(told, vec![Value::Text(text.clone()), Value::Text(text.clone()), Value::Integer(9)]);
             at += length;
         }
--- a/crates/comethitch-testkit/src/error.rs
+++ b/crates/comethitch-testkit/src/error.rs
@@ -13,8 +13,8 @@
     #[error("the peer sent a malformed TDS message")]
     MalformedMessage(#[from] MalformedMessage),
     /// The server's login response holds a token that cannot be decoded, or ends within one.
-    #[error("the server's login response cannot be read: {0:?}")]
-    MalformedLoginResponse(ReadError),
+    #[error("the server's login response cannot be read")]
+    MalformedLoginResponse(#[from] ReadError),
     /// The server's login response holds no LOGINACK token.
     #[error("the server did not acknowledge the login")]
     LoginNotAcknowledged,
--- a/crates/comethitch-testkit/src/postgres/mod.rs
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -1,5 +1,5 @@
 //! The PostgreSQL frontend/backend protocol, version 3, as far as hosts and clients of a test need it: messages and
-//! the few answers that a scripted host gives. [`server`] and [`client`] are the two ends of a connection.
+//! the few answers that a scripted host gives. The modules `server` and `client` are the two ends of a connection.
 
 pub(crate) mod client;
 pub(crate) mod server;
--- a/crates/comethitch-testkit/src/tds/client.rs
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -43,8 +43,7 @@
     let mut position = 0;
     let mut acknowledged = false;
     while !tokens.over() {
-        let next = tokens.next(&response[position..]);
-        let (token, length) = next.map_err(ConnectionError::MalformedLoginResponse)?;
+        let (token, length) = tokens.next(&response[position..])?;
         acknowledged |= matches!(token, Token::LoginAck { .. });
         position += length;
     }
@@ -92,7 +91,7 @@
 fn first_column(tokens: &Tokens, row: &[u8]) -> Option<String> {
     let values = tokens.values(row)?;
     let (column, raw) = values.first()?;
-    match column.told(*raw) {
+    match column.decode(*raw) {
         Value::Text(value) => Some(value),
         _ => None,
     }
--- a/crates/comethitch-testkit/src/tds/mod.rs
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -1,5 +1,5 @@
 //! TDS 7.4 as far as hosts and clients of a test need it, on top of the `comethitch-tds` codec: reading and writing
-//! messages on a socket. [`server`] and [`client`] are the two ends of a connection.
+//! messages on a socket. The modules `server` and `client` are the two ends of a connection.
 
 pub(crate) mod client;
 mod samples;
--- a/crates/comethitchd/src/protocols/tds/answer.rs
+++ b/crates/comethitchd/src/protocols/tds/answer.rs
@@ -100,7 +100,7 @@
                     let bytes = &self.raw[at..at + length];
                     if self.row.is_none() && token == Token::Row {
                         self.row = self.tokens.values(bytes).and_then(|values| {
-                            let told = |nth: usize| values.get(nth).map(|(kind, raw)| kind.told(*raw));
+                            let told = |nth: usize| values.get(nth).map(|(kind, raw)| kind.decode(*raw));
                             Some((told(0)?, told(1).unwrap_or(Value::Null)))
                         });
                     }
@@ -127,8 +127,8 @@
             }
             Token::LoginAck { .. } => self.acknowledged = true,
             Token::Change(Change::PacketSize(size)) => self.packet = Some(size),
-            Token::Change(Change::Began) => self.in_transaction = true,
-            Token::Change(Change::Ended) => self.in_transaction = false,
+            Token::Change(Change::TransactionBegan) => self.in_transaction = true,
+            Token::Change(Change::TransactionEnded) => self.in_transaction = false,
             Token::Row => self.begun = true,
             Token::Done { status, .. } => {
                 self.begun = true;
