--- a/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
+++ b/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
@@ -1,4 +1,5 @@
-//! Any bytes are read, or told to be none, within their bounds; what is cut off is never taken for whole.
+//! Feeds arbitrary bytes to every decoder: none may panic or exceed its limits, and a token that is cut off must never
+//! be read as complete.
 #![no_main]
 
 use comethitch_tds::login::{Login, Prelogin};
@@ -7,18 +8,32 @@
 use comethitch_tds::token::Tokens;
 use libfuzzer_sys::fuzz_target;
 
+const MAX_PAYLOAD: usize = 1_000;
+
 fuzz_target!(|bytes: &[u8]| {
-    let mut message = Assembly::new(1_000);
+    assemble(bytes);
+    let _ = Login::read(bytes);
+    let _ = Prelogin::read(bytes);
+    let _ = Batch::read(bytes);
+    let _ = Call::read(bytes);
+    read_tokens(bytes);
+});
+
+fn assemble(bytes: &[u8]) {
+    let mut message = Assembly::new(MAX_PAYLOAD);
     let _ = message.take(bytes);
-    assert!(message.payload().len() <= 1_000);
-    let _ = (Login::read(bytes), Prelogin::read(bytes), Batch::read(bytes), Call::read(bytes));
-    let (mut tokens, mut at) = (Tokens::new(), 0);
-    while let Ok((_, length)) = tokens.clone().next(&bytes[at..]) {
-        assert!(length > 0 && tokens.clone().next(&bytes[at..at + length - 1]).is_err());
-        let _ = tokens.next(&bytes[at..]);
-        at += length;
+    assert!(message.payload().len() <= MAX_PAYLOAD);
+}
+
+fn read_tokens(bytes: &[u8]) {
+    let mut tokens = Tokens::new();
+    let mut position = 0;
+    while let Ok((_, length)) = tokens.clone().next(&bytes[position..]) {
+        assert!(length > 0 && tokens.clone().next(&bytes[position..position + length - 1]).is_err());
+        let _ = tokens.next(&bytes[position..]);
+        position += length;
         if tokens.over() {
             break;
         }
     }
-});
+}
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Each message read from bytes cut anywhere, and read as it was written; what is none is told, and nothing panics.
+//! Round trips of every message and token with the bytes split anywhere, rejection of invalid ones, and arbitrary bytes,
+//! on which nothing may panic.
 
 use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
 use comethitch_tds::packet::{Assembly, FIRST_SIZE, HEADER, Header, Kind, put_message, put_parts, status};
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn what_can_be_no_message_is_told_by_its_first_bytes() {
+fn invalid_headers_are_rejected_from_their_first_bytes() {
     let header =
         |kind: u8, status: u8, length: u16| [kind, status, (length >> 8) as u8, length as u8, 0, 0, 1, 0];
     let take = |bytes: &[u8], most: usize| Assembly::new(most).take(bytes).err();
@@ -46,7 +47,7 @@
     assert_eq!(take(&header(1, 1, 109), 100), Some(MalformedMessage("a message is larger than it may be")));
     let mixed = [&header(1, 0, 9)[..], &[0], &header(3, 1, 9), &[0]].concat();
     assert_eq!(take(&mixed, 100), Some(MalformedMessage("a packet of another message's type")));
-    // A login of 60 MB is turned down at the packet that passes the bound, not once it has come.
+    // A login of 60 MB is rejected at the packet that exceeds the limit, not once it is complete.
     let mut assembly = Assembly::new(128 * 1024);
     let packet = [&header(0x10, 0, 32_000)[..], &[0; 31_992]].concat();
     let taken = (0..2_000).take_while(|_| assembly.take(&packet).is_ok()).count();
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn logins_are_read_as_they_were_written_and_no_offset_is_believed() {
+fn logins_round_trip_and_no_offset_is_trusted() {
     let login = Login {
         version: VERSION,
         packet_size: 8000,
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn batches_and_calls_are_read_as_they_were_written() {
+fn batches_and_calls_round_trip() {
     let mut wire = Vec::new();
     Batch::put(&mut wire, "SELECT '🌙' AS luna");
     let batch = Batch::read(&wire).expect("a batch");
@@ -115,7 +116,7 @@
         assert_eq!(arguments, [("a", &Value::Integer(-7)), ("b", &Value::Null), ("c", &Value::Null)]);
         assert!(call.parameters[4].by_reference && !call.more);
         for length in Headers::read(&wire).expect("headers").length..wire.len() {
-            // Cut between parameters it is a call of fewer; anywhere else it is none.
+            // Cut between parameters it is a call with fewer of them; cut anywhere else it is invalid.
             if let Ok(cut) = Call::read(&wire[..length]) {
                 assert!(cut.parameters.len() < 5);
             }
@@ -134,7 +135,7 @@
     assert_eq!(Call::read(&wire).expect("a call").procedure, Procedure::Named("dbo.cobrar".into()));
 }
 
-/// Every type that is spoken, with its description and a value.
+/// Every supported type: its encoded description, an encoded value and the decoded one.
 fn types() -> Vec<(Vec<u8>, Vec<u8>, Value)> {
     let collation = [9, 4, 0xd0, 0, 0x34];
     let chars = |code: u8, most: u16| [&[code][..], &most.to_le_bytes(), &collation].concat();
@@ -200,7 +201,7 @@
     ]
 }
 
-/// An answer that holds each type and each token once.
+/// A response with every type and every token.
 fn answer() -> Vec<u8> {
     let mut wire = Vec::new();
     put_change(&mut wire, 4, "8000", "4096");
@@ -230,13 +231,13 @@
 }
 
 #[test]
-fn every_token_and_type_is_measured_wherever_the_bytes_are_cut() {
+fn every_token_and_type_is_read_wherever_the_bytes_are_split() {
     let wire = answer();
     let (mut tokens, mut at, mut rows, mut seen) = (Tokens::new(), 0, 0, Vec::new());
     let mut values = types().into_iter().map(|(_, _, value)| value).flat_map(|value| [value.clone(), value]);
     while !tokens.over() {
         let (token, length) = tokens.clone().next(&wire[at..]).expect("a token");
-        // Of less than the whole token nothing is told, and nothing is wrong with it.
+        // An incomplete token is neither read nor rejected.
         for cut in at..at + length {
             assert_eq!(
                 tokens.clone().next(&wire[at..cut]),
@@ -266,12 +267,12 @@
     assert!(
         seen.iter().any(|token| matches!(token, Token::Error(m) if m.number == 1205 && m.text == "víctima"))
     );
-    // A host that says DONE twice has said one thing too many.
+    // Nothing may follow the final DONE.
     assert!(matches!(tokens.next(&answer()), Err(ReadError::Malformed(_))));
 }
 
 #[test]
-fn lengths_that_can_not_be_are_told_before_the_rest_has_come() {
+fn impossible_lengths_are_rejected_before_the_rest_arrives() {
     let columns = |description: &[u8]| [&[code::COLUMNS, 1, 0, 0, 0, 0, 0, 0, 0], description, &[0]].concat();
     let faults: [(Vec<u8>, &str); 8] = [
         (vec![0x42], "a token that is not spoken"),
@@ -299,7 +300,7 @@
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(17), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_message_comes_out_as_it_went_in(
+    fn messages_round_trip_through_packets(
         payload in prop::collection::vec(any::<u8>(), 0..20_000), size in 0_usize..40_000,
         parts in prop::collection::vec(1_usize..5_000, 1..8), first in prop::sample::select(vec![0, status::RESET]),
     ) {
@@ -312,12 +313,12 @@
     }
 
     #[test]
-    fn no_bytes_are_too_strange(bytes in prop::collection::vec(any::<u8>(), 0..300), spoilt in any::<(prop::sample::Index, u8)>()) {
+    fn arbitrary_and_mutated_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), spoilt in any::<(prop::sample::Index, u8)>()) {
         let mut assembly = Assembly::new(1_000);
         let _ = assembly.take(&bytes);
         prop_assert!(assembly.payload().len() <= 1_000);
         let _ = (Login::read(&bytes), Prelogin::read(&bytes), Batch::read(&bytes), Call::read(&bytes));
-        // A good answer with one byte changed, and bytes that begin as one.
+        // A valid response with one byte changed, and arbitrary bytes.
         let mut wire = answer();
         let at = spoilt.0.index(wire.len());
         wire[at] = spoilt.1;
@@ -344,8 +345,8 @@
         for text in &texts {
             let (_, length) = tokens.next(&wire[at..]).expect("a row");
             let row = tokens.values(&wire[at..at + length]).expect("values");
-            let told: Vec<Value> = row.iter().map(|(kind, raw)| kind.decode(*raw)).collect();
-            prop_assert_eq!(told, vec![Value::Text(text.clone()), Value::Text(text.clone()), Value::Integer(9)]);
+            let decoded: Vec<Value> = row.iter().map(|(kind, raw)| kind.decode(*raw)).collect();
+            prop_assert_eq!(decoded, vec![Value::Text(text.clone()), Value::Text(text.clone()), Value::Integer(9)]);
             at += length;
         }
         prop_assert_eq!(at, wire.len());
@@ -353,7 +354,7 @@
 }
 
 #[test]
-fn a_statement_that_its_name_puts_elsewhere_is_none() {
+fn a_statement_bound_elsewhere_by_its_name_is_not_read() {
     let statement = |first: &str, second: &str, third: &str| {
         let mut wire = Vec::new();
         CallWriter::known(&mut wire, Known::ExecuteSql)
