--- a/crates/comethitch-tds/src/request/call.rs
+++ b/crates/comethitch-tds/src/request/call.rs
@@ -1,7 +1,7 @@
 //! RPC requests (\[MS-TDS\], "RPC Request"): a call of a procedure with parameters, and the statement within those
 //! calls that carry one.
 
-use super::{Headers, Known, Procedure};
+use super::{BY_REFERENCE, Headers, Known, PROCEDURE_ID_FOLLOWS, Procedure};
 use crate::error::{MalformedMessage, ReadError};
 use crate::read::Reader;
 use crate::text;
@@ -10,13 +10,9 @@
 
 /// The most parameters of a call that servers allow.
 const MAX_PARAMETERS: usize = 2100;
-/// The name length that announces a procedure's id in place of its name.
-const PROCEDURE_ID_FOLLOWS: u16 = u16::MAX;
 /// The bytes that separate calls of one message: BatchFlag of older and current versions, and NoExecFlag. No parameter
 /// has a name as long as one of them would state.
 const CALL_SEPARATORS: [u8; 3] = [0x80, 0xff, 0xfe];
-/// The status bit of a parameter passed by reference (fByRefValue).
-const BY_REFERENCE: u8 = 1;
 
 /// The names by which servers bind the parameters of the system procedures themselves.
 const STATEMENT_NAMES: [&str; 2] = ["stmt", "statement"];
--- a/crates/comethitch-tds/src/request/call_writer.rs
+++ b/crates/comethitch-tds/src/request/call_writer.rs
@@ -1,18 +1,14 @@
 //! Writes calls of procedures as clients do.
 
-use super::{Headers, Known};
+use super::{BY_REFERENCE, Headers, Known, PROCEDURE_ID_FOLLOWS};
 use crate::text;
-use crate::types::code;
+use crate::types::{MAX_SHORT_BYTES, UNLIMITED, code};
+use crate::write::put_chunked_text;
 
-/// A name length that announces a procedure's id in place of its name.
-const PROCEDURE_ID_FOLLOWS: u16 = u16::MAX;
 const OPTION_FLAGS: [u8; 2] = [0; 2];
-/// The status of a parameter that is passed by value, and of one that the server returns.
+/// The status of a parameter that the server does not return.
 const BY_VALUE: u8 = 0;
-const BY_REFERENCE: u8 = 1;
 const NO_COLLATION: [u8; 5] = [0; 5];
-const MAX_SHORT_BYTES: u16 = 8000;
-const UNLIMITED: u16 = u16::MAX;
 const INTEGER_BYTES: u8 = 4;
 
 /// Appends a call to a buffer, parameter by parameter. Parameters with an empty name are bound by position.
@@ -43,11 +39,7 @@
         if bytes > usize::from(MAX_SHORT_BYTES) {
             out.extend(UNLIMITED.to_le_bytes());
             out.extend(NO_COLLATION);
-            out.extend((bytes as u64).to_le_bytes());
-            out.extend((bytes as u32).to_le_bytes());
-            text::put(out, value);
-            let chunk_terminator = [0; 4];
-            out.extend(chunk_terminator);
+            put_chunked_text(out, value);
         } else {
             out.extend(MAX_SHORT_BYTES.to_le_bytes());
             out.extend(NO_COLLATION);
--- a/crates/comethitch-tds/src/request/mod.rs
+++ b/crates/comethitch-tds/src/request/mod.rs
@@ -14,3 +14,8 @@
 pub use declarations::declared;
 pub use headers::Headers;
 pub use procedure::{Known, Procedure};
+
+/// The name length that announces a procedure's id in place of its name.
+const PROCEDURE_ID_FOLLOWS: u16 = u16::MAX;
+/// The status bit of a parameter that the server returns (fByRefValue).
+const BY_REFERENCE: u8 = 1;
--- a/crates/comethitch-tds/src/token/decode.rs
+++ b/crates/comethitch-tds/src/token/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes what stands behind the code of each token.
 
-use super::{Change, Message, Token};
+use super::{Change, Message, Token, change_type};
 use crate::error::{Incomplete, MalformedMessage, ReadError};
 use crate::packet::{LARGEST_SIZE, LEAST_SIZE};
 use crate::read::Reader;
@@ -17,19 +17,6 @@
 const USER_TYPE_AND_FLAGS_BYTES: usize = 4 + 2;
 const FEATURE_TERMINATOR: u8 = 0xff;
 
-/// The types of ENVCHANGE tokens that matter to a router.
-mod change_type {
-    pub const DATABASE: u8 = 1;
-    pub const PACKET_SIZE: u8 = 4;
-    pub const BEGIN_TRANSACTION: u8 = 8;
-    pub const COMMIT_TRANSACTION: u8 = 9;
-    pub const ROLLBACK_TRANSACTION: u8 = 10;
-    pub const DEFECT_TRANSACTION: u8 = 12;
-    pub const TRANSACTION_ENDED: u8 = 17;
-    pub const RESET_ACKNOWLEDGED: u8 = 18;
-    pub const ROUTING: u8 = 20;
-}
-
 /// The body of a token behind its length of two bytes.
 pub(super) fn short_body<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
     let length = reader.u16()?;
--- a/crates/comethitch-tds/src/token/mod.rs
+++ b/crates/comethitch-tds/src/token/mod.rs
@@ -2,6 +2,7 @@
 //! router: their boundaries, errors, changes of the session, and whether the response is complete. [`Tokens`] reads
 //! them one by one; the values of rows are decoded only on request.
 
+pub mod change_type;
 pub mod code;
 mod decode;
 pub mod done;
@@ -37,7 +38,7 @@
     Reset,
     /// The client must connect to another server (ROUTING).
     Routed,
-    /// Any other change, by its type.
+    /// Any other change, by its type; see [`change_type`] for those that are known.
     Other(u8),
 }
 
--- a/crates/comethitch-tds/src/types/mod.rs
+++ b/crates/comethitch-tds/src/types/mod.rs
@@ -42,3 +42,7 @@
 
 /// The most bytes of a value of any type.
 const MAX_BYTES: u32 = i32::MAX as u32;
+/// The most bytes of a value with a length of two bytes.
+pub(crate) const MAX_SHORT_BYTES: u16 = 8000;
+/// The size in a type's description that makes it partially length-prefixed, such as `nvarchar(max)`.
+pub(crate) const UNLIMITED: u16 = u16::MAX;
--- a/crates/comethitch-tds/src/types/type_info.rs
+++ b/crates/comethitch-tds/src/types/type_info.rs
@@ -6,15 +6,11 @@
     NUMERICN, NVARCHAR, OLD_BINARY, OLD_CHAR, OLD_DECIMAL, OLD_NUMERIC, OLD_VARBINARY, OLD_VARCHAR, TEXT,
     TIMEN, UDT, VARBINARY, VARCHAR, VARIANT, XML,
 };
-use super::{Length, MAX_BYTES, Type};
+use super::{Length, MAX_BYTES, MAX_SHORT_BYTES, Type, UNLIMITED};
 use crate::error::{Incomplete, ReadError};
 use crate::read::Reader;
 
 const COLLATION_BYTES: usize = 5;
-/// The most bytes of a type that is not partially length-prefixed.
-const MAX_SHORT_BYTES: u16 = 8000;
-/// The size that makes a type partially length-prefixed.
-const UNLIMITED: u16 = u16::MAX;
 const MAX_TIME_SCALE: u8 = 7;
 const MAX_DECIMAL_BYTES: u8 = 17;
 const MAX_DECIMAL_PRECISION: u8 = 38;
--- a/crates/comethitch-tds/src/write.rs
+++ b/crates/comethitch-tds/src/write.rs
@@ -2,7 +2,7 @@
 
 use crate::text;
 use crate::token::{Message, code};
-use crate::types::code as type_code;
+use crate::types::{MAX_SHORT_BYTES, UNLIMITED, code as type_code};
 
 /// The highest severity of a message that is no error.
 const MAX_INFO_CLASS: u8 = 10;
@@ -16,8 +16,6 @@
 const USER_TYPE_AND_FLAGS: [u8; 6] = [0, 0, 0, 0, 9, 0];
 /// A collation as TYPE_INFO carries it: its locale and flags, and its sort order.
 const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
-const MAX_SHORT_BYTES: u16 = 8000;
-const UNLIMITED: u16 = u16::MAX;
 const NULL_SHORT: u16 = u16::MAX;
 const NULL_CHUNKS: u64 = u64::MAX;
 const CHUNK_TERMINATOR: [u8; 4] = [0; 4];
@@ -69,21 +67,21 @@
     });
 }
 
-/// Writes an ENVCHANGE token whose values are texts. Its type is 1 for the database, 2 for the language or 4 for the
-/// packet size.
-pub fn put_change(out: &mut Vec<u8>, change: u8, new: &str, old: &str) {
+/// Writes an ENVCHANGE token whose values are texts. Its type is 2 for the language,
+/// [`crate::token::change_type::DATABASE`] or [`crate::token::change_type::PACKET_SIZE`].
+pub fn put_change(out: &mut Vec<u8>, change_type: u8, new: &str, old: &str) {
     put_sized(out, code::CHANGE, |out| {
-        out.push(change);
+        out.push(change_type);
         text::put_b_varchar(out, new);
         text::put_b_varchar(out, old);
     });
 }
 
-/// Writes an ENVCHANGE token whose values are bytes. Its type is 7 for the collation, 8 for a transaction that began
-/// or 18 for a reset session.
-pub fn put_change_bytes(out: &mut Vec<u8>, change: u8, new: &[u8], old: &[u8]) {
+/// Writes an ENVCHANGE token whose values are bytes. Its type is 7 for the collation,
+/// [`crate::token::change_type::BEGIN_TRANSACTION`] or [`crate::token::change_type::RESET_ACKNOWLEDGED`].
+pub fn put_change_bytes(out: &mut Vec<u8>, change_type: u8, new: &[u8], old: &[u8]) {
     put_sized(out, code::CHANGE, |out| {
-        out.push(change);
+        out.push(change_type);
         for bytes in [new, old] {
             out.push(bytes.len() as u8);
             out.extend_from_slice(bytes);
@@ -161,8 +159,8 @@
     }
 }
 
-/// A text in one chunk, or in none if it is empty.
-fn put_chunked_text(out: &mut Vec<u8>, value: &str) {
+/// Writes a partially length-prefixed text in one chunk, or in none if it is empty.
+pub(crate) fn put_chunked_text(out: &mut Vec<u8>, value: &str) {
     let bytes = value.encode_utf16().count() * 2;
     out.extend((bytes as u64).to_le_bytes());
     if bytes > 0 {
--- a/crates/comethitch-testkit/src/tds/server.rs
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -7,7 +7,7 @@
 use comethitch_tds::login::{Login, Prelogin, VERSION};
 use comethitch_tds::packet::{FIRST_SIZE, Kind, status};
 use comethitch_tds::request::{Batch, Call};
-use comethitch_tds::token::{Message, code, done};
+use comethitch_tds::token::{Message, change_type, code, done};
 use comethitch_tds::write::{
     Cell, Column, put_change, put_change_bytes, put_columns, put_done, put_login_ack,
     put_message as put_error, put_return_status, put_row,
@@ -28,14 +28,6 @@
 const LARGE_ROW_COUNT: usize = 20;
 const COLUMNS: [(&str, Column); 1] = [("data", Column::LongText)];
 
-/// ENVCHANGE types that a host sends.
-mod change {
-    pub const DATABASE: u8 = 1;
-    pub const PACKET_SIZE: u8 = 4;
-    pub const BEGIN_TRANSACTION: u8 = 8;
-    pub const RESET_CONNECTION: u8 = 18;
-}
-
 /// How a command was sent, which decides the DONE tokens of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
@@ -78,9 +70,9 @@
 
 fn login_response() -> Vec<u8> {
     let mut tokens = Vec::new();
-    put_change(&mut tokens, change::DATABASE, "crm", "master");
+    put_change(&mut tokens, change_type::DATABASE, "crm", "master");
     put_login_ack(&mut tokens, VERSION, SERVER_NAME);
-    put_change(&mut tokens, change::PACKET_SIZE, &PACKET_SIZE.to_string(), "4096");
+    put_change(&mut tokens, change_type::PACKET_SIZE, &PACKET_SIZE.to_string(), "4096");
     put_done(&mut tokens, code::DONE, 0, 0);
     tokens
 }
@@ -153,7 +145,7 @@
             let text = self.decode(message.kind, &message.payload)?;
             self.prefix.clear();
             if message.status & status::RESET != 0 {
-                put_change_bytes(&mut self.prefix, change::RESET_CONNECTION, &[], &[]);
+                put_change_bytes(&mut self.prefix, change_type::RESET_ACKNOWLEDGED, &[], &[]);
             } else if self.used && self.shared {
                 let tokens = error_tokens(SESSION_NOT_RESET);
                 write_message(&mut self.stream, Kind::Answer, PACKET_SIZE, &tokens)?;
@@ -181,7 +173,7 @@
 
     fn answer_in_transaction(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.prefix.clone();
-        put_change_bytes(&mut tokens, change::BEGIN_TRANSACTION, &[1; 8], &[]);
+        put_change_bytes(&mut tokens, change_type::BEGIN_TRANSACTION, &[1; 8], &[]);
         tokens.extend(self.answer_tokens(key));
         answer_message(&tokens)
     }
