--- a/crates/comethitch-lab/src/chart.rs
+++ b/crates/comethitch-lab/src/chart.rs
@@ -1,9 +1,55 @@
-//! Charts of what trials came to, as SVG.
+//! Line charts of what trials came to, as SVG.
 
 use plotters::prelude::*;
+use std::error::Error as StdError;
+use std::ops::Range;
+use thiserror::Error;
 
-/// A line of a chart: its name, and its points.
-pub type Line = (String, Vec<(f64, f64)>);
+/// The width and height of a chart, in pixels.
+const SIZE: (u32, u32) = (760, 420);
+/// The space above the greatest value.
+const HEADROOM: f64 = 1.08;
+/// The least height of the vertical axis.
+const LEAST_TOP: f64 = 1e-6;
+
+/// Why a chart could not be drawn.
+#[derive(Debug, Error)]
+pub enum ChartError {
+    /// No line has a finite point.
+    #[error("{title}: nothing to draw")]
+    NoPoints {
+        /// The chart's title.
+        title: String,
+    },
+    /// The drawing library failed.
+    #[error(transparent)]
+    Drawing(Box<dyn StdError>),
+}
+
+/// A line of a chart.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Line {
+    /// Its name in the legend.
+    pub name: String,
+    /// Its points, from left to right.
+    pub points: Vec<(f64, f64)>,
+}
+
+/// What stands beside a chart.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Labels<'a> {
+    /// Above it.
+    pub title: &'a str,
+    /// Of the horizontal axis.
+    pub x: &'a str,
+    /// Of the vertical axis.
+    pub y: &'a str,
+}
+
+struct Axes {
+    x: Range<f64>,
+    y: Range<f64>,
+}
 
 /// Draws lines over one another, from 0 up.
 ///
@@ -11,44 +57,48 @@
 /// No point at all, or what the drawing library says.
 ///
 /// ```
-/// let line = ("module".to_string(), vec![(30.0, 0.4), (300.0, 0.5)]);
-/// let svg = comethitch_lab::chart::svg("Evenness", "routers", "variation", &[line]).unwrap();
-/// assert!(svg.starts_with("<svg") && svg.contains("module"));
-/// assert!(comethitch_lab::chart::svg("Nothing", "x", "y", &[]).is_err());
+/// use comethitch_lab::chart::{Labels, Line, svg};
+/// let line = Line { name: "module".into(), points: vec![(30.0, 0.4), (300.0, 0.5)] };
+/// let labels = Labels { title: "Evenness", x: "routers", y: "variation" };
+/// let text = svg(labels, &[line]).unwrap();
+/// assert!(text.starts_with("<svg") && text.contains("module"));
+/// assert!(svg(labels, &[]).is_err());
 /// ```
-pub fn svg(title: &str, across: &str, up: &str, lines: &[Line]) -> Result<String, String> {
-    let points =
-        || lines.iter().flat_map(|(_, points)| points).filter(|(x, y)| x.is_finite() && y.is_finite());
-    if points().next().is_none() {
-        return Err(format!("{title}: nothing to draw"));
-    }
-    let (least, most) = points().fold((f64::MAX, f64::MIN), |(l, m), (x, _)| (l.min(*x), m.max(*x)));
-    let top = points().fold(0.0, |top: f64, (_, y)| top.max(*y)).max(1e-6);
+pub fn svg(labels: Labels, lines: &[Line]) -> Result<String, ChartError> {
+    let axes = axes(lines).ok_or_else(|| ChartError::NoPoints { title: labels.title.into() })?;
     let mut text = String::new();
-    draw(&mut text, title, across, up, lines, (least..most.max(least + 1.0), 0.0..top * 1.08))
-        .map_err(|error| error.to_string())?;
+    draw(&mut text, labels, lines, axes).map_err(ChartError::Drawing)?;
     Ok(text)
 }
 
-type Spans = (std::ops::Range<f64>, std::ops::Range<f64>);
+/// Axes that hold all finite points; `None` if there are none.
+fn axes(lines: &[Line]) -> Option<Axes> {
+    let all = lines.iter().flat_map(|line| &line.points);
+    let points: Vec<(f64, f64)> = all.copied().filter(|(x, y)| x.is_finite() && y.is_finite()).collect();
+    if points.is_empty() {
+        return None;
+    }
+    let left = points.iter().fold(f64::MAX, |left, (x, _)| left.min(*x));
+    let right = points.iter().fold(f64::MIN, |right, (x, _)| right.max(*x));
+    let top = points.iter().fold(0.0, |top: f64, (_, y)| top.max(*y)).max(LEAST_TOP);
+    Some(Axes { x: left..right.max(left + 1.0), y: 0.0..top * HEADROOM })
+}
 
-fn draw(
-    text: &mut String, title: &str, across: &str, up: &str, lines: &[Line], (xs, ys): Spans,
-) -> Result<(), Box<dyn std::error::Error>> {
-    let area = SVGBackend::with_string(text, (760, 420)).into_drawing_area();
+fn draw(text: &mut String, labels: Labels, lines: &[Line], axes: Axes) -> Result<(), Box<dyn StdError>> {
+    let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption(title, ("sans-serif", 18))
+        .caption(labels.title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(42)
         .y_label_area_size(56)
-        .build_cartesian_2d(xs, ys)?;
-    chart.configure_mesh().x_desc(across).y_desc(up).draw()?;
-    for (nth, (name, points)) in lines.iter().enumerate() {
-        let colour = Palette99::pick(nth).to_rgba();
+        .build_cartesian_2d(axes.x, axes.y)?;
+    chart.configure_mesh().x_desc(labels.x).y_desc(labels.y).draw()?;
+    for (index, line) in lines.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         chart
-            .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))?
-            .label(name)
+            .draw_series(LineSeries::new(line.points.iter().copied(), colour.stroke_width(2)))?
+            .label(&line.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2)));
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
--- a/crates/comethitch-lab/src/compare.rs
+++ b/crates/comethitch-lab/src/compare.rs
@@ -1,58 +1,89 @@
-//! Two trials held against one another over the same seeds, in pairs.
+//! A paired comparison of two trials over the same seeds.
 
+use crate::error::PlayError;
 use crate::ledger::Report;
 use crate::trial::Trial;
 
-/// A column's name and how a report tells it.
-type Column = (&'static str, fn(&Report) -> f64);
+/// A figure of a report.
+struct Column {
+    name: &'static str,
+    value: fn(&Report) -> f64,
+}
 
 /// What is compared.
 const COLUMNS: [Column; 7] = [
-    ("in_time", |r| r.in_time),
-    ("throttled", |r| r.throttled),
-    ("p99_ms", |r| r.p99_ms),
-    ("probes", |r| r.probes),
-    ("connections", |r| r.connections),
-    ("variation", |r| r.variation),
-    ("breaks", |r| r.breaks as f64),
+    Column { name: "in_time", value: |report| report.in_time },
+    Column { name: "throttled", value: |report| report.throttled },
+    Column { name: "p99_ms", value: |report| report.p99_ms },
+    Column { name: "probes", value: |report| report.probes },
+    Column { name: "connections", value: |report| report.connections },
+    Column { name: "variation", value: |report| report.variation },
+    Column { name: "breaks", value: |report| report.breaks as f64 },
 ];
 
-/// One column: the means of both, and the mean of the differences with its standard error.
+/// The comparison of one column.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Row {
+    /// The column's name.
     pub column: &'static str,
+    /// The mean over the first trial's plays.
     pub one: f64,
+    /// The mean over the second trial's plays.
     pub other: f64,
+    /// The mean of the second's value less the first's, seed by seed.
     pub difference: f64,
+    /// The standard error of that mean.
     pub error: f64,
 }
 
-/// Plays both trials on each seed with `play`, and pairs them seed by seed.
+/// The reports of both trials on one seed.
+struct Pair {
+    one: Report,
+    other: Report,
+}
+
+/// Plays both trials on each seed with `play`, and compares them seed by seed.
 ///
 /// # Errors
-/// Fewer than two seeds, or what a trial's play says.
+/// Fewer than two seeds, or what `play` returns.
 pub fn compare(
-    one: &Trial, other: &Trial, seeds: &[u64], play: &mut dyn FnMut(&Trial) -> Result<Report, String>,
-) -> Result<Vec<Row>, String> {
+    one: &Trial, other: &Trial, seeds: &[u64], play: &mut dyn FnMut(&Trial) -> Result<Report, PlayError>,
+) -> Result<Vec<Row>, PlayError> {
     if seeds.len() < 2 {
-        return Err("at least two seeds are needed to tell a difference from chance".into());
+        return Err(PlayError::TooFewSeeds);
     }
     let mut pairs = Vec::with_capacity(seeds.len());
     for seed in seeds {
         let seeded = |trial: &Trial| Trial { seed: *seed, ..trial.clone() };
-        pairs.push((play(&seeded(one))?, play(&seeded(other))?));
+        pairs.push(Pair { one: play(&seeded(one))?, other: play(&seeded(other))? });
+    }
+    Ok(COLUMNS.iter().map(|column| row(column, &pairs)).collect())
+}
+
+fn row(column: &Column, pairs: &[Pair]) -> Row {
+    let value = column.value;
+    let ones: Vec<f64> = pairs.iter().map(|pair| value(&pair.one)).collect();
+    let others: Vec<f64> = pairs.iter().map(|pair| value(&pair.other)).collect();
+    let differences: Vec<f64> = pairs.iter().map(|pair| value(&pair.other) - value(&pair.one)).collect();
+    Row {
+        column: column.name,
+        one: mean(&ones),
+        other: mean(&others),
+        difference: mean(&differences),
+        error: standard_error(&differences),
     }
-    let count = pairs.len() as f64;
-    let row = |(column, of): Column| {
-        let mean = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>() / count;
-        let one = mean(&mut pairs.iter().map(|(one, _)| of(one)));
-        let other = mean(&mut pairs.iter().map(|(_, other)| of(other)));
-        let by_pair = || pairs.iter().map(|(one, other)| of(other) - of(one));
-        let difference = mean(&mut by_pair());
-        let variance = by_pair().map(|d| (d - difference).powi(2)).sum::<f64>() / (count - 1.0);
-        Row { column, one, other, difference, error: (variance / count).sqrt() }
-    };
-    Ok(COLUMNS.into_iter().map(row).collect())
+}
+
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len() as f64
+}
+
+/// The standard error of the mean of at least two values.
+fn standard_error(values: &[f64]) -> f64 {
+    let count = values.len() as f64;
+    let mean = mean(values);
+    let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (count - 1.0);
+    (variance / count).sqrt()
 }
 
 #[cfg(test)]
--- a/crates/comethitch-lab/src/compare/tests.rs
+++ b/crates/comethitch-lab/src/compare/tests.rs
@@ -12,5 +12,5 @@
     let rows = compare(&one, &other, &[1, 2, 3], &mut play).unwrap();
     let row = rows.iter().find(|row| row.column == "in_time").unwrap();
     assert!((row.difference + 0.05).abs() < 1e-9 && row.error < 1e-9, "{row:?}");
-    assert!(compare(&one, &other, &[1], &mut play).unwrap_err().contains("two seeds"));
+    assert!(compare(&one, &other, &[1], &mut play).unwrap_err().to_string().contains("two seeds"));
 }
--- /dev/null
+++ b/crates/comethitch-lab/src/fleet/attempts.rs
@@ -0,0 +1,151 @@
+//! Attempts and health checks of a simulated fleet, from a router over the network to a host and back.
+
+use super::events::{AttemptId, Event, HostResult, RouterId};
+use super::routers::{Attempt, attempt_end};
+use super::{Fleet, START};
+use crate::hosts::{Admission, Job, StartedJob};
+use crate::ledger::{Answer, Rule};
+use crate::trial::Routing;
+use comethitch_policy::time::Duration;
+use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport};
+use rand_distr::{Distribution, Exp};
+
+impl Fleet<'_> {
+    /// Sends an attempt over a connection of its own; its work is drawn here.
+    pub(super) fn send_attempt(&mut self, router: usize, id: CommandId, host: Host, timeout: Duration) {
+        let host = self.host_index[&host];
+        self.acquire_connection(router, host);
+        let work = self.draw_work();
+        let incarnation = self.routers[router].incarnation;
+        let Some(in_flight) = self.routers[router].commands.get_mut(&id) else { return };
+        let attempt = in_flight.attempts.len() as u16;
+        in_flight.attempts.push(Attempt { host, work, sent_at: self.now, in_flight: true });
+        let write = in_flight.command.write;
+        self.ledger.attempt_sent(in_flight.number, router, host, self.now);
+        let job = Job { router, command: id, attempt, work };
+        self.after_network_delay(Event::AttemptReachesHost { host, incarnation, job, write });
+        let attempt = AttemptId { router: RouterId { index: router, incarnation }, command: id, attempt };
+        self.events.push(self.now + timeout, Event::AttemptTimesOut { attempt });
+    }
+
+    fn draw_work(&mut self) -> Duration {
+        let factor = Exp::new(1.0).expect("the rate is above 0").sample(&mut self.rng);
+        let micros = factor * self.trial.work_ms * 1e3;
+        Duration::from_micros(micros.max(1.0) as u64)
+    }
+
+    pub(super) fn attempt_reaches_host(&mut self, host: usize, incarnation: u32, job: Job, write: bool) {
+        let router = RouterId { index: job.router, incarnation };
+        let attempt = AttemptId { router, command: job.command, attempt: job.attempt };
+        if write && !self.hosts[host].primary {
+            let result = HostResult::NotPrimary;
+            self.after_network_delay(Event::AttemptReturns { attempt, host, result });
+            return;
+        }
+        if !write {
+            let second = (self.now - START).as_micros() / 1_000_000;
+            self.ledger.read_arrived(second, host, self.hosts[host].cores);
+        }
+        let rejection = match self.admit(host, job) {
+            Admission::Runs(duration) => {
+                self.events.push(self.now + duration, Event::JobFinishes { host, job });
+                None
+            }
+            Admission::Queued => None,
+            Admission::QueueFull => Some(HostResult::QueueFull),
+            Admission::Unreachable => Some(HostResult::ConnectionReset),
+        };
+        if let Some(result) = rejection {
+            self.after_network_delay(Event::AttemptReturns { attempt, host, result });
+        } else if let Some(in_flight) = self.routers[job.router].commands.get(&job.command) {
+            self.ledger.attempt_may_run(in_flight.number);
+        }
+    }
+
+    /// Passes a job to a host, and records what that does to a warming one.
+    fn admit(&mut self, host: usize, job: Job) -> Admission {
+        let crashed_before = self.hosts[host].crashed;
+        let load_before = self.hosts[host].peak_cold_load;
+        let admission = self.hosts[host].arrive(job, &self.cold_start, self.now);
+        if !crashed_before && self.hosts[host].crashed {
+            let description = format!("host {host} fell over at {:?}", self.now - START);
+            self.ledger.record_violation(Rule::SlowStart, description);
+        }
+        self.ledger.cold_load_changed(host, load_before, self.hosts[host].peak_cold_load);
+        admission
+    }
+
+    /// A job is finished: the next one starts, and the answer travels back, to whatever incarnation is running now.
+    pub(super) fn job_finishes(&mut self, host: usize, job: Job) {
+        let next = self.hosts[host].finish(&job, &self.cold_start, self.now);
+        if let Some(StartedJob { job, duration }) = next {
+            self.events.push(self.now + duration, Event::JobFinishes { host, job });
+        }
+        if self.hosts[host].removed {
+            return;
+        }
+        let router = self.current_id(job.router);
+        let attempt = AttemptId { router, command: job.command, attempt: job.attempt };
+        self.after_network_delay(Event::AttemptReturns { attempt, host, result: HostResult::Answered });
+    }
+
+    pub(super) fn attempt_returns(&mut self, id: AttemptId, host: usize, result: HostResult) {
+        let router = id.router.index;
+        let Some(in_flight) = self.routers[router].commands.get(&id.command) else { return };
+        let attempt = in_flight.attempts.get(usize::from(id.attempt)).copied();
+        let attempt = attempt.filter(|attempt| attempt.in_flight);
+        let answered = result == HostResult::Answered;
+        if let Some(attempt) = attempt {
+            if answered {
+                self.answer(router, id.command, attempt);
+            } else if self.trial.routing == Routing::Perfect {
+                self.reject(router, id.command, Answer::Throttled);
+            }
+        }
+        let mut end = attempt_end(id.attempt, result.outcome());
+        end.command_finished = answered;
+        if result != HostResult::ConnectionReset {
+            end.note.role = Some(self.hosts[host].role());
+        }
+        self.attempt_ended(router, id.command, end);
+    }
+
+    /// The client receives the answer of an attempt, unless its command is finished.
+    fn answer(&mut self, router: usize, id: CommandId, attempt: Attempt) {
+        let Some(in_flight) = self.routers[router].commands.get_mut(&id) else { return };
+        if in_flight.finished {
+            return;
+        }
+        in_flight.finished = true;
+        let number = in_flight.number;
+        let write = in_flight.command.write;
+        self.ledger.answer_received(number, self.now, Answer::Answered);
+        let lag = Duration::from_millis(self.trial.lag_ms);
+        let staleness = self.hosts[attempt.host].staleness(lag, attempt.sent_at);
+        if !write && staleness > Duration::from_millis(self.trial.bound_ms) {
+            let description = format!("command {number}, sent at {:?}", attempt.sent_at);
+            self.ledger.record_violation(Rule::Staleness, description);
+        }
+    }
+
+    pub(super) fn attempt_times_out(&mut self, id: AttemptId) {
+        let end = attempt_end(id.attempt, AttemptOutcome::TimedOut);
+        self.attempt_ended(id.router.index, id.command, end);
+    }
+
+    pub(super) fn health_check_reaches_host(&mut self, router: RouterId, host: usize) {
+        let lag = Duration::from_millis(self.trial.lag_ms);
+        let interval = Duration::from_millis(self.trial.report_ms);
+        let report = self.hosts[host].report(lag, interval, self.now);
+        let report = self.hosts[host].reachable().then_some(report);
+        self.after_network_delay(Event::HealthCheckReturns { router, host, report });
+    }
+
+    pub(super) fn health_check_returns(&mut self, router: RouterId, host: usize, report: Option<HostReport>) {
+        let host = self.hosts[host].host;
+        let outcome =
+            if report.is_some() { AttemptOutcome::Answered } else { AttemptOutcome::ConnectionReset };
+        let report = report.unwrap_or_default();
+        self.call(router.index, |router, out| router.health_checked(host, outcome, report, out));
+    }
+}
--- /dev/null
+++ b/crates/comethitch-lab/src/fleet/baseline.rs
@@ -0,0 +1,45 @@
+//! The baseline that trials are compared with: host selection that knows each host's true capacity.
+
+use super::Fleet;
+use crate::clients::ClientCommand;
+use crate::hosts::SimulatedHost;
+use crate::ledger::Answer;
+use comethitch_policy::CommandId;
+use comethitch_policy::time::Duration;
+use rand::RngExt;
+
+/// The least total weight that is drawn from, so that the range is never empty.
+const LEAST_TOTAL: f64 = 1e-9;
+
+impl Fleet<'_> {
+    /// Sends a command to a usable host of its group, drawn by present capacity; throttles it if there is none.
+    pub(super) fn submit_to_baseline(&mut self, router: usize, id: CommandId, command: ClientCommand) {
+        let timeout = Duration::from_millis(self.trial.timeout_ms);
+        match self.draw_host_by_capacity(command) {
+            Some(host) => self.send_attempt(router, id, self.hosts[host].host, timeout),
+            None => self.reject(router, id, Answer::Throttled),
+        }
+    }
+
+    fn draw_host_by_capacity(&mut self, command: ClientCommand) -> Option<usize> {
+        let serves = |host: &SimulatedHost| {
+            host.shard == command.shard && host.usable() && host.primary == command.write
+        };
+        let capacity = |host: &SimulatedHost| {
+            f64::from(host.cores) * host.capacity_fraction(&self.cold_start, self.now) / host.slowdown
+        };
+        let candidates: Vec<(usize, f64)> = (0..self.hosts.len())
+            .map(|index| (index, &self.hosts[index]))
+            .filter(|(_, host)| serves(host))
+            .map(|(index, host)| (index, capacity(host)))
+            .collect();
+        let total = candidates.iter().map(|(_, capacity)| capacity).sum::<f64>();
+        let mut remaining = self.rng.random_range(0.0..total.max(LEAST_TOTAL));
+        let drawn = candidates.iter().find(|(_, capacity)| {
+            remaining -= capacity;
+            remaining < 0.0
+        });
+        // Rounding may leave a rest: it belongs to the last one.
+        drawn.or(candidates.last()).map(|(index, _)| *index)
+    }
+}
--- /dev/null
+++ b/crates/comethitch-lab/src/fleet/faults.rs
@@ -0,0 +1,102 @@
+//! Faults of a simulated fleet: what a trial's [`FaultKind`]s do to routers and hosts.
+
+use super::Fleet;
+use super::events::Event;
+use crate::hosts::{fraction_of_each_shard, usable_replicas};
+use crate::trial::FaultKind;
+use comethitch_policy::Shard;
+use comethitch_policy::time::Duration;
+use rand::RngExt;
+
+impl Fleet<'_> {
+    pub(super) fn begin_fault(&mut self, fault: FaultKind) {
+        match fault {
+            FaultKind::Release { part, over_ms } => self.replace_replicas(part, over_ms),
+            FaultKind::Herd { part, back_ms } => {
+                self.kill_routers(part, Duration::from_millis(back_ms));
+            }
+            FaultKind::Slow { part, factor } => self.slow_replicas(part, factor),
+            FaultKind::Stall { part, for_ms } => {
+                self.stall_replication(part, Duration::from_millis(for_ms));
+            }
+            FaultKind::Takeover { part, after_ms } => {
+                self.kill_primaries(part, Duration::from_millis(after_ms));
+            }
+            // Refused before the trial began.
+            FaultKind::Stop { .. } | FaultKind::Links { .. } => {}
+        }
+    }
+
+    fn replace_replicas(&mut self, fraction: f64, over_ms: u64) {
+        let mut replicas = usable_replicas(&self.hosts);
+        let count = (replicas.len() as f64 * fraction) as u64;
+        for nth in 0..count {
+            let host = replicas.swap_remove(self.rng.random_range(0..replicas.len()));
+            let delay = Duration::from_micros(over_ms * 1000 * nth / count);
+            self.events.push(self.now + delay, Event::HostIsReplaced { host });
+        }
+    }
+
+    fn kill_routers(&mut self, fraction: f64, restart_after: Duration) {
+        let mut routers: Vec<usize> = (0..self.routers.len()).collect();
+        let count = (routers.len() as f64 * fraction) as usize;
+        for _ in 0..count {
+            let router = routers.swap_remove(self.rng.random_range(0..routers.len()));
+            for lost in self.routers[router].kill().into_values() {
+                self.ledger.router_lost(lost.number);
+            }
+            self.events.push(self.now + restart_after, Event::RouterRestarts { router });
+        }
+    }
+
+    fn slow_replicas(&mut self, probability: f64, factor: f64) {
+        for host in &mut self.hosts {
+            if !host.primary && self.rng.random_bool(probability) {
+                host.slowdown = factor;
+            }
+        }
+    }
+
+    fn stall_replication(&mut self, fraction: f64, duration: Duration) {
+        for host in fraction_of_each_shard(&self.hosts, fraction) {
+            self.hosts[host].replication_stalled_since = Some(self.now);
+            self.events.push(self.now + duration, Event::ReplicationResumes { host });
+        }
+    }
+
+    fn kill_primaries(&mut self, probability: f64, promotion_after: Duration) {
+        for shard in 0..self.trial.groups {
+            if !self.rng.random_bool(probability) {
+                continue;
+            }
+            let mut hosts = self.hosts.iter_mut();
+            if let Some(primary) = hosts.find(|host| host.shard == shard && host.primary && !host.removed) {
+                primary.removed = true;
+            }
+            self.events.push(self.now + promotion_after, Event::ReplicaIsPromoted { shard });
+        }
+    }
+
+    /// A host begins to drain, and a cold one joins in its place. It leaves after twice the drain grace.
+    pub(super) fn replace_host(&mut self, host: usize) {
+        self.hosts[host].draining = Some(self.now);
+        let replacement = self.add_host(self.hosts[host].shard, false);
+        self.hosts[replacement].started = Some(self.now);
+        self.notify_all_routers();
+        let delay = Duration::from_micros(self.trial.drain_grace_ms * 2000);
+        self.events.push(self.now + delay, Event::HostIsRemoved { host });
+    }
+
+    pub(super) fn remove_host(&mut self, host: usize) {
+        self.hosts[host].removed = true;
+        self.notify_all_routers();
+    }
+
+    pub(super) fn promote_replica(&mut self, shard: Shard) {
+        let mut hosts = self.hosts.iter_mut();
+        if let Some(replica) = hosts.find(|host| host.shard == shard && !host.primary && host.usable()) {
+            replica.primary = true;
+        }
+        self.notify_all_routers();
+    }
+}
--- /dev/null
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -0,0 +1,238 @@
+//! A fleet in simulated time: a discrete-event simulation of routers, hosts, clients and the network.
+//!
+//! [`play`] takes one event after the other from the [`events::EventQueue`]; [`Fleet::handle`] dispatches each to its
+//! handler. Handlers stand with what they concern:
+//!
+//! - [`clients`]: commands arrive, are retried and get their final answers;
+//! - [`routers`]: routers start, decide, and have their actions carried out;
+//! - [`attempts`]: attempts and health checks travel to hosts and back;
+//! - [`faults`]: faults begin, and hosts are replaced, promoted and removed;
+//! - [`baseline`]: host selection with perfect knowledge.
+//!
+//! All random draws come from one generator, in the order of events: the same trial and seed give the same report.
+
+mod attempts;
+mod baseline;
+mod clients;
+mod events;
+mod faults;
+mod routers;
+
+use crate::error::PlayError;
+use crate::hosts::{ColdStart, SimulatedHost, replica_cores};
+use crate::ledger::{Ledger, Report};
+use crate::trial::{Fault, FaultKind, Trial};
+use crate::usable::UsableReplicas;
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{Deployment, Host, Shard};
+use events::{Event, EventQueue, RouterId};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use routers::SimulatedRouter;
+use std::collections::BTreeMap;
+
+/// The start of every trial; positions count from long before.
+const START: Timestamp = Timestamp::from_millis(1_000_000);
+/// Most events of one trial: it ends with an error rather than run on.
+const EVENT_LIMIT: u64 = 60_000_000;
+/// The network delay varies around its mean by these factors.
+const NETWORK_DELAY_FACTORS: std::ops::Range<f64> = 0.8..1.2;
+/// The port of all hosts.
+const HOST_PORT: u16 = 5432;
+
+/// All of a trial's state.
+struct Fleet<'a> {
+    trial: &'a Trial,
+    deployment: Deployment,
+    cold_start: ColdStart,
+    now: Timestamp,
+    events: EventQueue,
+    rng: ChaCha8Rng,
+    routers: Vec<SimulatedRouter>,
+    hosts: Vec<SimulatedHost>,
+    host_index: BTreeMap<Host, usize>,
+    ledger: Ledger,
+    usable: UsableReplicas,
+    /// The last number given to a request or a command.
+    last_number: u64,
+}
+
+/// Plays a trial to its end.
+///
+/// # Errors
+/// A key of the trial that is out of bounds or has no effect in simulated time, or more events than a trial may have.
+pub fn play(trial: &Trial) -> Result<Report, PlayError> {
+    trial.check()?;
+    check_playable(trial)?;
+    let mut fleet = Fleet::new(trial)?;
+    let end = START + Duration::from_secs(trial.seconds);
+    fleet.run_until(end)?;
+    let Fleet { ledger, usable, .. } = fleet;
+    let throughout = |second, host| usable.throughout(second, host, trial.seconds);
+    Ok(ledger.close(end, &throughout))
+}
+
+/// Refuses what only real processes can play.
+fn check_playable(trial: &Trial) -> Result<(), PlayError> {
+    let needs_processes =
+        |fault: &Fault| matches!(fault.kind, FaultKind::Stop { .. } | FaultKind::Links { .. });
+    if let Some(index) = trial.faults.iter().position(needs_processes) {
+        return Err(PlayError::FaultNeedsProcesses { index });
+    }
+    let keys = [
+        ("slots", trial.slots > 0),
+        ("namesakes", trial.namesakes > 0),
+        ("settings", !trial.settings.is_empty()),
+    ];
+    match keys.into_iter().find(|(_, set)| *set) {
+        Some((key, _)) => Err(PlayError::KeyNeedsProcesses { key }),
+        None => Ok(()),
+    }
+}
+
+impl<'a> Fleet<'a> {
+    fn new(trial: &'a Trial) -> Result<Fleet<'a>, PlayError> {
+        let mut rng = ChaCha8Rng::seed_from_u64(trial.seed);
+        // Drawn before all else: the same seed gives the same routers, whatever the hosts.
+        let rates_per_core = trial.arrival_rates(&mut rng, 1.0)?;
+        let mut fleet = Fleet {
+            deployment: trial.deployment()?,
+            cold_start: trial.cold_start(),
+            trial,
+            now: START,
+            events: EventQueue::default(),
+            rng,
+            routers: Vec::new(),
+            hosts: Vec::new(),
+            host_index: BTreeMap::new(),
+            ledger: Ledger::new(
+                Duration::from_millis(trial.target_ms),
+                Duration::from_millis(trial.drain_grace_ms),
+                START,
+            ),
+            usable: UsableReplicas::default(),
+            last_number: 0,
+        };
+        fleet.add_all_hosts();
+        fleet.start_all_routers(rates_per_core);
+        fleet.schedule_trial();
+        Ok(fleet)
+    }
+
+    fn add_all_hosts(&mut self) {
+        for shard in 0..self.trial.groups {
+            self.add_host(shard, true);
+            for _ in 0..self.trial.replicas {
+                self.add_host(shard, false);
+            }
+        }
+        if self.trial.all_cold {
+            self.hosts.iter_mut().for_each(|host| host.started = Some(START));
+        }
+    }
+
+    fn add_host(&mut self, shard: Shard, primary: bool) -> usize {
+        let index = self.hosts.len();
+        let host = Host { address: [10, 0, (index >> 8) as u8, index as u8], port: HOST_PORT };
+        let cores = self.trial.cores[index % self.trial.cores.len()];
+        self.hosts.push(SimulatedHost::new(host, shard, cores, primary, self.trial.queue_per_core));
+        self.host_index.insert(host, index);
+        index
+    }
+
+    fn start_all_routers(&mut self, rates_per_core: Vec<f64>) {
+        let cores = replica_cores(&self.hosts);
+        self.routers = rates_per_core.into_iter().map(|rate| SimulatedRouter::new(rate * cores)).collect();
+        for router in 0..self.routers.len() {
+            self.start_router(router);
+            self.schedule_next_command(router);
+        }
+    }
+
+    fn schedule_trial(&mut self) {
+        for (index, fault) in self.trial.faults.iter().enumerate() {
+            self.events.push(START + Duration::from_millis(fault.at_ms), Event::FaultBegins(index));
+        }
+        for second in 0..=self.trial.seconds + 1 {
+            self.events.push(START + Duration::from_secs(second), Event::SecondBegins(second));
+        }
+    }
+
+    /// Handles events until clients stop sending at `end`, and for one timeout more.
+    fn run_until(&mut self, end: Timestamp) -> Result<(), PlayError> {
+        let last = end + Duration::from_millis(self.trial.timeout_ms);
+        let mut count = 0;
+        while let Some((at, event)) = self.events.pop() {
+            if at > last {
+                break;
+            }
+            count += 1;
+            if count > EVENT_LIMIT {
+                return Err(PlayError::TooManyEvents { limit: EVENT_LIMIT });
+            }
+            self.now = at;
+            self.handle(event, at <= end);
+        }
+        Ok(())
+    }
+
+    fn handle(&mut self, event: Event, clients_send: bool) {
+        if event.recipient().is_some_and(|router| !self.is_current(router)) {
+            return;
+        }
+        match event {
+            Event::CommandArrives { router } => {
+                if clients_send {
+                    self.command_arrives(router);
+                }
+            }
+            Event::ClientRetries { router, command, retries } => self.submit(router, command, retries),
+            Event::AttemptReachesHost { host, incarnation, job, write } => {
+                self.attempt_reaches_host(host, incarnation, job, write);
+            }
+            Event::JobFinishes { host, job } => self.job_finishes(host, job),
+            Event::AttemptReturns { attempt, host, result } => self.attempt_returns(attempt, host, result),
+            Event::AttemptTimesOut { attempt } => self.attempt_times_out(attempt),
+            Event::HealthCheckReachesHost { router, host } => self.health_check_reaches_host(router, host),
+            Event::HealthCheckReturns { router, host, report } => {
+                self.health_check_returns(router, host, report);
+            }
+            Event::RouterTicks { router } => self.call(router.index, |router, out| router.tick(out)),
+            Event::EndpointsReachRouter { router } => self.update_endpoints(router.index),
+            Event::RouterRestarts { router } => self.start_router(router),
+            Event::FaultBegins(index) => self.begin_fault(self.trial.faults[index].kind),
+            Event::HostIsReplaced { host } => self.replace_host(host),
+            Event::HostIsRemoved { host } => self.remove_host(host),
+            Event::ReplicaIsPromoted { shard } => self.promote_replica(shard),
+            Event::ReplicationResumes { host } => self.hosts[host].replication_stalled_since = None,
+            Event::SecondBegins(second) => self.record_usable_replicas(second),
+        }
+    }
+
+    fn is_current(&self, router: RouterId) -> bool {
+        self.routers[router.index].incarnation == router.incarnation
+    }
+
+    fn current_id(&self, router: usize) -> RouterId {
+        RouterId { index: router, incarnation: self.routers[router].incarnation }
+    }
+
+    /// Schedules an event for when a message that is sent now arrives.
+    fn after_network_delay(&mut self, event: Event) {
+        let mean_micros = self.trial.net_us as f64;
+        let factor = self.rng.random_range(NETWORK_DELAY_FACTORS);
+        let delay = Duration::from_micros((mean_micros * factor) as u64);
+        self.events.push(self.now + delay, event);
+    }
+
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    fn record_usable_replicas(&mut self, second: u64) {
+        for host in self.usable.record(second, &self.hosts) {
+            self.ledger.host_usable(second, *host);
+        }
+    }
+}
--- /dev/null
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -0,0 +1,249 @@
+//! Routers of a simulated fleet: a [`Router`] each, the commands it has in flight, and the actions that it decides.
+
+use super::Fleet;
+use super::events::{Event, RouterId};
+use crate::clients::ClientCommand;
+use crate::hosts::{Job, SimulatedHost};
+use crate::ledger::Answer;
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{
+    Action, ActionQueue, AttemptEnd, AttemptOutcome, CommandId, Endpoint, EndpointUpdate, Host, HostReport,
+    Lifecycle, Router,
+};
+use rand::{Rng, RngExt};
+use std::collections::BTreeMap;
+
+/// How much later than it happens a router hears of a change of the endpoint list, in microseconds.
+const ENDPOINT_UPDATE_DELAY_MICROS: std::ops::Range<u64> = 200_000..1_500_000;
+
+/// An attempt that a router sent.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Attempt {
+    pub host: usize,
+    pub work: Duration,
+    pub sent_at: Timestamp,
+    pub in_flight: bool,
+}
+
+/// A command at a router.
+#[derive(Debug)]
+pub(super) struct CommandInFlight {
+    /// Its number over all routers.
+    pub number: u64,
+    pub command: ClientCommand,
+    /// How often its client had retried before.
+    pub retries: u8,
+    pub attempts: Vec<Attempt>,
+    /// Whether it has its final answer.
+    pub finished: bool,
+}
+
+impl CommandInFlight {
+    pub fn new(number: u64, command: ClientCommand, retries: u8) -> CommandInFlight {
+        CommandInFlight { number, command, retries, attempts: Vec::new(), finished: false }
+    }
+
+    fn is_complete(&self) -> bool {
+        self.finished && self.attempts.iter().all(|attempt| !attempt.in_flight)
+    }
+}
+
+/// Connections of a router to one host. Those that are not in use stay open.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Connections {
+    in_use: u32,
+    opened: u32,
+}
+
+impl Connections {
+    /// Takes an idle connection, or opens one; returns whether it opened one.
+    fn acquire(&mut self) -> bool {
+        self.in_use += 1;
+        let opens = self.in_use > self.opened;
+        if opens {
+            self.opened = self.in_use;
+        }
+        opens
+    }
+
+    fn release(&mut self) {
+        self.in_use = self.in_use.saturating_sub(1);
+    }
+}
+
+/// A router, running or killed.
+pub(super) struct SimulatedRouter {
+    /// `None` while it is down.
+    router: Option<Router>,
+    /// How often it was killed: what was meant for an earlier incarnation is void.
+    pub incarnation: u32,
+    /// Commands a second of its own clients.
+    pub arrival_rate: f64,
+    last_command: CommandId,
+    pub commands: BTreeMap<CommandId, CommandInFlight>,
+    /// By host.
+    connections: BTreeMap<usize, Connections>,
+}
+
+impl SimulatedRouter {
+    /// A router that is not running yet.
+    pub fn new(arrival_rate: f64) -> SimulatedRouter {
+        SimulatedRouter {
+            router: None,
+            incarnation: 0,
+            arrival_rate,
+            last_command: 0,
+            commands: BTreeMap::new(),
+            connections: BTreeMap::new(),
+        }
+    }
+
+    pub fn is_running(&self) -> bool {
+        self.router.is_some()
+    }
+
+    pub fn add_command(&mut self, command: CommandInFlight) -> CommandId {
+        self.last_command += 1;
+        self.commands.insert(self.last_command, command);
+        self.last_command
+    }
+
+    /// Forgets a command that has its final answer and no attempt in flight.
+    pub fn forget_if_complete(&mut self, id: CommandId) {
+        if self.commands.get(&id).is_some_and(CommandInFlight::is_complete) {
+            self.commands.remove(&id);
+        }
+    }
+
+    /// Kills it; returns the commands that it had in flight.
+    pub fn kill(&mut self) -> BTreeMap<CommandId, CommandInFlight> {
+        self.router = None;
+        self.incarnation += 1;
+        self.connections.clear();
+        std::mem::take(&mut self.commands)
+    }
+}
+
+impl Fleet<'_> {
+    pub(super) fn start_router(&mut self, router: usize) {
+        let seed = self.rng.next_u64();
+        let mut out = ActionQueue::at(self.now);
+        self.routers[router].router = Some(Router::start(self.deployment.clone(), seed, &mut out));
+        self.carry_out(router, out);
+        self.update_endpoints(router);
+    }
+
+    /// Passes the present endpoint list to a router.
+    pub(super) fn update_endpoints(&mut self, router: usize) {
+        for (host, _) in self.hosts.iter().enumerate().filter(|(_, host)| host.draining.is_some()) {
+            self.ledger.drain_notified(router, host, self.now);
+        }
+        let endpoints = self.hosts.iter().filter(|host| !host.removed).map(endpoint).collect();
+        let update = EndpointUpdate { complete: true, endpoints };
+        self.call(router, |router, out| router.update_endpoints(&update, out));
+    }
+
+    /// Notifies every router of a change of the endpoint list, each after a delay of its own.
+    pub(super) fn notify_all_routers(&mut self) {
+        for router in 0..self.routers.len() {
+            let delay = Duration::from_micros(self.rng.random_range(ENDPOINT_UPDATE_DELAY_MICROS));
+            let router = self.current_id(router);
+            self.events.push(self.now + delay, Event::EndpointsReachRouter { router });
+        }
+    }
+
+    /// Calls a router, if it is running, and carries out what it decides.
+    pub(super) fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
+        let mut out = ActionQueue::at(self.now);
+        let Some(policy) = self.routers[router].router.as_mut() else { return };
+        call(policy, &mut out);
+        self.carry_out(router, out);
+    }
+
+    fn carry_out(&mut self, router: usize, queue: ActionQueue) {
+        let id = self.current_id(router);
+        for action in queue.actions {
+            match action {
+                Action::SendAttempt { command, host, timeout } => {
+                    self.send_attempt(router, command, host, timeout);
+                }
+                Action::CancelAttempt { command, attempt } => self.cancel_attempt(router, command, attempt),
+                Action::Throttle { command, .. } => self.reject(router, command, Answer::Throttled),
+                Action::Fail { command, .. } => self.reject(router, command, Answer::Failed),
+                Action::CheckHealth(host) => self.check_health(id, host),
+                Action::WakeAfter(delay) => {
+                    self.events.push(self.now + delay, Event::RouterTicks { router: id });
+                }
+                Action::CloseIdleConnections(_) | Action::WatchEndpoints => {}
+            }
+        }
+    }
+
+    fn cancel_attempt(&mut self, router: usize, id: CommandId, attempt: u16) {
+        let Some(in_flight) = self.routers[router].commands.get(&id) else { return };
+        let Some(sent) = in_flight.attempts.get(usize::from(attempt)) else { return };
+        let job = Job { router, command: id, attempt, work: sent.work };
+        if self.hosts[sent.host].withdraw(&job) {
+            self.ledger.attempt_never_ran(in_flight.number);
+        }
+        let mut end = attempt_end(attempt, AttemptOutcome::Cancelled);
+        end.command_finished = true;
+        self.attempt_ended(router, id, end);
+    }
+
+    /// Releases the connection of an attempt in flight, and notifies the router of its end.
+    pub(super) fn attempt_ended(&mut self, router: usize, id: CommandId, end: AttemptEnd) {
+        let simulated = &mut self.routers[router];
+        let Some(in_flight) = simulated.commands.get_mut(&id) else { return };
+        let Some(attempt) = in_flight.attempts.get_mut(usize::from(end.attempt)) else { return };
+        if !attempt.in_flight {
+            return;
+        }
+        attempt.in_flight = false;
+        simulated.connections.entry(attempt.host).or_default().release();
+        self.call(router, |router, out| {
+            if let Some(handle) = router.handle(id) {
+                handle.attempt_ended(router, end, out);
+            }
+        });
+        self.routers[router].forget_if_complete(id);
+    }
+
+    fn check_health(&mut self, router: RouterId, host: Host) {
+        self.ledger.health_checks += 1;
+        let host = self.host_index[&host];
+        self.acquire_connection(router.index, host);
+        self.routers[router.index].connections.entry(host).or_default().release();
+        self.after_network_delay(Event::HealthCheckReachesHost { router, host });
+    }
+
+    pub(super) fn acquire_connection(&mut self, router: usize, host: usize) {
+        if self.routers[router].connections.entry(host).or_default().acquire() {
+            self.ledger.connections += 1;
+        }
+    }
+}
+
+/// The end of an attempt that says nothing of its host, and leaves its command unfinished.
+pub(super) fn attempt_end(attempt: u16, outcome: AttemptOutcome) -> AttemptEnd {
+    AttemptEnd {
+        attempt,
+        outcome,
+        command_finished: false,
+        note: HostReport::default(),
+        report: HostReport::default(),
+    }
+}
+
+fn endpoint(host: &SimulatedHost) -> Endpoint {
+    let lifecycle = if host.draining.is_some() { Lifecycle::Draining } else { Lifecycle::Ready };
+    Endpoint {
+        host: host.host,
+        zone: 0,
+        shard: host.shard,
+        lifecycle,
+        is_primary: host.primary,
+        capacity: f64::from(host.cores),
+        started: host.started,
+    }
+}
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -1,198 +1,273 @@
-//! Database hosts in simulated time: some cores, a line of commands in order of arrival, a cold start, and a fall.
+//! Simulated database hosts: cores that serve a queue in order of arrival, slow start, crashes under overload, and
+//! replication lag.
+//!
+//! Without clock or sockets: each call is passed the time. The fleet in simulated time calls it from events, the fleet
+//! of real processes from sockets.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Host, HostReport, Role, Shard};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One dispatch at a host: which router sent it, of which command, and how much work it is on one core.
+/// One attempt at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
+    /// The router that sent it.
     pub router: usize,
+    /// The router's number of the command.
     pub command: u32,
-    pub nth: u16,
+    /// The number of the attempt.
+    pub attempt: u16,
+    /// How long it takes on one core at full speed.
     pub work: Duration,
 }
 
-/// What is told of hosts that have just started.
+/// How hosts that have just started behave: slow at first, and crashing when they are sent too much.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
-    pub from: f64,
-    pub within: Duration,
-    pub multiple: f64,
-    pub span: Duration,
-    /// What a command takes on one core, on the mean.
-    pub work: Duration,
+pub struct ColdStart {
+    /// The fraction of its capacity that a host has as it starts.
+    pub initial_capacity: f64,
+    /// How long it takes to reach its full capacity.
+    pub warmup: Duration,
+    /// A warming host crashes when it is sent more than this multiple of what it can serve within `window`.
+    pub overload_multiple: f64,
+    /// The window of that count.
+    pub window: Duration,
+    /// The mean time of a command on one core.
+    pub mean_work: Duration,
 }
 
-impl Cold {
-    /// The most commands within `span` that count as chance where the settings allow so many of mean work: each router
-    /// draws for itself whether it sends one, so that the sum of all spreads by the root of its mean at the most.
+impl ColdStart {
+    /// The most commands within `window` that count as chance where the settings allow this many commands of mean
+    /// work: each router draws for itself whether it sends one, so that the standard deviation of the sum is at most
+    /// the root of its mean.
     ///
     /// ```
-    /// assert_eq!(comethitch_lab::hosts::Cold::most(25.0), 37.0);
+    /// assert_eq!(comethitch_lab::hosts::ColdStart::chance_bound(25.0), 37.0);
     /// ```
-    pub fn most(allowed: f64) -> f64 {
+    pub fn chance_bound(allowed: f64) -> f64 {
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 }
 
+/// Work that was sent to a host.
+#[derive(Clone, Copy, Debug)]
+struct Arrival {
+    at: Timestamp,
+    work: Duration,
+}
+
+/// What a host last measured of itself.
+#[derive(Clone, Copy, Debug)]
+struct Measurement {
+    at: Timestamp,
+    queue: usize,
+}
+
+/// A simulated database host.
 #[derive(Debug)]
-pub struct Box {
+pub struct SimulatedHost {
+    /// Its address.
     pub host: Host,
-    pub group: Shard,
+    /// The group of hosts that it belongs to.
+    pub shard: Shard,
+    /// How many commands it serves at a time.
     pub cores: u16,
+    /// Whether it is its group's primary.
     pub primary: bool,
+    /// When its process started; `None` if so long ago that it is warm.
     pub started: Option<Timestamp>,
+    /// Since when it drains.
     pub draining: Option<Timestamp>,
-    pub gone: bool,
-    pub fallen: bool,
-    /// 1 as usual, 3 if it takes three times as long.
-    pub slow: f64,
-    pub queue_most: usize,
-    /// Since when nothing reaches its log, if it stands still.
-    pub stalled: Option<Timestamp>,
+    /// It has left the fleet, or died.
+    pub removed: bool,
+    /// It has crashed under overload.
+    pub crashed: bool,
+    /// 1 as usual, 3 if commands take three times as long.
+    pub slowdown: f64,
+    /// The most commands that may wait.
+    pub queue_limit: usize,
+    /// Since when replication to it has stalled.
+    pub replication_stalled_since: Option<Timestamp>,
+    /// The most commands that arrived within a window while it was warming up, over [`ColdStart::chance_bound`] of what
+    /// it could serve then.
+    pub peak_cold_load: f64,
     waiting: VecDeque<Job>,
     running: Vec<Job>,
-    /// What was sent lately, for its fall: at most as long as `Cold::span`.
-    pressure: VecDeque<(Timestamp, Duration)>,
-    /// The most commands that came within a span while it was cold, over [`Cold::most`] of what it bore then.
-    pub crowd: f64,
-    reported: (Timestamp, usize),
+    /// Within the last [`ColdStart::window`].
+    recent_arrivals: VecDeque<Arrival>,
+    measured: Measurement,
 }
 
-/// What became of a job that arrived.
+/// What becomes of a job that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrived {
-    /// It runs and is done after this.
+pub enum Admission {
+    /// It runs and is finished after this.
     Runs(Duration),
-    Waits,
-    Full,
-    /// Nobody answers: gone, or fallen over.
-    Dead,
+    /// It waits for a core.
+    Queued,
+    /// The queue is full.
+    QueueFull,
+    /// The host is removed or has crashed: nobody answers.
+    Unreachable,
+}
+
+/// A job that has just got a core.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StartedJob {
+    /// The job.
+    pub job: Job,
+    /// How long it takes.
+    pub duration: Duration,
 }
 
-impl Box {
-    pub fn new(host: Host, group: Shard, cores: u16, primary: bool, queue_per_core: u16) -> Box {
-        Box {
+impl SimulatedHost {
+    /// A warm host that is idle.
+    pub fn new(host: Host, shard: Shard, cores: u16, primary: bool, queue_per_core: u16) -> SimulatedHost {
+        SimulatedHost {
             host,
-            group,
+            shard,
             cores,
             primary,
             started: None,
             draining: None,
-            gone: false,
-            fallen: false,
-            slow: 1.0,
-            queue_most: usize::from(cores) * usize::from(queue_per_core),
-            stalled: None,
+            removed: false,
+            crashed: false,
+            slowdown: 1.0,
+            queue_limit: usize::from(cores) * usize::from(queue_per_core),
+            replication_stalled_since: None,
+            peak_cold_load: 0.0,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            pressure: VecDeque::new(),
-            crowd: 0.0,
-            reported: (Timestamp::ZERO, 0),
+            recent_arrivals: VecDeque::new(),
+            measured: Measurement { at: Timestamp::ZERO, queue: 0 },
         }
     }
 
-    /// The part of its power that it has now.
-    pub fn warmth(&self, cold: &Cold, now: Timestamp) -> f64 {
-        let passed = |at: Timestamp| (now - at).ratio(cold.within).min(1.0);
-        self.started.map_or(1.0, |at| cold.from + (1.0 - cold.from) * passed(at))
+    /// The fraction of its capacity that it has now.
+    pub fn capacity_fraction(&self, cold_start: &ColdStart, now: Timestamp) -> f64 {
+        let initial = cold_start.initial_capacity;
+        let progress = |started: Timestamp| (now - started).ratio(cold_start.warmup).min(1.0);
+        self.started.map_or(1.0, |started| initial + (1.0 - initial) * progress(started))
     }
 
-    /// Whether new commands should come here.
+    /// Whether new commands should be sent here.
     pub fn usable(&self) -> bool {
-        !self.gone && !self.fallen && self.draining.is_none()
+        self.reachable() && self.draining.is_none()
+    }
+
+    /// Whether it answers at all.
+    pub fn reachable(&self) -> bool {
+        !self.removed && !self.crashed
+    }
+
+    /// Its role at this moment.
+    pub fn role(&self) -> Role {
+        if self.primary { Role::Primary } else { Role::Replica }
     }
 
-    fn takes(&self, job: &Job, cold: &Cold, now: Timestamp) -> Duration {
-        job.work.scaled(self.slow / self.warmth(cold, now))
+    fn duration(&self, job: &Job, cold_start: &ColdStart, now: Timestamp) -> Duration {
+        job.work.scaled(self.slowdown / self.capacity_fraction(cold_start, now))
     }
 
-    pub fn arrive(&mut self, job: Job, cold: &Cold, now: Timestamp) -> Arrived {
-        if self.gone || self.fallen {
-            return Arrived::Dead;
+    /// A job arrives.
+    pub fn arrive(&mut self, job: Job, cold_start: &ColdStart, now: Timestamp) -> Admission {
+        if !self.reachable() {
+            return Admission::Unreachable;
         }
-        self.press(job.work, cold, now);
-        if self.fallen {
-            return Arrived::Dead;
+        self.record_arrival(job.work, cold_start, now);
+        if self.crashed {
+            return Admission::Unreachable;
         }
         if self.running.len() < usize::from(self.cores) {
             self.running.push(job);
-            return Arrived::Runs(self.takes(&job, cold, now));
+            return Admission::Runs(self.duration(&job, cold_start, now));
         }
-        if self.waiting.len() >= self.queue_most {
-            return Arrived::Full;
+        if self.waiting.len() >= self.queue_limit {
+            return Admission::QueueFull;
         }
         self.waiting.push_back(job);
-        Arrived::Waits
+        Admission::Queued
     }
 
-    /// Work that reaches a cold host adds to what may push it over, even if it is turned away.
-    fn press(&mut self, work: Duration, cold: &Cold, now: Timestamp) {
-        let warmth = self.warmth(cold, now);
-        self.pressure.push_back((now, work));
-        while self.pressure.front().is_some_and(|(at, _)| now - *at > cold.span) {
-            self.pressure.pop_front();
+    /// Counts work that reaches a warming host towards its crash, even if it is rejected.
+    fn record_arrival(&mut self, work: Duration, cold_start: &ColdStart, now: Timestamp) {
+        let capacity = self.capacity_fraction(cold_start, now);
+        self.recent_arrivals.push_back(Arrival { at: now, work });
+        while self.recent_arrivals.front().is_some_and(|arrival| now - arrival.at > cold_start.window) {
+            self.recent_arrivals.pop_front();
         }
-        let sent: u64 = self.pressure.iter().map(|(_, work)| work.as_micros()).sum();
-        let bears = cold.multiple * warmth * f64::from(self.cores) * cold.span.as_micros() as f64;
-        self.fallen = warmth < 1.0 && sent as f64 > bears;
-        if warmth < 1.0 {
-            let most = Cold::most(bears / cold.work.as_micros().max(1) as f64);
-            self.crowd = self.crowd.max(self.pressure.len() as f64 / most);
+        let sent: u64 = self.recent_arrivals.iter().map(|arrival| arrival.work.as_micros()).sum();
+        let window = cold_start.window.as_micros() as f64;
+        let allowed = cold_start.overload_multiple * capacity * f64::from(self.cores) * window;
+        self.crashed = capacity < 1.0 && sent as f64 > allowed;
+        if capacity < 1.0 {
+            let bound = ColdStart::chance_bound(allowed / cold_start.mean_work.as_micros().max(1) as f64);
+            self.peak_cold_load = self.peak_cold_load.max(self.recent_arrivals.len() as f64 / bound);
         }
     }
 
-    /// A job is done: the next one in line, and how long it takes.
-    pub fn done(&mut self, job: &Job, cold: &Cold, now: Timestamp) -> Option<(Job, Duration)> {
+    /// A job is finished; returns the next one from the queue, which gets its core.
+    pub fn finish(&mut self, job: &Job, cold_start: &ColdStart, now: Timestamp) -> Option<StartedJob> {
         self.running.retain(|other| other != job);
         let next = self.waiting.pop_front()?;
         self.running.push(next);
-        Some((next, self.takes(&next, cold, now)))
+        Some(StartedJob { job: next, duration: self.duration(&next, cold_start, now) })
     }
 
-    /// Takes back a job that still waits. One that runs goes on.
+    /// Withdraws a job that still waits, and returns whether it did: one that runs goes on.
     pub fn withdraw(&mut self, job: &Job) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|other| other != job);
         self.waiting.len() < before
     }
 
+    /// Whether a job is running.
     pub fn runs(&self, job: &Job) -> bool {
         self.running.contains(job)
     }
 
-    /// What it says of itself: renewed every so often.
-    /// How far its data are behind, where replicas usually are by `lag`.
-    pub fn behind(&self, lag: Duration, now: Timestamp) -> Duration {
-        match self.stalled {
+    /// How stale its data are, where the replication lag is usually `lag`.
+    pub fn staleness(&self, lag: Duration, now: Timestamp) -> Duration {
+        match self.replication_stalled_since {
             _ if self.primary => Duration::ZERO,
             Some(since) => lag + (now - since),
             None => lag,
         }
     }
 
-    pub fn report(&mut self, lag: Duration, every: Duration, now: Timestamp) -> HostReport {
-        if now - self.reported.0 >= every || self.reported.0 == Timestamp::ZERO {
-            self.reported = (now, self.waiting.len());
+    /// Its load report, measured anew once `interval` has passed since the last measurement.
+    pub fn report(&mut self, lag: Duration, interval: Duration, now: Timestamp) -> HostReport {
+        if now - self.measured.at >= interval || self.measured.at == Timestamp::ZERO {
+            self.measured = Measurement { at: now, queue: self.waiting.len() };
         }
-        let behind = self.behind(lag, self.reported.0);
+        let staleness = self.staleness(lag, self.measured.at);
         HostReport {
-            role: Some(if self.primary { Role::Primary } else { Role::Replica }),
-            position: Some(self.reported.0 - behind),
-            queue: Some(self.reported.1 as f64),
+            role: Some(self.role()),
+            position: Some(self.measured.at - staleness),
+            queue: Some(self.measured.queue as f64),
         }
     }
 }
 
-/// So large a part of each group's usable replicas, the same ones at every call: what is left of each group is what the
-/// part says, and not what a draw left of it.
-pub fn part_of_each(hosts: &[Box], part: f64) -> Vec<usize> {
-    let mut of: BTreeMap<Shard, Vec<usize>> = BTreeMap::new();
-    for (nth, host) in hosts.iter().enumerate().filter(|(_, host)| host.usable() && !host.primary) {
-        of.entry(host.group).or_default().push(nth);
+/// The cores of all replicas together.
+pub fn replica_cores(hosts: &[SimulatedHost]) -> f64 {
+    hosts.iter().filter(|host| !host.primary).map(|host| f64::from(host.cores)).sum()
+}
+
+/// The indices of all usable replicas.
+pub fn usable_replicas(hosts: &[SimulatedHost]) -> Vec<usize> {
+    (0..hosts.len()).filter(|host| hosts[*host].usable() && !hosts[*host].primary).collect()
+}
+
+/// This fraction of each group's usable replicas, the same ones at every call: what is left of each group follows from
+/// the fraction alone, not from a draw.
+pub fn fraction_of_each_shard(hosts: &[SimulatedHost], fraction: f64) -> Vec<usize> {
+    let mut by_shard: BTreeMap<Shard, Vec<usize>> = BTreeMap::new();
+    for host in usable_replicas(hosts) {
+        by_shard.entry(hosts[host].shard).or_default().push(host);
     }
-    of.into_values().flat_map(|of| of[..(of.len() as f64 * part) as usize].to_vec()).collect()
+    let chosen = |replicas: Vec<usize>| replicas[..(replicas.len() as f64 * fraction) as usize].to_vec();
+    by_shard.into_values().flat_map(chosen).collect()
 }
 
 #[cfg(test)]
--- a/crates/comethitch-lab/src/lib.rs
+++ b/crates/comethitch-lab/src/lib.rs
@@ -1,12 +1,13 @@
-//! Many routers before many hosts: in simulated time and in one process, or as processes on loopback ([`live`]).
+//! A lab for fleets of routers: many routers before many hosts, in simulated time within one process ([`fleet`]), or as
+//! processes on loopback in real time ([`live`]).
 //!
-//! The decision module has no clock and no sockets, so hundreds of [`comethitch_policy::Router`]s can be driven over minutes
-//! of simulated time within seconds: a [`trial::Trial`] (a JSON file) says how many, before which hosts, under what
-//! load and faults; [`fleet::play`] plays it, and the [`ledger::Ledger`] holds what happened against the five rules
-//! and tells how evenly the hosts were loaded. The same trial with the same seed gives the same bytes.
+//! The decision module has no clock and no sockets, so hundreds of [`comethitch_policy::Router`]s can be driven over
+//! minutes of simulated time within seconds. A [`trial::Trial`] (a JSON file) gives their number, the hosts, the load
+//! and the faults; [`fleet::play`] plays it; the [`ledger::Ledger`] checks what happens against the rules and measures
+//! how evenly the hosts were loaded. The same trial with the same seed gives the same output, byte for byte.
 //!
-//! What it leaves out: sockets, descriptors and processor time of the routers. Its hosts serve in order of arrival on
-//! a number of cores; replicas lag by a fixed span.
+//! Simulated time leaves out sockets, file descriptors and the routers' processor time. Its [`hosts`] serve in order of
+//! arrival on a number of cores; replicas have a fixed lag.
 //!
 //! ```
 //! use comethitch_lab::{fleet, trial::Trial};
@@ -16,11 +17,16 @@
 //! assert_eq!(report.to_string(), fleet::play(&trial).unwrap().to_string());
 //! ```
 
+#![warn(missing_docs)]
+
 pub mod chart;
+pub mod clients;
 pub mod compare;
+pub mod error;
 pub mod fleet;
 pub mod hosts;
 pub mod ledger;
 pub mod links;
 pub mod live;
 pub mod trial;
+pub mod usable;
--- a/crates/comethitch-lab/src/links.rs
+++ b/crates/comethitch-lab/src/links.rs
@@ -1,84 +1,97 @@
-//! What is wrong with the ways between routers and hosts: which are cut, slow, or reset, in either direction.
+//! Network faults on the links between routers and hosts: cut, delayed or reset, in either direction.
 //!
-//! Without clock or sockets: the live fleet asks it about each message, and a simulated one may as well.
+//! Without clock or sockets: the fleet of real processes asks [`Links::fate`] about each message.
 
-use crate::trial::{Harm, Way};
+use crate::trial::{Direction, LinkFault};
 use comethitch_policy::time::Duration;
 use std::collections::BTreeSet;
 
 /// What becomes of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It arrives, so much later than it would.
-    Passes(Duration),
-    /// It never arrives, and nobody is told.
-    Lost,
-    /// The connection breaks.
-    Breaks,
+    /// It arrives, later than usual by this much.
+    Delivered(Duration),
+    /// It never arrives, and neither end is notified.
+    Dropped,
+    /// The connection is reset.
+    Reset,
 }
 
-/// Which way a message goes.
+/// Where a message is going.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heading {
-    ToHost,
-    ToRouter,
+pub enum Destination {
+    /// From a router to a host.
+    Host,
+    /// From a host to a router.
+    Router,
 }
 
+/// One fault that is active on the links between some routers and some hosts.
 #[derive(Debug)]
-struct Trouble {
-    key: u64,
+struct ActiveFault {
+    id: u64,
     routers: BTreeSet<usize>,
     hosts: BTreeSet<usize>,
-    way: Way,
-    harm: Harm,
+    direction: Direction,
+    fault: LinkFault,
 }
 
-/// All that is wrong at present.
+impl ActiveFault {
+    fn affects(&self, router: usize, host: usize, destination: Destination) -> bool {
+        let direction_matches = match self.direction {
+            Direction::Both => true,
+            Direction::ToHosts => destination == Destination::Host,
+            Direction::ToRouters => destination == Destination::Router,
+        };
+        direction_matches && self.routers.contains(&router) && self.hosts.contains(&host)
+    }
+
+    fn is_cut_both_ways(&self) -> bool {
+        self.fault == LinkFault::Cut && self.direction == Direction::Both && !self.hosts.is_empty()
+    }
+}
+
+/// All link faults that are active at present.
 #[derive(Debug, Default)]
 pub struct Links {
-    next: u64,
-    troubles: Vec<Trouble>,
+    last_id: u64,
+    active: Vec<ActiveFault>,
 }
 
 impl Links {
-    /// Harms the links between each of these routers and each of these hosts, until the key it returns is healed.
-    pub fn harm(&mut self, routers: BTreeSet<usize>, hosts: BTreeSet<usize>, way: Way, harm: Harm) -> u64 {
-        self.next += 1;
-        self.troubles.push(Trouble { key: self.next, routers, hosts, way, harm });
-        self.next
+    /// Applies a fault to the links between each of these routers and each of these hosts, until the id that it
+    /// returns is passed to [`Links::clear`].
+    pub fn inject(
+        &mut self, routers: BTreeSet<usize>, hosts: BTreeSet<usize>, direction: Direction, fault: LinkFault,
+    ) -> u64 {
+        self.last_id += 1;
+        self.active.push(ActiveFault { id: self.last_id, routers, hosts, direction, fault });
+        self.last_id
     }
 
-    pub fn heal(&mut self, key: u64) {
-        self.troubles.retain(|trouble| trouble.key != key);
+    /// Ends the fault with this id.
+    pub fn clear(&mut self, id: u64) {
+        self.active.retain(|active| active.id != id);
     }
 
-    /// The fate of a message; `draw` is a number from 0 to 1 by chance. Of several troubles the worst counts, and
-    /// delays add up.
-    pub fn fate(&self, router: usize, host: usize, heading: Heading, draw: f64) -> Fate {
-        let mut late = Duration::ZERO;
-        let mut breaks = false;
-        for trouble in &self.troubles {
-            let met = match trouble.way {
-                Way::Both => true,
-                Way::ToHosts => heading == Heading::ToHost,
-                Way::ToRouters => heading == Heading::ToRouter,
-            };
-            if !met || !trouble.routers.contains(&router) || !trouble.hosts.contains(&host) {
-                continue;
-            }
-            match trouble.harm {
-                Harm::Cut => return Fate::Lost,
-                Harm::DelayMs(ms) => late += Duration::from_millis(ms),
-                Harm::Reset(part) => breaks |= draw < part,
+    /// The fate of a message; `draw` is a random number from 0 to 1. Of several faults on one link a cut counts before
+    /// a reset, a reset before a delay; delays add up.
+    pub fn fate(&self, router: usize, host: usize, destination: Destination, draw: f64) -> Fate {
+        let mut delay = Duration::ZERO;
+        let mut reset = false;
+        for active in self.active.iter().filter(|active| active.affects(router, host, destination)) {
+            match active.fault {
+                LinkFault::Cut => return Fate::Dropped,
+                LinkFault::DelayMs(ms) => delay += Duration::from_millis(ms),
+                LinkFault::Reset(probability) => reset |= draw < probability,
             }
         }
-        if breaks { Fate::Breaks } else { Fate::Passes(late) }
+        if reset { Fate::Reset } else { Fate::Delivered(delay) }
     }
 
-    /// Whether a router is cut off from some host both ways: then lists reach it late as well.
-    pub fn apart(&self, router: usize) -> bool {
-        let cut = |t: &Trouble| t.harm == Harm::Cut && t.way == Way::Both && !t.hosts.is_empty();
-        self.troubles.iter().any(|t| cut(t) && t.routers.contains(&router))
+    /// Whether a router is cut off from some host in both directions: then endpoint updates are withheld as well.
+    pub fn is_partitioned(&self, router: usize) -> bool {
+        self.active.iter().any(|active| active.is_cut_both_ways() && active.routers.contains(&router))
     }
 }
 
--- a/crates/comethitch-lab/src/live/clients.rs
+++ b/crates/comethitch-lab/src/live/clients.rs
@@ -2,10 +2,11 @@
 //! little after a throttle.
 
 use super::{Shared, now, read, rest, routers};
-use crate::ledger::Answer;
+use crate::clients::{ClientCommand, LEAST_RATE, MAX_RETRIES, RETRY_DELAY};
+use crate::ledger::{Answer, Request};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::time::Duration;
 use comethitch_testkit::postgres::message;
 use futures_lite::{AsyncWriteExt, future};
 use rand::RngExt;
@@ -15,25 +16,13 @@
 use std::rc::Rc;
 use std::time::Duration as StdDuration;
 
-/// How often a client comes again after a throttle, and how soon.
-const RETRIES: u8 = 2;
-const RETRY_AFTER: Duration = Duration::from_millis(50);
-
 /// Connections that wait for their next command, with the router and the life of it that they lead to.
 type Pool = Rc<RefCell<Vec<(usize, u32, Async<TcpStream>)>>>;
 
-/// What a client asks: its first try's number and time, and what it is.
-#[derive(Clone, Copy)]
-struct Ask {
-    origin: (u64, Timestamp),
-    group: u16,
-    write: bool,
-}
-
 /// The clients of one router, until the trial stops asking.
 pub(super) async fn arrive(live: Shared, ex: Rc<LocalExecutor<'static>>, router: usize, rate: f64) {
     let pool = Pool::default();
-    let gap = Exp::new(rate.max(1e-6)).expect("a rate above 0");
+    let gap = Exp::new(rate.max(LEAST_RATE)).expect("a rate above 0");
     let mut at = now();
     loop {
         // Counted from the last arrival: a late timer takes nothing from the rate.
@@ -44,15 +33,16 @@
         }
         let group = live.rng.borrow_mut().random_range(0..live.trial.groups);
         let write = live.rng.borrow_mut().random_bool(live.trial.writes);
-        let ask = Ask { origin: (live.number(), now()), group, write };
-        live.ledger.borrow_mut().asked(ask.origin);
+        let ask =
+            ClientCommand { request: Request { id: live.number(), sent_at: now() }, shard: group, write };
+        live.ledger.borrow_mut().request_sent(ask.request);
         let (live, pool) = (live.clone(), pool.clone());
         ex.spawn(async move {
-            for _ in 0..=RETRIES {
+            for _ in 0..=MAX_RETRIES {
                 if try_once(&live, &pool, router, ask).await != Some(Answer::Throttled) {
                     return;
                 }
-                rest(RETRY_AFTER).await;
+                rest(RETRY_DELAY).await;
             }
         })
         .detach();
@@ -60,7 +50,7 @@
 }
 
 /// One command with an id of its own. `None` if it came to no answer.
-async fn try_once(live: &Shared, pool: &Pool, own: usize, ask: Ask) -> Option<Answer> {
+async fn try_once(live: &Shared, pool: &Pool, own: usize, ask: ClientCommand) -> Option<Answer> {
     let up = live.processes.borrow().up();
     let router = match up.contains(&own) {
         true => own,
@@ -79,7 +69,7 @@
         false => format!("SELECT data FROM facts WHERE code = '{number:016x}'"),
     };
     let name = if ask.write { "write" } else { "read" };
-    let (d, group) = (live.trial.timeout_ms, ask.group);
+    let (d, group) = (live.trial.timeout_ms, ask.shard);
     let text = format!("/* id={number:016x},c={name},d={d},cluster={group} */ {statement}\0");
     let at = live.processes.borrow().address(router);
     let mut again = kept.is_some();
@@ -94,7 +84,7 @@
             if !taken {
                 taken = true;
                 live.processes.borrow_mut().takes(router, number);
-                live.ledger.borrow_mut().taken(number, ask.origin, ask.write, now() + patience);
+                live.ledger.borrow_mut().command_received(number, ask.request, ask.write, now() + patience);
             }
             let sent = stream.write_all(&message(b'Q', text.as_bytes())).await;
             let mut got = None;
@@ -136,8 +126,8 @@
     let answer = future::or(answer, late).await;
     let living = live.processes.borrow().epoch(router) == epoch;
     match answer {
-        Some(answer) if living => live.ledger.borrow_mut().answered(number, now(), answer),
-        _ if !living => live.ledger.borrow_mut().void(number),
+        Some(answer) if living => live.ledger.borrow_mut().answer_received(number, now(), answer),
+        _ if !living => live.ledger.borrow_mut().router_lost(number),
         _ => {}
     }
     live.processes.borrow_mut().ended_with(router, number);
--- a/crates/comethitch-lab/src/live/databases.rs
+++ b/crates/comethitch-lab/src/live/databases.rs
@@ -1,8 +1,10 @@
 //! Database hosts on loopback: the simulated hosts behind sockets.
 
 use super::{Live, Shared, TO_HOSTS, now, read, router_at};
-use crate::hosts::{Arrived, Box as Db, Job};
-use crate::links::Heading;
+use crate::error::PlayError;
+use crate::hosts::{Admission, Job, SimulatedHost};
+use crate::ledger::Rule;
+use crate::links::Destination;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -16,7 +18,7 @@
 use std::rc::Rc;
 
 /// A port on all loopback addresses, and on no others.
-pub(super) fn listen() -> Result<(Async<TcpListener>, u16), String> {
+pub(super) fn listen() -> Result<(Async<TcpListener>, u16), PlayError> {
     let bound = || -> io::Result<(Async<TcpListener>, u16)> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         // Where the system does not let us, the check of each connection's address does it alone.
@@ -27,7 +29,7 @@
         let port = listener.local_addr()?.port();
         Ok((Async::new(listener)?, port))
     };
-    bound().map_err(|error| format!("no port to listen on: {error}"))
+    bound().map_err(PlayError::Listen)
 }
 
 /// Whose link a connection is.
@@ -41,12 +43,12 @@
 /// Adds a host and serves it.
 pub(super) fn start(
     live: &Shared, ex: &Rc<LocalExecutor<'static>>, group: u16, primary: bool,
-) -> Result<usize, String> {
+) -> Result<usize, PlayError> {
     let (listener, port) = listen()?;
     let nth = live.hosts.borrow().len();
     let cores = live.trial.cores[nth % live.trial.cores.len()];
     let host = Host { address: [127, 64, 0, TO_HOSTS], port };
-    live.hosts.borrow_mut().push(Db::new(host, group, cores, primary, live.trial.queue_per_core));
+    live.hosts.borrow_mut().push(SimulatedHost::new(host, group, cores, primary, live.trial.queue_per_core));
     live.ports.borrow_mut().push(port);
     let (live, own) = (live.clone(), ex.clone());
     ex.spawn(async move {
@@ -71,7 +73,7 @@
     live: &Shared, ex: &Rc<LocalExecutor<'static>>, host: usize, router: usize, mut stream: Async<TcpStream>,
 ) -> io::Result<()> {
     let _ = stream.get_ref().set_nodelay(true);
-    let dead = || live.hosts.borrow()[host].gone || live.hosts.borrow()[host].fallen;
+    let dead = || !live.hosts.borrow()[host].reachable();
     if dead() {
         return Ok(());
     }
@@ -80,26 +82,26 @@
     stream.read_exact(&mut length).await?;
     let rest_of = (u32::from_be_bytes(length) as usize).clamp(4, 10_000) - 4;
     stream.read_exact(&mut vec![0; rest_of]).await?;
-    if !live.pass(router, host, Heading::ToHost).await {
+    if !live.pass(router, host, Destination::Host).await {
         return Ok(());
     }
     if live.trial.slots > 0 && live.held.borrow()[&host] > live.trial.slots {
         return stream.write_all(&error("53300")).await;
     }
     let hello = [message(b'R', &[0; 4]), message(b'Z', b"I")].concat();
-    if !live.pass(router, host, Heading::ToRouter).await {
+    if !live.pass(router, host, Destination::Router).await {
         return Ok(());
     }
     stream.write_all(&hello).await?;
     while let (b'Q', body) = read(&mut stream).await? {
         let came = now();
-        if !live.pass(router, host, Heading::ToHost).await || dead() {
+        if !live.pass(router, host, Destination::Host).await || dead() {
             return Ok(());
         }
         let text = String::from_utf8_lossy(body.strip_suffix(b"\0").unwrap_or(&body)).into_owned();
         let answer = match text.as_str() {
             "SHOW vitals" => {
-                live.ledger.borrow_mut().probes += 1;
+                live.ledger.borrow_mut().health_checks += 1;
                 vitals(live, host)
             }
             "SELECT 1" => row(b"1"),
@@ -109,7 +111,7 @@
                 None => return Ok(()),
             },
         };
-        if dead() || !live.pass(router, host, Heading::ToRouter).await {
+        if dead() || !live.pass(router, host, Destination::Router).await {
             return Ok(());
         }
         let rank = if live.hosts.borrow()[host].primary { "source" } else { "copy" };
@@ -142,49 +144,52 @@
 ) -> Option<Vec<u8>> {
     let Some(number) = number(text) else { return Some(error("08P01")) };
     let write = text.contains("INSERT");
-    live.ledger.borrow_mut().sent_to(number, router, host, came);
+    live.ledger.borrow_mut().attempt_sent(number, router, host, came);
     let second = live.second();
     if !write {
-        let cores = f64::from(live.hosts.borrow()[host].cores);
-        live.ledger.borrow_mut().load(second, host, 1.0 / cores);
+        live.ledger.borrow_mut().read_arrived(second, host, live.hosts.borrow()[host].cores);
     } else if !live.hosts.borrow()[host].primary {
         return Some(error("25006"));
     }
     let factor = Exp::new(1.0).expect("a rate above 0").sample(&mut *live.rng.borrow_mut());
     let work = Duration::from_micros((factor * live.trial.work_ms * 1e3).max(1.0) as u64);
     live.jobs.set(live.jobs.get().wrapping_add(1));
-    let job = Job { router, command: live.jobs.get(), nth: 0, work };
-    let was = (live.hosts.borrow()[host].fallen, live.hosts.borrow()[host].crowd);
-    let arrived = live.hosts.borrow_mut()[host].arrive(job, &live.trial.cold(), now());
-    if !was.0 && live.hosts.borrow()[host].fallen {
-        live.ledger.borrow_mut().breaks("cold", format!("host {host} fell over in second {second}"));
+    let job = Job { router, command: live.jobs.get(), attempt: 0, work };
+    let was = (live.hosts.borrow()[host].crashed, live.hosts.borrow()[host].peak_cold_load);
+    let arrived = live.hosts.borrow_mut()[host].arrive(job, &live.trial.cold_start(), now());
+    if !was.0 && live.hosts.borrow()[host].crashed {
+        live.ledger
+            .borrow_mut()
+            .record_violation(Rule::SlowStart, format!("host {host} fell over in second {second}"));
     }
-    live.ledger.borrow_mut().crowded(host, was.1, live.hosts.borrow()[host].crowd);
+    live.ledger.borrow_mut().cold_load_changed(host, was.1, live.hosts.borrow()[host].peak_cold_load);
     let (tell, done) = async_channel::bounded(1);
     match arrived {
-        Arrived::Runs(takes) => {
+        Admission::Runs(takes) => {
             live.waiting.borrow_mut().insert((host, job.command), tell);
             live.run(ex, host, job, takes);
         }
-        Arrived::Waits => _ = live.waiting.borrow_mut().insert((host, job.command), tell),
-        Arrived::Full => return Some(error("53300")),
-        Arrived::Dead => return None,
+        Admission::Queued => _ = live.waiting.borrow_mut().insert((host, job.command), tell),
+        Admission::QueueFull => return Some(error("53300")),
+        Admission::Unreachable => return None,
     }
-    live.ledger.borrow_mut().may_run(number);
+    live.ledger.borrow_mut().attempt_may_run(number);
     // The router gives a dispatch up by ending the connection.
     let ended = async {
         let _ = stream.read(&mut [0]).await;
         false
     };
     if future::or(async { done.recv().await.is_ok() }, ended).await {
-        let behind = live.hosts.borrow()[host].behind(Duration::from_millis(live.trial.lag_ms), came);
+        let behind = live.hosts.borrow()[host].staleness(Duration::from_millis(live.trial.lag_ms), came);
         if !write && behind > Duration::from_millis(live.trial.bound_ms) {
-            live.ledger.borrow_mut().breaks("stale", format!("command {number:x} ran at host {host}"));
+            live.ledger
+                .borrow_mut()
+                .record_violation(Rule::Staleness, format!("command {number:x} ran at host {host}"));
         }
         return Some(row(format!("{number:016x}").as_bytes()));
     }
     if live.hosts.borrow_mut()[host].withdraw(&job) {
-        live.ledger.borrow_mut().never_ran(number);
+        live.ledger.borrow_mut().attempt_never_ran(number);
     }
     live.waiting.borrow_mut().remove(&(host, job.command));
     None
--- a/crates/comethitch-lab/src/live/list.rs
+++ b/crates/comethitch-lab/src/live/list.rs
@@ -1,6 +1,7 @@
 //! Discovery on loopback: the list and its changes, to each router a little later than they happen.
 
 use super::{Live, Shared, TO_HOSTS, address, databases, now, rest};
+use crate::error::PlayError;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use comethitch_policy::time::Duration;
@@ -14,20 +15,20 @@
 pub(super) fn whole(live: &Live, router: usize) -> Value {
     let hosts = live.hosts.borrow();
     let ports = live.ports.borrow();
-    let entry = |(nth, host): (usize, &crate::hosts::Box)| {
+    let entry = |(nth, host): (usize, &crate::hosts::SimulatedHost)| {
         let health = match host.draining {
-            _ if host.gone => "gone",
+            _ if host.removed => "gone",
             Some(_) => "draining",
             None => "ready",
         };
         json!({
             "host": format!("db-{nth}"), "dial": format!("{}:{}", address(router, TO_HOSTS), ports[nth]),
-            "site": "north", "class": format!("c{}", host.cores), "block": host.group, "health": health,
+            "site": "north", "class": format!("c{}", host.cores), "block": host.shard, "health": health,
             "share": f64::from(host.cores), "rank": if host.primary { "source" } else { "copy" },
             "born_ms": host.started.map_or(0, |at| at.as_micros() / 1000)
         })
     };
-    let hosts: Vec<Value> = hosts.iter().enumerate().filter(|(_, h)| !h.gone).map(entry).collect();
+    let hosts: Vec<Value> = hosts.iter().enumerate().filter(|(_, h)| !h.removed).map(entry).collect();
     json!({"seq": live.list.get(), "whole": true, "hosts": hosts})
 }
 
@@ -36,11 +37,11 @@
     let hosts = live.hosts.borrow();
     let mut ledger = live.ledger.borrow_mut();
     let draining = hosts.iter().enumerate().filter(|(_, host)| host.draining.is_some());
-    draining.for_each(|(nth, _)| ledger.drains(router, nth, now()));
+    draining.for_each(|(nth, _)| ledger.drain_notified(router, nth, now()));
 }
 
 /// Serves the list; the port is the same on each router's own address.
-pub(super) fn start(live: &Shared, ex: &Rc<LocalExecutor<'static>>) -> Result<u16, String> {
+pub(super) fn start(live: &Shared, ex: &Rc<LocalExecutor<'static>>) -> Result<u16, PlayError> {
     let (listener, port) = databases::listen()?;
     let (live, own) = (live.clone(), ex.clone());
     ex.spawn(async move {
@@ -75,7 +76,7 @@
     let mut seen = 0;
     let mut quiet = now();
     loop {
-        let apart = live.links.borrow().apart(router);
+        let apart = live.links.borrow().is_partitioned(router);
         let line = if live.list.get() > seen && !apart {
             if seen > 0 {
                 rest(Duration::from_micros((200_000.0 + 1_300_000.0 * live.chance()) as u64)).await;
--- a/crates/comethitch-lab/src/live/mod.rs
+++ b/crates/comethitch-lab/src/live/mod.rs
@@ -13,10 +13,12 @@
 mod list;
 mod routers;
 
-use crate::hosts::{Box as Db, Job, part_of_each};
-use crate::ledger::{Ledger, Report};
-use crate::links::{Fate, Heading, Links};
-use crate::trial::{Trial, Trouble};
+use crate::error::PlayError;
+use crate::hosts::{Job, SimulatedHost, StartedJob, fraction_of_each_shard, replica_cores, usable_replicas};
+use crate::ledger::{Ledger, Report, Rule};
+use crate::links::{Destination, Fate, Links};
+use crate::trial::{FaultKind, Trial};
+use crate::usable::UsableReplicas;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use comethitch_policy::time::{Duration, Timestamp};
@@ -43,7 +45,7 @@
     trial: Trial,
     start: Cell<Timestamp>,
     ledger: RefCell<Ledger>,
-    hosts: RefCell<Vec<Db>>,
+    hosts: RefCell<Vec<SimulatedHost>>,
     links: RefCell<Links>,
     rng: RefCell<ChaCha8Rng>,
     /// For the faults alone: the same seed harms the same routers and hosts, whatever else was drawn meanwhile.
@@ -58,7 +60,7 @@
     /// Changes of the list so far.
     list: Cell<u64>,
     processes: Rc<RefCell<Processes>>,
-    usable: RefCell<BTreeMap<u64, Vec<usize>>>,
+    usable: RefCell<UsableReplicas>,
     numbers: Cell<u64>,
     asking: Cell<bool>,
 }
@@ -109,19 +111,19 @@
     }
 
     /// Waits as long as a message is on its way. `false` if the connection breaks on it.
-    async fn pass(&self, router: usize, host: usize, heading: Heading) -> bool {
+    async fn pass(&self, router: usize, host: usize, destination: Destination) -> bool {
         let draw = self.chance();
-        let fate = || self.links.borrow().fate(router, host, heading, draw);
+        let fate = || self.links.borrow().fate(router, host, destination, draw);
         match fate() {
-            Fate::Passes(Duration::ZERO) => true,
-            Fate::Passes(late) => {
+            Fate::Delivered(Duration::ZERO) => true,
+            Fate::Delivered(late) => {
                 rest(late).await;
                 true
             }
-            Fate::Breaks => false,
+            Fate::Reset => false,
             // Silence until the link is whole again; what was on it then is gone.
-            Fate::Lost => {
-                while fate() == Fate::Lost {
+            Fate::Dropped => {
+                while fate() == Fate::Dropped {
                     rest(Duration::from_millis(20)).await;
                 }
                 false
@@ -153,9 +155,9 @@
             if let Some(done) = live.waiting.borrow_mut().remove(&(host, job.command)) {
                 let _ = done.try_send(());
             }
-            let next = live.hosts.borrow_mut()[host].done(&job, &live.trial.cold(), now());
-            if let Some((next, takes)) = next {
-                live.run(&own, host, next, takes);
+            let next = live.hosts.borrow_mut()[host].finish(&job, &live.trial.cold_start(), now());
+            if let Some(StartedJob { job, duration }) = next {
+                live.run(&own, host, job, duration);
             }
         })
         .detach();
@@ -163,42 +165,42 @@
 
     /// Nothing is owed for these: their router was killed or stopped.
     fn void(&self, numbers: BTreeSet<u64>) {
-        numbers.into_iter().for_each(|number| self.ledger.borrow_mut().void(number));
+        numbers.into_iter().for_each(|number| self.ledger.borrow_mut().router_lost(number));
     }
 
     fn changed(&self) {
         self.list.set(self.list.get() + 1);
     }
 
-    async fn fault(self: Rc<Live>, ex: Rc<LocalExecutor<'static>>, trouble: Trouble) {
+    async fn fault(self: Rc<Live>, ex: Rc<LocalExecutor<'static>>, fault: FaultKind) {
         let routers: Vec<usize> = (0..usize::from(self.trial.routers)).collect();
-        let replicas = |live: &Live| -> Vec<usize> {
-            let hosts = live.hosts.borrow();
-            (0..hosts.len()).filter(|h| hosts[*h].usable() && !hosts[*h].primary).collect()
-        };
-        match trouble {
-            Trouble::Release { part, over_ms } => {
+        let replicas = |live: &Live| -> Vec<usize> { usable_replicas(&live.hosts.borrow()) };
+        match fault {
+            FaultKind::Release { part, over_ms } => {
                 let hosts = self.some(replicas(&self), part);
                 let pause = Duration::from_micros(over_ms * 1000 / hosts.len().max(1) as u64);
                 for host in hosts {
                     let (live, own) = (self.clone(), ex.clone());
                     ex.spawn(async move {
-                        let group = live.hosts.borrow()[host].group;
+                        let group = live.hosts.borrow()[host].shard;
                         live.hosts.borrow_mut()[host].draining = Some(now());
                         match databases::start(&live, &own, group, false) {
                             Ok(new) => live.hosts.borrow_mut()[new].started = Some(now()),
-                            Err(error) => live.ledger.borrow_mut().breaks("start", error),
+                            Err(error) => live
+                                .ledger
+                                .borrow_mut()
+                                .record_violation(Rule::ProcessStart, error.to_string()),
                         }
                         live.changed();
                         rest(Duration::from_micros(live.trial.drain_grace_ms * 2000)).await;
-                        live.hosts.borrow_mut()[host].gone = true;
+                        live.hosts.borrow_mut()[host].removed = true;
                         live.changed();
                     })
                     .detach();
                     rest(pause).await;
                 }
             }
-            Trouble::Herd { part, back_ms } => {
+            FaultKind::Herd { part, back_ms } => {
                 let chosen = self.some(routers, part);
                 for router in &chosen {
                     let in_hand = self.processes.borrow_mut().kill(*router);
@@ -209,30 +211,33 @@
                     if self.asking.get() {
                         let started = routers::start(&self, router);
                         if let Err(error) = started {
-                            self.ledger.borrow_mut().breaks("start", error);
+                            self.ledger.borrow_mut().record_violation(Rule::ProcessStart, error.to_string());
                         }
                         ex.spawn(routers::watch(self.clone(), router)).detach();
                     }
                 }
             }
-            Trouble::Slow { part, factor } => {
+            FaultKind::Slow { part, factor } => {
                 for host in self.some(replicas(&self), part) {
-                    self.hosts.borrow_mut()[host].slow = factor;
+                    self.hosts.borrow_mut()[host].slowdown = factor;
                 }
             }
-            Trouble::Stall { part, for_ms } => {
-                let chosen = part_of_each(&self.hosts.borrow(), part);
-                chosen.iter().for_each(|h| self.hosts.borrow_mut()[*h].stalled = Some(now()));
+            FaultKind::Stall { part, for_ms } => {
+                let chosen = fraction_of_each_shard(&self.hosts.borrow(), part);
+                chosen
+                    .iter()
+                    .for_each(|h| self.hosts.borrow_mut()[*h].replication_stalled_since = Some(now()));
                 rest(Duration::from_millis(for_ms)).await;
-                chosen.iter().for_each(|h| self.hosts.borrow_mut()[*h].stalled = None);
+                chosen.iter().for_each(|h| self.hosts.borrow_mut()[*h].replication_stalled_since = None);
             }
-            Trouble::Takeover { part, after_ms } => {
+            FaultKind::Takeover { part, after_ms } => {
                 let groups = self.some((0..usize::from(self.trial.groups)).collect(), part);
-                let of = |group: usize| move |h: &&mut Db| usize::from(h.group) == group && !h.gone;
+                let of =
+                    |group: usize| move |h: &&mut SimulatedHost| usize::from(h.shard) == group && !h.removed;
                 for group in &groups {
                     let mut hosts = self.hosts.borrow_mut();
                     if let Some(lead) = hosts.iter_mut().filter(of(*group)).find(|h| h.primary) {
-                        lead.gone = true;
+                        lead.removed = true;
                     }
                 }
                 rest(Duration::from_millis(after_ms)).await;
@@ -245,7 +250,7 @@
                 }
                 self.changed();
             }
-            Trouble::Stop { part, for_ms } => {
+            FaultKind::Stop { part, for_ms } => {
                 let chosen = self.some(routers, part);
                 for router in &chosen {
                     let in_hand = self.processes.borrow_mut().stop(*router);
@@ -254,13 +259,13 @@
                 rest(Duration::from_millis(for_ms)).await;
                 chosen.iter().for_each(|router| self.processes.borrow_mut().go_on(*router));
             }
-            Trouble::Links { routers: part, hosts, way, harm, for_ms } => {
+            FaultKind::Links { routers: part, hosts, direction, fault, for_ms } => {
                 let all = (0..self.hosts.borrow().len()).collect();
                 let (routers, hosts) = (self.some(routers, part), self.some(all, hosts));
                 let set = |of: Vec<usize>| of.into_iter().collect::<BTreeSet<_>>();
-                let key = self.links.borrow_mut().harm(set(routers), set(hosts), way, harm);
+                let key = self.links.borrow_mut().inject(set(routers), set(hosts), direction, fault);
                 rest(Duration::from_millis(for_ms)).await;
-                self.links.borrow_mut().heal(key);
+                self.links.borrow_mut().clear(key);
             }
         }
     }
@@ -269,16 +274,14 @@
     async fn look(self: Rc<Live>) {
         for second in 0.. {
             rest((self.start.get() + Duration::from_secs(second)) - now()).await;
-            let of = |(nth, host): (usize, &Db)| {
-                (host.usable() && !host.primary && host.stalled.is_none()).then_some(nth)
-            };
-            let usable: Vec<usize> = self.hosts.borrow().iter().enumerate().filter_map(of).collect();
-            usable.iter().for_each(|host| self.ledger.borrow_mut().usable(second, *host));
-            self.usable.borrow_mut().insert(second, usable);
+            for host in self.usable.borrow_mut().record(second, &self.hosts.borrow()) {
+                self.ledger.borrow_mut().host_usable(second, *host);
+            }
             for (router, status) in self.processes.borrow_mut().ended() {
-                self.ledger
-                    .borrow_mut()
-                    .breaks("crash", format!("router {router} ended by itself: {status}"));
+                self.ledger.borrow_mut().record_violation(
+                    Rule::ProcessCrash,
+                    format!("router {router} ended by itself: {status}"),
+                );
             }
         }
     }
@@ -289,18 +292,18 @@
 /// # Errors
 /// A key of the trial that is out of bounds, a program that does not start within 60 s, no port, no descriptors; and an
 /// interruption by a signal.
-pub fn play(trial: &Trial, daemon: &Path, logs: Option<&Path>) -> Result<Report, String> {
+pub fn play(trial: &Trial, daemon: &Path, logs: Option<&Path>) -> Result<Report, PlayError> {
     trial.check()?;
     if trial.routers > ROUTERS {
-        return Err(format!("routers must be at most {ROUTERS} with real processes, not {}", trial.routers));
+        return Err(PlayError::TooManyProcesses { limit: ROUTERS, routers: trial.routers });
     }
     let ex = Rc::new(LocalExecutor::new());
     let held = ex.clone();
     let signals = async_signal::Signals::new([async_signal::Signal::Int, async_signal::Signal::Term]);
-    let mut signals = signals.map_err(|error| format!("signals: {error}"))?;
+    let mut signals = signals.map_err(PlayError::Signals)?;
     let interrupted = async move {
         signals.next().await;
-        Err("interrupted".to_string())
+        Err(PlayError::Interrupted)
     };
     let processes = Rc::new(RefCell::new(Processes::new(daemon, trial.routers.into(), logs)?));
     // The tasks hold one another and are never dropped: the processes are ended from here, whatever happens.
@@ -320,9 +323,9 @@
 
 async fn run(
     trial: &Trial, processes: Rc<RefCell<Processes>>, ex: Rc<LocalExecutor<'static>>,
-) -> Result<Report, String> {
+) -> Result<Report, PlayError> {
     let mut rng = ChaCha8Rng::seed_from_u64(trial.seed);
-    let shares = trial.rates(&mut rng, 1.0)?;
+    let shares = trial.arrival_rates(&mut rng, 1.0)?;
     let (target, grace) =
         (Duration::from_millis(trial.target_ms), Duration::from_millis(trial.drain_grace_ms));
     let live = Rc::new(Live {
@@ -361,15 +364,15 @@
     let begun = now();
     while live.processes.borrow().up().len() < usize::from(trial.routers) {
         if now() - begun > Duration::from_secs(60) {
-            return Err("not every router was ready within 60 s".into());
+            return Err(PlayError::NotReady { seconds: 60 });
         }
         rest(Duration::from_millis(20)).await;
     }
     let start = now();
     live.start.set(start);
-    live.ledger.borrow_mut().begins(start);
+    live.ledger.borrow_mut().set_start(start);
     ex.spawn(live.clone().look()).detach();
-    let cores: f64 = live.hosts.borrow().iter().filter(|h| !h.primary).map(|h| f64::from(h.cores)).sum();
+    let cores = replica_cores(&live.hosts.borrow());
     for (router, share) in shares.into_iter().enumerate() {
         ex.spawn(clients::arrive(live.clone(), ex.clone(), router, share * cores)).detach();
     }
@@ -377,7 +380,7 @@
         let (live, own) = (live.clone(), ex.clone());
         ex.spawn(async move {
             rest(Duration::from_millis(fault.at_ms)).await;
-            live.fault(own, fault.trouble).await;
+            live.fault(own, fault.kind).await;
         })
         .detach();
     }
@@ -393,10 +396,7 @@
     rest(Duration::from_millis(trial.timeout_ms) + SLACK).await;
     live.processes.borrow_mut().end();
     let usable = live.usable.take();
-    let throughout = |second: u64, host: usize| {
-        let at = |second: &u64| usable.get(second).is_some_and(|hosts| hosts.contains(&host));
-        second < trial.seconds && at(&second) && at(&(second + 1))
-    };
+    let throughout = |second, host| usable.throughout(second, host, trial.seconds);
     let ledger = live.ledger.replace(Ledger::new(target, grace, Timestamp::ZERO));
     Ok(ledger.close(end - SLACK, &throughout))
 }
--- a/crates/comethitch-lab/src/live/routers.rs
+++ b/crates/comethitch-lab/src/live/routers.rs
@@ -1,6 +1,7 @@
 //! The routers: processes of the program, each with a file of its own, started, stopped, killed and ended by id.
 
 use super::{Shared, TO_DISCOVERY, address, list, read, rest};
+use crate::error::PlayError;
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_testkit::postgres::message;
@@ -40,12 +41,15 @@
 }
 
 impl Fleet {
-    pub fn new(daemon: &Path, routers: usize, logs: Option<&Path>) -> Result<Fleet, String> {
-        let port =
-            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?.port();
+    pub fn new(daemon: &Path, routers: usize, logs: Option<&Path>) -> Result<Fleet, PlayError> {
+        let port = TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .map_err(PlayError::ClientPort)?
+            .port();
         let own = || std::env::temp_dir().join(format!("comethitch-lab-{}-{port}", std::process::id()));
         let (folder, kept) = (logs.map_or_else(own, Path::to_path_buf), logs.is_some());
-        std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+        std::fs::create_dir_all(&folder)
+            .map_err(|source| PlayError::File { path: folder.clone(), source })?;
         let of = (0..routers).map(|_| Process::default()).collect();
         Ok(Fleet { daemon: daemon.into(), folder, kept, port, discovery: 0, of })
     }
@@ -161,7 +165,7 @@
 }
 
 /// Starts one, or starts it anew.
-pub(super) fn start(live: &super::Live, router: usize) -> Result<(), String> {
+pub(super) fn start(live: &super::Live, router: usize) -> Result<(), PlayError> {
     let site = file(live, router);
     let mut processes = live.processes.borrow_mut();
     let path = processes.folder.join(format!("r{router}.json"));
@@ -175,7 +179,7 @@
             .env("RELAY_CONFIG", &path);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()
     });
-    let child = begun.map_err(|error| format!("{}: {error}", processes.daemon.display()))?;
+    let child = begun.map_err(|source| PlayError::File { path: processes.daemon.clone(), source })?;
     processes.of[router].child = Some(child);
     Ok(())
 }
--- a/crates/comethitch-lab/src/main.rs
+++ b/crates/comethitch-lab/src/main.rs
@@ -1,28 +1,40 @@
-//! `comethitch-lab`: plays trials of fleets, in simulated time or with real processes.
+//! `comethitch-lab`: plays trials of fleets, in simulated time or with real processes, and prints what they came to.
 
 use argh::FromArgs;
-use comethitch_lab::chart;
+use comethitch_lab::chart::{self, ChartError, Labels};
 use comethitch_lab::compare::{Row, compare};
+use comethitch_lab::error::PlayError;
 use comethitch_lab::fleet;
 use comethitch_lab::ledger::{Report, Second};
 use comethitch_lab::live;
-use comethitch_lab::trial::{Routing, Trial};
+use comethitch_lab::trial::{Routing, Trial, TrialError};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 
+/// The exit code of a command that could not be carried out; a broken rule ends with 1.
+const EXIT_ERROR: u8 = 2;
+/// The program of the routers, beside this one.
+const DAEMON: &str = "comethitchd";
+/// The numbers of routers that `sizes` plays.
+const SIZES: [u16; 4] = [30, 100, 300, 1000];
+/// The names of the routings in tables.
+const MODULE: &str = "module";
+const PERFECT: &str = "perfect";
 /// How near the share answered in time must come to what it was before a fault.
-const BACK_BY: f64 = 0.02;
+const RECOVERY_TOLERANCE: f64 = 0.02;
 
 /// Plays fleets of routers in simulated time and tells how evenly hosts were loaded, and whether every rule held.
 #[derive(FromArgs)]
-struct Line {
+struct Arguments {
     #[argh(subcommand)]
-    what: What,
+    subcommand: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Subcommand {
     Run(Run),
     Sizes(Sizes),
     Live(LiveRun),
@@ -102,113 +114,201 @@
 #[argh(subcommand, name = "schema")]
 struct Schema {}
 
-fn read(file: &str) -> Result<Trial, String> {
-    let text = std::fs::read_to_string(file).map_err(|error| format!("{file}: {error}"))?;
-    Trial::read(&text).map_err(|error| format!("{file}: {error}"))
+/// Why a subcommand could not be carried out.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error("{path}: {source}")]
+    File { path: String, source: io::Error },
+    #[error("{path}: {source}")]
+    Trial { path: String, source: TrialError },
+    #[error(transparent)]
+    Play(#[from] PlayError),
+    #[error(transparent)]
+    Chart(#[from] ChartError),
+    #[error("seeds: {text:?} is no number")]
+    Seed { text: String },
+    #[error(transparent)]
+    OwnPath(io::Error),
+    #[error(transparent)]
+    Schema(#[from] serde_json::Error),
 }
 
-fn write(path: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
+/// Whether the decision module kept every rule.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Verdict {
+    RulesKept,
+    RulesBroken,
 }
 
-fn both(trial: &Trial) -> Result<[(&'static str, Report); 2], String> {
-    let perfect = Trial { routing: Routing::Perfect, ..trial.clone() };
-    Ok([("module", fleet::play(trial)?), ("perfect", fleet::play(&perfect)?)])
+impl Verdict {
+    fn of(report: &Report) -> Verdict {
+        if report.broken.is_empty() { Verdict::RulesKept } else { Verdict::RulesBroken }
+    }
 }
 
-fn run(line: Line) -> Result<bool, String> {
-    match line.what {
-        What::Run(Run { file, seed }) => {
-            let mut trial = read(&file)?;
-            trial.seed = seed.unwrap_or(trial.seed);
-            let plays = both(&trial)?;
-            println!("routing,seed,routers,{}", Report::HEAD);
-            for (name, report) in &plays {
-                println!("{name},{},{},{}", trial.seed, trial.routers, report.row());
-            }
-            let broken = &plays[0].1.broken;
-            broken.iter().for_each(|what| println!("BROKEN {what}"));
-            Ok(broken.is_empty())
-        }
-        What::Live(LiveRun { file, seed, daemon, seconds, chart, logs }) => {
-            let mut trial = read(&file)?;
-            trial.seed = seed.unwrap_or(trial.seed);
-            let beside = || Ok::<_, std::io::Error>(std::env::current_exe()?.with_file_name("comethitchd"));
-            let daemon = daemon.map_or_else(beside, Ok).map_err(|error| error.to_string())?;
-            let report = live::play(&trial, &daemon, logs.as_deref())?;
-            println!("routing,seed,routers,{}", Report::HEAD);
-            println!("live,{},{},{}", trial.seed, trial.routers, report.row());
-            for fault in &trial.faults {
-                let back = report.back_after(fault.at_ms / 1000, BACK_BY);
-                let back = back.map_or("not within the trial".into(), |s| format!("after {s} s"));
-                println!("# fault at {} ms: in-time share back {back}", fault.at_ms);
-            }
-            report.broken.iter().for_each(|what| println!("BROKEN {what}"));
-            if let Some(path) = seconds {
-                write(&path, &report.by_second())?;
-            }
-            if let Some(path) = chart {
-                let share =
-                    |(nth, s): &(u64, Second)| (*nth as f64, s.in_time as f64 / s.asked.max(1) as f64);
-                let uneven = |(nth, s): &(u64, Second)| (*nth as f64, s.variation);
-                let lines = [
-                    ("answered in time".to_string(), report.seconds.iter().map(share).collect()),
-                    ("variation of load".to_string(), report.seconds.iter().map(uneven).collect()),
-                ];
-                let title = format!("{} routers, seed {}", trial.routers, trial.seed);
-                write(&path, &chart::svg(&title, "second", "share", &lines)?)?;
-            }
-            Ok(report.broken.is_empty())
-        }
-        What::Compare(Compare { one, other, seeds, daemon }) => {
-            let seed = |text: &str| text.trim().parse().map_err(|_| format!("seeds: {text:?} is no number"));
-            let seeds = seeds.split(',').map(seed).collect::<Result<Vec<u64>, _>>()?;
-            let mut play = |trial: &Trial| match &daemon {
-                Some(daemon) => live::play(trial, daemon, None),
-                None => fleet::play(trial),
-            };
-            let rows = compare(&read(&one)?, &read(&other)?, &seeds, &mut play)?;
-            println!("column,{one},{other},difference,standard_error");
-            for Row { column, one, other, difference, error } in rows {
-                println!("{column},{one:.4},{other:.4},{difference:+.4},{error:.4}");
-            }
-            Ok(true)
-        }
-        What::Sizes(Sizes { file, chart }) => {
-            let trial = read(&file)?;
-            println!("routing,seed,routers,{}", Report::HEAD);
-            let mut kept = true;
-            let mut lines = [("module", Vec::new()), ("perfect", Vec::new())];
-            for routers in [30, 100, 300, 1000] {
-                for (name, report) in both(&Trial { routers, ..trial.clone() })? {
-                    println!("{name},{},{routers},{}", trial.seed, report.row());
-                    kept &= name != "module" || report.broken.is_empty();
-                    let line = lines.iter_mut().find(|(of, _)| *of == name);
-                    line.into_iter()
-                        .for_each(|(_, points)| points.push((f64::from(routers), report.variation)));
-                }
-            }
-            if let Some(path) = chart {
-                let lines = lines.map(|(name, points)| (name.to_string(), points));
-                write(&path, &chart::svg("Evenness of hosts", "routers", "variation of load", &lines)?)?;
-            }
-            Ok(kept)
-        }
-        What::Schema(_) => {
-            let schema = serde_json::to_string_pretty(&schemars::schema_for!(Trial));
-            println!("{}", schema.map_err(|error| error.to_string())?);
-            Ok(true)
+/// A trial played in simulated time, with the decision module and with the baseline.
+struct Plays {
+    module: Report,
+    perfect: Report,
+}
+
+impl Plays {
+    fn of(trial: &Trial) -> Result<Plays, PlayError> {
+        let perfect = Trial { routing: Routing::Perfect, ..trial.clone() };
+        Ok(Plays { module: fleet::play(trial)?, perfect: fleet::play(&perfect)? })
+    }
+
+    fn print_rows(&self, trial: &Trial) {
+        print_row(MODULE, trial, &self.module);
+        print_row(PERFECT, trial, &self.perfect);
+    }
+}
+
+fn read_trial(path: &str, seed: Option<u64>) -> Result<Trial, CommandError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|source| CommandError::File { path: path.into(), source })?;
+    let mut trial = Trial::read(&text).map_err(|source| CommandError::Trial { path: path.into(), source })?;
+    trial.seed = seed.unwrap_or(trial.seed);
+    Ok(trial)
+}
+
+fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
+    std::fs::write(path, text)
+        .map_err(|source| CommandError::File { path: path.display().to_string(), source })
+}
+
+fn print_header() {
+    println!("routing,seed,routers,{}", Report::CSV_HEADER);
+}
+
+fn print_row(routing: &str, trial: &Trial, report: &Report) {
+    println!("{routing},{},{},{}", trial.seed, trial.routers, report.csv_row());
+}
+
+fn print_violations(report: &Report) {
+    for violation in &report.broken {
+        println!("BROKEN {violation}");
+    }
+}
+
+fn run_trial(arguments: Run) -> Result<Verdict, CommandError> {
+    let trial = read_trial(&arguments.file, arguments.seed)?;
+    let plays = Plays::of(&trial)?;
+    print_header();
+    plays.print_rows(&trial);
+    print_violations(&plays.module);
+    Ok(Verdict::of(&plays.module))
+}
+
+fn run_live(arguments: LiveRun) -> Result<Verdict, CommandError> {
+    let trial = read_trial(&arguments.file, arguments.seed)?;
+    let daemon = match arguments.daemon {
+        Some(daemon) => daemon,
+        None => std::env::current_exe().map_err(CommandError::OwnPath)?.with_file_name(DAEMON),
+    };
+    let report = live::play(&trial, &daemon, arguments.logs.as_deref())?;
+    print_header();
+    print_row("live", &trial, &report);
+    print_recoveries(&trial, &report);
+    print_violations(&report);
+    if let Some(path) = arguments.seconds {
+        write_file(&path, &report.csv_by_second())?;
+    }
+    if let Some(path) = arguments.chart {
+        write_file(&path, &chart_by_second(&trial, &report)?)?;
+    }
+    Ok(Verdict::of(&report))
+}
+
+fn print_recoveries(trial: &Trial, report: &Report) {
+    for fault in &trial.faults {
+        let recovery = match report.recovery_seconds(fault.at_ms / 1000, RECOVERY_TOLERANCE) {
+            Some(seconds) => format!("after {seconds} s"),
+            None => "not within the trial".into(),
+        };
+        println!("# fault at {} ms: in-time share back {recovery}", fault.at_ms);
+    }
+}
+
+fn chart_by_second(trial: &Trial, report: &Report) -> Result<String, ChartError> {
+    let line = |name: &str, value: fn(&Second) -> f64| chart::Line {
+        name: name.into(),
+        points: report.seconds.iter().map(|(index, second)| (*index as f64, value(second))).collect(),
+    };
+    let lines = [
+        line("answered in time", |second| second.in_time as f64 / second.asked.max(1) as f64),
+        line("variation of load", |second| second.variation),
+    ];
+    let title = format!("{} routers, seed {}", trial.routers, trial.seed);
+    chart::svg(Labels { title: &title, x: "second", y: "share" }, &lines)
+}
+
+fn run_compare(arguments: Compare) -> Result<Verdict, CommandError> {
+    let Compare { one, other, seeds, daemon } = arguments;
+    let seeds = parse_seeds(&seeds)?;
+    let mut play = |trial: &Trial| match &daemon {
+        Some(daemon) => live::play(trial, daemon, None),
+        None => fleet::play(trial),
+    };
+    let rows = compare(&read_trial(&one, None)?, &read_trial(&other, None)?, &seeds, &mut play)?;
+    println!("column,{one},{other},difference,standard_error");
+    for Row { column, one, other, difference, error } in rows {
+        println!("{column},{one:.4},{other:.4},{difference:+.4},{error:.4}");
+    }
+    Ok(Verdict::RulesKept)
+}
+
+/// Reads numbers separated by commas.
+fn parse_seeds(text: &str) -> Result<Vec<u64>, CommandError> {
+    let seed = |text: &str| text.trim().parse().map_err(|_| CommandError::Seed { text: text.into() });
+    text.split(',').map(seed).collect()
+}
+
+fn run_sizes(arguments: Sizes) -> Result<Verdict, CommandError> {
+    let trial = read_trial(&arguments.file, None)?;
+    let mut verdict = Verdict::RulesKept;
+    let mut module = chart::Line { name: MODULE.into(), points: Vec::new() };
+    let mut perfect = chart::Line { name: PERFECT.into(), points: Vec::new() };
+    print_header();
+    for routers in SIZES {
+        let trial = Trial { routers, ..trial.clone() };
+        let plays = Plays::of(&trial)?;
+        plays.print_rows(&trial);
+        module.points.push((f64::from(routers), plays.module.variation));
+        perfect.points.push((f64::from(routers), plays.perfect.variation));
+        if Verdict::of(&plays.module) == Verdict::RulesBroken {
+            verdict = Verdict::RulesBroken;
         }
     }
+    if let Some(path) = arguments.chart {
+        let labels = Labels { title: "Evenness of hosts", x: "routers", y: "variation of load" };
+        write_file(&path, &chart::svg(labels, &[module, perfect])?)?;
+    }
+    Ok(verdict)
+}
+
+fn print_schema() -> Result<Verdict, CommandError> {
+    println!("{}", serde_json::to_string_pretty(&schemars::schema_for!(Trial))?);
+    Ok(Verdict::RulesKept)
+}
+
+fn run(arguments: Arguments) -> Result<Verdict, CommandError> {
+    match arguments.subcommand {
+        Subcommand::Run(arguments) => run_trial(arguments),
+        Subcommand::Live(arguments) => run_live(arguments),
+        Subcommand::Compare(arguments) => run_compare(arguments),
+        Subcommand::Sizes(arguments) => run_sizes(arguments),
+        Subcommand::Schema(_) => print_schema(),
+    }
 }
 
 fn main() -> ExitCode {
     match run(argh::from_env()) {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::FAILURE,
+        Ok(Verdict::RulesKept) => ExitCode::SUCCESS,
+        Ok(Verdict::RulesBroken) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("comethitch-lab: {error}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -1,6 +1,9 @@
-//! What is tried: a fleet, its load and its faults, from a JSON file.
+//! Trials: a fleet, its load and its faults, as read from a JSON file.
+//!
+//! The words of the file are a stable format: types and fields whose names differ here carry the file's word in a
+//! `serde` attribute.
 
-use crate::hosts::Cold;
+use crate::hosts::ColdStart;
 use comethitch_policy::Deployment;
 use comethitch_policy::time::Duration;
 use rand_chacha::ChaCha8Rng;
@@ -9,114 +12,266 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
+use std::error::Error as StdError;
+use thiserror::Error;
 
-/// Who decides where commands go.
+/// The longest that a trial, or a fault of it, may take, in milliseconds.
+const LONGEST_MS: f64 = 600_000.0;
+/// The longest delay of a link, in milliseconds.
+const LONGEST_DELAY_MS: f64 = 60_000.0;
+
+/// Why a trial is unusable.
+#[derive(Debug, Error)]
+pub enum TrialError {
+    /// Not the JSON of a trial.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A number that is not within its bounds.
+    #[error("{key} must be from {least} to {most}, not {value}")]
+    OutOfBounds {
+        /// The key in the file.
+        key: String,
+        /// The least allowed value.
+        least: f64,
+        /// The greatest allowed value.
+        most: f64,
+        /// The value in the file.
+        value: f64,
+    },
+    /// Hosts without cores.
+    #[error("cores must name at least one number of cores, none of them 0")]
+    NoCores,
+    /// The distribution of traffic over routers does not exist.
+    #[error("skew is unusable")]
+    Skew,
+    /// The routers' settings are refused.
+    #[error(transparent)]
+    Deployment(Box<dyn StdError + Send + Sync>),
+}
+
+/// Who selects hosts for commands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Routing {
     /// The decision module, one for each router.
     #[default]
     Module,
-    /// A baseline: each read goes to any usable replica, drawn by the power that it truly has at that moment, with no
-    /// probes, rooms or further dispatches.
+    /// A baseline: each read goes to any usable replica, drawn by the capacity that it truly has at that moment, with
+    /// no health checks, concurrency limits or retries.
     Perfect,
 }
 
-/// Something that goes wrong, or is done, at a time.
+/// What a fault does. Each `part` is a fraction from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Trouble {
-    /// So large a part of the replicas is drained and replaced by cold ones, over so many milliseconds.
-    Release { part: f64, over_ms: u64 },
-    /// So large a part of the routers is killed at once, and starts anew after so long, knowing only the list.
-    Herd { part: f64, back_ms: u64 },
-    /// So large a part of the hosts becomes slower by this factor.
-    Slow { part: f64, factor: f64 },
-    /// For so long nothing reaches the logs of so large a part of each group's replicas; then they are level again at once.
-    Stall { part: f64, for_ms: u64 },
-    /// The primaries of so large a part of the groups die at once; so long after, a replica of each leads in its place.
-    Takeover { part: f64, after_ms: u64 },
-    /// So large a part of the routers stands still (SIGSTOP) for so long. Real processes alone.
-    Stop { part: f64, for_ms: u64 },
-    /// For so long, something is wrong with the links between parts of the routers and of the hosts. Routers cut off
-    /// both ways hear of changes of the list only afterwards. Real processes alone.
-    Links { routers: f64, hosts: f64, way: Way, harm: Harm, for_ms: u64 },
+#[serde(rename = "Trouble", rename_all = "snake_case", deny_unknown_fields)]
+pub enum FaultKind {
+    /// This part of the replicas is drained and replaced by newly started ones, spread over some milliseconds.
+    Release {
+        /// The part of the replicas.
+        part: f64,
+        /// Over how many milliseconds.
+        over_ms: u64,
+    },
+    /// This part of the routers is killed at once and restarts later, knowing only the endpoint list.
+    Herd {
+        /// The part of the routers.
+        part: f64,
+        /// After how many milliseconds they restart.
+        back_ms: u64,
+    },
+    /// This part of the replicas becomes slower.
+    Slow {
+        /// The part of the replicas.
+        part: f64,
+        /// By what factor their commands take longer.
+        factor: f64,
+    },
+    /// Replication to this part of each group's replicas stalls; afterwards they have caught up at once.
+    Stall {
+        /// The part of each group's replicas.
+        part: f64,
+        /// For how many milliseconds.
+        for_ms: u64,
+    },
+    /// The primaries of this part of the groups die at once; later a replica of each is promoted.
+    Takeover {
+        /// The part of the groups.
+        part: f64,
+        /// After how many milliseconds a replica is promoted.
+        after_ms: u64,
+    },
+    /// This part of the routers is stopped (SIGSTOP) for a while. Real processes alone.
+    Stop {
+        /// The part of the routers.
+        part: f64,
+        /// For how many milliseconds.
+        for_ms: u64,
+    },
+    /// A fault of the links between parts of the routers and of the hosts. Routers cut off in both directions hear of
+    /// endpoint updates only afterwards. Real processes alone.
+    Links {
+        /// The part of the routers.
+        routers: f64,
+        /// The part of the hosts.
+        hosts: f64,
+        /// Which direction is affected.
+        #[serde(rename = "way")]
+        direction: Direction,
+        /// What happens to messages.
+        #[serde(rename = "harm")]
+        fault: LinkFault,
+        /// For how many milliseconds.
+        for_ms: u64,
+    },
 }
 
-/// Which direction of a link is harmed.
+impl FaultKind {
+    /// How long the fault lasts, in milliseconds; 0 if it has no end.
+    fn duration_ms(self) -> u64 {
+        match self {
+            FaultKind::Release { over_ms: ms, .. }
+            | FaultKind::Herd { back_ms: ms, .. }
+            | FaultKind::Takeover { after_ms: ms, .. }
+            | FaultKind::Stop { for_ms: ms, .. }
+            | FaultKind::Stall { for_ms: ms, .. }
+            | FaultKind::Links { for_ms: ms, .. } => ms,
+            FaultKind::Slow { .. } => 0,
+        }
+    }
+
+    fn check(self, index: usize) -> Result<(), TrialError> {
+        match self {
+            FaultKind::Release { part, .. }
+            | FaultKind::Herd { part, .. }
+            | FaultKind::Slow { part, .. }
+            | FaultKind::Stall { part, .. }
+            | FaultKind::Takeover { part, .. }
+            | FaultKind::Stop { part, .. } => check_range(&format!("faults[{index}].part"), part, 0.0, 1.0),
+            FaultKind::Links { routers, hosts, fault, .. } => {
+                check_range(&format!("faults[{index}].routers"), routers, 0.0, 1.0)?;
+                check_range(&format!("faults[{index}].hosts"), hosts, 0.0, 1.0)?;
+                fault.check(index)
+            }
+        }
+    }
+}
+
+/// Which direction of a link is affected: from routers to hosts, from hosts to routers, or both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
-pub enum Way {
+#[serde(rename = "Way", rename_all = "snake_case")]
+#[expect(
+    missing_docs,
+    reason = "with a description of each variant the printed schema would change its form"
+)]
+pub enum Direction {
     Both,
     ToHosts,
     ToRouters,
 }
 
+/// What a faulty link does to messages.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
-pub enum Harm {
-    /// Nothing passes, and nobody is told.
+#[serde(rename = "Harm", rename_all = "snake_case")]
+pub enum LinkFault {
+    /// Nothing passes, and neither end is notified.
     Cut,
-    /// Each message comes so much later.
+    /// Each message arrives later by this many milliseconds.
     DelayMs(u64),
-    /// This part of the messages ends in a broken connection.
+    /// The probability that a message ends in a reset connection.
     Reset(f64),
 }
 
+impl LinkFault {
+    fn check(self, index: usize) -> Result<(), TrialError> {
+        match self {
+            LinkFault::Reset(part) => check_range(&format!("faults[{index}].harm.reset"), part, 0.0, 1.0),
+            LinkFault::DelayMs(ms) => {
+                check_range(&format!("faults[{index}].harm.delay_ms"), ms as f64, 0.0, LONGEST_DELAY_MS)
+            }
+            LinkFault::Cut => Ok(()),
+        }
+    }
+}
+
+/// A fault at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// Milliseconds after the start of the trial.
     pub at_ms: u64,
-    pub trouble: Trouble,
+    /// What happens then.
+    #[serde(rename = "trouble")]
+    pub kind: FaultKind,
+}
+
+impl Fault {
+    fn check(&self, index: usize) -> Result<(), TrialError> {
+        let duration_ms = self.kind.duration_ms();
+        check_range(&format!("faults[{index}].at_ms"), self.at_ms as f64, 0.0, LONGEST_MS)?;
+        check_range(&format!("faults[{index}]: its span in ms"), duration_ms as f64, 0.0, LONGEST_MS)?;
+        self.kind.check(index)
+    }
 }
 
 /// A trial. What is left out of the file is as in [`Trial::default`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Trial {
+    /// The seed of all random draws.
     pub seed: u64,
+    /// Who selects hosts.
     pub routing: Routing,
+    /// How many routers.
     pub routers: u16,
+    /// How many groups of hosts (shards).
     pub groups: u16,
-    /// In each group, beside its primary.
+    /// Replicas in each group, beside its primary.
     pub replicas: u16,
+    /// How long clients send commands.
     pub seconds: u64,
     /// Cores of the hosts, dealt out in turn.
     pub cores: Vec<u16>,
-    /// What a command takes on one core, on the mean.
+    /// The mean time of a command on one core.
     pub work_ms: f64,
-    /// The part of all replicas' cores that the reads take on the mean.
+    /// The mean part of all replicas' cores that the reads take.
     pub load: f64,
     /// How unequal routers' traffic is: the standard deviation of its logarithm.
     pub skew: f64,
     /// The part of commands that write.
     pub writes: f64,
+    /// The latency objective.
     pub target_ms: u64,
+    /// The clients' timeout.
     pub timeout_ms: u64,
-    /// How old data may be that a read is answered from.
+    /// The bound on the staleness of reads.
     pub bound_ms: u64,
-    /// How far replicas are behind, and how often hosts renew what they report.
+    /// The replication lag of replicas.
     pub lag_ms: u64,
+    /// How often hosts renew their report.
     pub report_ms: u64,
-    /// One way between routers and hosts.
+    /// The mean network delay between routers and hosts, one way, in microseconds.
     pub net_us: u64,
-    /// Of a host that has just started: the part of its power that it has, how long it takes to have all, and how
-    /// many times what it can do, sent for how long, pushes it over.
+    /// The part of its capacity that a host has as it starts.
     pub cold_from: f64,
+    /// How long a host takes to reach its full capacity.
     pub warm_within_ms: u64,
+    /// A warming host crashes when it is sent more than this multiple of what it can serve within `fall_ms`.
     pub fall_multiple: f64,
+    /// The window of that count.
     pub fall_ms: u64,
+    /// How long a router may still send to a host after it was notified that the host drains.
     pub drain_grace_ms: u64,
     /// How many commands may wait at a host for each of its cores.
     pub queue_per_core: u16,
-    /// How many connections a host holds, 0 for any number; more are turned away. Real processes alone.
+    /// How many connections a host accepts, 0 for any number; more are rejected. Real processes alone.
     pub slots: u32,
-    /// So many routers have one name, and one seed for what they draw. Real processes alone.
+    /// How many routers share one name and one random seed. Real processes alone.
     pub namesakes: u16,
     /// Whether all hosts have just started as the trial begins.
     pub all_cold: bool,
+    /// What goes wrong, or is done, and when.
     pub faults: Vec<Fault>,
-    /// Keys of the routers' settings that are other than the trial's own: with a defence out, say. Real processes alone.
+    /// Settings of the routers that replace the trial's own, to turn a defence off for example. Real processes alone.
     pub settings: BTreeMap<String, Value>,
 }
 
@@ -155,110 +310,100 @@
     }
 }
 
+fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), TrialError> {
+    if (least..=most).contains(&value) {
+        return Ok(());
+    }
+    Err(TrialError::OutOfBounds { key: key.into(), least, most, value })
+}
+
 impl Trial {
-    /// Reads a file's text. The error names the key.
+    /// Reads the text of a trial's file.
+    ///
+    /// # Errors
+    /// Text that is no trial, or a key out of bounds, which the error names.
     ///
     /// ```
     /// use comethitch_lab::trial::Trial;
+    /// let error = |text| Trial::read(text).unwrap_err().to_string();
     /// assert_eq!(Trial::read(r#"{"routers": 7}"#).unwrap().routers, 7);
-    /// assert!(Trial::read(r#"{"router": 7}"#).unwrap_err().contains("unknown field `router`"));
+    /// assert!(error(r#"{"router": 7}"#).contains("unknown field `router`"));
     /// let stop = r#"{"faults": [{"at_ms": 1, "trouble": {"stop": {"part": 1, "for_ms": 600001}}}]}"#;
-    /// assert!(Trial::read(stop).unwrap_err().starts_with("faults[0]"));
-    /// assert!(Trial::read(r#"{"load": 0}"#).unwrap_err().starts_with("load"));
+    /// assert!(error(stop).starts_with("faults[0]"));
+    /// assert!(error(r#"{"load": 0}"#).starts_with("load"));
     /// ```
-    pub fn read(text: &str) -> Result<Trial, String> {
-        let trial: Trial = serde_json::from_str(text).map_err(|error| error.to_string())?;
+    pub fn read(text: &str) -> Result<Trial, TrialError> {
+        let trial: Trial = serde_json::from_str(text)?;
         trial.check()?;
         Ok(trial)
     }
 
-    /// Bounds: a trial of 1,000 routers before 1,000 hosts for ten minutes is the largest.
-    pub fn check(&self) -> Result<(), String> {
-        let within = |key: &str, value: f64, least: f64, most: f64| match (least..=most).contains(&value) {
-            true => Ok(()),
-            false => Err(format!("{key} must be from {least} to {most}, not {value}")),
-        };
-        within("routers", self.routers.into(), 1.0, 1000.0)?;
-        within("groups", self.groups.into(), 1.0, 100.0)?;
-        within("replicas", self.replicas.into(), 1.0, 200.0)?;
-        within(
-            "groups * (replicas + 1)",
-            f64::from(self.groups) * f64::from(self.replicas + 1),
-            1.0,
-            1000.0,
-        )?;
-        within("seconds", self.seconds as f64, 1.0, 600.0)?;
-        within("work_ms", self.work_ms, 0.1, 10_000.0)?;
-        within("load", self.load, 0.01, 3.0)?;
-        within("skew", self.skew, 0.0, 3.0)?;
-        within("writes", self.writes, 0.0, 1.0)?;
-        within("cold_from", self.cold_from, 0.01, 1.0)?;
-        within("fall_multiple", self.fall_multiple, 1.0, 100.0)?;
-        within("report_ms", self.report_ms as f64, 1.0, 60_000.0)?;
-        within("timeout_ms", self.timeout_ms as f64, self.target_ms as f64, 600_000.0)?;
+    /// Checks all bounds: a trial of 1,000 routers and 1,000 hosts for ten minutes is the largest.
+    ///
+    /// # Errors
+    /// The first key that is out of bounds.
+    pub fn check(&self) -> Result<(), TrialError> {
+        self.check_size()?;
+        self.check_load()?;
         if self.cores.is_empty() || self.cores.contains(&0) {
-            return Err("cores must name at least one number of cores, none of them 0".into());
+            return Err(TrialError::NoCores);
         }
-        for (nth, fault) in self.faults.iter().enumerate() {
-            // Ten minutes, as long as a trial may be.
-            let lasts = match fault.trouble {
-                Trouble::Release { over_ms: ms, .. }
-                | Trouble::Herd { back_ms: ms, .. }
-                | Trouble::Takeover { after_ms: ms, .. }
-                | Trouble::Stop { for_ms: ms, .. }
-                | Trouble::Stall { for_ms: ms, .. }
-                | Trouble::Links { for_ms: ms, .. } => ms,
-                Trouble::Slow { .. } => 0,
-            };
-            within(&format!("faults[{nth}].at_ms"), fault.at_ms as f64, 0.0, 600_000.0)?;
-            within(&format!("faults[{nth}]: its span in ms"), lasts as f64, 0.0, 600_000.0)?;
-            match fault.trouble {
-                Trouble::Release { part, .. }
-                | Trouble::Herd { part, .. }
-                | Trouble::Slow { part, .. }
-                | Trouble::Stall { part, .. }
-                | Trouble::Takeover { part, .. }
-                | Trouble::Stop { part, .. } => within(&format!("faults[{nth}].part"), part, 0.0, 1.0)?,
-                Trouble::Links { routers, hosts, harm, .. } => {
-                    within(&format!("faults[{nth}].routers"), routers, 0.0, 1.0)?;
-                    within(&format!("faults[{nth}].hosts"), hosts, 0.0, 1.0)?;
-                    match harm {
-                        Harm::Reset(part) => within(&format!("faults[{nth}].harm.reset"), part, 0.0, 1.0)?,
-                        Harm::DelayMs(ms) => {
-                            within(&format!("faults[{nth}].harm.delay_ms"), ms as f64, 0.0, 60_000.0)?;
-                        }
-                        Harm::Cut => {}
-                    }
-                }
-            }
+        for (index, fault) in self.faults.iter().enumerate() {
+            fault.check(index)?;
         }
         Ok(())
     }
 
-    /// What is told of hosts that have just started.
-    pub fn cold(&self) -> Cold {
-        Cold {
-            from: self.cold_from,
-            within: Duration::from_millis(self.warm_within_ms),
-            multiple: self.fall_multiple,
-            span: Duration::from_millis(self.fall_ms),
-            work: Duration::from_micros((self.work_ms * 1e3) as u64),
+    fn check_size(&self) -> Result<(), TrialError> {
+        let hosts = f64::from(self.groups) * f64::from(self.replicas + 1);
+        check_range("routers", self.routers.into(), 1.0, 1000.0)?;
+        check_range("groups", self.groups.into(), 1.0, 100.0)?;
+        check_range("replicas", self.replicas.into(), 1.0, 200.0)?;
+        check_range("groups * (replicas + 1)", hosts, 1.0, 1000.0)?;
+        check_range("seconds", self.seconds as f64, 1.0, 600.0)
+    }
+
+    fn check_load(&self) -> Result<(), TrialError> {
+        check_range("work_ms", self.work_ms, 0.1, 10_000.0)?;
+        check_range("load", self.load, 0.01, 3.0)?;
+        check_range("skew", self.skew, 0.0, 3.0)?;
+        check_range("writes", self.writes, 0.0, 1.0)?;
+        check_range("cold_from", self.cold_from, 0.01, 1.0)?;
+        check_range("fall_multiple", self.fall_multiple, 1.0, 100.0)?;
+        check_range("report_ms", self.report_ms as f64, 1.0, 60_000.0)?;
+        check_range("timeout_ms", self.timeout_ms as f64, self.target_ms as f64, LONGEST_MS)
+    }
+
+    /// How hosts that have just started behave.
+    pub fn cold_start(&self) -> ColdStart {
+        ColdStart {
+            initial_capacity: self.cold_from,
+            warmup: Duration::from_millis(self.warm_within_ms),
+            overload_multiple: self.fall_multiple,
+            window: Duration::from_millis(self.fall_ms),
+            mean_work: Duration::from_micros((self.work_ms * 1e3) as u64),
         }
     }
 
-    /// Commands a second of each router's own clients: unequal, and together the load that the trial names.
-    pub fn rates(&self, rng: &mut ChaCha8Rng, cores: f64) -> Result<Vec<f64>, String> {
-        let unequal = LogNormal::new(0.0, self.skew).map_err(|_| "skew is unusable")?;
-        let shares: Vec<f64> = (0..self.routers).map(|_| unequal.sample(rng)).collect();
-        let all = self.load * cores / (self.work_ms / 1e3) / (1.0 - self.writes).max(0.01);
+    /// Commands a second from each router's own clients: unequal, and together the trial's load on this many cores.
+    ///
+    /// # Errors
+    /// A skew that no distribution has.
+    pub fn arrival_rates(&self, rng: &mut ChaCha8Rng, cores: f64) -> Result<Vec<f64>, TrialError> {
+        let distribution = LogNormal::new(0.0, self.skew).map_err(|_| TrialError::Skew)?;
+        let shares: Vec<f64> = (0..self.routers).map(|_| distribution.sample(rng)).collect();
+        let total = self.load * cores / (self.work_ms / 1e3) / (1.0 - self.writes).max(0.01);
         let sum: f64 = shares.iter().sum();
-        Ok(shares.into_iter().map(|share| all * share / sum).collect())
+        Ok(shares.into_iter().map(|share| total * share / sum).collect())
     }
 
-    /// What each router is told at its start.
-    pub fn deployment(&self) -> Result<Deployment, String> {
+    /// The settings of each router.
+    ///
+    /// # Errors
+    /// Settings that the decision module refuses.
+    pub fn deployment(&self) -> Result<Deployment, TrialError> {
         let Trial { routers, target_ms, timeout_ms, bound_ms, .. } = self;
-        Deployment::read(&format!(
+        let text = format!(
             "domain.guards=off\ndomain.tokens=carried\nload_info.names=x0,x1,queue\nsiblings={routers}\n\
              tick_us=5000\npermissions.cancel=true\npermissions.may_probe=true\nprices.probe=0.015\n\
              permissions.second_copies=true\npermissions.max_attempts=6\npermissions.connect_timeout_us=250000\n\
@@ -268,6 +413,7 @@
              classes.0.target_us={target_ms}000\nclasses.0.deadline_us={timeout_ms}000\nclasses.0.value=1\n\
              classes.1.target_us={target_ms}000\nclasses.1.deadline_us={timeout_ms}000\nclasses.1.value=2\n",
             self.drain_grace_ms, self.cold_from, self.warm_within_ms, self.fall_multiple, self.fall_ms,
-        ))
+        );
+        Deployment::read(&text).map_err(|error| TrialError::Deployment(error.into()))
     }
 }
--- a/crates/comethitch-lab/tests/fleet.rs
+++ b/crates/comethitch-lab/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 use comethitch_lab::fleet::play;
 use comethitch_lab::ledger::Report;
-use comethitch_lab::trial::{Fault, Routing, Trial, Trouble};
+use comethitch_lab::trial::{Fault, FaultKind, Routing, Trial};
 
 fn small() -> Trial {
     Trial { routers: 20, groups: 2, replicas: 11, seconds: 12, cores: vec![2, 2, 3], ..Trial::default() }
@@ -32,9 +32,9 @@
 #[test]
 fn half_of_the_hosts_replaced_and_seven_in_ten_routers_killed_break_no_rule() {
     for seed in [1, 2] {
-        let release = Trouble::Release { part: 0.5, over_ms: 4000 };
-        let herd = Trouble::Herd { part: 0.7, back_ms: 500 };
-        let faults = vec![Fault { at_ms: 3000, trouble: release }, Fault { at_ms: 5000, trouble: herd }];
+        let release = FaultKind::Release { part: 0.5, over_ms: 4000 };
+        let herd = FaultKind::Herd { part: 0.7, back_ms: 500 };
+        let faults = vec![Fault { at_ms: 3000, kind: release }, Fault { at_ms: 5000, kind: herd }];
         let report = kept(&Trial { seed, faults, load: 0.4, ..small() });
         assert!(report.in_time > 0.9, "seed {seed}: {report}");
     }
@@ -80,7 +80,7 @@
 
 #[test]
 fn half_of_the_replicas_past_the_bound_send_no_herd_to_the_others() {
-    let stall = Fault { at_ms: 2000, trouble: Trouble::Stall { part: 0.5, for_ms: 6000 } };
+    let stall = Fault { at_ms: 2000, kind: FaultKind::Stall { part: 0.5, for_ms: 6000 } };
     for seed in [1, 2] {
         let trial = Trial { seed, routers: 150, replicas: 23, load: 0.55, faults: vec![stall], ..small() };
         // With a first room of 32 targets, as it was once, it is 0.96.
--- a/crates/comethitchd/tests/fleet.rs
+++ b/crates/comethitchd/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 use comethitch_lab::ledger::Report;
 use comethitch_lab::live::play;
-use comethitch_lab::trial::{Fault, Harm, Trial, Trouble, Way};
+use comethitch_lab::trial::{Direction, Fault, FaultKind, LinkFault, Trial};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::sync::Mutex;
@@ -34,8 +34,8 @@
 
 #[test]
 fn half_of_the_hosts_replaced_while_routers_are_killed_breaks_no_rule_and_the_fleet_serves_on() {
-    let release = Fault { at_ms: 1000, trouble: Trouble::Release { part: 0.5, over_ms: 1500 } };
-    let herd = Fault { at_ms: 1500, trouble: Trouble::Herd { part: 0.7, back_ms: 300 } };
+    let release = Fault { at_ms: 1000, kind: FaultKind::Release { part: 0.5, over_ms: 1500 } };
+    let herd = Fault { at_ms: 1500, kind: FaultKind::Herd { part: 0.7, back_ms: 300 } };
     let trial = Trial { seed: 2, load: 0.7, fall_multiple: 1.2, faults: vec![release, herd], ..small() };
     let report = kept(&trial);
     assert!(report.in_time > 0.7, "{report}");
@@ -48,8 +48,14 @@
 
 #[test]
 fn routers_cut_off_from_some_hosts_serve_on_at_the_others() {
-    let cut = Trouble::Links { routers: 0.5, hosts: 0.34, way: Way::Both, harm: Harm::Cut, for_ms: 2000 };
-    let fault = Fault { at_ms: 1500, trouble: cut };
+    let cut = FaultKind::Links {
+        routers: 0.5,
+        hosts: 0.34,
+        direction: Direction::Both,
+        fault: LinkFault::Cut,
+        for_ms: 2000,
+    };
+    let fault = Fault { at_ms: 1500, kind: cut };
     let trial = Trial { seed: 3, load: 0.3, writes: 0.0, faults: vec![fault], ..small() };
     let report = kept(&trial);
     assert!(report.in_time > 0.9, "{report}");
@@ -75,17 +81,22 @@
 
 #[test]
 fn routers_that_stood_still_answer_all_that_they_take_afterwards() {
-    let stop = Fault { at_ms: 1500, trouble: Trouble::Stop { part: 0.5, for_ms: 1500 } };
-    let slow = Trouble::Links {
+    let stop = Fault { at_ms: 1500, kind: FaultKind::Stop { part: 0.5, for_ms: 1500 } };
+    let slow = FaultKind::Links {
         routers: 0.5,
         hosts: 0.5,
-        way: Way::ToRouters,
-        harm: Harm::DelayMs(40),
+        direction: Direction::ToRouters,
+        fault: LinkFault::DelayMs(40),
+        for_ms: 2000,
+    };
+    let resets = FaultKind::Links {
+        routers: 1.0,
+        hosts: 0.3,
+        direction: Direction::Both,
+        fault: LinkFault::Reset(0.05),
         for_ms: 2000,
     };
-    let resets =
-        Trouble::Links { routers: 1.0, hosts: 0.3, way: Way::Both, harm: Harm::Reset(0.05), for_ms: 2000 };
-    let faults = vec![stop, Fault { at_ms: 1500, trouble: slow }, Fault { at_ms: 2500, trouble: resets }];
+    let faults = vec![stop, Fault { at_ms: 1500, kind: slow }, Fault { at_ms: 2500, kind: resets }];
     let report = kept(&Trial { load: 0.3, faults, ..small() });
     assert!(report.in_time > 0.85, "{report}");
 }
