--- a/crates/comethitch-lab/src/live/clients.rs
+++ b/crates/comethitch-lab/src/live/clients.rs
@@ -1,11 +1,12 @@
-//! Clients: each router has its own, who come at a rate of their own, wait as long as they said, and come again a
-//! little after a throttle.
+//! Clients of a fleet of real processes: each router has its own, which send commands at a rate of their own, wait for
+//! their timeout, and retry after a throttle.
 
-use super::{Shared, now, read, rest, routers};
+use super::network::{Message, message_type, now, read_message, sleep, sleep_until};
+use super::processes::{self, RouterIncarnation};
+use super::state::{LiveFleet, SLACK, SharedFleet};
 use crate::clients::{ClientCommand, LEAST_RATE, MAX_RETRIES, RETRY_DELAY};
 use crate::ledger::{Answer, Request};
-use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
+use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_testkit::postgres::message;
 use futures_lite::{AsyncWriteExt, future};
@@ -14,122 +15,199 @@
 use std::cell::RefCell;
 use std::net::TcpStream;
 use std::rc::Rc;
-use std::time::Duration as StdDuration;
 
-/// Connections that wait for their next command, with the router and the life of it that they lead to.
-type Pool = Rc<RefCell<Vec<(usize, u32, Async<TcpStream>)>>>;
+/// How much longer than its timeout, and the slack of the ledger, a client waits for an answer that is late.
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(100);
+/// The code fields of errors that mean a throttle: `too_many_connections` and `cannot_connect_now`.
+const THROTTLE_CODES: [&[u8]; 2] = [b"C53300\0", b"C57P03\0"];
 
-/// The clients of one router, until the trial stops asking.
-pub(super) async fn arrive(live: Shared, ex: Rc<LocalExecutor<'static>>, router: usize, rate: f64) {
+/// A connection that waits for its next command.
+struct IdleConnection {
+    router: RouterIncarnation,
+    stream: Async<TcpStream>,
+}
+
+/// The idle connections of one router's clients.
+type Pool = Rc<RefCell<Vec<IdleConnection>>>;
+
+/// What came back on a connection.
+#[derive(Default)]
+struct Reply {
+    /// Whether anything came.
+    begun: bool,
+    answer: Option<Answer>,
+}
+
+/// Sends the commands of one router's clients, until the trial ends.
+pub(super) async fn send_commands(fleet: SharedFleet, router: usize, rate: f64) {
     let pool = Pool::default();
-    let gap = Exp::new(rate.max(LEAST_RATE)).expect("a rate above 0");
-    let mut at = now();
+    let interval = Exp::new(rate.max(LEAST_RATE)).expect("the rate is above 0");
+    let mut next = now();
     loop {
         // Counted from the last arrival: a late timer takes nothing from the rate.
-        at = at + Duration::from_micros((gap.sample(&mut *live.rng.borrow_mut()) * 1e6) as u64);
-        rest(at - now()).await;
-        if !live.asking.get() {
+        let seconds = interval.sample(&mut *fleet.rng.borrow_mut());
+        next = next + Duration::from_micros((seconds * 1e6) as u64);
+        sleep_until(next).await;
+        if !fleet.clients_send.get() {
             return;
         }
-        let group = live.rng.borrow_mut().random_range(0..live.trial.groups);
-        let write = live.rng.borrow_mut().random_bool(live.trial.writes);
-        let ask =
-            ClientCommand { request: Request { id: live.number(), sent_at: now() }, shard: group, write };
-        live.ledger.borrow_mut().request_sent(ask.request);
-        let (live, pool) = (live.clone(), pool.clone());
-        ex.spawn(async move {
-            for _ in 0..=MAX_RETRIES {
-                if try_once(&live, &pool, router, ask).await != Some(Answer::Throttled) {
-                    return;
-                }
-                rest(RETRY_DELAY).await;
-            }
-        })
-        .detach();
+        let shard = fleet.rng.borrow_mut().random_range(0..fleet.trial.groups);
+        let write = fleet.rng.borrow_mut().random_bool(fleet.trial.writes);
+        let request = Request { id: fleet.next_number(), sent_at: now() };
+        fleet.ledger.borrow_mut().request_sent(request);
+        let command = ClientCommand { request, shard, write };
+        fleet.spawn(send_with_retries(fleet.clone(), pool.clone(), router, command));
     }
 }
 
-/// One command with an id of its own. `None` if it came to no answer.
-async fn try_once(live: &Shared, pool: &Pool, own: usize, ask: ClientCommand) -> Option<Answer> {
-    let up = live.processes.borrow().up();
-    let router = match up.contains(&own) {
-        true => own,
-        false if up.is_empty() => return None,
-        false => up[live.rng.borrow_mut().random_range(0..up.len())],
-    };
-    let epoch = live.processes.borrow().epoch(router);
-    let fits = |(at, life, _): &(usize, u32, _)| (*at, *life) == (router, epoch);
-    pool.borrow_mut().retain(|kept| live.processes.borrow().epoch(kept.0) == kept.1);
-    let found = pool.borrow().iter().position(fits);
-    let mut kept = found.map(|nth| pool.borrow_mut().swap_remove(nth).2);
-    let number = live.number();
-    let patience = Duration::from_millis(live.trial.timeout_ms);
-    let statement = match ask.write {
-        true => format!(r"INSERT INTO facts (code, data) VALUES ('{number:016x}', '\x9f03') RETURNING data"),
-        false => format!("SELECT data FROM facts WHERE code = '{number:016x}'"),
-    };
-    let name = if ask.write { "write" } else { "read" };
-    let (d, group) = (live.trial.timeout_ms, ask.shard);
-    let text = format!("/* id={number:016x},c={name},d={d},cluster={group} */ {statement}\0");
-    let at = live.processes.borrow().address(router);
-    let mut again = kept.is_some();
-    let began = now();
-    let mut taken = false;
-    let answer = async {
-        loop {
-            let mut stream = match kept.take() {
-                Some(stream) => stream,
-                None => routers::connect(at).await.ok()?,
-            };
-            if !taken {
-                taken = true;
-                live.processes.borrow_mut().takes(router, number);
-                live.ledger.borrow_mut().command_received(number, ask.request, ask.write, now() + patience);
-            }
-            let sent = stream.write_all(&message(b'Q', text.as_bytes())).await;
-            let mut got = None;
-            let mut begun = false;
-            while sent.is_ok() {
-                let Ok((kind, body)) = read(&mut stream).await else { break };
-                begun = true;
-                match kind {
-                    b'Z' => {
-                        let stays = live.processes.borrow().epoch(router) == epoch;
-                        if stays {
-                            pool.borrow_mut().push((router, epoch, stream));
-                        }
-                        return Some(got.unwrap_or(Answer::Failed));
-                    }
-                    b'D' => got = Some(Answer::Answered),
-                    b'E' => {
-                        let told = |code: &[u8]| body.windows(code.len()).any(|part| part == code);
-                        let throttled = told(b"C53300\0") || told(b"C57P03\0");
-                        got = Some(if throttled { Answer::Throttled } else { Answer::Failed });
-                    }
-                    _ => {}
-                }
-            }
-            // The router may have closed an idle connection as the command was on its way.
-            if !again || begun || now() - began > patience {
-                return got;
-            }
-            again = false;
+async fn send_with_retries(fleet: SharedFleet, pool: Pool, router: usize, command: ClientCommand) {
+    for _ in 0..=MAX_RETRIES {
+        if send_once(&fleet, &pool, router, command).await != Some(Answer::Throttled) {
+            return;
         }
-    };
+        sleep(RETRY_DELAY).await;
+    }
+}
+
+/// Sends a command with a number of its own. `None` if it got no answer.
+async fn send_once(
+    fleet: &LiveFleet, pool: &Pool, own_router: usize, command: ClientCommand,
+) -> Option<Answer> {
+    let router = serving_router(fleet, own_router)?;
+    let idle = take_idle(fleet, pool, router);
+    let exchange = Exchange { fleet, pool, router, command, number: fleet.next_number() };
     let late = async {
-        Timer::after(StdDuration::from_micros(
-            (patience + super::SLACK + Duration::from_millis(100)).as_micros(),
-        ))
-        .await;
+        sleep(exchange.timeout() + SLACK + LATE_ANSWER_GRACE).await;
         None
     };
-    let answer = future::or(answer, late).await;
-    let living = live.processes.borrow().epoch(router) == epoch;
-    match answer {
-        Some(answer) if living => live.ledger.borrow_mut().answer_received(number, now(), answer),
-        _ if !living => live.ledger.borrow_mut().router_lost(number),
-        _ => {}
-    }
-    live.processes.borrow_mut().ended_with(router, number);
+    let answer = future::or(exchange.run(idle), late).await;
+    exchange.record(answer);
     answer
 }
+
+/// The clients' own router, or any other that serves if it does not.
+fn serving_router(fleet: &LiveFleet, own_router: usize) -> Option<RouterIncarnation> {
+    let processes = fleet.processes.borrow();
+    let serving = processes.serving();
+    if serving.contains(&own_router) {
+        return Some(processes.current(own_router));
+    }
+    if serving.is_empty() {
+        return None;
+    }
+    let drawn = fleet.rng.borrow_mut().random_range(0..serving.len());
+    Some(processes.current(serving[drawn]))
+}
+
+/// Takes an idle connection to a router, and drops those to routers that were killed or stopped.
+fn take_idle(fleet: &LiveFleet, pool: &Pool, router: RouterIncarnation) -> Option<Async<TcpStream>> {
+    let processes = fleet.processes.borrow();
+    let mut pool = pool.borrow_mut();
+    pool.retain(|idle| processes.is_current(idle.router));
+    let found = pool.iter().position(|idle| idle.router == router)?;
+    Some(pool.swap_remove(found).stream)
+}
+
+/// One command and its answer.
+struct Exchange<'a> {
+    fleet: &'a LiveFleet,
+    pool: &'a Pool,
+    router: RouterIncarnation,
+    command: ClientCommand,
+    number: u64,
+}
+
+impl Exchange<'_> {
+    fn timeout(&self) -> Duration {
+        Duration::from_millis(self.fleet.trial.timeout_ms)
+    }
+
+    /// Sends the command on an idle connection or a new one. The router may have closed an idle one as the command was
+    /// on its way: then it is sent again on a new one.
+    async fn run(&self, idle: Option<Async<TcpStream>>) -> Option<Answer> {
+        let query = message(message_type::QUERY, self.query().as_bytes());
+        let begun = now();
+        let reused = idle.is_some();
+        let stream = match idle {
+            Some(stream) => stream,
+            None => self.connect().await?,
+        };
+        self.record_received();
+        let reply = self.execute(stream, &query).await;
+        if !reused || reply.begun || now() - begun > self.timeout() {
+            return reply.answer;
+        }
+        let stream = self.connect().await?;
+        self.execute(stream, &query).await.answer
+    }
+
+    fn query(&self) -> String {
+        let number = self.number;
+        let statement = if self.command.write {
+            format!(r"INSERT INTO facts (code, data) VALUES ('{number:016x}', '\x9f03') RETURNING data")
+        } else {
+            format!("SELECT data FROM facts WHERE code = '{number:016x}'")
+        };
+        let group = if self.command.write { "write" } else { "read" };
+        let timeout_ms = self.fleet.trial.timeout_ms;
+        let shard = self.command.shard;
+        format!("/* id={number:016x},c={group},d={timeout_ms},cluster={shard} */ {statement}\0")
+    }
+
+    async fn connect(&self) -> Option<Async<TcpStream>> {
+        let address = self.fleet.processes.borrow().client_address(self.router.router);
+        processes::connect(address).await.ok()
+    }
+
+    fn record_received(&self) {
+        let ClientCommand { request, write, .. } = self.command;
+        let deadline = now() + self.timeout();
+        self.fleet.processes.borrow_mut().command_sent(self.router.router, self.number);
+        self.fleet.ledger.borrow_mut().command_received(self.number, request, write, deadline);
+    }
+
+    /// Sends the query and reads until the router is ready for the next one, or the connection ends.
+    async fn execute(&self, mut stream: Async<TcpStream>, query: &[u8]) -> Reply {
+        let mut reply = Reply::default();
+        if stream.write_all(query).await.is_err() {
+            return reply;
+        }
+        while let Ok(Message { kind, body }) = read_message(&mut stream).await {
+            reply.begun = true;
+            match kind {
+                message_type::READY_FOR_QUERY => {
+                    self.keep(stream);
+                    reply.answer = reply.answer.or(Some(Answer::Failed));
+                    return reply;
+                }
+                message_type::DATA_ROW => reply.answer = Some(Answer::Answered),
+                message_type::ERROR_RESPONSE => reply.answer = Some(error_answer(&body)),
+                _ => {}
+            }
+        }
+        reply
+    }
+
+    fn keep(&self, stream: Async<TcpStream>) {
+        if self.fleet.processes.borrow().is_current(self.router) {
+            self.pool.borrow_mut().push(IdleConnection { router: self.router, stream });
+        }
+    }
+
+    /// Records the outcome; a router that was killed or stopped meanwhile owes none.
+    fn record(&self, answer: Option<Answer>) {
+        let is_current = self.fleet.processes.borrow().is_current(self.router);
+        let mut ledger = self.fleet.ledger.borrow_mut();
+        if !is_current {
+            ledger.router_lost(self.number);
+        } else if let Some(answer) = answer {
+            ledger.answer_received(self.number, now(), answer);
+        }
+        self.fleet.processes.borrow_mut().command_ended(self.router.router, self.number);
+    }
+}
+
+fn error_answer(body: &[u8]) -> Answer {
+    let has_code = |code: &&[u8]| body.windows(code.len()).any(|part| part == *code);
+    if THROTTLE_CODES.iter().any(has_code) { Answer::Throttled } else { Answer::Failed }
+}
--- /dev/null
+++ b/crates/comethitch-lab/src/live/faults.rs
@@ -0,0 +1,149 @@
+//! Faults of a fleet of real processes: what a trial's [`FaultKind`]s do to routers, hosts and links.
+
+use super::network::{now, sleep};
+use super::state::{LiveFleet, SharedFleet};
+use super::{hosts, processes};
+use crate::hosts::{SimulatedHost, fraction_of_each_shard, usable_replicas};
+use crate::ledger::Rule;
+use crate::trial::{Direction, FaultKind, LinkFault};
+use comethitch_policy::time::Duration;
+use std::rc::Rc;
+
+impl LiveFleet {
+    /// Plays a fault from its beginning to its end.
+    pub(super) async fn play_fault(self: Rc<LiveFleet>, fault: FaultKind) {
+        match fault {
+            FaultKind::Release { part, over_ms } => self.replace_replicas(part, over_ms).await,
+            FaultKind::Herd { part, back_ms } => {
+                self.kill_routers(part, Duration::from_millis(back_ms)).await;
+            }
+            FaultKind::Slow { part, factor } => self.slow_replicas(part, factor),
+            FaultKind::Stall { part, for_ms } => {
+                self.stall_replication(part, Duration::from_millis(for_ms)).await;
+            }
+            FaultKind::Takeover { part, after_ms } => {
+                self.kill_primaries(part, Duration::from_millis(after_ms)).await;
+            }
+            FaultKind::Stop { part, for_ms } => {
+                self.stop_routers(part, Duration::from_millis(for_ms)).await;
+            }
+            FaultKind::Links { routers, hosts, direction, fault, for_ms } => {
+                let affected = AffectedLinks { routers, hosts, direction };
+                self.disturb_links(affected, fault, Duration::from_millis(for_ms)).await;
+            }
+        }
+    }
+
+    fn all_routers(&self) -> Vec<usize> {
+        (0..usize::from(self.trial.routers)).collect()
+    }
+
+    async fn replace_replicas(self: &Rc<LiveFleet>, fraction: f64, over_ms: u64) {
+        let replicas = usable_replicas(&self.hosts.borrow());
+        let chosen = self.draw_for_fault(replicas, fraction);
+        let interval = Duration::from_micros(over_ms * 1000 / chosen.len().max(1) as u64);
+        for host in chosen {
+            self.spawn(replace_host(self.clone(), host));
+            sleep(interval).await;
+        }
+    }
+
+    async fn kill_routers(self: &Rc<LiveFleet>, fraction: f64, restart_after: Duration) {
+        let chosen = self.draw_for_fault(self.all_routers(), fraction);
+        for router in &chosen {
+            let in_flight = self.processes.borrow_mut().kill(*router);
+            self.record_lost(in_flight);
+        }
+        sleep(restart_after).await;
+        for router in chosen {
+            if !self.clients_send.get() {
+                return;
+            }
+            if let Err(error) = processes::start(self, router) {
+                self.record_violation(Rule::ProcessStart, error.to_string());
+            }
+            self.spawn(processes::wait_until_ready(self.clone(), router));
+        }
+    }
+
+    fn slow_replicas(&self, fraction: f64, factor: f64) {
+        let replicas = usable_replicas(&self.hosts.borrow());
+        for host in self.draw_for_fault(replicas, fraction) {
+            self.hosts.borrow_mut()[host].slowdown = factor;
+        }
+    }
+
+    async fn stall_replication(&self, fraction: f64, duration: Duration) {
+        let chosen = fraction_of_each_shard(&self.hosts.borrow(), fraction);
+        for host in &chosen {
+            self.hosts.borrow_mut()[*host].replication_stalled_since = Some(now());
+        }
+        sleep(duration).await;
+        for host in &chosen {
+            self.hosts.borrow_mut()[*host].replication_stalled_since = None;
+        }
+    }
+
+    async fn kill_primaries(&self, fraction: f64, promotion_after: Duration) {
+        let shards = self.draw_for_fault((0..usize::from(self.trial.groups)).collect(), fraction);
+        let is_in = |host: &SimulatedHost, shard: usize| usize::from(host.shard) == shard && !host.removed;
+        for shard in &shards {
+            let mut hosts = self.hosts.borrow_mut();
+            if let Some(primary) = hosts.iter_mut().find(|host| is_in(host, *shard) && host.primary) {
+                primary.removed = true;
+            }
+        }
+        sleep(promotion_after).await;
+        for shard in shards {
+            let mut hosts = self.hosts.borrow_mut();
+            let mut candidates = hosts.iter_mut().filter(|host| !host.primary && host.usable());
+            if let Some(replica) = candidates.find(|host| is_in(host, shard)) {
+                replica.primary = true;
+            }
+        }
+        self.publish_endpoints();
+    }
+
+    async fn stop_routers(&self, fraction: f64, duration: Duration) {
+        let chosen = self.draw_for_fault(self.all_routers(), fraction);
+        for router in &chosen {
+            let in_flight = self.processes.borrow_mut().stop(*router);
+            self.record_lost(in_flight);
+        }
+        sleep(duration).await;
+        for router in &chosen {
+            self.processes.borrow_mut().resume(*router);
+        }
+    }
+
+    async fn disturb_links(&self, affected: AffectedLinks, fault: LinkFault, duration: Duration) {
+        let all_hosts = (0..self.hosts.borrow().len()).collect();
+        let routers = self.draw_for_fault(self.all_routers(), affected.routers).into_iter().collect();
+        let hosts = self.draw_for_fault(all_hosts, affected.hosts).into_iter().collect();
+        let id = self.links.borrow_mut().inject(routers, hosts, affected.direction, fault);
+        sleep(duration).await;
+        self.links.borrow_mut().clear(id);
+    }
+}
+
+/// The fractions of routers and hosts whose links a fault affects.
+#[derive(Clone, Copy, Debug)]
+struct AffectedLinks {
+    routers: f64,
+    hosts: f64,
+    direction: Direction,
+}
+
+/// Drains a host, starts a cold one in its place, and removes it after twice the drain grace.
+async fn replace_host(fleet: SharedFleet, host: usize) {
+    let shard = fleet.hosts.borrow()[host].shard;
+    fleet.hosts.borrow_mut()[host].draining = Some(now());
+    match hosts::start(&fleet, shard, false) {
+        Ok(replacement) => fleet.hosts.borrow_mut()[replacement].started = Some(now()),
+        Err(error) => fleet.record_violation(Rule::ProcessStart, error.to_string()),
+    }
+    fleet.publish_endpoints();
+    sleep(Duration::from_micros(fleet.trial.drain_grace_ms * 2000)).await;
+    fleet.hosts.borrow_mut()[host].removed = true;
+    fleet.publish_endpoints();
+}
--- /dev/null
+++ b/crates/comethitch-lab/src/live/state.rs
@@ -0,0 +1,194 @@
+//! The state of a fleet of real processes, shared by all tasks of the one thread that plays a trial.
+
+use super::network::{now, sleep};
+use super::processes::RouterProcesses;
+use crate::hosts::{Job, SimulatedHost, StartedJob};
+use crate::ledger::{Ledger, Rule};
+use crate::links::{Destination, Fate, Links};
+use crate::trial::{Trial, TrialError};
+use crate::usable::UsableReplicas;
+use async_executor::LocalExecutor;
+use comethitch_policy::time::{Duration, Timestamp};
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// How much later than the router something may be seen here: many processes share few cores.
+pub(super) const SLACK: Duration = Duration::from_millis(300);
+/// Separates the random draws for faults from all others.
+const FAULT_SEED: u64 = 0x66_61_75_6c_74;
+/// How often a message on a link that is cut looks whether the cut has ended.
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A job by its host and its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct JobId {
+    pub host: usize,
+    pub job: u32,
+}
+
+/// The fleet; tasks share it through an [`Rc`].
+pub(super) struct LiveFleet {
+    pub trial: Trial,
+    executor: Rc<LocalExecutor<'static>>,
+    pub start: Cell<Timestamp>,
+    pub ledger: RefCell<Ledger>,
+    pub hosts: RefCell<Vec<SimulatedHost>>,
+    /// The port of each host, the same for all routers.
+    pub ports: RefCell<Vec<u16>>,
+    /// Connections that each host holds.
+    pub open_connections: RefCell<BTreeMap<usize, u32>>,
+    pub links: RefCell<Links>,
+    pub processes: Rc<RefCell<RouterProcesses>>,
+    pub rng: RefCell<ChaCha8Rng>,
+    /// For faults alone: a seed affects the same routers and hosts in every play, whatever else was drawn meanwhile.
+    fault_rng: RefCell<ChaCha8Rng>,
+    /// Whom to notify when a job is finished.
+    pub job_waiters: RefCell<BTreeMap<JobId, async_channel::Sender<()>>>,
+    last_job: Cell<u32>,
+    last_number: Cell<u64>,
+    /// The version of the endpoint list.
+    pub endpoints_version: Cell<u64>,
+    pub usable: RefCell<UsableReplicas>,
+    /// Whether clients still send new commands.
+    pub clients_send: Cell<bool>,
+}
+
+/// The fleet as tasks hold it.
+pub(super) type SharedFleet = Rc<LiveFleet>;
+
+impl LiveFleet {
+    /// A fleet without hosts and running routers, and the rates of the routers' clients for each core of the replicas.
+    pub fn new(
+        trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
+    ) -> Result<(SharedFleet, Vec<f64>), TrialError> {
+        let mut rng = ChaCha8Rng::seed_from_u64(trial.seed);
+        let rates_per_core = trial.arrival_rates(&mut rng, 1.0)?;
+        let fleet = Rc::new(LiveFleet {
+            trial: trial.clone(),
+            executor,
+            start: Cell::new(now()),
+            ledger: RefCell::new(empty_ledger(trial)),
+            hosts: RefCell::default(),
+            ports: RefCell::default(),
+            open_connections: RefCell::default(),
+            links: RefCell::default(),
+            processes,
+            rng: RefCell::new(rng),
+            fault_rng: RefCell::new(ChaCha8Rng::seed_from_u64(trial.seed ^ FAULT_SEED)),
+            job_waiters: RefCell::default(),
+            last_job: Cell::new(0),
+            last_number: Cell::new(0),
+            endpoints_version: Cell::new(1),
+            usable: RefCell::default(),
+            clients_send: Cell::new(true),
+        });
+        Ok((fleet, rates_per_core))
+    }
+
+    /// Runs a task beside all others.
+    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.executor.spawn(task).detach();
+    }
+
+    /// Takes the ledger out at the end of the trial.
+    pub fn take_ledger(&self) -> Ledger {
+        self.ledger.replace(empty_ledger(&self.trial))
+    }
+
+    /// A random number from 0 to 1.
+    pub fn draw(&self) -> f64 {
+        self.rng.borrow_mut().random_range(0.0..1.0)
+    }
+
+    /// This fraction of the candidates, drawn for a fault.
+    pub fn draw_for_fault(&self, mut candidates: Vec<usize>, fraction: f64) -> Vec<usize> {
+        let count = (candidates.len() as f64 * fraction).round() as usize;
+        let mut rng = self.fault_rng.borrow_mut();
+        (0..count).map(|_| candidates.swap_remove(rng.random_range(0..candidates.len()))).collect()
+    }
+
+    /// Waits as long as a message is on its link. `false` if the connection breaks instead.
+    pub async fn transmit(&self, router: usize, host: usize, destination: Destination) -> bool {
+        let draw = self.draw();
+        let fate = || self.links.borrow().fate(router, host, destination, draw);
+        match fate() {
+            Fate::Delivered(Duration::ZERO) => true,
+            Fate::Delivered(delay) => {
+                sleep(delay).await;
+                true
+            }
+            Fate::Reset => false,
+            // Silence until the link works again; what was on it then is lost.
+            Fate::Dropped => {
+                while fate() == Fate::Dropped {
+                    sleep(CUT_POLL_INTERVAL).await;
+                }
+                false
+            }
+        }
+    }
+
+    /// The number of the present second of the trial.
+    pub fn second(&self) -> u64 {
+        (now() - self.start.get()).as_micros() / 1_000_000
+    }
+
+    /// The next number of a request or a command.
+    pub fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
+    }
+
+    /// The next number of a job.
+    pub fn next_job(&self) -> u32 {
+        self.last_job.set(self.last_job.get().wrapping_add(1));
+        self.last_job.get()
+    }
+
+    /// Runs a job on a core of its host, and then the next one from the queue.
+    pub fn run_job(self: &Rc<LiveFleet>, host: usize, started: StartedJob) {
+        let fleet = self.clone();
+        self.spawn(async move {
+            sleep(started.duration).await;
+            fleet.finish_job(host, started.job);
+        });
+    }
+
+    fn finish_job(self: &Rc<LiveFleet>, host: usize, job: Job) {
+        let waiter = self.job_waiters.borrow_mut().remove(&JobId { host, job: job.command });
+        if let Some(waiter) = waiter {
+            // Whoever waited may have given up meanwhile.
+            let _ = waiter.try_send(());
+        }
+        let next = self.hosts.borrow_mut()[host].finish(&job, &self.trial.cold_start(), now());
+        if let Some(next) = next {
+            self.run_job(host, next);
+        }
+    }
+
+    /// Commands whose router was killed or stopped: no answer is owed.
+    pub fn record_lost(&self, commands: BTreeSet<u64>) {
+        for command in commands {
+            self.ledger.borrow_mut().router_lost(command);
+        }
+    }
+
+    /// Records a violation of a rule.
+    pub fn record_violation(&self, rule: Rule, description: String) {
+        self.ledger.borrow_mut().record_violation(rule, description);
+    }
+
+    /// Publishes a change of the endpoint list.
+    pub fn publish_endpoints(&self) {
+        self.endpoints_version.set(self.endpoints_version.get() + 1);
+    }
+}
+
+fn empty_ledger(trial: &Trial) -> Ledger {
+    let latency_objective = Duration::from_millis(trial.target_ms);
+    let drain_grace = Duration::from_millis(trial.drain_grace_ms);
+    Ledger::new(latency_objective, drain_grace, Timestamp::ZERO).with_slack(SLACK)
+}
