--- a/crates/comethitch-adapter/src/main.rs
+++ b/crates/comethitch-adapter/src/main.rs
@@ -1,59 +1,71 @@
 //! The bench's wire on standard input and output, before the decisions of the `comethitch-policy` package.
+//!
+//! The input is a sequence of frames, one a batch of events; the output is one frame of actions for each.
 
-mod fields;
-mod outlet;
+#![warn(missing_docs)]
+
+mod error;
+mod event;
+mod record;
+mod reply;
 mod session;
 
-use session::Session;
+use error::{AdapterError, ShortFrame};
+use record::RecordReader;
+use session::{HEADER_SIZE, LENGTH, Session};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
+/// The size of the buffer of standard input, in bytes.
+const INPUT_BUFFER_SIZE: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    match serve(BufReader::with_capacity(1 << 20, io::stdin()), BufWriter::new(io::stdout())) {
+    let input = BufReader::with_capacity(INPUT_BUFFER_SIZE, io::stdin());
+    match serve(input, BufWriter::new(io::stdout())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("comethitch-adapter: {message}");
+        Err(error) => {
+            eprintln!("comethitch-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 /// Answers batch after batch until the input ends.
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     let mut frame = Vec::new();
     while read_frame(&mut input, &mut frame)? {
         let reply = session.reply_to(&frame)?;
-        output.write_all(reply).map_err(|e| format!("cannot write the reply: {e}"))?;
-        output.flush().map_err(|e| format!("cannot write the reply: {e}"))?;
+        output.write_all(reply).map_err(AdapterError::Write)?;
+        output.flush().map_err(AdapterError::Write)?;
     }
     Ok(())
 }
 
-/// Fills `frame` with the next whole frame; false at the end of the input.
-fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, String> {
+/// Fills `frame` with the next complete frame; false at the end of the input.
+fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     frame.clear();
-    read_up_to(input, frame, session::HEADER)?;
+    read_up_to(input, frame, HEADER_SIZE)?;
     if frame.is_empty() {
         return Ok(false);
     }
-    if frame.len() < session::HEADER {
-        return Err(format!("short frame: {} bytes of a header of {}", frame.len(), session::HEADER));
+    if frame.len() < HEADER_SIZE {
+        return Err(ShortFrame::Header { found: frame.len(), header: HEADER_SIZE }.into());
     }
-    let length = fields::Fields(frame).u32(4)? as usize;
-    if length < session::HEADER {
-        return Err(format!("short frame: its length field says {length} bytes"));
+    let length = RecordReader(frame).u32(LENGTH).map_err(AdapterError::Header)? as usize;
+    if length < HEADER_SIZE {
+        return Err(ShortFrame::LengthField { length }.into());
     }
-    read_up_to(input, frame, length - session::HEADER)?;
-    match frame.len() == length {
-        true => Ok(true),
-        false => Err(format!("short frame: {} bytes of {length}", frame.len())),
+    read_up_to(input, frame, length - HEADER_SIZE)?;
+    if frame.len() < length {
+        return Err(ShortFrame::Body { found: frame.len(), length }.into());
     }
+    Ok(true)
 }
 
-fn read_up_to(input: &mut impl Read, frame: &mut Vec<u8>, count: usize) -> Result<(), String> {
-    let read = input.take(count as u64).read_to_end(frame);
-    read.map(|_| ()).map_err(|e| format!("cannot read the batch: {e}"))
+fn read_up_to(input: &mut impl Read, frame: &mut Vec<u8>, count: usize) -> Result<(), AdapterError> {
+    input.take(count as u64).read_to_end(frame).map_err(AdapterError::Read)?;
+    Ok(())
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/comethitch-adapter/src/reply.rs
@@ -0,0 +1,130 @@
+//! Writes the reply to a batch: one record for each action that the policy decides, in their order.
+
+use comethitch_policy::time::{Duration, Timestamp};
+use comethitch_policy::{Actions, CommandId, Host, RejectionReason};
+
+/// The length of a reply's header: the frame's length, and the number of records.
+const HEADER_SIZE: usize = 8;
+/// The length of a record.
+const RECORD_SIZE: usize = 24;
+/// Where the header's number of records begins.
+const COUNT_OFFSET: usize = 4;
+/// What `watch_endpoints` asks for: every change.
+const WATCH_ALL: u8 = 1;
+
+/// The codes of the records that a reply may hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u8)]
+enum ActionCode {
+    SendAttempt = 80,
+    CheckHealth = 81,
+    WakeAfter = 82,
+    WatchEndpoints = 83,
+    Throttle = 84,
+    CloseIdleConnections = 85,
+    Fail = 86,
+    InstanceFailed = 88,
+    CancelAttempt = 90,
+}
+
+/// The reply to one batch, as it grows. Its buffers are reused for every batch.
+#[derive(Default)]
+pub struct Reply {
+    frame: Vec<u8>,
+    tail: Vec<u8>,
+    count: u32,
+    now: Timestamp,
+    instance: u16,
+}
+
+impl Reply {
+    /// Begins the reply to a batch of this time.
+    pub fn start(&mut self, now: Timestamp) {
+        self.frame.clear();
+        self.frame.resize(HEADER_SIZE, 0);
+        self.tail.clear();
+        self.count = 0;
+        self.now = now;
+    }
+
+    /// The actions that follow are this instance's.
+    pub fn for_instance(&mut self, instance: u16) -> &mut Reply {
+        self.instance = instance;
+        self
+    }
+
+    /// Completes the header and the tail; returns the whole frame.
+    pub fn finish(&mut self) -> &[u8] {
+        self.frame.extend_from_slice(&self.tail);
+        let length = self.frame.len() as u32;
+        self.frame[..COUNT_OFFSET].copy_from_slice(&length.to_le_bytes());
+        self.frame[COUNT_OFFSET..HEADER_SIZE].copy_from_slice(&self.count.to_le_bytes());
+        &self.frame
+    }
+
+    /// Reports that the present instance has failed and takes no more events.
+    pub fn instance_failed(&mut self, text: &str) {
+        let start = self.tail.len() as u32;
+        let length = text.len() as u32;
+        self.tail.extend_from_slice(text.as_bytes());
+        self.record(ActionCode::InstanceFailed, &[&start.to_le_bytes(), &length.to_le_bytes()]);
+    }
+
+    fn record(&mut self, code: ActionCode, fields: &[&[u8]]) {
+        let end = self.frame.len() + RECORD_SIZE;
+        self.frame.push(code as u8);
+        self.frame.extend_from_slice(&self.instance.to_le_bytes());
+        fields.iter().for_each(|field| self.frame.extend_from_slice(field));
+        self.frame.resize(end, 0);
+        self.count += 1;
+    }
+
+    fn host_record(&mut self, code: ActionCode, host: Host) {
+        self.record(code, &[&host.address, &host.port.to_le_bytes()]);
+    }
+}
+
+/// A duration in microseconds, as the wire has it; longer ones become the longest there is.
+fn micros(duration: Duration) -> [u8; 4] {
+    u32::try_from(duration.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
+}
+
+impl Actions for Reply {
+    fn now(&self) -> Timestamp {
+        self.now
+    }
+
+    fn send_attempt(&mut self, command: CommandId, host: Host, timeout: Duration) {
+        let fields = [&command.to_le_bytes()[..], &host.address, &host.port.to_le_bytes(), &micros(timeout)];
+        self.record(ActionCode::SendAttempt, &fields);
+    }
+
+    fn cancel_attempt(&mut self, command: CommandId, attempt: u16) {
+        self.record(ActionCode::CancelAttempt, &[&command.to_le_bytes(), &attempt.to_le_bytes()]);
+    }
+
+    fn throttle(&mut self, command: CommandId, retry_after: Option<Duration>, _: RejectionReason) {
+        let retry_after = micros(retry_after.unwrap_or_default());
+        self.record(ActionCode::Throttle, &[&command.to_le_bytes(), &retry_after]);
+    }
+
+    fn fail(&mut self, command: CommandId, _: RejectionReason) {
+        self.record(ActionCode::Fail, &[&command.to_le_bytes()]);
+    }
+
+    fn check_health(&mut self, host: Host) {
+        self.host_record(ActionCode::CheckHealth, host);
+    }
+
+    fn close_idle_connections(&mut self, host: Host) {
+        self.host_record(ActionCode::CloseIdleConnections, host);
+    }
+
+    fn wake_after(&mut self, delay: Duration) {
+        self.record(ActionCode::WakeAfter, &[&micros(delay)]);
+    }
+
+    fn watch_endpoints(&mut self) {
+        self.record(ActionCode::WatchEndpoints, &[&[WATCH_ALL]]);
+    }
+}
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -1,178 +1,168 @@
-//! Decodes a batch and makes of each of its records a call on the router that it concerns.
+//! Turns each event of a batch into a call on the router that it concerns, and the decisions into a reply.
 
-use crate::fields::Fields;
-use crate::outlet::Reply;
-use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{
-    AttemptEnd, AttemptOutcome, CommandRequest, Deployment, Endpoint, EndpointUpdate, Lifecycle, Router,
+use crate::error::{AdapterError, RecordError, ShortFrame};
+use crate::event::{
+    self, EndedAttempt, EndpointsChange, EventCode, HealthCheckEnd, InstanceStart, ListDefinition,
+    RECORD_SIZE,
 };
+use crate::record::RecordReader;
+use crate::reply::Reply;
+use comethitch_policy::time::Timestamp;
+use comethitch_policy::{EndpointUpdate, Router};
+use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-pub const HEADER: usize = 16;
-const RECORD: usize = 48;
-const ENTRY: usize = 27;
+/// The length of a batch's header: the number of records, the frame's length, and the time in microseconds.
+pub const HEADER_SIZE: usize = 16;
+/// The offsets of the header's fields.
+const COUNT: usize = 0;
+pub const LENGTH: usize = 4;
+const TIME: usize = 8;
 
-/// The routers hosted here, which share nothing, and the lists that the wire numbers.
+/// Endpoint lists by number, as entries that are not decoded yet.
+type Lists = BTreeMap<u32, Vec<u8>>;
+
+/// The routers hosted here, which share nothing but the endpoint lists that the wire numbers.
 #[derive(Default)]
 pub struct Session {
     routers: BTreeMap<u16, Router>,
-    lists: BTreeMap<u32, Vec<u8>>,
+    lists: Lists,
     reply: Reply,
 }
 
 impl Session {
-    pub fn reply_to(&mut self, frame: &[u8]) -> Result<&[u8], String> {
-        let header = Fields(frame);
-        let count = header.u32(0)? as usize;
-        let tail = count.checked_mul(RECORD).and_then(|length| length.checked_add(HEADER));
-        let tail = tail
-            .filter(|at| *at <= frame.len())
-            .ok_or_else(|| format!("short frame: {count} records do not fit into {} bytes", frame.len()))?;
-        self.reply.start(Timestamp::from_micros(header.u64(8)?));
-        for (i, record) in frame[HEADER..tail].chunks_exact(RECORD).enumerate() {
-            self.take_in(Fields(record), Fields(&frame[tail..]))
-                .map_err(|e| format!("record {i} (code {}, byte {}): {e}", record[0], HEADER + i * RECORD))?;
+    /// Handles all records of a batch in their order; returns the reply's frame.
+    ///
+    /// # Errors
+    /// A record that cannot be read. Nothing is replied then.
+    pub fn reply_to(&mut self, frame: &[u8]) -> Result<&[u8], AdapterError> {
+        let header = RecordReader(frame);
+        let count = header.u32(COUNT).map_err(AdapterError::Header)? as usize;
+        let tail_start = tail_start(count, frame.len())?;
+        let time = header.u64(TIME).map_err(AdapterError::Header)?;
+        self.reply.start(Timestamp::from_micros(time));
+        let tail = RecordReader(&frame[tail_start..]);
+        for (index, record) in frame[HEADER_SIZE..tail_start].chunks_exact(RECORD_SIZE).enumerate() {
+            self.handle(RecordReader(record), tail).map_err(|source| {
+                let offset = HEADER_SIZE + index * RECORD_SIZE;
+                AdapterError::Record { index, code: record[0], offset, source }
+            })?;
         }
         Ok(self.reply.finish())
     }
 
-    fn take_in(&mut self, record: Fields, tail: Fields) -> Result<(), String> {
-        let code = record.u8(0)?;
-        if code == 25 {
-            let entries = tail.named_by(record, 5, ENTRY)?;
-            let list = self.lists.entry(record.u32(1)?).or_default();
-            list.clear();
-            list.extend_from_slice(entries);
-            return Ok(());
-        }
-        let instance = record.u16(1)?;
-        let out = self.reply.of(instance);
-        if code == 24 {
-            let text = std::str::from_utf8(tail.named_by(record, 11, 1)?);
-            let deployment = Deployment::read(text.map_err(|_| "the deployment text is not UTF-8")?)?;
-            self.routers.insert(instance, Router::start(deployment, record.u64(3)?, out));
+    fn handle(&mut self, record: RecordReader, tail: RecordReader) -> Result<(), RecordError> {
+        let code = EventCode::of(record)?;
+        if code == EventCode::ListDefined {
+            self.define_list(ListDefinition::decode(record, tail)?);
             return Ok(());
         }
-        if code == 16 {
-            self.routers.remove(&instance);
-            return Ok(());
+        let instance = event::instance(record)?;
+        match code {
+            EventCode::InstanceStarted => self.start(instance, InstanceStart::decode(record, tail)?),
+            EventCode::InstanceStopped => _ = self.routers.remove(&instance),
+            _ => self.decide(instance, code, record)?,
         }
-        let Some(router) = self.routers.get_mut(&instance) else {
-            return match code {
-                17..=26 => Ok(()),
-                _ => Err("unknown event code".into()),
-            };
-        };
+        Ok(())
+    }
+
+    fn define_list(&mut self, definition: ListDefinition) {
+        let entries = self.lists.entry(definition.list).or_default();
+        entries.clear();
+        entries.extend_from_slice(definition.entries);
+    }
+
+    fn start(&mut self, instance: u16, start: InstanceStart) {
+        let out = self.reply.for_instance(instance);
+        self.routers.insert(instance, Router::start(start.deployment, start.seed, out));
+    }
+
+    /// Passes an event to its router. Events of an instance that is not running are dropped; an instance that panics
+    /// is reported and ends.
+    fn decide(&mut self, instance: u16, code: EventCode, record: RecordReader) -> Result<(), RecordError> {
+        let Some(router) = self.routers.get_mut(&instance) else { return Ok(()) };
+        let out = self.reply.for_instance(instance);
         let decided = catch_unwind(AssertUnwindSafe(|| decide(router, code, record, &self.lists, out)));
         decided.unwrap_or_else(|panic| {
-            let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the decision failed");
-            self.reply.bail_out(text);
+            self.reply.instance_failed(panic_message(panic.as_ref()));
             self.routers.remove(&instance);
             Ok(())
         })
     }
 }
 
+/// Where the tail begins, after all records.
+fn tail_start(count: usize, frame_length: usize) -> Result<usize, ShortFrame> {
+    let end = count.checked_mul(RECORD_SIZE).and_then(|size| size.checked_add(HEADER_SIZE));
+    let end = end.filter(|end| *end <= frame_length);
+    end.ok_or(ShortFrame::Records { count, length: frame_length })
+}
+
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
+    let text = panic.downcast_ref::<String>().map(String::as_str);
+    text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the decision failed")
+}
+
 fn decide(
-    router: &mut Router, code: u8, record: Fields, lists: &BTreeMap<u32, Vec<u8>>, out: &mut Reply,
-) -> Result<(), String> {
+    router: &mut Router, code: EventCode, record: RecordReader, lists: &Lists, out: &mut Reply,
+) -> Result<(), RecordError> {
     match code {
-        17 => {
-            if let Some(handle) = router.handle(record.u32(3)?) {
-                handle.client_disconnected(router, out);
-            }
-        }
-        18 => match record.u8(3)? {
-            3 => router.endpoints_unavailable(out),
-            scope @ 0..=2 => {
-                let bank = record.u32(12)?;
-                let list = lists.get(&bank).ok_or_else(|| format!("list {bank} was never given"))?;
-                let endpoints = list.chunks_exact(ENTRY).map(|entry| endpoint(Fields(entry)));
-                let endpoints = endpoints.collect::<Result<_, _>>()?;
-                router.update_endpoints(&EndpointUpdate { complete: scope != 0, endpoints }, out);
-            }
-            scope => return Err(format!("unknown list scope {scope}")),
-        },
-        20 => {
-            let reported = router.deployment.parse_report(&report(record, 15)?);
-            router.health_checked(record.host(7)?, ending(record.u16(13)?)?, reported, out);
-        }
-        22 => {
-            let group = usize::from(record.u16(7)?);
-            if group >= router.deployment.groups.len() {
-                return Err(format!("unknown command group {group}"));
-            }
-            // Rounded down: a commit that looks later than it was asks for more, never for less.
-            let since_write = record.f32(31)?;
-            let since_write = (since_write > 0.0)
-                .then(|| Duration::from_micros((f64::from(since_write.next_down()) * 1000.0) as u64));
-            let request = CommandRequest {
-                id: record.u32(3)?,
-                group,
-                shard: record.f32(27)? as u16,
-                session: record.u64(11)?,
-                since_write,
-                timeout: Duration::from_micros(record.u32(19)?.into()),
-            };
-            router.submit(request, out);
+        EventCode::ClientDisconnected => client_disconnected(router, record, out),
+        EventCode::EndpointsChanged => endpoints_changed(router, record, lists, out),
+        EventCode::HealthChecked => health_checked(router, record, out),
+        EventCode::CommandSubmitted => command_submitted(router, record, out),
+        EventCode::Ticked => {
+            router.tick(out);
+            Ok(())
         }
-        23 => router.tick(out),
-        26 => {
-            let deployment = &router.deployment;
-            let end = AttemptEnd {
-                attempt: record.u16(7)?,
-                outcome: ending(record.u16(20)?)?,
-                command_finished: record.u8(19)? != 0,
-                note: deployment.parse_note(record.u32(22)?),
-                report: deployment.parse_report(&report(record, 26)?),
-            };
-            if let Some(handle) = router.handle(record.u32(3)?) {
-                handle.attempt_ended(router, end, out);
-            }
+        EventCode::AttemptEnded => attempt_ended(router, record, out),
+        EventCode::Ignored
+        | EventCode::InstanceStarted
+        | EventCode::InstanceStopped
+        | EventCode::ListDefined => Ok(()),
+    }
+}
+
+fn client_disconnected(
+    router: &mut Router, record: RecordReader, out: &mut Reply,
+) -> Result<(), RecordError> {
+    if let Some(handle) = router.handle(event::disconnected_command(record)?) {
+        handle.client_disconnected(router, out);
+    }
+    Ok(())
+}
+
+fn endpoints_changed(
+    router: &mut Router, record: RecordReader, lists: &Lists, out: &mut Reply,
+) -> Result<(), RecordError> {
+    match EndpointsChange::decode(record)? {
+        EndpointsChange::Unavailable => router.endpoints_unavailable(out),
+        EndpointsChange::Listed { list, complete } => {
+            let entries = lists.get(&list).ok_or(RecordError::UnknownList(list))?;
+            let endpoints = event::endpoints(entries)?;
+            router.update_endpoints(&EndpointUpdate { complete, endpoints }, out);
         }
-        19 | 21 => {}
-        _ => return Err("unknown event code".into()),
     }
     Ok(())
 }
 
-fn endpoint(entry: Fields) -> Result<Endpoint, String> {
-    let lifecycle = match entry.u8(10)? {
-        0 => Lifecycle::Draining,
-        1 => Lifecycle::Ready,
-        2 => Lifecycle::Removed,
-        other => return Err(format!("unknown lifecycle {other} in a list")),
-    };
-    let started = entry.u64(19)?;
-    Ok(Endpoint {
-        host: entry.host(0)?,
-        zone: entry.u8(6)?,
-        shard: entry.u16(8)?,
-        lifecycle,
-        is_primary: entry.f32(11)? >= 0.5,
-        capacity: f64::from(entry.f32(15)?),
-        started: (started > 0).then_some(Timestamp::from_micros(started)),
-    })
+fn health_checked(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
+    let HealthCheckEnd { host, outcome, report } = HealthCheckEnd::decode(record, &router.deployment)?;
+    router.health_checked(host, outcome, report, out);
+    Ok(())
 }
 
-fn report(record: Fields, at: usize) -> Result<Vec<f32>, String> {
-    let told = usize::from(record.u8(at)?);
-    (0..told.min(4)).map(|i| record.f32(at + 1 + 4 * i)).collect()
+fn command_submitted(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
+    let request = event::command_request(record, &router.deployment)?;
+    router.submit(request, out);
+    Ok(())
 }
 
-fn ending(code: u16) -> Result<AttemptOutcome, String> {
-    const ENDINGS: [AttemptOutcome; 9] = [
-        AttemptOutcome::Answered,
-        AttemptOutcome::Error,
-        AttemptOutcome::Overloaded,
-        AttemptOutcome::TimedOut,
-        AttemptOutcome::ConnectionFailed,
-        AttemptOutcome::ConnectionReset,
-        AttemptOutcome::Cancelled,
-        AttemptOutcome::NotSent,
-        AttemptOutcome::NotPrimary,
-    ];
-    ENDINGS.get(usize::from(code)).copied().ok_or_else(|| format!("unknown ending {code}"))
+fn attempt_ended(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
+    let EndedAttempt { command, end } = EndedAttempt::decode(record, &router.deployment)?;
+    if let Some(handle) = router.handle(command) {
+        handle.attempt_ended(router, end, out);
+    }
+    Ok(())
 }
--- a/crates/comethitch-adapter/src/tests.rs
+++ b/crates/comethitch-adapter/src/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the wire: whole batches in, replies or errors out.
+
 use crate::{read_frame, serve, session::Session};
 use std::io::Cursor;
 
@@ -51,7 +53,7 @@
     (vec![start, directory, record("12 0300 02 2900000000000000 00000000")], tail)
 }
 
-const TAKEN: &str = "16 0300 c4913a5d 0000 0000 640ad2557c3bf091 80a90300 e02e0000 00003041 0040ce43 01";
+const SUBMITTED: &str = "16 0300 c4913a5d 0000 0000 640ad2557c3bf091 80a90300 e02e0000 00003041 0040ce43 01";
 const RESET: &str = "1a 0300 c4913a5d 0000 44480000 0a124a07 2b23 00 0500 00000000 00";
 
 #[test]
@@ -62,12 +64,12 @@
 }
 
 #[test]
-fn a_command_is_dispatched_to_the_byte_and_an_ending_finds_it() {
+fn an_attempt_is_sent_to_the_byte_and_its_end_finds_the_command() {
     let mut session = Session::default();
     let (mut records, tail) = begun();
-    records.push(record(TAKEN));
+    records.push(record(SUBMITTED));
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply").to_vec();
-    // The wake, then the dispatch of the whole 240 ms that the command has.
+    // The wake, then the attempt with all of the 240 ms that the command has.
     assert_eq!(reply[..8], bytes("38000000 02000000"));
     assert_eq!(reply[8..11], bytes("52 0300"));
     assert_eq!(reply[32..], bytes("50 0300 c4913a5d 0a124a07 2b23 80a90300 00000000000000"));
@@ -78,7 +80,7 @@
         "it may have run: failed"
     );
     let gone = [record("11 0300 c4913a5d"), record(RESET)];
-    let reply = session.reply_to(&batch(&gone, &[])).expect("what is finished is no trouble").to_vec();
+    let reply = session.reply_to(&batch(&gone, &[])).expect("what is finished is no error").to_vec();
     assert_eq!(reply, bytes("08000000 00000000"));
 }
 
@@ -90,7 +92,7 @@
     let mut other = records[1].clone();
     other[5..9].copy_from_slice(&((tail.len() - 27) as u32).to_le_bytes());
     other[9] = 1;
-    records.extend([other, record(TAKEN)]);
+    records.extend([other, record(SUBMITTED)]);
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply");
     assert_eq!(reply[32 + 7..32 + 13], bytes("0a124a07 2b23"), "the first list named the primary");
 }
@@ -99,7 +101,7 @@
 fn a_restart_in_one_batch_forgets_everything() {
     let mut session = Session::default();
     let (start, tail) = start(DEPLOYMENT);
-    session.reply_to(&batch(&[start.clone(), record(TAKEN)], &tail)).expect("a reply");
+    session.reply_to(&batch(&[start.clone(), record(SUBMITTED)], &tail)).expect("a reply");
     let records = [record("10 0300"), start, record("11 0300 c4913a5d"), record(RESET)];
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply");
     assert_eq!(reply[..8], bytes("20000000 01000000"), "nothing but the wake");
@@ -118,7 +120,7 @@
     };
     let mut outside = start.clone();
     outside[11] = 9;
-    let mut group = record(TAKEN);
+    let mut group = record(SUBMITTED);
     group[7] = 4;
     let then = |last: Vec<u8>| batch(&[start.clone(), last], &tail);
     let cases = [
@@ -137,13 +139,13 @@
         (restart(DEPLOYMENT.replace("=once", "=twice")), "classes.0.effect is unreadable: \"twice\""),
     ];
     for (input, wanted) in cases {
-        let message = serve(Cursor::new(input), Vec::new()).expect_err(wanted);
+        let message = serve(Cursor::new(input), Vec::new()).expect_err(wanted).to_string();
         assert!(message.contains(wanted) && !message.contains('\n'), "{message}");
     }
 }
 
 #[test]
 fn the_end_of_the_input_is_no_error() {
-    assert_eq!(read_frame(&mut Cursor::new([0u8; 0]), &mut Vec::new()), Ok(false));
-    assert_eq!(serve(Cursor::new(bytes("00000000 10000000 5a5c800000000000")), Vec::new()), Ok(()));
+    assert!(matches!(read_frame(&mut Cursor::new([0u8; 0]), &mut Vec::new()), Ok(false)));
+    assert!(matches!(serve(Cursor::new(bytes("00000000 10000000 5a5c800000000000")), Vec::new()), Ok(())));
 }
