--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -9,8 +9,9 @@
 mod command;
 pub mod commits;
 pub mod histogram;
+mod host_group;
+mod host_state;
 mod messages;
-mod node;
 pub mod policy;
 
 use std::collections::BTreeMap;
@@ -271,7 +272,7 @@
 impl Router {
     /// How many host entries are allocated: those of removed hosts are used again.
     pub fn host_entries(&self) -> usize {
-        self.nodes.len()
+        self.hosts.len()
     }
 }
 
