--- /dev/null
+++ b/crates/comethitch-fleet/src/quota/tests.rs
@@ -0,0 +1,71 @@
+//! Tests of `quota`.
+
+use super::*;
+
+const LENGTH: Duration = Duration::from_millis(1_500);
+
+/// What a fleet spends at one host in a window: each router has more commands than it may send.
+fn spent_together(routers: u64, budget: f64, cost: f64, now: Timestamp) -> f64 {
+    let spend = |router: u64| {
+        let hash_seed = router.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let window = Window { hash_seed, host_key: 77, now, length: LENGTH };
+        let mut usage = WindowUsage::default();
+        while usage.admits(cost, budget, &window) {
+            usage.add(cost, &window);
+        }
+        usage.amount
+    };
+    (0..routers).map(spend).sum()
+}
+
+#[test]
+fn all_routers_together_spend_the_budget_whatever_part_of_a_command_each_has() {
+    for (routers, budget) in [(300, 0.1), (300, 0.9), (40, 0.5), (40, 2.5), (8, 7.3)] {
+        let windows: Vec<f64> = (1..41)
+            .map(|k| spent_together(routers, budget, 1.0, Timestamp::from_micros(k * 3_000_000)))
+            .collect();
+        let mean = windows.iter().sum::<f64>() / windows.len() as f64;
+        let expected = routers as f64 * budget;
+        assert!((mean / expected - 1.0).abs() < 0.1, "{routers} with {budget}: {mean} for {expected}");
+        let most = windows.iter().fold(0.0, |most: f64, one| most.max(*one));
+        let rare =
+            (1..).map(f64::from).find(|n| overrun_probability(expected, *n) < 1e-3).expect("some number");
+        assert!(most < rare, "{routers} with {budget}: {most} once, {rare} is rare");
+    }
+}
+
+#[test]
+fn the_budgets_of_all_routers_come_to_what_warm_peers_bear() {
+    let slow_start = SlowStart {
+        routers: 300,
+        overload_multiple: 2.5,
+        window: LENGTH,
+        initial_capacity: 0.2,
+        warmup: Duration::from_secs(18),
+    };
+    // Each sends a warm host 0.1 s of work in a window, so that all send it 30 s.
+    let peer_load = 100_000.0;
+    for router_share in [1.0, 0.3, 0.1] {
+        let users = 300.0 * router_share;
+        let all = users * slow_start.budget(0.2, router_share, peer_load, 0.0);
+        let most = 2.5 * 0.2 * 0.4 * 300.0 * peer_load;
+        assert!(all <= most * 1.0001 && all > most * 0.8, "{router_share}: {all} for {most}");
+    }
+    let half_warm = slow_start.warm_part(Some(Timestamp::ZERO), Timestamp::from_millis(9_000));
+    assert!((half_warm - 0.6).abs() < 1e-9);
+    assert_eq!(slow_start.warm_part(None, Timestamp::ZERO), 1.0);
+    // What it has answered itself counts as it is, and half of what the multiple allows is used.
+    assert_eq!(slow_start.budget(0.2, 1.0, 0.0, 400_000.0), 500_000.0);
+}
+
+#[test]
+fn windows_of_routers_do_not_begin_together() {
+    let number = |router: u64, at: u64| {
+        let now = Timestamp::from_micros(at);
+        Window { hash_seed: router * 7_919, host_key: 0, now, length: LENGTH }.number()
+    };
+    let begun =
+        |at: u64| (0..300).filter(|router| number(*router, at) != number(*router, at - 15_000)).count();
+    let most = (0..100).map(|k| begun(9_000_000 + k * 15_000)).max();
+    assert!(most <= Some(12), "{most:?} of 300 within a hundredth of the window");
+}
--- a/crates/comethitch-fleet/src/subset/tests.rs
+++ b/crates/comethitch-fleet/src/subset/tests.rs
@@ -5,32 +5,34 @@
 const DRIFT: Duration = Duration::from_secs(100);
 
 fn even(hosts: u64) -> impl Iterator<Item = Candidate> {
-    (0..hosts).map(|key| Candidate { at: key as usize, key, weight: 1.0 })
+    (0..hosts).map(|key| Candidate { index: key as usize, host_key: key, weight: 1.0 })
 }
 
-fn numbers(subset: &[Member]) -> Vec<usize> {
-    subset.iter().map(|member| member.at).collect()
+fn indices(subset: &[Member]) -> Vec<usize> {
+    subset.iter().map(|member| member.index).collect()
 }
 
 #[test]
 fn every_host_is_in_subsets_by_its_weight() {
     let weight = |key: u64| [1.0, 2.0, 0.25][key as usize % 3];
     let mut held = [0.0; 24];
-    for salt in 0..4000 {
-        let all = (0..24).map(|key| Candidate { at: key as usize, key, weight: weight(key) });
-        draw(salt, Timestamp::ZERO, DRIFT, 3, all).iter().for_each(|member| held[member.at] += 1.0 / 4000.0);
+    for hash_seed in 0..4000 {
+        let all = (0..24).map(|key| Candidate { index: key as usize, host_key: key, weight: weight(key) });
+        select(hash_seed, Timestamp::ZERO, DRIFT, 3, all)
+            .iter()
+            .for_each(|member| held[member.index] += 1.0 / 4000.0);
     }
-    let all = (0..24).map(|key| Candidate { at: key as usize, key, weight: weight(key) });
-    for member in draw(1, Timestamp::ZERO, DRIFT, 24, all) {
-        let expected = 3.0 * weight(member.at as u64) / 26.0;
-        assert!((held[member.at] / expected - 1.0).abs() < 0.3, "{} for {expected}", held[member.at]);
+    let all = (0..24).map(|key| Candidate { index: key as usize, host_key: key, weight: weight(key) });
+    for member in select(1, Timestamp::ZERO, DRIFT, 24, all) {
+        let expected = 3.0 * weight(member.index as u64) / 26.0;
+        assert!((held[member.index] / expected - 1.0).abs() < 0.3, "{} for {expected}", held[member.index]);
     }
 }
 
 #[test]
 fn a_host_that_is_left_out_gives_way_to_the_next_alone() {
-    let before = numbers(&draw(5, Timestamp::ZERO, DRIFT, 4, even(20)));
-    let without = numbers(&draw(5, Timestamp::ZERO, DRIFT, 4, even(20).filter(|c| c.at != before[1])));
+    let before = indices(&select(5, Timestamp::ZERO, DRIFT, 4, even(20)));
+    let without = indices(&select(5, Timestamp::ZERO, DRIFT, 4, even(20).filter(|c| c.index != before[1])));
     assert_eq!([before[0], before[2], before[3]], without[..3]);
     assert!(!before.contains(&without[3]));
 }
@@ -38,12 +40,12 @@
 #[test]
 fn subsets_drift_one_member_at_a_time_and_none_lasts() {
     let mut now = Timestamp::ZERO;
-    let first = numbers(&draw(9, now, DRIFT, 3, even(20)));
+    let first = indices(&select(9, now, DRIFT, 3, even(20)));
     let (mut before, mut changes) = (first.clone(), 0);
     for _ in 0..3000 {
         now = now + DRIFT / 1000;
-        let subset = numbers(&draw(9, now, DRIFT, 3, even(20)));
-        let new = subset.iter().filter(|at| !before.contains(at)).count();
+        let subset = indices(&select(9, now, DRIFT, 3, even(20)));
+        let new = subset.iter().filter(|index| !before.contains(index)).count();
         assert!(new <= 1, "{before:?} to {subset:?}");
         changes += new;
         before = subset;
@@ -54,9 +56,10 @@
 
 #[test]
 fn a_subset_that_holds_all_draws_by_weight_and_a_small_one_evenly() {
-    let two = |n: u64| (0..n).map(|key| Candidate { at: key as usize, key, weight: 1.0 + key as f64 });
-    let all = draw(1, Timestamp::ZERO, DRIFT, 3, two(2));
-    assert!(all.iter().all(|m| m.reach == 1.0 || m.at == 0));
-    let few = draw(1, Timestamp::ZERO, DRIFT, 3, two(60));
-    assert!(few.windows(2).all(|pair| pair[0].draw == pair[1].draw), "{few:?}");
+    let two =
+        |n: u64| (0..n).map(|key| Candidate { index: key as usize, host_key: key, weight: 1.0 + key as f64 });
+    let all = select(1, Timestamp::ZERO, DRIFT, 3, two(2));
+    assert!(all.iter().all(|m| m.router_share == 1.0 || m.index == 0));
+    let few = select(1, Timestamp::ZERO, DRIFT, 3, two(60));
+    assert!(few.windows(2).all(|pair| pair[0].weight == pair[1].weight), "{few:?}");
 }
--- a/crates/comethitch-policy/src/host_group.rs
+++ b/crates/comethitch-policy/src/host_group.rs
@@ -3,7 +3,7 @@
 //! The transitions between the states are decided in [`policy`](crate::policy).
 
 use crate::time::Timestamp;
-use comethitch_fleet::{leak::Leak, room::Room};
+use comethitch_fleet::{concurrency_limit::ConcurrencyLimit, decaying_counter::DecayingCounter};
 
 /// Whether the believed primary serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -33,8 +33,8 @@
     /// Health checks that the group's commands have paid for.
     pub health_check_budget: f64,
     /// Commands submitted lately.
-    pub recent_commands: Leak,
+    pub recent_commands: DecayingCounter,
     /// Limits on the work in flight to all members together, by command group.
-    pub concurrency_limits: Vec<Room>,
+    pub concurrency_limits: Vec<ConcurrencyLimit>,
     pub members: Vec<usize>,
 }
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -4,7 +4,10 @@
 
 use crate::time::{Duration, Timestamp};
 use crate::{Host, Role, Shard, histogram::Histogram};
-use comethitch_fleet::{leak::Leak, room::Room, share, slots::Slots};
+use comethitch_fleet::{
+    concurrency_limit::ConcurrencyLimit, connection_slots::ConnectionSlots,
+    decaying_counter::DecayingCounter, quota::WindowUsage,
+};
 
 /// A database host as this router sees it.
 #[derive(Default)]
@@ -32,7 +35,7 @@
     /// How many commands waited there at its last report.
     pub queue_length: f64,
     /// The work that this router has in flight there, and its limit.
-    pub concurrency: Room,
+    pub concurrency: ConcurrencyLimit,
     /// The last answer to a command.
     pub last_answer: Timestamp,
     /// The last answer of any kind, also to a health check.
@@ -46,7 +49,7 @@
     /// Failed connections, resets, failed health checks and rare errors since its last sign of life.
     pub consecutive_failures: u32,
     pub ejected_until: Timestamp,
-    pub connection_slots: Slots,
+    pub connection_slots: ConnectionSlots,
     /// When the health check in flight was sent.
     pub health_check_sent: Option<Timestamp>,
     pub next_health_check: Timestamp,
@@ -54,9 +57,9 @@
     /// Answer times as thousandths of the usual one of their command group.
     pub relative_latency: Histogram,
     /// Work lately sent there, decaying over the window in which a host in slow start is judged.
-    pub work_sent: Leak,
+    pub work_sent: DecayingCounter,
     /// Work lately answered there, decaying over the same window.
-    pub work_answered: Leak,
+    pub work_answered: DecayingCounter,
     /// What was sent there in the present window of its slow start.
-    pub slow_start_usage: share::Spent,
+    pub slow_start_usage: WindowUsage,
 }
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -18,7 +18,7 @@
 use time::{Duration, Timestamp};
 
 pub use actions::{Action, ActionQueue, Actions};
-pub use comethitch_fleet::share::SlowStart;
+pub use comethitch_fleet::quota::SlowStart;
 pub use comethitch_time as time;
 pub use messages::{AttemptEnd, CommandRequest, Endpoint, EndpointUpdate};
 pub use policy::{Handle, Router};
--- a/crates/comethitch-policy/src/policy.rs
+++ b/crates/comethitch-policy/src/policy.rs
@@ -17,8 +17,10 @@
     commits::Commits, histogram::Histogram,
 };
 use crate::{command::Attempt, command::Command, host_state::HostState, time::Duration, time::Timestamp};
+use comethitch_fleet::concurrency_limit::{ConcurrencyLimit, EndedWork};
+use comethitch_fleet::freshness;
+use comethitch_fleet::quota::{self, Window};
 use comethitch_fleet::subset::{self, Candidate, Member};
-use comethitch_fleet::{proof, room::Room, share};
 use std::collections::BTreeMap;
 
 // The design page's own figures.
@@ -217,7 +219,7 @@
         };
         let group = self.host_groups.entry(shard).or_default();
         group.members.push(i);
-        group.concurrency_limits.resize(self.deployment.groups.len(), Room::default());
+        group.concurrency_limits.resize(self.deployment.groups.len(), ConcurrencyLimit::default());
         group.health_check_budget += 1.0;
         i
     }
@@ -329,6 +331,7 @@
         let now = out.now();
         let group = self.commands[&id].group;
         let (work, cost) = (self.work(group), self.cost(group));
+        let window = self.slow_start_window(i, now);
         let command = self.commands.get_mut(&id).expect("a taken command");
         let time_out = command.deadline - now;
         if !command.attempts.is_empty() {
@@ -343,12 +346,13 @@
             work,
         });
         let node = &mut self.hosts[i];
-        node.concurrency.load += work;
-        self.host_groups.get_mut(&node.shard).expect("known shard").concurrency_limits[group].load += work;
+        node.concurrency.in_flight += work;
+        self.host_groups.get_mut(&node.shard).expect("known shard").concurrency_limits[group].in_flight +=
+            work;
         node.work_sent.add(cost, now, self.deployment.slow_start.window);
-        node.slow_start_usage.add(cost, self.hash_seed, now, self.deployment.slow_start.window);
+        node.slow_start_usage.add(cost, &window);
         node.expect_answer(now);
-        node.connection_slots.sent(now);
+        node.connection_slots.attempt_sent(now);
         if node.unresponsive {
             node.ejected_until = now + TRIED_EVERY;
         }
@@ -415,8 +419,8 @@
         };
         let tried = |i: usize| command.attempts.iter().any(|d| d.host == i);
         let subset = self.subset(command.shard, now);
-        let free = subset.iter().filter(|m| !tried(m.at) && open(m.at, m.reach));
-        let replicas: Vec<usize> = free.map(|m| m.at).collect();
+        let free = subset.iter().filter(|m| !tried(m.index) && open(m.index, m.router_share));
+        let replicas: Vec<usize> = free.map(|m| m.index).collect();
         let fresh = |i: usize, need| self.is_fresh(i, need, command.required_position, now);
         let drawn: Vec<usize> = replicas.iter().copied().filter(|i| fresh(*i, kind.consistency)).collect();
         // Beyond the design: a read of any age spares fresh replicas and goes to the one furthest behind. As
@@ -446,13 +450,13 @@
         let spare = |p: &usize| {
             let node = &self.hosts[*p];
             let calm = group.state != GroupState::Failover && node.role != Some(Role::Replica);
-            let turn = share::turn(self.hash_seed, node.host.number(), now, self.shortest_objective / 2);
+            let turn = self.admission_draw(*p, now);
             let (own, work) = (
-                kind.consistency == Consistency::Session && node.concurrency.load == Duration::ZERO,
+                kind.consistency == Consistency::Session && node.concurrency.in_flight == Duration::ZERO,
                 self.work(command.group),
             );
             let work = if own { work.scaled(turn) } else { work };
-            calm && open(*p, 1.0) && node.concurrency.load + work <= node.concurrency.limit.scaled(0.75)
+            calm && open(*p, 1.0) && node.concurrency.in_flight + work <= node.concurrency.limit.scaled(0.75)
         };
         // A proof that is on its way is waited for: the primary could not bear what falls to it meanwhile.
         let coming =
@@ -463,8 +467,9 @@
         // and of room for what waits there and what this router has out there.
         let work = self.work(command.group);
         let part = |i: usize| {
-            let (node, drawn) = (&self.hosts[i], subset.iter().find(|m| m.at == i).map_or(0.0, |m| m.draw));
-            let crowd = (1.0 + node.queue_length) * (1.0 + node.concurrency.load.ratio(work));
+            let (node, drawn) =
+                (&self.hosts[i], subset.iter().find(|m| m.index == i).map_or(0.0, |m| m.weight));
+            let crowd = (1.0 + node.queue_length) * (1.0 + node.concurrency.in_flight.ratio(work));
             drawn / crowd.powi(2) / node.relative_latency.slowness()
         };
         let weights: Vec<f64> = drawn.iter().map(|i| part(*i)).collect();
@@ -501,7 +506,7 @@
     fn usable(&self, i: usize, now: Timestamp) -> bool {
         self.hosts[i].draining_since.is_none()
             && self.hosts[i].is_admissible(now)
-            && self.hosts[i].connection_slots.open(now)
+            && self.hosts[i].connection_slots.has_free(now)
     }
 
     /// Whether the rules allow this command one more attempt, to this host.
@@ -553,8 +558,8 @@
     }
 
     /// The share of a host's power that it surely has by now, if it started lately.
-    fn warmth(&self, i: usize, now: Timestamp) -> f64 {
-        self.deployment.slow_start.warmth(self.hosts[i].started, now)
+    fn warm_part(&self, i: usize, now: Timestamp) -> f64 {
+        self.deployment.slow_start.warm_part(self.hosts[i].started, now)
     }
 
     /// Beyond the design: the replicas that this router uses, few enough to know them well.
@@ -570,15 +575,15 @@
         };
         let candidate = |at: usize| {
             let HostState { host, capacity, .. } = self.hosts[at];
-            Candidate { at, key: host.number(), weight: capacity * self.warmth(at, now) }
+            Candidate { index: at, host_key: host.number(), weight: capacity * self.warm_part(at, now) }
         };
         let all = group.members.iter().copied().filter(|i| !apart(*i)).map(candidate);
-        subset::draw(self.hash_seed, now, self.deployment.slow_start.warmup * 8, self.size(group, now), all)
+        subset::select(self.hash_seed, now, self.deployment.slow_start.warmup * 8, self.size(group, now), all)
     }
 
     fn size(&self, group: &HostGroup, now: Timestamp) -> usize {
-        let lasts = proof::lasts(self.tightest_bound, PROBE_AGAIN);
-        subset::size(group.recent_commands.each(now, PROBE_IDLE) * lasts.ratio(PROBE_IDLE))
+        let lasts = freshness::refresh_after(self.tightest_bound, PROBE_AGAIN);
+        subset::size(group.recent_commands.rate(now, PROBE_IDLE) * lasts.ratio(PROBE_IDLE))
     }
 
     /// How many routers use a host: all a primary, of other hosts the part that has it in its subset.
@@ -586,7 +591,7 @@
         let group = &self.host_groups[&self.hosts[i].shard];
         let size = self.size(group, now) as f64;
         let reach = if group.primary == Some(i) { 1.0 } else { size / group.members.len().max(1) as f64 };
-        share::sharers(self.deployment.slow_start.routers, reach.min(1.0))
+        quota::expected_users(self.deployment.slow_start.routers, reach.min(1.0))
     }
 
     /// Asks for what a read needs: the proofs of its subset that run out before the next could come, or are
@@ -595,7 +600,7 @@
         &mut self, shard: Shard, group: usize, required_position: Timestamp, out: &mut dyn Actions,
     ) {
         let now = out.now();
-        let lasts = |bound: Duration| proof::lasts(bound - bound / MARGIN, PROBE_AGAIN);
+        let lasts = |bound: Duration| freshness::refresh_after(bound - bound / MARGIN, PROBE_AGAIN);
         // Where sessions are served besides, timers ask too, but few of them are paid for by a quiet router.
         let alone = self.deployment.staleness_check == StalenessCheck::Off && self.deployment.may_probe;
         let known = self.host_groups.get(&shard).filter(|_| alone);
@@ -610,12 +615,12 @@
             }
             _ => return,
         };
-        for Member { at, reach, .. } in self.subset(shard, now) {
+        for Member { index: at, router_share: reach, .. } in self.subset(shard, now) {
             let node = &self.hosts[at];
             let asked = node.health_check_sent.is_some() || now < node.next_position_refresh;
             if node.position < proven && !asked && self.has_capacity(at, reach, group, now) {
                 let lag = Some(node.lag).filter(|_| node.position > Timestamp::ZERO);
-                self.hosts[at].next_position_refresh = now + proof::wait(lag, PROBE_AGAIN);
+                self.hosts[at].next_position_refresh = now + freshness::refresh_backoff(lag, PROBE_AGAIN);
                 self.send_health_check(at, out);
             }
         }
@@ -635,7 +640,7 @@
         let target = self.deployment.groups[group].latency_objective;
         let stretch = if self.is_long(group) { target.ratio(self.shortest_objective) } else { 1.0 };
         let work = self.work(group);
-        let turn = share::turn(self.hash_seed, node.host.number(), now, self.shortest_objective / 2);
+        let turn = self.admission_draw(i, now);
         // One that nobody here has used comes in as the others fail: hundreds of routers turn to it at once.
         let new = self.refresh_on_demand
             && node.last_answer == Timestamp::ZERO
@@ -646,25 +651,38 @@
                 .any(|j| self.hosts[*j].last_answer > Timestamp::ZERO);
         let part = self
             .longest_objective
-            .scaled(1.0 / share::sharers(self.deployment.slow_start.routers, reach))
+            .scaled(1.0 / quota::expected_users(self.deployment.slow_start.routers, reach))
             .ratio(work);
-        let fits = node.connection_slots.open(now)
+        let fits = node.connection_slots.has_free(now)
             && !(new && turn >= part)
-            && node.concurrency.holds(work, stretch, turn)
-            && self.host_groups[&node.shard].concurrency_limits[group].holds(work, 1.0, 0.0);
-        let warmth = self.warmth(i, now);
-        if !fits || warmth >= 1.0 {
+            && node.concurrency.admits(work, stretch, turn)
+            && self.host_groups[&node.shard].concurrency_limits[group].admits(work, 1.0, 0.0);
+        let warm_part = self.warm_part(i, now);
+        if !fits || warm_part >= 1.0 {
             return fits;
         }
         // A cold host gets no more than this router's part of what the ramp surely allows.
         let SlowStart { window: span, .. } = self.deployment.slow_start;
-        let warm = (0..self.hosts.len()).filter(|j| self.usable(*j, now) && self.warmth(*j, now) >= 1.0);
-        let carried = |j: usize| (self.hosts[j].work_sent.left(now, span), self.hosts[j].capacity);
+        let warm = (0..self.hosts.len()).filter(|j| self.usable(*j, now) && self.warm_part(*j, now) >= 1.0);
+        let carried = |j: usize| (self.hosts[j].work_sent.value(now, span), self.hosts[j].capacity);
         let (sent, power) = warm.map(carried).fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let peers = if power > 0.0 { sent / power * node.capacity } else { 0.0 };
         let budget =
-            self.deployment.slow_start.budget(warmth, reach, peers, node.work_answered.left(now, span));
-        node.slow_start_usage.admits(self.cost(group), budget, self.hash_seed, node.host.number(), now, span)
+            self.deployment.slow_start.budget(warm_part, reach, peers, node.work_answered.value(now, span));
+        node.slow_start_usage.admits(self.cost(group), budget, &self.slow_start_window(i, now))
+    }
+
+    /// The draw by which a host with capacity for less than one command admits it now and then.
+    fn admission_draw(&self, i: usize, now: Timestamp) -> f64 {
+        self.window(i, now, self.shortest_objective / 2).draw()
+    }
+
+    fn slow_start_window(&self, i: usize, now: Timestamp) -> Window {
+        self.window(i, now, self.deployment.slow_start.window)
+    }
+
+    fn window(&self, i: usize, now: Timestamp, length: Duration) -> Window {
+        Window { hash_seed: self.hash_seed, host_key: self.hosts[i].host.number(), now, length }
     }
 
     /// The work of a command group's usual command, as seen from here.
@@ -721,12 +739,12 @@
         let target = self.deployment.groups[kind].latency_objective;
         // Every router may hold this much at a host at once.
         let least = (target * 2).scaled(1.0 / self.sharers(i, now)).min(target / 2);
-        if (ending.never_ran() || ending == AttemptOutcome::Error) && self.warmth(i, now) >= 1.0 {
+        if (ending.never_ran() || ending == AttemptOutcome::Error) && self.warm_part(i, now) >= 1.0 {
             let cost = self.cost(kind);
-            self.hosts[i].work_sent.take_back(cost);
+            self.hosts[i].work_sent.subtract(cost);
         }
         let node = &mut self.hosts[i];
-        node.connection_slots.ended(sent, ending == AttemptOutcome::Answered);
+        node.connection_slots.attempt_ended(sent, ending == AttemptOutcome::Answered);
         let mut late = None;
         match ending {
             AttemptOutcome::Answered
@@ -773,13 +791,21 @@
         }
         let group = self.host_groups.get_mut(&node.shard).expect("known shard");
         // Nor less than its commands need at their usual pace: some see many times what others do.
-        let needs = work.scaled(group.recent_commands.each(now, PROBE_IDLE) * work.ratio(PROBE_IDLE));
+        let needs = work.scaled(group.recent_commands.rate(now, PROBE_IDLE) * work.ratio(PROBE_IDLE));
         let together = (least * group.members.len() as u64).max(needs);
-        group.concurrency_limits[kind].ended(work, late, 0.0, together.max(work), target / 2, now);
+        let end = EndedWork {
+            work,
+            late,
+            other_late_share: 0.0,
+            min_limit: together.max(work),
+            cut_interval: target / 2,
+        };
+        group.concurrency_limits[kind].record_end(end, now);
         let full = ending == AttemptOutcome::Overloaded;
         let (late, together) =
-            (late.or(full.then_some(true)), group.concurrency_limits[kind].lateness.max(f64::from(full)));
-        node.concurrency.ended(work, late, together, least, target / 2, now);
+            (late.or(full.then_some(true)), group.concurrency_limits[kind].late_share.max(f64::from(full)));
+        node.concurrency
+            .record_end(EndedWork { late, other_late_share: together, min_limit: least, ..end }, now);
     }
 
     /// Takes in what a host's report, and the note of its answer, say.
@@ -932,8 +958,8 @@
             let group = self.host_groups.get_mut(&self.hosts[i].shard).expect("known shard");
             let node = &self.hosts[i];
             if node.health_check_sent.is_some()
-                || !node.connection_slots.open(now)
-                || node.draining_since.is_some() && node.concurrency.load == Duration::ZERO
+                || !node.connection_slots.has_free(now)
+                || node.draining_since.is_some() && node.concurrency.in_flight == Duration::ZERO
             {
                 continue;
             }
@@ -950,7 +976,7 @@
             let needed = group.state == GroupState::Failover
                 || group.primary.is_none()
                 || group.primary == Some(i) && (suspect || silent);
-            if self.refresh_on_demand && (!needed || group.recent_commands.left(now, PROBE_IDLE) < ASKED) {
+            if self.refresh_on_demand && (!needed || group.recent_commands.value(now, PROBE_IDLE) < ASKED) {
                 continue;
             }
             let node = &mut self.hosts[i];
@@ -1044,7 +1070,7 @@
     /// It runs, and has no place for one more connection.
     fn connection_rejected(&mut self, hash_seed: u64, connect: Duration, now: Timestamp) {
         self.record_sign_of_life(now);
-        self.connection_slots.turned_away(hash_seed, self.host.number(), connect, now);
+        self.connection_slots.connection_rejected(hash_seed, self.host.number(), connect, now);
     }
 
     fn record_sign_of_life(&mut self, now: Timestamp) {
--- a/crates/comethitchd/src/state/connection_pool.rs
+++ b/crates/comethitchd/src/state/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Idle connections to hosts, kept to be used again.
 
 use crate::state::host_connection::HostConnection;
-use comethitch_fleet::slots;
+use comethitch_fleet::connection_slots;
 use comethitch_policy::Host;
 use comethitch_policy::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
 
     /// Closes what has been idle too long, and forgets hosts without any.
     pub fn sweep(&mut self, now: Timestamp) {
-        let longest = slots::kept(self.longest, self.turned_away, now);
+        let longest = connection_slots::idle_timeout(self.longest, self.turned_away, now);
         self.idle.retain(|_, idle| {
             idle.retain(|connection| now - connection.idle_since < longest);
             !idle.is_empty()
