--- a/crates/comethitch-fleet/src/subset.rs
+++ b/crates/comethitch-fleet/src/subset.rs
@@ -16,6 +16,13 @@
 /// A subset has three members at least: one may fail, one may lag, and one remains.
 pub const MIN_SIZE: usize = 3;
 
+impl Member {
+    /// A host that all routers use, such as a primary.
+    pub fn of_all_routers(index: usize) -> Member {
+        Member { index, weight: 1.0, router_share: 1.0 }
+    }
+}
+
 /// How many commands share one refresh of a member's position: a subset grows only as far as commands pay for it.
 const COMMANDS_PER_REFRESH: f64 = 8.0;
 
--- a/crates/comethitch-policy/src/command.rs
+++ b/crates/comethitch-policy/src/command.rs
@@ -2,14 +2,16 @@
 //!
 //! What may be sent, retried or rejected is decided in [`policy`](crate::policy).
 
-use crate::{AttemptOutcome, Shard};
-use crate::{time::Duration, time::Timestamp};
+use crate::host_table::HostIndex;
+use crate::time::{Duration, Timestamp};
+use crate::{AttemptOutcome, CommandRequest, Shard};
 
 /// One sending of a command to a host.
 #[derive(Clone, Copy)]
 pub struct Attempt {
-    /// The host's entry in the router's table.
-    pub host: usize,
+    /// The command group of its command.
+    pub command_group: usize,
+    pub host: HostIndex,
     pub sent_at: Timestamp,
     /// How it ended; none while it is in flight.
     pub outcome: Option<AttemptOutcome>,
@@ -20,17 +22,38 @@
 }
 
 impl Attempt {
+    /// An attempt that is sent now.
+    pub fn new(command_group: usize, host: HostIndex, work: Duration, now: Timestamp) -> Attempt {
+        Attempt { command_group, host, sent_at: now, outcome: None, in_flight_at_fault: false, work }
+    }
+
     /// Whether it ran, may have run or may still run.
     pub fn maybe_ran(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::never_ran)
     }
+
+    /// Whether it ended in this way.
+    pub fn ended_as(&self, outcome: AttemptOutcome) -> bool {
+        self.outcome == Some(outcome)
+    }
+
+    /// Whether it ended without any word from its host.
+    pub fn was_lost(&self) -> bool {
+        self.ended_as(AttemptOutcome::ConnectionReset)
+            || self.ended_as(AttemptOutcome::TimedOut)
+            || self.ended_as(AttemptOutcome::ConnectionFailed)
+    }
+
+    /// Whether its host answered it, be it only to reject it.
+    pub fn was_answered(&self) -> bool {
+        self.outcome.is_some_and(AttemptOutcome::is_answer)
+    }
 }
 
 /// What is known of a submitted command until it is answered and nothing is in flight.
-#[derive(Default)]
 pub struct Command {
     /// Its command group, by its place in the deployment.
-    pub group: usize,
+    pub command_group: usize,
     pub shard: Shard,
     pub session: u64,
     /// A session read must see all commits up to here.
@@ -47,13 +70,51 @@
 }
 
 impl Command {
+    /// A command that was just submitted.
+    pub fn new(request: &CommandRequest, required_position: Timestamp, now: Timestamp) -> Command {
+        Command {
+            command_group: request.group,
+            shard: request.shard,
+            session: request.session,
+            required_position,
+            submitted_at: now,
+            deadline: now + request.timeout,
+            finished: false,
+            queued: false,
+            attempts: Vec::new(),
+        }
+    }
+
+    /// Whether it was sent to this host before.
+    pub fn tried(&self, host: HostIndex) -> bool {
+        self.attempts.iter().any(|attempt| attempt.host == host)
+    }
+
+    /// Records how an attempt ended; none if it is not in flight.
+    pub fn end_attempt(&mut self, nth: u16, outcome: AttemptOutcome) -> Option<Attempt> {
+        let attempt = self.attempts.get_mut(usize::from(nth)).filter(|attempt| attempt.outcome.is_none())?;
+        attempt.outcome = Some(outcome);
+        Some(*attempt)
+    }
+
     /// The attempts that have not ended yet.
     pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// The attempts that ran, may have run or may still run.
-    pub fn maybe_ran(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|attempt| attempt.maybe_ran())
+    /// The attempt in flight, if there is exactly one.
+    pub fn only_in_flight(&self) -> Option<&Attempt> {
+        let mut in_flight = self.in_flight();
+        in_flight.next().filter(|_| in_flight.next().is_none())
+    }
+
+    /// Whether an attempt ran, may have run or may still run.
+    pub fn maybe_ran(&self) -> bool {
+        self.attempts.iter().any(Attempt::maybe_ran)
+    }
+
+    /// Whether it has no final answer, and nothing that could bring one is in flight or queued.
+    pub fn is_stalled(&self) -> bool {
+        !self.finished && !self.queued && self.in_flight().next().is_none()
     }
 }
--- /dev/null
+++ b/crates/comethitch-policy/src/estimates.rs
@@ -0,0 +1,83 @@
+//! Quantities that follow from the router's state: calculations alone.
+//!
+//! What is done about them, and every value that is tuned, stands in [`policy`](crate::policy).
+
+use crate::host_group::HostGroup;
+use crate::host_table::HostIndex;
+use crate::time::{Duration, Timestamp};
+use crate::{CommandGroup, Router, command::Command};
+use comethitch_fleet::quota::{self, Window};
+
+/// How a command group's answer time is estimated.
+pub(crate) struct Estimate {
+    /// The quantile of the answer times seen so far, 0 to 1.
+    pub quantile: f64,
+    /// Before any answer, the command group's latency objective over this.
+    pub objective_divisor: u64,
+}
+
+impl Router {
+    /// The settings of a command's group.
+    pub(crate) fn settings(&self, command: &Command) -> &CommandGroup {
+        &self.deployment.groups[command.command_group]
+    }
+
+    /// The group of a host.
+    pub(crate) fn group_of(&self, index: HostIndex) -> &HostGroup {
+        &self.host_groups[&self.hosts[index].shard]
+    }
+
+    /// The group of a host, to be changed.
+    pub(crate) fn group_of_mut(&mut self, index: HostIndex) -> &mut HostGroup {
+        self.host_groups.get_mut(&self.hosts[index].shard).expect("every host was added to its group")
+    }
+
+    /// Whether the endpoint list, a command or a health check in flight still refers to a host.
+    pub(crate) fn is_referred_to(&self, index: HostIndex) -> bool {
+        let group = self.group_of(index);
+        let mut attempts = self.commands.values().flat_map(|command| &command.attempts);
+        group.primary == Some(index)
+            || group.listed_primary == Some(index)
+            || self.hosts[index].health_check_sent.is_some()
+            || attempts.any(|attempt| attempt.host == index)
+    }
+
+    /// An answer time of a command group.
+    pub(crate) fn service_time(&self, command_group: usize, estimate: &Estimate) -> Duration {
+        let objective = self.deployment.groups[command_group].latency_objective;
+        let observed = self.service_times[command_group].quantile(estimate.quantile);
+        observed.unwrap_or(objective / estimate.objective_divisor)
+    }
+
+    /// The part of a host's capacity that it surely has by now, if it started lately.
+    pub(crate) fn warm_part(&self, index: HostIndex, now: Timestamp) -> f64 {
+        self.deployment.slow_start.warm_part(self.hosts[index].started, now)
+    }
+
+    /// How many routers use a host, where their subsets have this size; all use a primary.
+    pub(crate) fn expected_users(&self, index: HostIndex, subset_size: usize) -> f64 {
+        let group = self.group_of(index);
+        let subset_share = subset_size as f64 / group.members.len().max(1) as f64;
+        let router_share = if group.primary == Some(index) { 1.0 } else { subset_share };
+        quota::expected_users(self.deployment.slow_start.routers, router_share.min(1.0))
+    }
+
+    /// The present window of this router at a host.
+    pub(crate) fn window(&self, index: HostIndex, now: Timestamp, length: Duration) -> Window {
+        Window { hash_seed: self.hash_seed, host_key: self.hosts[index].host.number(), now, length }
+    }
+
+    /// The work that this router sends in a slow-start window to a host of this capacity, by what it sent to these
+    /// peers; 0 if there are none.
+    pub(crate) fn peer_load(
+        &self, capacity: f64, peers: impl Iterator<Item = HostIndex>, now: Timestamp,
+    ) -> f64 {
+        let mut peers_sent = 0.0;
+        let mut peers_capacity = 0.0;
+        for peer in peers {
+            peers_sent += self.hosts[peer].work_sent.value(now, self.deployment.slow_start.window);
+            peers_capacity += self.hosts[peer].capacity;
+        }
+        if peers_capacity > 0.0 { peers_sent / peers_capacity * capacity } else { 0.0 }
+    }
+}
--- a/crates/comethitch-policy/src/host_group.rs
+++ b/crates/comethitch-policy/src/host_group.rs
@@ -2,7 +2,7 @@
 //!
 //! The transitions between the states are decided in [`policy`](crate::policy).
 
-use crate::time::Timestamp;
+use crate::{host_table::HostIndex, time::Timestamp};
 use comethitch_fleet::{concurrency_limit::ConcurrencyLimit, decaying_counter::DecayingCounter};
 
 /// Whether the believed primary serves.
@@ -14,13 +14,13 @@
     Failover,
 }
 
-/// One group of hosts. Hosts are given by their entries in the router's table.
+/// One group of hosts.
 #[derive(Default)]
 pub struct HostGroup {
     /// The believed primary.
-    pub primary: Option<usize>,
+    pub primary: Option<HostIndex>,
     /// The primary that the endpoint list names.
-    pub listed_primary: Option<usize>,
+    pub listed_primary: Option<HostIndex>,
     /// How many failovers were seen.
     pub serial: u32,
     pub state: GroupState,
@@ -36,5 +36,19 @@
     pub recent_commands: DecayingCounter,
     /// Limits on the work in flight to all members together, by command group.
     pub concurrency_limits: Vec<ConcurrencyLimit>,
-    pub members: Vec<usize>,
+    pub members: Vec<HostIndex>,
+}
+
+impl HostGroup {
+    /// Adds a host, and a concurrency limit for each command group.
+    pub fn add_member(&mut self, index: HostIndex, command_groups: usize) {
+        self.members.push(index);
+        self.concurrency_limits.resize(command_groups, ConcurrencyLimit::default());
+    }
+
+    /// Records the state that the group comes into.
+    pub fn enter(&mut self, state: GroupState, now: Timestamp) {
+        self.state = state;
+        self.state_since = now;
+    }
 }
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -3,12 +3,18 @@
 //! What changes these fields, and what follows from them, is decided in [`policy`](crate::policy).
 
 use crate::time::{Duration, Timestamp};
-use crate::{Host, Role, Shard, histogram::Histogram};
+use crate::{DeduplicationScope, Endpoint, Host, HostReport, Lifecycle, Role, Shard, histogram::Histogram};
 use comethitch_fleet::{
     concurrency_limit::ConcurrencyLimit, connection_slots::ConnectionSlots,
     decaying_counter::DecayingCounter, quota::WindowUsage,
 };
 
+/// What a host counts for that is listed with no capacity: weights must be above zero.
+const MIN_CAPACITY: f64 = 1e-9;
+
+/// Notes on answers give positions in milliseconds.
+const NOTE_RESOLUTION: Duration = Duration::from_millis(1);
+
 /// A database host as this router sees it.
 #[derive(Default)]
 pub struct HostState {
@@ -63,3 +69,69 @@
     /// What was sent there in the present window of its slow start.
     pub slow_start_usage: WindowUsage,
 }
+
+impl HostState {
+    /// A host that was just listed for the first time. `relative_latency` is to be empty.
+    pub fn new(endpoint: &Endpoint, relative_latency: Histogram, now: Timestamp) -> HostState {
+        HostState {
+            host: endpoint.host,
+            shard: endpoint.shard,
+            last_sign_of_life: now,
+            next_health_check: now,
+            relative_latency,
+            ..HostState::default()
+        }
+    }
+
+    /// Records how the endpoint list has it now.
+    pub fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Timestamp) {
+        self.zone = endpoint.zone;
+        self.capacity = endpoint.capacity.max(MIN_CAPACITY);
+        self.started = self.started.max(endpoint.started);
+        self.removed = endpoint.lifecycle == Lifecycle::Removed;
+        self.draining_since = match endpoint.lifecycle {
+            Lifecycle::Ready => None,
+            Lifecycle::Draining => self.draining_since.or(Some(now)),
+            Lifecycle::Removed => self.draining_since,
+        };
+    }
+
+    /// Records a reported position; `report_age` is how old such reports usually are.
+    pub fn apply_position(
+        &mut self, position: Timestamp, report: &HostReport, report_age: Duration, now: Timestamp,
+    ) {
+        self.lag = (now - position) - report_age;
+        self.lag_reported_at = now;
+        self.queue_length = report.queue.unwrap_or_default();
+    }
+
+    /// Records the note on an answer to what was sent at that time. A primary has all commits when it answers, so at
+    /// the least those up to the moment of the send.
+    pub fn apply_note(&mut self, note: &HostReport, sent_at: Timestamp) {
+        if note.role == Some(Role::Primary) {
+            let noted = note.position.map_or(sent_at, |position| position - NOTE_RESOLUTION);
+            self.position = self.position.max(noted.max(sent_at));
+        }
+    }
+
+    /// Whether it drops a command as a duplicate that ran at another host, by the scope of idempotency keys.
+    pub fn shares_keys(&self, other: &HostState, scope: DeduplicationScope) -> bool {
+        match scope {
+            DeduplicationScope::Everywhere => true,
+            DeduplicationScope::Zone => self.zone == other.zone,
+            DeduplicationScope::Shard => self.shard == other.shard,
+        }
+    }
+
+    /// Records that it was asked something, unless it already owes an answer.
+    pub fn expect_answer(&mut self, now: Timestamp) {
+        if self.awaiting_since <= self.last_sign_of_life {
+            self.awaiting_since = now;
+        }
+    }
+
+    /// For how long it has owed an answer without any sign of life.
+    pub fn silent_for(&self, now: Timestamp) -> Duration {
+        if self.awaiting_since > self.last_sign_of_life { now - self.awaiting_since } else { Duration::ZERO }
+    }
+}
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -8,11 +8,14 @@
 pub mod chance;
 mod command;
 pub mod commits;
+mod estimates;
 pub mod histogram;
 mod host_group;
 mod host_state;
+mod host_table;
 mod messages;
 pub mod policy;
+mod router;
 
 use std::collections::BTreeMap;
 use time::{Duration, Timestamp};
@@ -21,7 +24,7 @@
 pub use comethitch_fleet::quota::SlowStart;
 pub use comethitch_time as time;
 pub use messages::{AttemptEnd, CommandRequest, Endpoint, EndpointUpdate};
-pub use policy::{Handle, Router};
+pub use router::{Handle, Router};
 
 /// A database host, as the caller names it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -87,6 +90,19 @@
     }
 }
 
+impl AttemptOutcome {
+    /// Whether the host answered the command, be it only to reject it.
+    pub fn is_answer(self) -> bool {
+        matches!(
+            self,
+            AttemptOutcome::Answered
+                | AttemptOutcome::NotPrimary
+                | AttemptOutcome::Error
+                | AttemptOutcome::Overloaded
+        )
+    }
+}
+
 /// What a host says of itself; `None` is not told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HostReport {
@@ -123,6 +139,13 @@
     Eventual,
 }
 
+impl Consistency {
+    /// Whether only the primary can answer such a command.
+    pub fn needs_primary(self) -> bool {
+        matches!(self, Consistency::Write | Consistency::Strong)
+    }
+}
+
 /// What a replica does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessCheck {
@@ -269,13 +292,6 @@
     }
 }
 
-impl Router {
-    /// How many host entries are allocated: those of removed hosts are used again.
-    pub fn host_entries(&self) -> usize {
-        self.hosts.len()
-    }
-}
-
 struct Lines<'a>(BTreeMap<&'a str, &'a str>);
 
 impl Lines<'_> {
--- /dev/null
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -0,0 +1,151 @@
+//! Admission: commands are sent, queued for capacity, or rejected, at once or when their time runs out.
+
+use super::*;
+
+/// The queue of commands that were not sent yet, and that of retries.
+const FIRST_ATTEMPTS: usize = 0;
+const RETRIES: usize = 1;
+/// The answer time that a queued command must still have.
+const QUEUED: Estimate = Estimate { quantile: 0.8, objective_divisor: 4 };
+
+impl Router {
+    pub(super) fn schedule(&mut self, id: CommandId, out: &mut dyn Actions) {
+        let Some(command) = self.commands.get(&id) else { return };
+        let first = command.attempts.is_empty();
+        let deadline = command.deadline;
+        match self.select_host(id, out.now()) {
+            Selection::Host(index) if first || self.retry_budget >= 1.0 => self.send(id, index, out),
+            Selection::Rejected => self.reject(id, RejectionReason::NoPrimary, out),
+            // Too short a time to wait in a queue: the next review could come after its client timeout.
+            _ if deadline <= out.now() + self.tick_interval * 2 => {
+                self.reject(id, RejectionReason::DeadlineTooClose, out)
+            }
+            _ => self.enqueue(id, if first { FIRST_ATTEMPTS } else { RETRIES }),
+        }
+    }
+
+    fn enqueue(&mut self, id: CommandId, queue: usize) {
+        let command = self.commands.get_mut(&id).expect("a command that is scheduled");
+        if !std::mem::replace(&mut command.queued, true) {
+            let priority = self.priority(id);
+            // The newest of equal priority first: in overload the oldest could only be late.
+            let place = self.queues[queue].partition_point(|other| self.priority(*other) > priority);
+            self.queues[queue].insert(place, id);
+        }
+    }
+
+    /// Benefit for the work: what is sent first, and rejected last.
+    fn priority(&self, id: CommandId) -> f64 {
+        let Some(command) = self.commands.get(&id) else { return 0.0 };
+        let work = self.work(command.command_group).as_micros().max(1);
+        self.settings(command).priority_weight / work as f64
+    }
+
+    pub(super) fn drain_queues(&mut self, out: &mut dyn Actions) {
+        self.drain_queue(FIRST_ATTEMPTS, out);
+        self.drain_queue(RETRIES, out);
+    }
+
+    fn drain_queue(&mut self, queue: usize, out: &mut dyn Actions) {
+        // Where one command of a group must wait, the others of that group wait too.
+        let mut blocked: Vec<(Shard, usize)> = Vec::new();
+        let mut remaining = Vec::new();
+        for id in std::mem::take(&mut self.queues[queue]) {
+            let command = self.commands.get(&id).filter(|command| command.queued && !command.finished);
+            let Some(command) = command else { continue };
+            let class = (command.shard, command.command_group);
+            if blocked.contains(&class) || queue == RETRIES && self.retry_budget < 1.0 {
+                remaining.push(id);
+                continue;
+            }
+            match self.select_host(id, out.now()) {
+                Selection::Host(index) => self.send(id, index, out),
+                Selection::Rejected => self.reject(id, RejectionReason::NoPrimary, out),
+                Selection::Wait => {
+                    self.refresh_positions(id, out);
+                    blocked.push(class);
+                    remaining.push(id);
+                }
+            }
+        }
+        remaining.append(&mut self.queues[queue]);
+        self.queues[queue] = remaining;
+    }
+
+    /// Gives a command its final answer: throttled where trying again is harmless, else failed.
+    pub(super) fn reject(&mut self, id: CommandId, reason: RejectionReason, out: &mut dyn Actions) {
+        let Some(command) = self.commands.get_mut(&id).filter(|command| !command.finished) else { return };
+        command.finished = true;
+        let command = &self.commands[&id];
+        if self.is_harmless_to_repeat(command) {
+            out.throttle(id, self.retry_after(command), reason);
+        } else {
+            out.fail(id, reason);
+        }
+        self.cancel_attempts(id, out);
+    }
+
+    fn is_harmless_to_repeat(&self, command: &Command) -> bool {
+        let settings = self.settings(command);
+        match settings.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed if settings.deduplication_scope == DeduplicationScope::Everywhere => true,
+            _ => !command.maybe_ran(),
+        }
+    }
+
+    /// Within the objective if this was a lack of capacity: the client's retries count with its first try.
+    fn retry_after(&self, command: &Command) -> Option<Duration> {
+        let settings = self.settings(command);
+        let group = self.host_groups.get(&command.shard);
+        let failing = group.is_some_and(|group| group.state != GroupState::Healthy);
+        let lacks_primary = failing && settings.consistency.needs_primary();
+        let delay = if lacks_primary { HEALTH_CHECK_INTERVAL } else { settings.latency_objective / 8 };
+        self.deployment.max_retry_after.map(|longest| delay.min(longest))
+    }
+
+    /// Rejects a command when its time has run out, and hedges one whose host fails or is slow.
+    pub(super) fn review_command(&mut self, id: CommandId, out: &mut dyn Actions) {
+        let now = out.now();
+        let Some(command) = self.commands.get(&id).filter(|command| !command.finished) else { return };
+        if let Some(reason) = self.reason_to_reject(command, now) {
+            return self.reject(id, reason, out);
+        }
+        let attempt = command.only_in_flight().filter(|_| !command.queued);
+        if attempt.is_some_and(|attempt| self.should_hedge(command, attempt, now))
+            && let Selection::Host(index) = self.select_host(id, now)
+        {
+            self.send(id, index, out);
+        }
+    }
+
+    fn reason_to_reject(&self, command: &Command, now: Timestamp) -> Option<RejectionReason> {
+        if now + self.tick_interval >= command.deadline {
+            return Some(RejectionReason::DeadlineExceeded);
+        }
+        if command.in_flight().next().is_none() {
+            return self.is_queued_too_long(command, now).then_some(RejectionReason::QueuedTooLong);
+        }
+        // A mutating write left with a lost primary may have run: it is failed.
+        let attempt = command.only_in_flight().filter(|_| !command.queued)?;
+        let group = &self.host_groups[&command.shard];
+        let host = &self.hosts[attempt.host];
+        let lost = group.state == GroupState::Failover
+            && group.primary == Some(attempt.host)
+            && self.settings(command).idempotency == Idempotency::NonIdempotent
+            && (host.unresponsive || host.is_unreachable());
+        lost.then_some(RejectionReason::PrimaryLost)
+    }
+
+    /// Whether it could only be answered late: it is rejected while a retry can still be of use.
+    fn is_queued_too_long(&self, command: &Command, now: Timestamp) -> bool {
+        let settings = self.settings(command);
+        let objective = settings.latency_objective;
+        let in_hand = match settings.idempotency {
+            _ if command.attempts.is_empty() => objective / 2,
+            Idempotency::Keyed => settings.timeout,
+            _ => objective,
+        };
+        command.submitted_at + in_hand < now + self.service_time(command.command_group, &QUEUED)
+    }
+}
--- /dev/null
+++ b/crates/comethitch-policy/src/policy/group.rs
@@ -0,0 +1,150 @@
+//! The states of a group of hosts: which member is believed to be the primary, and whether it serves.
+//!
+//! Healthy becomes Unhealthy at the primary's first fault, Unhealthy becomes Failover when the primary is
+//! surely lost, and a member that proves itself primary ends both.
+
+use super::*;
+
+/// How long a group stays Unhealthy at the least before it goes to Failover, from the design page.
+const FAILOVER_DELAY: Duration = Duration::from_secs(3);
+/// The share of the attempts in flight at the fault that must be lost for it, from the design page.
+const FAILOVER_LOST_SHARE: f64 = 0.6;
+
+impl Router {
+    /// Applies a host's load report and, if it answered a command, the note on the answer.
+    pub(super) fn apply_report(
+        &mut self, index: HostIndex, report: HostReport, note: Option<HostReport>, out: &mut dyn Actions,
+    ) {
+        let now = out.now();
+        let host = &mut self.hosts[index];
+        if let Some(position) = report.position {
+            host.position = host.position.max(position);
+            if report.role == Some(Role::Primary) {
+                self.report_age.add(now - position);
+            }
+            let report_age = self.report_age.quantile(0.5).unwrap_or_default();
+            host.apply_position(position, &report, report_age, now);
+        }
+        // A report may be older than an answer: one made before it last led does not unseat a primary.
+        let newer = report.position.is_none_or(|position| position > host.last_seen_primary);
+        let reported_role = report.role.filter(|role| *role == Role::Primary || newer);
+        let Some(role) = note.and_then(|note| note.role).or(reported_role) else { return };
+        host.role = Some(role);
+        if role == Role::Primary && self.proves_primary(index, note.is_some()) {
+            self.confirm_primary(index, out);
+        } else if role == Role::Replica && self.group_of(index).primary == Some(index) {
+            self.fail_over(self.hosts[index].shard, out);
+        }
+    }
+
+    fn confirm_primary(&mut self, index: HostIndex, out: &mut dyn Actions) {
+        let now = out.now();
+        if self.group_of(index).primary.is_some_and(|primary| primary != index) {
+            self.fail_over(self.hosts[index].shard, out);
+        }
+        self.hosts[index].last_seen_primary = now;
+        let group = self.group_of_mut(index);
+        if group.state != GroupState::Healthy || group.primary != Some(index) {
+            group.primary = Some(index);
+            group.enter(GroupState::Healthy, now);
+            self.drain_queues(out);
+        }
+    }
+
+    fn proves_primary(&self, index: HostIndex, by_answer: bool) -> bool {
+        let host = &self.hosts[index];
+        let group = self.group_of(index);
+        if group.primary != Some(index) {
+            // Two claim the role: the one whose data are newer took over.
+            let newer = |primary: HostIndex| host.position > self.hosts[primary].position;
+            return by_answer || group.primary.is_none_or(newer);
+        }
+        match group.state {
+            GroupState::Healthy => true,
+            GroupState::Unhealthy => by_answer || !host.unresponsive,
+            // Failover ends with evidence newer than it: a report made earlier tells of the time before.
+            GroupState::Failover => by_answer || (host.position > group.state_since && !host.unresponsive),
+        }
+    }
+
+    /// Healthy to Unhealthy: something went wrong at the believed primary.
+    pub(super) fn mark_unhealthy(&mut self, index: HostIndex, now: Timestamp) {
+        let group = self.group_of(index);
+        if group.primary != Some(index) || group.state != GroupState::Healthy {
+            return;
+        }
+        let in_flight = self.mark_in_flight_at_fault(index);
+        let group = self.group_of_mut(index);
+        group.enter(GroupState::Unhealthy, now);
+        group.in_flight_at_fault = in_flight;
+        group.lost_since_fault = 0;
+        self.hosts[index].next_health_check = now;
+    }
+
+    /// To Failover: the serial goes up, the old primary's connections close, queued writes are rejected.
+    pub(super) fn fail_over(&mut self, shard: Shard, out: &mut dyn Actions) {
+        let now = out.now();
+        let group = self.host_groups.get_mut(&shard);
+        let Some(group) = group.filter(|group| group.state != GroupState::Failover) else { return };
+        group.enter(GroupState::Failover, now);
+        group.serial += 1;
+        for &member in &group.members {
+            let host = &mut self.hosts[member];
+            host.next_health_check = host.next_health_check.min(now);
+        }
+        if let Some(primary) = group.primary {
+            out.close_idle_connections(self.hosts[primary].host);
+        }
+        self.run_due_health_checks(out);
+        self.drain_queues(out);
+    }
+
+    /// Acts on what time alone shows of the believed primary: that it is silent, past its drain, or lost.
+    pub(super) fn check_primary(&mut self, shard: Shard, out: &mut dyn Actions) {
+        let now = out.now();
+        let group = &self.host_groups[&shard];
+        let Some(primary) = group.primary else { return };
+        let silent = self.hosts[primary].silent_for(now) > SILENCE_TIMEOUT;
+        match group.state {
+            GroupState::Healthy if self.past_drain_grace(primary, now) => self.fail_over(shard, out),
+            GroupState::Healthy if silent => self.mark_unhealthy(primary, now),
+            GroupState::Unhealthy if self.is_failover_due(primary, group, now) => self.fail_over(shard, out),
+            _ => {}
+        }
+    }
+
+    fn is_failover_due(&self, primary: HostIndex, group: &HostGroup, now: Timestamp) -> bool {
+        let host = &self.hosts[primary];
+        let required = FAILOVER_LOST_SHARE * f64::from(group.in_flight_at_fault);
+        let attempts_lost = f64::from(group.lost_since_fault) >= required;
+        (host.unresponsive || host.is_unreachable() && attempts_lost)
+            && now - group.state_since > FAILOVER_DELAY
+            && !self.keeps_primary(group, now)
+    }
+
+    /// Whether the believed primary may get what only a primary can do.
+    pub(super) fn primary_serves(&self, primary: HostIndex, group: &HostGroup, now: Timestamp) -> bool {
+        let host = &self.hosts[primary];
+        let reachable = !host.is_ejected(now) && !host.is_unreachable();
+        match group.state {
+            _ if self.past_drain_grace(primary, now) => false,
+            GroupState::Healthy => host.role != Some(Role::Replica),
+            // Beyond the design: a host that answers health checks and no commands gets one now and then.
+            GroupState::Unhealthy => reachable || self.keeps_primary(group, now),
+            GroupState::Failover => false,
+        }
+    }
+
+    /// Beyond the design: whether the group keeps a primary that this router can't reach. Without one no
+    /// member's position moves on; with one, it is tried further, as no other could do its work.
+    fn keeps_primary(&self, group: &HostGroup, now: Timestamp) -> bool {
+        let mut others = group.members.iter().filter(|member| group.primary != Some(**member));
+        let moving = others.any(|member| now - self.hosts[*member].position < SILENCE_TIMEOUT);
+        moving && group.primary.is_some_and(|primary| !self.hosts[primary].unresponsive)
+    }
+
+    /// Whether a host has been draining for over half of its grace: the rest is left for what is in flight.
+    pub(super) fn past_drain_grace(&self, index: HostIndex, now: Timestamp) -> bool {
+        self.hosts[index].draining_since.is_some_and(|since| now - since > self.deployment.drain_grace / 2)
+    }
+}
--- /dev/null
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -0,0 +1,218 @@
+//! Health checks, refreshes of positions, and what makes a host unreachable, unresponsive or ejected.
+
+use super::*;
+use crate::Host;
+
+/// Points of service that each command spends on health checks: quiet routers pay more than once for each.
+const POINTS_PER_COMMAND: f64 = 0.02;
+/// The part of these that timers get where positions are refreshed on demand besides.
+const TIMER_PART: f64 = 0.25;
+/// A group of which fewer recent commands are left than this is not checked.
+const MIN_RECENT_COMMANDS: f64 = 0.5;
+/// How soon a health check that reported nothing is sent again, and how often hosts are checked urgently.
+pub(super) const HEALTH_CHECK_RETRY: Duration = Duration::from_millis(250);
+/// How long a host may go without a health check that no command has paid for.
+const UNPAID_INTERVAL: Duration = Duration::from_secs(10);
+/// Attempts in a row, cancelled late or timed out without any answer since, that make a host unresponsive.
+const UNRESPONSIVE_AFTER: u32 = 2;
+/// How often an unresponsive host is tried with a command.
+pub(super) const UNRESPONSIVE_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Failures in a row, of connections, attempts and health checks, that make a host unreachable.
+const UNREACHABLE_AFTER: u32 = 3;
+/// The part of a staleness bound, as a divisor, kept as a margin where only positions guard a read.
+pub(super) const STALENESS_MARGIN: u64 = 32;
+
+impl Router {
+    /// Takes in the end of a health check, with the load report that came back.
+    pub fn health_checked(
+        &mut self, host: Host, outcome: AttemptOutcome, report: HostReport, out: &mut dyn Actions,
+    ) {
+        let now = out.now();
+        let Some(index) = self.hosts.index_of(host) else { return };
+        let connect_timeout = self.deployment.connect_timeout;
+        let host = &mut self.hosts[index];
+        let sent_at = host.health_check_sent.take().unwrap_or(now);
+        match outcome {
+            AttemptOutcome::NoConnectionSlot => host.record_rejection(self.hash_seed, connect_timeout, now),
+            AttemptOutcome::Answered | AttemptOutcome::Error | AttemptOutcome::Overloaded => {
+                host.record_sign_of_life(now);
+                if report == HostReport::default() {
+                    host.retry_health_check(now);
+                }
+            }
+            _ if host.last_sign_of_life < sent_at => host.record_failure(connect_timeout, now),
+            _ => {}
+        }
+        self.apply_report(index, report, None, out);
+        self.drain_queues(out);
+    }
+
+    pub(super) fn fund_health_checks(&mut self, shard: Shard, now: Timestamp) {
+        let Some(group) = self.host_groups.get_mut(&shard) else { return };
+        let points = POINTS_PER_COMMAND * if self.refresh_on_demand { TIMER_PART } else { 1.0 };
+        let funded = group.health_check_budget + points / self.deployment.probe_price;
+        group.health_check_budget = funded.min(group.members.len() as f64 * 2.0);
+        group.recent_commands.add(1.0, now, RECENT_COMMANDS_WINDOW);
+    }
+
+    /// Checks each host whose time has come, if there is need and someone has paid for it.
+    pub(super) fn run_due_health_checks(&mut self, out: &mut dyn Actions) {
+        if !self.deployment.may_probe {
+            return;
+        }
+        let now = out.now();
+        let calm_interval = self.tightest_bound.clamp(HEALTH_CHECK_INTERVAL / 5, HEALTH_CHECK_INTERVAL);
+        for index in self.due_health_checks(now) {
+            let urgent = self.is_check_urgent(index);
+            let interval = if urgent { HEALTH_CHECK_RETRY } else { calm_interval };
+            let host = &mut self.hosts[index];
+            // An answer that carried a report is as good as a health check.
+            let reported = now - host.lag_reported_at < interval && now - host.last_sign_of_life < interval;
+            if !urgent && reported {
+                host.next_health_check = now + interval;
+            } else if self.pay_for_health_check(index, now) {
+                self.hosts[index].next_health_check = now + interval;
+                self.send_health_check(index, out);
+            }
+        }
+    }
+
+    /// The listed primaries, then the longest due: where few are paid for, each has its turn.
+    fn due_health_checks(&self, now: Timestamp) -> Vec<HostIndex> {
+        let is_due = |index: &HostIndex| self.is_check_due(*index, now) && self.is_check_needed(*index, now);
+        let mut due: Vec<HostIndex> = self.hosts.indices().filter(is_due).collect();
+        let is_listed = |index: HostIndex| self.group_of(index).listed_primary == Some(index);
+        due.sort_by_key(|index| (!is_listed(*index), self.hosts[*index].next_health_check));
+        due
+    }
+
+    fn is_check_due(&self, index: HostIndex, now: Timestamp) -> bool {
+        let host = &self.hosts[index];
+        let drained = host.draining_since.is_some() && host.concurrency.in_flight == Duration::ZERO;
+        let possible = host.health_check_sent.is_none() && host.connection_slots.has_free(now) && !drained;
+        possible && host.next_health_check <= now
+    }
+
+    fn is_check_urgent(&self, index: HostIndex) -> bool {
+        let group = self.group_of(index);
+        let is_draining = |primary: HostIndex| self.hosts[primary].draining_since.is_some();
+        let lacks_primary = group.state == GroupState::Failover || group.primary.is_none_or(is_draining);
+        lacks_primary || self.hosts[index].unresponsive || self.is_doubtful_primary(index)
+    }
+
+    /// Whether it is a primary that is Unhealthy or was last seen as a replica: nothing else asks it.
+    fn is_doubtful_primary(&self, index: HostIndex) -> bool {
+        let group = self.group_of(index);
+        let was_replica = self.hosts[index].role == Some(Role::Replica);
+        group.primary == Some(index) && (group.state == GroupState::Unhealthy || was_replica)
+    }
+
+    /// Where positions are refreshed on demand, replicas are asked as commands need it, and a primary proves
+    /// itself by its answers: it is checked if they stay out. Without commands nobody need know.
+    fn is_check_needed(&self, index: HostIndex, now: Timestamp) -> bool {
+        let group = self.group_of(index);
+        let silent = self.hosts[index].silent_for(now) >= HEALTH_CHECK_INTERVAL / 2;
+        let needed = (group.state == GroupState::Failover || group.primary.is_none())
+            || self.is_doubtful_primary(index)
+            || group.primary == Some(index) && silent;
+        let in_use = group.recent_commands.value(now, RECENT_COMMANDS_WINDOW) >= MIN_RECENT_COMMANDS;
+        !self.refresh_on_demand || needed && in_use
+    }
+
+    /// Takes the price from the group's budget. What nothing has paid for is free after a long while.
+    fn pay_for_health_check(&mut self, index: HostIndex, now: Timestamp) -> bool {
+        let free = now >= self.hosts[index].next_health_check + UNPAID_INTERVAL;
+        let group = self.group_of_mut(index);
+        let affordable = free || group.health_check_budget >= 1.0;
+        if affordable {
+            group.health_check_budget = (group.health_check_budget - 1.0).max(0.0);
+        }
+        affordable
+    }
+
+    /// Asks the subset's members for positions that would soon be too old for this command.
+    pub(super) fn refresh_positions(&mut self, id: CommandId, out: &mut dyn Actions) {
+        let now = out.now();
+        let command = &self.commands[&id];
+        let (shard, command_group) = (command.shard, command.command_group);
+        let Some(oldest) = self.oldest_useful_position(command, now) else { return };
+        for member in self.subset(shard, now) {
+            let host = &self.hosts[member.index];
+            let asked = host.health_check_sent.is_some() || now < host.next_position_refresh;
+            if host.position < oldest && !asked && self.has_capacity(&member, command_group, now) {
+                let lag = Some(host.lag).filter(|_| host.position > Timestamp::ZERO);
+                let backoff = freshness::refresh_backoff(lag, HEALTH_CHECK_RETRY);
+                self.hosts[member.index].next_position_refresh = now + backoff;
+                self.send_health_check(member.index, out);
+            }
+        }
+    }
+
+    /// Positions older than this must be refreshed for a command; none where positions do not guard it.
+    fn oldest_useful_position(&self, command: &Command, now: Timestamp) -> Option<Timestamp> {
+        // Where sessions are served besides, timers ask too, but few of them are paid for by a quiet router.
+        let guard = self.deployment.staleness_check == StalenessCheck::Off && self.deployment.may_probe;
+        let group = self.host_groups.get(&command.shard).filter(|_| guard)?;
+        let less_margin = |bound: Duration| bound - bound / STALENESS_MARGIN;
+        let lasts = |bound| freshness::refresh_after(less_margin(bound), HEALTH_CHECK_RETRY);
+        match self.settings(command).consistency {
+            Consistency::BoundedStaleness(bound) => Some(now - lasts(bound)),
+            Consistency::Session => Some(command.required_position).filter(|past| *past > Timestamp::ZERO),
+            Consistency::Eventual => None,
+            // Whether the group keeps a primary in doubt shows in whether its other members move on.
+            Consistency::Write | Consistency::Strong => {
+                (group.state == GroupState::Unhealthy).then(|| now - lasts(SILENCE_TIMEOUT))
+            }
+        }
+    }
+}
+
+impl HostState {
+    pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
+        now < self.ejected_until
+    }
+
+    /// Whether nothing has reached it for a while. One failure is no proof: the host may lack a connection
+    /// to spare, or be hard to reach from here alone, and serve all the same.
+    pub(super) fn is_unreachable(&self) -> bool {
+        self.consecutive_failures >= UNREACHABLE_AFTER
+    }
+
+    pub(super) fn record_sign_of_life(&mut self, now: Timestamp) {
+        self.last_sign_of_life = now;
+        self.consecutive_failures = 0;
+        if !self.unresponsive {
+            self.ejected_until = self.ejected_until.min(now);
+        }
+    }
+
+    /// Ejects an unreachable host, for twice as long each time: hundreds of routers try what is gone.
+    pub(super) fn record_failure(&mut self, connect_timeout: Duration, now: Timestamp) {
+        self.consecutive_failures += 1;
+        if self.is_unreachable() {
+            let doublings = (self.consecutive_failures - UNREACHABLE_AFTER).min(16);
+            self.ejected_until = now + (connect_timeout * (1 << doublings)).min(SILENCE_TIMEOUT);
+        }
+    }
+
+    /// Hangs, one-way links, hosts too slow to wait for, whatever their health checks say.
+    pub(super) fn record_unanswered(&mut self, now: Timestamp) {
+        self.unanswered_attempts += 1;
+        if self.unanswered_attempts >= UNRESPONSIVE_AFTER && !self.unresponsive {
+            self.unresponsive = true;
+            self.ejected_until = self.ejected_until.max(now + UNRESPONSIVE_TRIAL_INTERVAL);
+        }
+    }
+
+    /// It runs, and has no slot for one more connection.
+    pub(super) fn record_rejection(&mut self, hash_seed: u64, connect_timeout: Duration, now: Timestamp) {
+        self.record_sign_of_life(now);
+        self.connection_slots.connection_rejected(hash_seed, self.host.number(), connect_timeout, now);
+    }
+
+    /// It runs but reports nothing: it has just started, is overloaded, or only its health checks fail.
+    fn retry_health_check(&mut self, now: Timestamp) {
+        let divisor = if self.position == Timestamp::ZERO { 4 } else { 1 };
+        self.next_health_check = self.next_health_check.min(now + HEALTH_CHECK_RETRY / divisor);
+    }
+}
--- /dev/null
+++ b/crates/comethitch-policy/src/policy/mod.rs
@@ -0,0 +1,89 @@
+//! The decision module: every decision of the router is made in this folder.
+//!
+//! A caller makes a [`Router`], reports endpoint updates, health checks and ticks, and submits commands.
+//! What happens to a command later is a call on the [`Handle`] that this returns.
+//!
+//! `admission` queues and rejects commands, `selection` chooses a host, `retries` says what may be sent
+//! again, `attempts` sends and takes in ends, `load` limits the work at each host, `health` checks hosts and
+//! ejects outliers, `group` follows failovers, `endpoints` applies the endpoint list. The mechanism is
+//! described in `docs/design.md`; "Beyond the design" marks departures from it.
+
+mod admission;
+mod attempts;
+mod endpoints;
+mod group;
+mod health;
+mod load;
+mod retries;
+mod selection;
+
+use crate::command::{Attempt, Command};
+use crate::host_group::{GroupState, HostGroup};
+use crate::router::{Handle, Router, Selection};
+use crate::time::{Duration, Timestamp};
+use crate::{Actions, AttemptOutcome, CommandGroup, CommandId, CommandRequest, Consistency};
+use crate::{DeduplicationScope, Deployment, Idempotency, RejectionReason, Role};
+use crate::{HostReport, Shard, StalenessCheck, histogram::Histogram};
+use crate::{estimates::Estimate, host_state::HostState, host_table::HostIndex};
+use comethitch_fleet::{freshness, subset::Member};
+
+/// How often each host's health is checked, from the design page.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// After how long a host that owes an answer and gave no sign of life is silent, from the design page.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time constant over which a group's recent commands are counted.
+const RECENT_COMMANDS_WINDOW: Duration = Duration::from_secs(10);
+
+impl Router {
+    /// A router that knows no hosts yet. The same seed and the same calls give the same decisions.
+    pub fn start(deployment: Deployment, seed: u64, out: &mut dyn Actions) -> Router {
+        let service_times = |group: &CommandGroup| Histogram::new(group.latency_objective / 64, 256);
+        let mut router = Router::empty(deployment, seed, HEALTH_CHECK_INTERVAL);
+        let deployment = &router.deployment;
+        router.tick_interval = deployment.tick.max(router.shortest_objective / 16);
+        router.retry_budget = retries::MAX_RETRY_BUDGET;
+        router.service_times = deployment.groups.iter().map(service_times).collect();
+        router.report_age = Histogram::new(deployment.tick, 256);
+        router.refresh_on_demand =
+            deployment.staleness_check == StalenessCheck::Off && !deployment.serves(Consistency::Session);
+        router.watch_endpoints(out);
+        out.wake_after(router.tick_interval);
+        router
+    }
+
+    /// Accepts a command. What happens to it later is a call on the handle.
+    pub fn submit(&mut self, request: CommandRequest, out: &mut dyn Actions) -> Handle {
+        let now = out.now();
+        let required_position = if self.deployment.session_tokens_carried {
+            request.since_write.map_or(Timestamp::ZERO, |since| now - since)
+        } else {
+            self.session_commits.of(request.session)
+        };
+        self.commands.insert(request.id, Command::new(&request, required_position, now));
+        self.fund_retries();
+        self.fund_health_checks(request.shard, now);
+        self.refresh_positions(request.id, out);
+        self.schedule(request.id, out);
+        Handle(request.id)
+    }
+
+    /// Reviews everything that depends on the time; to be called as [`Actions::wake_after`] asked.
+    pub fn tick(&mut self, out: &mut dyn Actions) {
+        out.wake_after(self.tick_interval);
+        for shard in self.host_groups.keys().copied().collect::<Vec<_>>() {
+            self.check_primary(shard, out);
+        }
+        self.run_due_health_checks(out);
+        for id in self.commands.keys().copied().collect::<Vec<_>>() {
+            self.review_command(id, out);
+        }
+        self.drain_queues(out);
+    }
+
+    /// Gives every command that is left its final answer, as the router ends.
+    pub fn shut_down(&mut self, out: &mut dyn Actions) {
+        for id in self.commands.keys().copied().collect::<Vec<_>>() {
+            self.reject(id, RejectionReason::DeadlineExceeded, out);
+        }
+    }
+}
--- /dev/null
+++ b/crates/comethitch-policy/src/router.rs
@@ -0,0 +1,164 @@
+//! The state of a router: data alone.
+//!
+//! What follows from it is decided in [`policy`](crate::policy), which adds the entry points to [`Router`].
+
+use crate::command::{Attempt, Command};
+use crate::histogram::Histogram;
+use crate::host_group::HostGroup;
+use crate::host_table::{HostIndex, HostTable};
+use crate::time::Duration;
+use crate::{Actions, CommandId, Deployment, Shard};
+use crate::{chance::Chance, commits::Commits};
+use std::collections::BTreeMap;
+
+/// Decides where each command goes. Hosts and command groups are given by their indices.
+pub struct Router {
+    /// The settings that it was started with.
+    pub deployment: Deployment,
+    pub(crate) random: Chance,
+    /// Makes the hashed draws of this router differ from those of others.
+    pub(crate) hash_seed: u64,
+    /// How often [`Router::tick`] asks to be called.
+    pub(crate) tick_interval: Duration,
+    pub(crate) host_groups: BTreeMap<Shard, HostGroup>,
+    pub(crate) hosts: HostTable,
+    pub(crate) commands: BTreeMap<CommandId, Command>,
+    /// Commands that wait for capacity: first attempts, and behind them retries; highest priority first.
+    pub(crate) queues: [Vec<CommandId>; 2],
+    /// How many retries the commands so far have paid for.
+    pub(crate) retry_budget: f64,
+    /// The share of errors among the last answers, of all hosts together.
+    pub(crate) error_rate: f64,
+    /// Answer times by command group.
+    pub(crate) service_times: Vec<Histogram>,
+    /// How old a primary's report of its position is: pure age, as a primary has all commits.
+    pub(crate) report_age: Histogram,
+    /// The latest commit that each session was told of, where this router has to remember.
+    pub(crate) session_commits: Commits,
+    /// The shortest latency objective of all command groups.
+    pub(crate) shortest_objective: Duration,
+    /// The longest latency objective of all command groups.
+    pub(crate) longest_objective: Duration,
+    /// The tightest staleness bound of all command groups.
+    pub(crate) tightest_bound: Duration,
+    /// Whether positions alone guard reads, and bounds alone need them: then they are refreshed on demand.
+    pub(crate) refresh_on_demand: bool,
+}
+
+/// Where a command can go now.
+pub(crate) enum Selection {
+    Host(HostIndex),
+    /// It must wait: no host that may take it has capacity.
+    Wait,
+    /// It needs a primary, and none serves.
+    Rejected,
+}
+
+/// A submitted command. All that happens to it after it was submitted is a call on this.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Handle(pub(crate) CommandId);
+
+impl Handle {
+    /// The client went away, or its time is up: no answer is owed any more.
+    pub fn client_disconnected(self, router: &mut Router, out: &mut dyn Actions) {
+        if let Some(command) = router.commands.get_mut(&self.0) {
+            command.finished = true;
+            router.cancel_attempts(self.0, out);
+        }
+    }
+}
+
+impl Router {
+    /// A router that knows no hosts yet. What depends on the policy's own values is empty or zero.
+    pub(crate) fn empty(deployment: Deployment, seed: u64, default_interval: Duration) -> Router {
+        let shortest_objective = deployment.shortest_latency_objective().unwrap_or(default_interval);
+        let longest_objective = deployment.groups.iter().map(|group| group.latency_objective).max();
+        Router {
+            random: Chance::new(seed),
+            hash_seed: seed,
+            tick_interval: deployment.tick,
+            host_groups: BTreeMap::new(),
+            hosts: HostTable::default(),
+            commands: BTreeMap::new(),
+            queues: Default::default(),
+            retry_budget: 0.0,
+            error_rate: 0.0,
+            service_times: Vec::new(),
+            report_age: Histogram::default(),
+            session_commits: Commits::default(),
+            shortest_objective,
+            longest_objective: longest_objective.unwrap_or(shortest_objective),
+            tightest_bound: deployment.tightest_staleness_bound().unwrap_or(default_interval),
+            refresh_on_demand: false,
+            deployment,
+        }
+    }
+
+    /// The handle of a command that was submitted and has an attempt in flight or no final answer yet.
+    pub fn handle(&self, id: CommandId) -> Option<Handle> {
+        self.commands.contains_key(&id).then_some(Handle(id))
+    }
+
+    /// How many host entries are allocated: those of removed hosts are used again.
+    pub fn host_entries(&self) -> usize {
+        self.hosts.len()
+    }
+
+    /// Asks for the endpoint list again, as it could not be had.
+    pub fn endpoints_unavailable(&mut self, out: &mut dyn Actions) {
+        self.watch_endpoints(out);
+    }
+
+    /// Asks for the endpoint list where it must be asked for.
+    pub(crate) fn watch_endpoints(&self, out: &mut dyn Actions) {
+        if self.deployment.must_watch_endpoints {
+            out.watch_endpoints();
+        }
+    }
+
+    /// Counts an attempt as in flight at its host; `cost` is what it is charged in slow start.
+    pub(crate) fn record_sent(&mut self, attempt: &Attempt, cost: f64) {
+        let now = attempt.sent_at;
+        let window = self.window(attempt.host, now, self.deployment.slow_start.window);
+        let group = self.group_of_mut(attempt.host);
+        group.concurrency_limits[attempt.command_group].in_flight += attempt.work;
+        let host = &mut self.hosts[attempt.host];
+        host.concurrency.in_flight += attempt.work;
+        host.work_sent.add(cost, now, window.length);
+        host.slow_start_usage.add(cost, &window);
+        host.connection_slots.attempt_sent(now);
+        host.expect_answer(now);
+    }
+
+    /// Marks the attempts in flight to a host as such at its fault, and counts them.
+    pub(crate) fn mark_in_flight_at_fault(&mut self, index: HostIndex) -> u32 {
+        let mut in_flight = 0;
+        let attempts = self.commands.values_mut().flat_map(|command| &mut command.attempts);
+        for attempt in attempts.filter(|attempt| attempt.host == index) {
+            attempt.in_flight_at_fault = attempt.outcome.is_none();
+            in_flight += u32::from(attempt.in_flight_at_fault);
+        }
+        in_flight
+    }
+
+    /// Sends a health check to a host.
+    pub(crate) fn send_health_check(&mut self, index: HostIndex, out: &mut dyn Actions) {
+        let host = &mut self.hosts[index];
+        host.health_check_sent = Some(out.now());
+        host.expect_answer(out.now());
+        out.check_health(host.host);
+    }
+
+    /// Cancels what is still in flight of a finished command, if that is allowed, and forgets it once nothing is.
+    pub(crate) fn cancel_attempts(&mut self, id: CommandId, out: &mut dyn Actions) {
+        let Some(command) = self.commands.get(&id) else { return };
+        for (nth, attempt) in command.attempts.iter().enumerate() {
+            if self.deployment.may_cancel && attempt.outcome.is_none() {
+                out.cancel_attempt(id, nth as u16);
+            }
+        }
+        if command.in_flight().next().is_none() {
+            self.commands.remove(&id);
+        }
+    }
+}
