--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -50,7 +50,8 @@
         let out = self.reply.of(instance);
         if code == 24 {
             let text = std::str::from_utf8(tail.named_by(record, 11, 1)?);
-            let deployment = Deployment::read(text.map_err(|_| "the deployment text is not UTF-8")?)?;
+            let text = text.map_err(|_| "the deployment text is not UTF-8")?;
+            let deployment = Deployment::read(text).map_err(|error| error.to_string())?;
             self.routers.insert(instance, Router::start(deployment, record.u64(3)?, out));
             return Ok(());
         }
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -269,5 +269,6 @@
              classes.1.target_us={target_ms}000\nclasses.1.deadline_us={timeout_ms}000\nclasses.1.value=2\n",
             self.drain_grace_ms, self.cold_from, self.warm_within_ms, self.fall_multiple, self.fall_ms,
         ))
+        .map_err(|error| error.to_string())
     }
 }
--- /dev/null
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -0,0 +1,286 @@
+//! The settings of a deployment: read once at start, from the `path=value` lines of a start message.
+
+use crate::command_group::{CommandGroup, Consistency, DeduplicationScope, Idempotency, StalenessCheck};
+use crate::host::{HostReport, Role};
+use crate::time::{Duration, Timestamp};
+use comethitch_fleet::quota::SlowStart;
+use std::collections::BTreeMap;
+use std::str::FromStr;
+use thiserror::Error;
+
+/// Why a start message can't be used.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum DeploymentError {
+    /// A key that has no default is not set.
+    #[error("{key} is missing")]
+    Missing {
+        /// The key.
+        key: String,
+    },
+    /// A key is set to what is none of its values.
+    #[error("{key} is unreadable: {text:?}")]
+    Unreadable {
+        /// The key.
+        key: String,
+        /// What it is set to.
+        text: String,
+    },
+    /// A list has no entry for the last command groups.
+    #[error("{key} is too short")]
+    TooShort {
+        /// The key.
+        key: &'static str,
+    },
+}
+
+/// The settings that decisions depend on.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Deployment {
+    /// The command groups, by their numbers.
+    pub groups: Vec<CommandGroup>,
+    /// What replicas do with reads that they are too far behind for.
+    pub staleness_check: StalenessCheck,
+    /// Whether clients tell when their session last wrote; else routers remember it.
+    pub session_tokens_carried: bool,
+    /// How often a router may be called to review what depends on the time.
+    pub tick: Duration,
+    /// Whether attempts may be cancelled.
+    pub may_cancel: bool,
+    /// Whether health checks may be sent.
+    pub may_check_health: bool,
+    /// Points of service that one health check for each command would cost.
+    pub health_check_price: f64,
+    /// Whether a second attempt may be sent while one is in flight.
+    pub hedging_allowed: bool,
+    /// How many attempts a command may have.
+    pub max_attempts: usize,
+    /// The longest time that a rejected client may be told to wait; none where it may be told nothing.
+    pub max_retry_after: Option<Duration>,
+    /// The longest that a connection may take to come up.
+    pub connect_timeout: Duration,
+    /// How long a draining host still answers.
+    pub drain_grace: Duration,
+    /// Whether hosts that the endpoint list says are removed may still be used.
+    pub removal_is_advisory: bool,
+    /// Whether the endpoint list must be asked for.
+    pub must_watch_endpoints: bool,
+    /// What hosts that have just started bear.
+    pub slow_start: SlowStart,
+    /// The moment that reported positions count from.
+    position_origin: Timestamp,
+    report_fields: ReportFields,
+}
+
+/// The places of the values in a load report; none where hosts do not report them.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct ReportFields {
+    position: Option<usize>,
+    role: Option<usize>,
+    queue: Option<usize>,
+}
+
+impl Deployment {
+    /// Reads the `path=value` lines of a start message.
+    ///
+    /// ```
+    /// let missing = comethitch_policy::Deployment::read("me=0\n").unwrap_err();
+    /// assert_eq!(missing.to_string(), "domain.class_read is missing");
+    /// ```
+    ///
+    /// # Errors
+    ///
+    /// If a key is missing or unreadable, or a list is too short.
+    pub fn read(text: &str) -> Result<Deployment, DeploymentError> {
+        let lines = Lines(text.lines().filter_map(|line| line.split_once('=')).collect());
+        let groups = lines.command_groups()?;
+        let retry_after_allowed = lines.value_or("permissions.retry_after", false)?;
+        Ok(Deployment {
+            groups,
+            staleness_check: lines.one_of("domain.guards", &STALENESS_CHECKS)?,
+            session_tokens_carried: lines.text_or("domain.tokens", "carried") == "carried",
+            tick: lines.duration("tick_us")?,
+            may_cancel: lines.value_or("permissions.cancel", false)?,
+            may_check_health: lines.value_or("permissions.may_probe", false)?,
+            health_check_price: lines.value_or("prices.probe", 0.0)?,
+            hedging_allowed: lines.value_or("permissions.second_copies", false)?,
+            max_attempts: lines.value("permissions.max_attempts")?,
+            max_retry_after: if retry_after_allowed {
+                Some(lines.duration("permissions.max_retry_after_us")?)
+            } else {
+                None
+            },
+            connect_timeout: lines.duration("permissions.connect_timeout_us")?,
+            drain_grace: lines.duration("rules.drain_grace_us")?,
+            removal_is_advisory: lines.value_or("rules.gone_is_advice", false)?,
+            must_watch_endpoints: lines.text_or("membership_mode", "automatic") == "subscribe",
+            slow_start: lines.slow_start()?,
+            position_origin: Timestamp::from_micros(lines.value_or("domain.origin_time_us", 0)?),
+            report_fields: lines.report_fields(),
+        })
+    }
+
+    /// Parses the values of a host's load report. The position is a 32-bit float, rounded to the nearest: the next
+    /// one below is surely not past the truth.
+    pub fn parse_report(&self, values: &[f32]) -> HostReport {
+        let value = |field: Option<usize>| field.and_then(|field| values.get(field)).copied();
+        let position = value(self.report_fields.position).map(|seconds| {
+            let micros = (f64::from(seconds.next_down()) * 1e6).max(0.0) as u64;
+            self.position_origin + Duration::from_micros(micros)
+        });
+        let role = value(self.report_fields.role)
+            .map(|role| if role >= 0.5 { Role::Primary } else { Role::Replica });
+        let queue = value(self.report_fields.queue).map(|queue| f64::from(queue).max(0.0));
+        HostReport { role, position, queue }
+    }
+
+    /// Parses the note on an answer: four times the position in milliseconds, plus the role.
+    pub fn parse_note(&self, note: u32) -> HostReport {
+        let role = match note % 4 {
+            1 => Some(Role::Primary),
+            2 => Some(Role::Replica),
+            _ => None,
+        };
+        let position = Duration::from_micros(u64::from(note / 4) * 1000);
+        let position = (note >= 4).then(|| self.position_origin + position);
+        HostReport { role, position, queue: None }
+    }
+
+    /// The shortest latency objective of all command groups; none without command groups.
+    pub fn shortest_latency_objective(&self) -> Option<Duration> {
+        self.groups.iter().map(|group| group.latency_objective).min()
+    }
+
+    /// The tightest bound on the age of data; none if no command group has one.
+    pub fn tightest_staleness_bound(&self) -> Option<Duration> {
+        let bound = |group: &CommandGroup| match group.consistency {
+            Consistency::BoundedStaleness(bound) => Some(bound),
+            _ => None,
+        };
+        self.groups.iter().filter_map(bound).min()
+    }
+
+    /// Whether some command group has this need.
+    pub fn serves(&self, need: Consistency) -> bool {
+        self.groups.iter().any(|group| group.consistency == need)
+    }
+}
+
+const STALENESS_CHECKS: [(&str, StalenessCheck); 3] =
+    [("off", StalenessCheck::Off), ("refuse", StalenessCheck::Reject), ("wait", StalenessCheck::Wait)];
+
+const IDEMPOTENCIES: [(&str, Idempotency); 3] = [
+    ("repeatable", Idempotency::Idempotent),
+    ("by_key", Idempotency::Keyed),
+    ("once", Idempotency::NonIdempotent),
+];
+
+const DEDUPLICATION_SCOPES: [(&str, DeduplicationScope); 3] = [
+    ("all", DeduplicationScope::Everywhere),
+    ("zone", DeduplicationScope::Zone),
+    ("cell", DeduplicationScope::Shard),
+];
+
+const CONSISTENCIES: &str = "domain.class_read";
+const STALENESS_BOUNDS: &str = "domain.oldest_data_us";
+
+/// The lines of a start message, by key.
+struct Lines<'a>(BTreeMap<&'a str, &'a str>);
+
+impl Lines<'_> {
+    fn text(&self, key: &str) -> Result<&str, DeploymentError> {
+        self.0.get(key).copied().ok_or_else(|| DeploymentError::Missing { key: key.into() })
+    }
+
+    fn text_or<'a>(&'a self, key: &str, default: &'a str) -> &'a str {
+        self.0.get(key).copied().unwrap_or(default)
+    }
+
+    fn value<T: FromStr>(&self, key: &str) -> Result<T, DeploymentError> {
+        parse(key, self.text(key)?)
+    }
+
+    fn value_or<T: FromStr>(&self, key: &str, default: T) -> Result<T, DeploymentError> {
+        if self.0.contains_key(key) { self.value(key) } else { Ok(default) }
+    }
+
+    fn duration(&self, key: &str) -> Result<Duration, DeploymentError> {
+        self.value(key).map(Duration::from_micros)
+    }
+
+    fn one_of<T: Copy>(&self, key: &str, values: &[(&str, T)]) -> Result<T, DeploymentError> {
+        let text = self.text(key)?;
+        let found = values.iter().find(|(name, _)| *name == text);
+        found.map(|(_, value)| *value).ok_or_else(|| unreadable(key, text))
+    }
+
+    fn slow_start(&self) -> Result<SlowStart, DeploymentError> {
+        Ok(SlowStart {
+            routers: self.value::<u32>("siblings")?.max(1),
+            overload_multiple: self.value("rules.fall_multiple")?,
+            window: self.duration("rules.fall_us")?,
+            initial_capacity: self.value("rules.cold_from")?,
+            warmup: self.duration("rules.warm_within_us")?,
+        })
+    }
+
+    fn report_fields(&self) -> ReportFields {
+        let names: Vec<&str> = self.text_or("load_info.names", "").split(',').collect();
+        let place = |name| names.iter().position(|other| *other == name);
+        ReportFields { position: place("x0"), role: place("x1"), queue: place("queue") }
+    }
+
+    fn command_groups(&self) -> Result<Vec<CommandGroup>, DeploymentError> {
+        let consistencies: Vec<&str> = self.text(CONSISTENCIES)?.split(',').collect();
+        let bounds: Vec<&str> = self.text(STALENESS_BOUNDS)?.split(',').collect();
+        (0..self.value::<usize>("classes.count")?)
+            .map(|number| {
+                let consistency = consistency(consistencies.get(number), bounds.get(number))?;
+                self.command_group(number, consistency)
+            })
+            .collect()
+    }
+
+    fn command_group(
+        &self, number: usize, consistency: Consistency,
+    ) -> Result<CommandGroup, DeploymentError> {
+        let key = |field: &str| format!("classes.{number}.{field}");
+        let idempotency = self.one_of(&key("effect"), &IDEMPOTENCIES)?;
+        Ok(CommandGroup {
+            latency_objective: self.duration(&key("target_us"))?,
+            timeout: self.duration(&key("deadline_us"))?,
+            priority_weight: self.value(&key("value"))?,
+            idempotency,
+            deduplication_scope: if idempotency == Idempotency::Keyed {
+                self.one_of(&key("group"), &DEDUPLICATION_SCOPES)?
+            } else {
+                DeduplicationScope::Everywhere
+            },
+            deduplication_window: Duration::from_micros(self.value_or(&key("window_us"), 0)?),
+            consistency,
+        })
+    }
+}
+
+/// One command group's entries of the two lists that say how new its data must be.
+fn consistency(name: Option<&&str>, bound: Option<&&str>) -> Result<Consistency, DeploymentError> {
+    let name = name.ok_or(DeploymentError::TooShort { key: CONSISTENCIES })?;
+    match *name {
+        "write" => Ok(Consistency::Write),
+        "fresh" => Ok(Consistency::Strong),
+        "session" => Ok(Consistency::Session),
+        "bounded" => {
+            let bound = bound.ok_or(DeploymentError::TooShort { key: STALENESS_BOUNDS })?;
+            parse(STALENESS_BOUNDS, bound).map(Duration::from_micros).map(Consistency::BoundedStaleness)
+        }
+        "any" => Ok(Consistency::Eventual),
+        other => Err(unreadable(CONSISTENCIES, other)),
+    }
+}
+
+fn parse<T: FromStr>(key: &str, text: &str) -> Result<T, DeploymentError> {
+    text.parse().map_err(|_| unreadable(key, text))
+}
+
+fn unreadable(key: &str, text: &str) -> DeploymentError {
+    DeploymentError::Unreadable { key: key.into(), text: text.into() }
+}
--- a/crates/comethitch-policy/src/messages.rs
+++ b/crates/comethitch-policy/src/messages.rs
@@ -1,7 +1,10 @@
 //! What a caller tells the policy: commands, the endpoint list, and how attempts ended.
 
 use crate::time::{Duration, Timestamp};
-use crate::{AttemptOutcome, CommandId, Host, HostReport, Lifecycle, Shard};
+use crate::{AttemptOutcome, Host, HostReport, Lifecycle, Shard};
+
+/// A command's id, as the caller gives it.
+pub type CommandId = u32;
 
 /// A command as a caller submits it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -33,7 +33,7 @@
         router.record_outcome(&attempt, now);
         router.record_primary_fault(&attempt, now);
         if end.outcome == AttemptOutcome::Answered && !router.deployment.session_tokens_carried {
-            router.session_commits.tell(session, end.note.position.unwrap_or_default());
+            router.session_commits.record(session, end.note.position.unwrap_or_default());
         }
         router.hosts[attempt.host].apply_note(&end.note, attempt.sent_at);
         router.apply_report(attempt.host, end.report, attempt.was_answered().then_some(end.note), out);
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -50,14 +50,14 @@
     pub(super) fn fund_health_checks(&mut self, shard: Shard, now: Timestamp) {
         let Some(group) = self.host_groups.get_mut(&shard) else { return };
         let points = POINTS_PER_COMMAND * if self.refresh_on_demand { TIMER_PART } else { 1.0 };
-        let funded = group.health_check_budget + points / self.deployment.probe_price;
+        let funded = group.health_check_budget + points / self.deployment.health_check_price;
         group.health_check_budget = funded.min(group.members.len() as f64 * 2.0);
         group.recent_commands.add(1.0, now, RECENT_COMMANDS_WINDOW);
     }
 
     /// Checks each host whose time has come, if there is need and someone has paid for it.
     pub(super) fn run_due_health_checks(&mut self, out: &mut dyn Actions) {
-        if !self.deployment.may_probe {
+        if !self.deployment.may_check_health {
             return;
         }
         let now = out.now();
@@ -151,7 +151,8 @@
     /// Positions older than this must be refreshed for a command; none where positions do not guard it.
     fn oldest_useful_position(&self, command: &Command, now: Timestamp) -> Option<Timestamp> {
         // Where sessions are served besides, timers ask too, but few of them are paid for by a quiet router.
-        let guard = self.deployment.staleness_check == StalenessCheck::Off && self.deployment.may_probe;
+        let guard =
+            self.deployment.staleness_check == StalenessCheck::Off && self.deployment.may_check_health;
         let group = self.host_groups.get(&command.shard).filter(|_| guard)?;
         let less_margin = |bound: Duration| bound - bound / STALENESS_MARGIN;
         let lasts = |bound| freshness::refresh_after(less_margin(bound), HEALTH_CHECK_RETRY);
@@ -204,7 +205,6 @@
         }
     }
 
-    /// It runs, and has no slot for one more connection.
     pub(super) fn record_rejection(&mut self, hash_seed: u64, connect_timeout: Duration, now: Timestamp) {
         self.record_sign_of_life(now);
         self.connection_slots.connection_rejected(hash_seed, self.host.number(), connect_timeout, now);
--- a/crates/comethitch-policy/src/policy/mod.rs
+++ b/crates/comethitch-policy/src/policy/mod.rs
@@ -57,7 +57,7 @@
         let required_position = if self.deployment.session_tokens_carried {
             request.since_write.map_or(Timestamp::ZERO, |since| now - since)
         } else {
-            self.session_commits.of(request.session)
+            self.session_commits.latest(request.session)
         };
         self.commands.insert(request.id, Command::new(&request, required_position, now));
         self.fund_retries();
--- a/crates/comethitch-policy/src/router.rs
+++ b/crates/comethitch-policy/src/router.rs
@@ -8,14 +8,14 @@
 use crate::host_table::{HostIndex, HostTable};
 use crate::time::Duration;
 use crate::{Actions, CommandId, Deployment, Shard};
-use crate::{chance::Chance, commits::Commits};
+use crate::{random::RandomGenerator, session_commits::SessionCommits};
 use std::collections::BTreeMap;
 
 /// Decides where each command goes. Hosts and command groups are given by their indices.
 pub struct Router {
     /// The settings that it was started with.
     pub deployment: Deployment,
-    pub(crate) random: Chance,
+    pub(crate) random: RandomGenerator,
     /// Makes the hashed draws of this router differ from those of others.
     pub(crate) hash_seed: u64,
     /// How often [`Router::tick`] asks to be called.
@@ -34,7 +34,7 @@
     /// How old a primary's report of its position is: pure age, as a primary has all commits.
     pub(crate) report_age: Histogram,
     /// The latest commit that each session was told of, where this router has to remember.
-    pub(crate) session_commits: Commits,
+    pub(crate) session_commits: SessionCommits,
     /// The shortest latency objective of all command groups.
     pub(crate) shortest_objective: Duration,
     /// The longest latency objective of all command groups.
@@ -74,7 +74,7 @@
         let shortest_objective = deployment.shortest_latency_objective().unwrap_or(default_interval);
         let longest_objective = deployment.groups.iter().map(|group| group.latency_objective).max();
         Router {
-            random: Chance::new(seed),
+            random: RandomGenerator::new(seed),
             hash_seed: seed,
             tick_interval: deployment.tick,
             host_groups: BTreeMap::new(),
@@ -85,7 +85,7 @@
             error_rate: 0.0,
             service_times: Vec::new(),
             report_age: Histogram::default(),
-            session_commits: Commits::default(),
+            session_commits: SessionCommits::default(),
             shortest_objective,
             longest_objective: longest_objective.unwrap_or(shortest_objective),
             tightest_bound: deployment.tightest_staleness_bound().unwrap_or(default_interval),
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use comethitch_policy::chance::Chance;
+use comethitch_policy::random::RandomGenerator;
 use comethitch_policy::time::Timestamp;
 use comethitch_policy::{AttemptOutcome, Lifecycle, Role};
 use comethitchd::state::buffer::{Buffer, MemoryBudget};
@@ -184,7 +184,7 @@
 
 #[test]
 fn any_bytes_are_taken_without_a_panic() {
-    let mut chance = Chance::new(17);
+    let mut chance = RandomGenerator::new(17);
     for round in 0..3_000 {
         let mut bytes: Vec<u8> =
             (0..chance.below(60.0) as usize).map(|_| chance.below(256.0) as u8).collect();
