--- a/crates/comethitch-policy/tests/scenarios.rs
+++ b/crates/comethitch-policy/tests/scenarios.rs
@@ -2,44 +2,60 @@
 //!
 //! ```text
 //! set KEY=VALUE                a setting other than the base below, before anything else
-//! list a primary, b, c cold    the list, whole: role, `cold` (started now), `draining` or `gone`
-//! pair                         primary a and replica b are listed, a was probed, it is 10ms
-//! at 40ms                      the time from the start; what was to be woken before is woken
-//! probed a,b ok primary -20ms  the end of a probe of each, and what the host says of itself (q9: nine wait there)
-//! take 1 bounded for 600ms     a command of a group, with its client timeout (`after 30ms`: since its write)
-//! ended 1.0 reset [over] [role [position]]   the end of a dispatch
-//! places 4                     places for hosts are held, no more: a letter and a number, as b17, is one too
-//! held 1.0 may|not             a dispatch held up on its way may still go now, or may not
-//! left 1                       the client went away
-//! expect dispatch 1 b|c        an act since the last `at`, in this order; a word may list alternatives
-//! expect throttle 1 deadline_exceeded    a final answer names the check that gave the command up, then any advice
-//! never throttle 1             no such act since the last `at`; `*` stands for any word
-//! atmost 9 dispatch * b        no more such acts than this since the last `at`
+//! list a primary, b, c warming the complete endpoint list: role, `warming` (started now), `draining` or `removed`
+//! pair                         primary a and replica b are listed, a was checked, it is 10ms
+//! at 40ms                      the time from the start; ticks that were due before are made
+//! checked a,b ok primary -20ms the end of a health check of each, and its report (q9: nine commands wait there)
+//! submit 1 bounded for 600ms   a command of a group, with its client timeout (`after 30ms`: since its write)
+//! ended 1.0 reset [finished] [role [position]]   the end of an attempt
+//! entries 4                    no more host entries than this are allocated; b17 is a host like b, for many
+//! delayed 1.0 may|not          an attempt held up on its way may still be sent now, or may not
+//! disconnect 1                 the client went away
+//! expect attempt 1 b|c         an action since the last `at`, in this order; a word may list alternatives
+//! expect throttle 1 deadline_exceeded   a final answer names the reason, then any Retry-After
+//! never throttle 1             no such action since the last `at`; `*` stands for any word
+//! atmost 9 attempt * b         no more such actions than this since the last `at`
 //! repeat 20 { ... }            on one line, steps parted by `;`, `%` stands for the round's number
 //! ```
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{
     Actions, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Deployment, Endpoint, EndpointUpdate,
-    Host, HostReport, Lifecycle, RejectionReason, Role, Router,
+    Handle, Host, HostReport, Lifecycle, RejectionReason, Role, Router,
 };
 use std::{fs, path::Path};
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
-/// Name, need, effect, reach, response target and client timeout in milliseconds.
-type Group = (&'static str, &'static str, &'static str, &'static str, u64, u64);
-
-const GROUPS: [Group; 7] = [
-    ("bounded", "bounded", "repeatable", "all", 250, 600),
-    ("fresh", "fresh", "repeatable", "all", 250, 750),
-    ("mutating", "write", "once", "all", 300, 3000),
-    ("keyed", "write", "by_key", "cell", 1000, 5000),
-    ("everywhere", "write", "by_key", "all", 1000, 5000),
-    ("any", "any", "repeatable", "all", 400, 1500),
-    ("session", "session", "repeatable", "all", 400, 1500),
+const SEED: u64 = 7;
+
+/// The settings of a command group, as a start message names them; times in milliseconds.
+struct GroupSettings {
+    name: &'static str,
+    consistency: &'static str,
+    idempotency: &'static str,
+    deduplication_scope: &'static str,
+    latency_objective: u64,
+    timeout: u64,
+}
+
+const fn group(
+    name: &'static str, [consistency, idempotency, deduplication_scope]: [&'static str; 3],
+    latency_objective: u64, timeout: u64,
+) -> GroupSettings {
+    GroupSettings { name, consistency, idempotency, deduplication_scope, latency_objective, timeout }
+}
+
+const GROUPS: [GroupSettings; 7] = [
+    group("bounded", ["bounded", "repeatable", "all"], 250, 600),
+    group("fresh", ["fresh", "repeatable", "all"], 250, 750),
+    group("mutating", ["write", "once", "all"], 300, 3000),
+    group("keyed", ["write", "by_key", "cell"], 1000, 5000),
+    group("everywhere", ["write", "by_key", "all"], 1000, 5000),
+    group("any", ["any", "repeatable", "all"], 400, 1500),
+    group("session", ["session", "repeatable", "all"], 400, 1500),
 ];
 
-fn base() -> String {
+fn base_settings() -> String {
     let mut text = String::from(
         "domain.guards=off\ndomain.tokens=carried\nload_info.names=x0,x1\nsiblings=2\ntick_us=5000\n\
          permissions.cancel=true\npermissions.may_probe=true\npermissions.second_copies=true\n\
@@ -47,76 +63,84 @@
          permissions.connect_timeout_us=250000\nrules.drain_grace_us=1000000\nrules.cold_from=0.2\n\
          rules.warm_within_us=10000000\nrules.fall_multiple=2\nrules.fall_us=1000000\n",
     );
-    let column = |pick: fn(&Group) -> String| GROUPS.map(|g| pick(&g)).join(",");
-    text += &format!("classes.count={}\ndomain.class_read={}\n", GROUPS.len(), column(|g| g.1.into()));
-    text += &format!(
-        "domain.oldest_data_us={}\n",
-        column(|g| u64::from(g.1 == "bounded").to_string() + "000000")
-    );
-    for (i, (_, _, effect, reach, target, timeout)) in GROUPS.iter().enumerate() {
+    let consistencies = GROUPS.map(|group| group.consistency).join(",");
+    let bounds = GROUPS.map(|group| if group.consistency == "bounded" { "1000000" } else { "0000000" });
+    text += &format!("classes.count={}\ndomain.class_read={consistencies}\n", GROUPS.len());
+    text += &format!("domain.oldest_data_us={}\n", bounds.join(","));
+    for (number, group) in GROUPS.iter().enumerate() {
+        let GroupSettings { idempotency, deduplication_scope, latency_objective, timeout, .. } = group;
         text += &format!(
-            "classes.{i}.effect={effect}\nclasses.{i}.group={reach}\nclasses.{i}.target_us={target}000\n\
-             classes.{i}.deadline_us={timeout}000\nclasses.{i}.value=3\nclasses.{i}.window_us=2000000\n"
+            "classes.{number}.effect={idempotency}\nclasses.{number}.group={deduplication_scope}\n\
+             classes.{number}.target_us={latency_objective}000\nclasses.{number}.deadline_us={timeout}000\n\
+             classes.{number}.value=3\nclasses.{number}.window_us=2000000\n"
         );
     }
     text
 }
 
+/// Records actions as text, and digests them so that two versions of the policy can be compared to the bit.
 #[derive(Default)]
-struct Acts {
+struct RecordedActions {
     now: Timestamp,
-    said: Vec<String>,
-    wakes: Vec<Timestamp>,
-    /// A digest of all acts in their order, so that two texts of the module can be compared to the byte.
+    actions: Vec<String>,
+    ticks: Vec<Timestamp>,
     digest: u64,
 }
 
-impl Acts {
-    /// Adds an act, as numbers, to the digest (FNV-1a).
-    fn digest(&mut self, act: [u64; 4]) {
-        for byte in act.into_iter().chain([self.now.as_micros()]).flat_map(u64::to_le_bytes) {
+impl RecordedActions {
+    /// Adds an action, as numbers, to the digest (FNV-1a).
+    fn digest(&mut self, action: [u64; 4]) {
+        for byte in action.into_iter().chain([self.now.as_micros()]).flat_map(u64::to_le_bytes) {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
 }
 
-impl Actions for Acts {
+impl Actions for RecordedActions {
     fn now(&self) -> Timestamp {
         self.now
     }
-    fn send_attempt(&mut self, cmd: CommandId, host: Host, time_out: Duration) {
-        self.digest([80, cmd.into(), host.number(), time_out.as_micros()]);
-        self.said.push(format!("dispatch {cmd} {}", name(host)));
+
+    fn send_attempt(&mut self, command: CommandId, host: Host, timeout: Duration) {
+        self.digest([80, command.into(), host.number(), timeout.as_micros()]);
+        self.actions.push(format!("attempt {command} {}", name(host)));
     }
-    fn cancel_attempt(&mut self, cmd: CommandId, nth: u16) {
-        self.digest([90, cmd.into(), nth.into(), 0]);
-        self.said.push(format!("cancel {cmd}.{nth}"));
+
+    fn cancel_attempt(&mut self, command: CommandId, nth: u16) {
+        self.digest([90, command.into(), nth.into(), 0]);
+        self.actions.push(format!("cancel {command}.{nth}"));
     }
-    fn throttle(&mut self, cmd: CommandId, retry_after: Option<Duration>, reason: RejectionReason) {
-        self.digest([84, cmd.into(), retry_after.map_or(0, |after| after.as_micros() + 1), 0]);
+
+    fn throttle(&mut self, command: CommandId, retry_after: Option<Duration>, reason: RejectionReason) {
+        self.digest([84, command.into(), retry_after.map_or(0, |after| after.as_micros() + 1), 0]);
         let advice =
             retry_after.map_or("now".into(), |after| format!("later {}ms", after.as_micros() / 1000));
-        self.said.push(format!("throttle {cmd} {} {advice}", reason.name()));
+        self.actions.push(format!("throttle {command} {} {advice}", reason.name()));
     }
-    fn fail(&mut self, cmd: CommandId, reason: RejectionReason) {
-        self.digest([86, cmd.into(), 0, 0]);
-        self.said.push(format!("fail {cmd} {}", reason.name()));
+
+    fn fail(&mut self, command: CommandId, reason: RejectionReason) {
+        self.digest([86, command.into(), 0, 0]);
+        self.actions.push(format!("fail {command} {}", reason.name()));
     }
+
     fn check_health(&mut self, host: Host) {
         self.digest([81, host.number(), 0, 0]);
-        self.said.push(format!("probe {}", name(host)));
+        self.actions.push(format!("check {}", name(host)));
     }
+
     fn close_idle_connections(&mut self, host: Host) {
         self.digest([85, host.number(), 0, 0]);
-        self.said.push(format!("close {}", name(host)));
+        self.actions.push(format!("close {}", name(host)));
     }
-    fn wake_after(&mut self, after: Duration) {
-        self.digest([82, after.as_micros(), 0, 0]);
-        self.wakes.push(self.now + after);
+
+    fn wake_after(&mut self, delay: Duration) {
+        self.digest([82, delay.as_micros(), 0, 0]);
+        self.ticks.push(self.now + delay);
     }
+
     fn watch_endpoints(&mut self) {
         self.digest([83, 0, 0, 0]);
-        self.said.push("subscribe".into());
+        self.actions.push("watch".into());
     }
 }
 
@@ -129,229 +153,254 @@
     char::from(host.address[3])
 }
 
-fn span(word: &str) -> Duration {
+fn duration(word: &str) -> Duration {
     let word = word.trim_start_matches('-');
-    match word.strip_suffix("ms") {
-        Some(ms) => Duration::from_micros(ms.parse::<u64>().expect("milliseconds") * 1000),
-        None => Duration::from_micros(
-            word.strip_suffix('s').expect("a span in ms or s").parse::<u64>().expect("seconds") * 1_000_000,
-        ),
+    if let Some(millis) = word.strip_suffix("ms") {
+        return Duration::from_millis(millis.parse().expect("milliseconds"));
     }
+    let seconds = word.strip_suffix('s').expect("a duration in ms or s");
+    Duration::from_secs(seconds.parse().expect("seconds"))
 }
 
-/// The command and the dispatch that `1.0` names.
-fn numbers(which: &str) -> (CommandId, u16) {
-    let (id, nth) = which.split_once('.').expect("command and dispatch");
-    (id.parse().expect("an id"), nth.parse().expect("a dispatch"))
+/// The command and the attempt that `1.0` names.
+fn attempt(which: &str) -> (CommandId, u16) {
+    let (id, nth) = which.split_once('.').expect("command and attempt");
+    (id.parse().expect("an id"), nth.parse().expect("an attempt"))
 }
 
-fn ending(word: &str) -> AttemptOutcome {
+fn outcome(word: &str) -> AttemptOutcome {
     match word {
         "ok" => AttemptOutcome::Answered,
         "error" => AttemptOutcome::Error,
-        "full" => AttemptOutcome::Overloaded,
+        "overloaded" => AttemptOutcome::Overloaded,
         "noslot" => AttemptOutcome::NoConnectionSlot,
         "timeout" => AttemptOutcome::TimedOut,
         "unconnected" => AttemptOutcome::ConnectionFailed,
         "reset" => AttemptOutcome::ConnectionReset,
         "cancelled" => AttemptOutcome::Cancelled,
-        "moot" => AttemptOutcome::NotSent,
-        "miss" => AttemptOutcome::NotPrimary,
-        other => panic!("no ending {other:?}"),
+        "unsent" => AttemptOutcome::NotSent,
+        "notprimary" => AttemptOutcome::NotPrimary,
+        other => panic!("no outcome {other:?}"),
     }
 }
 
-struct Play {
-    deployment: String,
+fn endpoint(entry: &str, now: Timestamp) -> Endpoint {
+    let words: Vec<&str> = entry.split_whitespace().collect();
+    let lifecycle = if words.contains(&"draining") {
+        Lifecycle::Draining
+    } else if words.contains(&"removed") {
+        Lifecycle::Removed
+    } else {
+        Lifecycle::Ready
+    };
+    Endpoint {
+        host: host(words[0]),
+        zone: 0,
+        shard: 0,
+        lifecycle,
+        is_primary: words.contains(&"primary"),
+        capacity: 4.0,
+        started: words.contains(&"warming").then_some(now),
+    }
+}
+
+/// A scenario as it is played. The router starts with the first step that needs it.
+struct Scenario {
+    settings: String,
     router: Option<Router>,
-    acts: Acts,
-    /// Where in what was said the last `at` stands, and how far `expect` has read.
+    out: RecordedActions,
+    /// How many actions there were at the last `at`.
     since: usize,
+    /// How far `expect` has read.
     read: usize,
 }
 
-impl Play {
-    fn router(&mut self) -> (&mut Router, &mut Acts) {
+impl Scenario {
+    fn new() -> Scenario {
+        let out = RecordedActions { now: START, ..RecordedActions::default() };
+        Scenario { settings: base_settings(), router: None, out, since: 0, read: 0 }
+    }
+
+    fn router(&mut self) -> (&mut Router, &mut RecordedActions) {
         if self.router.is_none() {
-            let deployment = Deployment::read(&self.deployment).expect("a deployment");
-            self.router = Some(Router::start(deployment, 7, &mut self.acts));
+            let deployment = Deployment::read(&self.settings).expect("a deployment");
+            self.router = Some(Router::start(deployment, SEED, &mut self.out));
         }
-        (self.router.as_mut().expect("just started"), &mut self.acts)
+        (self.router.as_mut().expect("just started"), &mut self.out)
+    }
+
+    fn command(&mut self, id: CommandId) -> Result<(Handle, &mut Router, &mut RecordedActions), String> {
+        let (router, out) = self.router();
+        let handle = router.handle(id).ok_or("no such command is known")?;
+        Ok((handle, router, out))
     }
 
-    fn standing(&self, words: &[&str]) -> HostReport {
+    fn report(&self, words: &[&str]) -> HostReport {
         let role = words.iter().find_map(|word| match *word {
             "primary" => Some(Role::Primary),
             "replica" => Some(Role::Replica),
             _ => None,
         });
-        let back = words.iter().find(|word| word.starts_with('-'));
+        let age = words.iter().find(|word| word.starts_with('-'));
         let queue = words.iter().find_map(|word| word.strip_prefix('q')?.parse().ok());
-        HostReport { role, position: back.map(|word| self.acts.now - span(word)), queue }
-    }
-
-    fn until(&mut self, time: Timestamp) {
-        let (router, acts) = self.router();
-        while let Some(at) = acts.wakes.iter().copied().filter(|at| *at <= time).min() {
-            acts.wakes.retain(|wake| *wake != at);
-            acts.now = at;
-            router.tick(acts);
-        }
-        acts.now = time;
+        HostReport { role, position: age.map(|word| self.out.now - duration(word)), queue }
     }
 
     fn step(&mut self, line: &str) -> Result<(), String> {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
             [] => {}
-            ["set", setting] => {
-                let key = setting.split('=').next().expect("a key").to_owned() + "=";
-                self.deployment = self
-                    .deployment
-                    .lines()
-                    .filter(|l| !l.starts_with(&key))
-                    .fold(format!("{setting}\n"), |text, line| text + line + "\n");
-            }
-            ["list", ..] => {
-                let started = self.acts.now;
-                let mut update = EndpointUpdate { complete: true, endpoints: Vec::new() };
-                for entry in line.trim_start_matches("list").split(',') {
-                    let words: Vec<&str> = entry.split_whitespace().collect();
-                    let lifecycle = match () {
-                        () if words.contains(&"draining") => Lifecycle::Draining,
-                        () if words.contains(&"gone") => Lifecycle::Removed,
-                        () => Lifecycle::Ready,
-                    };
-                    let cold = words.contains(&"cold").then_some(started);
-                    update.endpoints.push(Endpoint {
-                        host: host(words[0]),
-                        zone: 0,
-                        shard: 0,
-                        lifecycle,
-                        is_primary: words.contains(&"primary"),
-                        capacity: 4.0,
-                        started: cold,
-                    });
-                }
-                let (router, acts) = self.router();
-                router.update_endpoints(&update, acts);
-            }
-            ["pair"] => {
-                for step in ["list a primary, b", "probed a ok primary -50ms", "at 10ms"] {
-                    self.step(step)?;
-                }
-            }
-            ["at", time] => {
-                self.since = self.acts.said.len();
-                self.read = self.since;
-                self.until(START + span(time));
-            }
-            ["probed", at, end, told @ ..] => {
-                let told = self.standing(told);
-                let (router, acts) = self.router();
-                at.split(',').for_each(|at| router.health_checked(host(at), ending(end), told, acts));
-            }
-            ["take", id, group, "for", time, rest @ ..] => {
-                let group = GROUPS.iter().position(|g| g.0 == *group).expect("a command group");
-                let since = rest.last().map(|word| span(word));
-                let id = id.parse().expect("an id");
-                let (router, acts) = self.router();
-                let timeout = span(time);
-                router.submit(
-                    CommandRequest { id, group, shard: 0, session: 1, since_write: since, timeout },
-                    acts,
-                );
-            }
-            ["ended", which, end, told @ ..] => {
-                let (id, nth) = numbers(which);
-                let end = AttemptEnd {
-                    attempt: nth,
-                    outcome: ending(end),
-                    command_finished: told.contains(&"over"),
-                    note: self.standing(told),
-                    report: HostReport::default(),
-                };
-                let (router, acts) = self.router();
-                let handle = router.handle(id).ok_or("no such command is known")?;
-                handle.attempt_ended(router, end, acts);
-            }
-            ["held", which, wanted] => {
-                let (id, nth) = numbers(which);
-                let (router, acts) = self.router();
-                let handle = router.handle(id).ok_or("no such command is known")?;
-                let may = handle.may_still_send(router, nth, acts.now);
-                if may != (*wanted == "may") {
-                    return Err(format!("may go: {may}"));
-                }
-            }
-            ["places", most] => {
-                let held = self.router().0.host_entries();
-                if held > most.parse().expect("a count") {
-                    return Err(format!("{held} places are held"));
-                }
-            }
-            ["left", id] => {
-                let (router, acts) = self.router();
-                let handle = router.handle(id.parse().expect("an id")).ok_or("no such command is known")?;
-                handle.client_disconnected(router, acts);
-            }
-            ["expect", wanted @ ..] => {
-                let found = self.acts.said[self.read..].iter().position(|act| matches(act, wanted));
-                let said = || format!("not seen: {:?}", &self.acts.said[self.read..]);
-                self.read += found.ok_or_else(said)? + 1;
-            }
-            ["never", unwanted @ ..] => {
-                if let Some(act) = self.acts.said[self.since..].iter().find(|act| matches(act, unwanted)) {
-                    return Err(format!("seen: {act}"));
-                }
-            }
-            ["atmost", most, wanted @ ..] => {
-                let seen = self.acts.said[self.since..].iter().filter(|act| matches(act, wanted)).count();
-                if seen > most.parse().expect("a count") {
-                    return Err(format!("seen {seen} times"));
-                }
-            }
-            ["repeat", times, "{", .., "}"] => {
-                let steps = &line[line.find('{').expect("{") + 1..line.rfind('}').expect("}")];
-                for round in 1..=times.parse::<u32>().expect("times") {
-                    for step in steps.split(';') {
-                        self.step(&step.replace('%', &round.to_string()))?;
-                    }
-                }
+            ["set", setting] => self.set(setting),
+            ["list", ..] => self.list(line.trim_start_matches("list")),
+            ["pair"] => self.pair()?,
+            ["at", time] => self.advance(START + duration(time)),
+            ["checked", hosts, end, report @ ..] => self.check_health(hosts, outcome(end), report),
+            ["submit", id, group, "for", timeout, rest @ ..] => self.submit(id, group, timeout, rest),
+            ["ended", which, end, note @ ..] => self.end(attempt(which), outcome(end), note)?,
+            ["delayed", which, wanted] => self.check_delayed(attempt(which), *wanted == "may")?,
+            ["entries", most] => self.check_entries(most.parse().expect("a count"))?,
+            ["disconnect", id] => {
+                let (handle, router, out) = self.command(id.parse().expect("an id"))?;
+                handle.client_disconnected(router, out);
             }
+            ["expect", wanted @ ..] => self.expect(wanted)?,
+            ["never", unwanted @ ..] => self.expect_none(unwanted)?,
+            ["atmost", most, wanted @ ..] => self.expect_at_most(most.parse().expect("a count"), wanted)?,
+            ["repeat", times, "{", .., "}"] => self.repeat(times.parse().expect("times"), line)?,
             _ => panic!("no such step: {line:?}"),
         }
         Ok(())
     }
+
+    fn set(&mut self, setting: &str) {
+        let key = setting.split('=').next().expect("a key").to_owned() + "=";
+        let others = self.settings.lines().filter(|line| !line.starts_with(&key));
+        self.settings = others.fold(format!("{setting}\n"), |text, line| text + line + "\n");
+    }
+
+    fn list(&mut self, entries: &str) {
+        let now = self.out.now;
+        let endpoints = entries.split(',').map(|entry| endpoint(entry, now)).collect();
+        let (router, out) = self.router();
+        router.update_endpoints(&EndpointUpdate { complete: true, endpoints }, out);
+    }
+
+    fn pair(&mut self) -> Result<(), String> {
+        for step in ["list a primary, b", "checked a ok primary -50ms", "at 10ms"] {
+            self.step(step)?;
+        }
+        Ok(())
+    }
+
+    /// Makes the ticks that are due until then.
+    fn advance(&mut self, time: Timestamp) {
+        self.since = self.out.actions.len();
+        self.read = self.since;
+        let (router, out) = self.router();
+        while let Some(tick) = out.ticks.iter().copied().filter(|tick| *tick <= time).min() {
+            out.ticks.retain(|other| *other != tick);
+            out.now = tick;
+            router.tick(out);
+        }
+        out.now = time;
+    }
+
+    fn check_health(&mut self, hosts: &str, outcome: AttemptOutcome, report: &[&str]) {
+        let report = self.report(report);
+        let (router, out) = self.router();
+        hosts.split(',').for_each(|name| router.health_checked(host(name), outcome, report, out));
+    }
+
+    fn submit(&mut self, id: &str, group: &str, timeout: &str, rest: &[&str]) {
+        let request = CommandRequest {
+            id: id.parse().expect("an id"),
+            group: GROUPS.iter().position(|other| other.name == group).expect("a command group"),
+            shard: 0,
+            session: 1,
+            since_write: rest.last().map(|word| duration(word)),
+            timeout: duration(timeout),
+        };
+        let (router, out) = self.router();
+        router.submit(request, out);
+    }
+
+    fn end(
+        &mut self, (id, attempt): (CommandId, u16), outcome: AttemptOutcome, note: &[&str],
+    ) -> Result<(), String> {
+        let command_finished = note.contains(&"finished");
+        let note = self.report(note);
+        let (handle, router, out) = self.command(id)?;
+        let report = HostReport::default();
+        handle.attempt_ended(router, AttemptEnd { attempt, outcome, command_finished, note, report }, out);
+        Ok(())
+    }
+
+    fn check_delayed(&mut self, (id, attempt): (CommandId, u16), wanted: bool) -> Result<(), String> {
+        let (handle, router, out) = self.command(id)?;
+        let may_send = handle.may_still_send(router, attempt, out.now);
+        if may_send == wanted { Ok(()) } else { Err(format!("may be sent: {may_send}")) }
+    }
+
+    fn check_entries(&mut self, most: usize) -> Result<(), String> {
+        let allocated = self.router().0.host_entries();
+        if allocated <= most { Ok(()) } else { Err(format!("{allocated} entries are allocated")) }
+    }
+
+    fn expect(&mut self, wanted: &[&str]) -> Result<(), String> {
+        let unread = &self.out.actions[self.read..];
+        let found = unread.iter().position(|action| matches(action, wanted));
+        self.read += found.ok_or_else(|| format!("not seen: {unread:?}"))? + 1;
+        Ok(())
+    }
+
+    fn expect_none(&self, unwanted: &[&str]) -> Result<(), String> {
+        let seen = self.out.actions[self.since..].iter().find(|action| matches(action, unwanted));
+        seen.map_or(Ok(()), |action| Err(format!("seen: {action}")))
+    }
+
+    fn expect_at_most(&self, most: usize, wanted: &[&str]) -> Result<(), String> {
+        let seen = self.out.actions[self.since..].iter().filter(|action| matches(action, wanted)).count();
+        if seen <= most { Ok(()) } else { Err(format!("seen {seen} times")) }
+    }
+
+    fn repeat(&mut self, times: u32, line: &str) -> Result<(), String> {
+        let steps = &line[line.find('{').expect("{") + 1..line.rfind('}').expect("}")];
+        for round in 1..=times {
+            for step in steps.split(';') {
+                self.step(&step.replace('%', &round.to_string()))?;
+            }
+        }
+        Ok(())
+    }
 }
 
-fn matches(act: &str, wanted: &[&str]) -> bool {
-    let words: Vec<&str> = act.split_whitespace().collect();
-    wanted.len() <= words.len()
-        && wanted.iter().zip(words).all(|(want, word)| want.split('|').any(|w| w == "*" || w == word))
+fn matches(action: &str, wanted: &[&str]) -> bool {
+    let words: Vec<&str> = action.split_whitespace().collect();
+    let is_alternative = |want: &str, word: &str| want.split('|').any(|one| one == "*" || one == word);
+    wanted.len() <= words.len() && wanted.iter().zip(words).all(|(want, word)| is_alternative(want, word))
 }
 
 #[test]
 fn every_scenario_plays_out() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     let mut files: Vec<_> =
-        fs::read_dir(folder).expect("the folder").map(|f| f.expect("a file").path()).collect();
+        fs::read_dir(folder).expect("the folder").map(|file| file.expect("a file").path()).collect();
     files.sort();
-    let (mut failures, mut digest) = (Vec::new(), 0_u64);
+    let mut failures = Vec::new();
+    let mut digest = 0_u64;
     for file in &files {
         let text = fs::read_to_string(file).expect("a scenario");
-        let mut play = Play { deployment: base(), router: None, acts: Acts::default(), since: 0, read: 0 };
-        play.acts.now = START;
+        let mut scenario = Scenario::new();
         for (number, line) in text.lines().enumerate() {
             let step = line.split('#').next().unwrap_or_default();
-            if let Err(why) = play.step(step) {
+            if let Err(why) = scenario.step(step) {
                 failures.push(format!("{}:{}: {line}: {why}", file.display(), number + 1));
                 break;
             }
         }
-        digest = digest.rotate_left(7) ^ play.acts.digest;
+        digest = digest.rotate_left(7) ^ scenario.out.digest;
     }
-    // Shown with --nocapture: the same for two texts that decide alike.
+    // Shown with --nocapture: the same for two versions of the policy that decide alike.
     println!("digest of {} scenarios: {digest:016x}", files.len());
     assert!(!files.is_empty() && failures.is_empty(), "{}", failures.join("\n"));
 }
