--- a/crates/comethitch-policy/src/actions.rs
+++ b/crates/comethitch-policy/src/actions.rs
@@ -23,7 +23,7 @@
     /// Final answer: failed, with nothing said of its effect.
     fn fail(&mut self, command: CommandId, reason: RejectionReason);
 
-    /// Asks a host for its report; [`Router::health_checked`](crate::Router::health_checked) tells what came of it.
+    /// Asks a host for its report; [`Router::health_checked`](crate::Router::health_checked) takes its end.
     fn check_health(&mut self, host: Host);
 
     /// Closes the idle connections to a host, as it is not taken for the primary any more.
@@ -32,7 +32,7 @@
     /// Asks for a call of [`Router::tick`](crate::Router::tick) after this long.
     fn wake_after(&mut self, delay: Duration);
 
-    /// Asks to be told of every change of the endpoint list from now on.
+    /// Asks to be notified of every change of the endpoint list from now on.
     fn watch_endpoints(&mut self);
 }
 
@@ -77,7 +77,7 @@
     CloseIdleConnections(Host),
     /// Call [`Router::tick`](crate::Router::tick) after this long.
     WakeAfter(Duration),
-    /// Tell every change of the endpoint list from now on.
+    /// Report every change of the endpoint list from now on.
     WatchEndpoints,
 }
 
--- a/crates/comethitch-policy/src/command.rs
+++ b/crates/comethitch-policy/src/command.rs
@@ -11,7 +11,9 @@
 pub struct Attempt {
     /// The command group of its command.
     pub command_group: usize,
+    /// Where it was sent.
     pub host: HostIndex,
+    /// When it was sent.
     pub sent_at: Timestamp,
     /// How it ended; none while it is in flight.
     pub outcome: Option<AttemptOutcome>,
@@ -54,10 +56,13 @@
 pub struct Command {
     /// Its command group, by its place in the deployment.
     pub command_group: usize,
+    /// The group of hosts that holds its data.
     pub shard: Shard,
+    /// Its client's session, 0 for none.
     pub session: u64,
     /// A session read must see all commits up to here.
     pub required_position: Timestamp,
+    /// When it was submitted.
     pub submitted_at: Timestamp,
     /// When its client stops waiting.
     pub deadline: Timestamp,
--- a/crates/comethitch-policy/src/host_group.rs
+++ b/crates/comethitch-policy/src/host_group.rs
@@ -8,9 +8,12 @@
 /// Whether the believed primary serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum GroupState {
+    /// It serves, as far as is known.
     #[default]
     Healthy,
+    /// Something went wrong there.
     Unhealthy,
+    /// It is lost, and its successor is not known yet.
     Failover,
 }
 
@@ -23,6 +26,7 @@
     pub listed_primary: Option<HostIndex>,
     /// How many failovers were seen.
     pub serial: u32,
+    /// Whether the believed primary serves.
     pub state: GroupState,
     /// When the group came into this state.
     pub state_since: Timestamp,
@@ -36,6 +40,7 @@
     pub recent_commands: DecayingCounter,
     /// Limits on the work in flight to all members together, by command group.
     pub concurrency_limits: Vec<ConcurrencyLimit>,
+    /// All hosts of the group, in the order in which they were listed first.
     pub members: Vec<HostIndex>,
 }
 
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -1,6 +1,6 @@
-//! What the router knows of a database host: data alone.
+//! What the router knows of a database host: data, and how reports of it are recorded.
 //!
-//! What changes these fields, and what follows from them, is decided in [`policy`](crate::policy).
+//! What follows from these fields, and when a host counts as failed, is decided in [`policy`](crate::policy).
 
 use crate::time::{Duration, Timestamp};
 use crate::{DeduplicationScope, Endpoint, Host, HostReport, Lifecycle, Role, Shard, histogram::Histogram};
@@ -19,7 +19,9 @@
 #[derive(Default)]
 pub struct HostState {
     pub host: Host,
+    /// The number of its zone.
     pub zone: u8,
+    /// The group that it belongs to.
     pub shard: Shard,
     /// Its listed capacity beside that of others.
     pub capacity: f64,
@@ -37,6 +39,7 @@
     pub position: Timestamp,
     /// How far behind it seemed when it last reported its position.
     pub lag: Duration,
+    /// When it last reported its position.
     pub lag_reported_at: Timestamp,
     /// How many commands waited there at its last report.
     pub queue_length: f64,
@@ -54,11 +57,15 @@
     pub unresponsive: bool,
     /// Failed connections, resets, failed health checks and rare errors since its last sign of life.
     pub consecutive_failures: u32,
+    /// Until then no command is sent there.
     pub ejected_until: Timestamp,
+    /// Whether it accepts one more connection.
     pub connection_slots: ConnectionSlots,
     /// When the health check in flight was sent.
     pub health_check_sent: Option<Timestamp>,
+    /// When its health is to be checked next.
     pub next_health_check: Timestamp,
+    /// When a command may have its position refreshed next.
     pub next_position_refresh: Timestamp,
     /// Answer times as thousandths of the usual one of their command group.
     pub relative_latency: Histogram,
--- a/crates/comethitch-policy/src/host_table.rs
+++ b/crates/comethitch-policy/src/host_table.rs
@@ -33,6 +33,7 @@
         self.entries.iter_mut()
     }
 
+    /// Where a host is, if it is in the table.
     pub fn index_of(&self, host: Host) -> Option<HostIndex> {
         self.index_of.get(&host).copied()
     }
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -4,7 +4,7 @@
 //! an [`Actions`] that tells the time and carries out what was decided, so any protocol can be put in front.
 //!
 //! - [`policy`]: every decision, as calls on a [`Router`] and on the [`Handle`] of a command,
-//! - [`messages`], [`actions`]: what a caller tells the policy, and what the policy tells its caller to do,
+//! - [`messages`], [`actions`]: what a caller reports, and what the policy has it do,
 //! - [`deployment`]: the settings, and the reader of a start message,
 //! - [`command_group`], [`host`], [`outcome`]: what commands require, what hosts report, how things end,
 //! - `router`, `command`, `host_state`, `host_table`, `host_group`, `estimates`: the state that decisions are made from,
--- a/crates/comethitch-policy/src/messages.rs
+++ b/crates/comethitch-policy/src/messages.rs
@@ -1,4 +1,4 @@
-//! What a caller tells the policy: commands, the endpoint list, and how attempts ended.
+//! What a caller reports to the policy: commands, the endpoint list, and how attempts ended.
 
 use crate::time::{Duration, Timestamp};
 use crate::{AttemptOutcome, Host, HostReport, Lifecycle, Shard};
@@ -38,7 +38,7 @@
     pub is_primary: bool,
     /// Its capacity beside that of others, above 0.
     pub capacity: f64,
-    /// When its process started, if that is told.
+    /// When its process started, if that is reported.
     pub started: Option<Timestamp>,
 }
 
@@ -60,8 +60,8 @@
     pub outcome: AttemptOutcome,
     /// Whether the command has its final answer, by this attempt or before.
     pub command_finished: bool,
-    /// What the answer says of the host at that moment.
+    /// What the answer reports of the host at that moment.
     pub note: HostReport,
-    /// What the host's last load report says.
+    /// The host's last load report.
     pub report: HostReport,
 }
--- a/crates/comethitch-policy/src/policy/admission.rs
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -87,11 +87,9 @@
 
     fn is_harmless_to_repeat(&self, command: &Command) -> bool {
         let settings = self.settings(command);
-        match settings.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::Keyed if settings.deduplication_scope == DeduplicationScope::Everywhere => true,
-            _ => !command.maybe_ran(),
-        }
+        let deduplicated = settings.idempotency == Idempotency::Keyed
+            && settings.deduplication_scope == DeduplicationScope::Everywhere;
+        settings.idempotency == Idempotency::Idempotent || deduplicated || !command.maybe_ran()
     }
 
     /// Within the objective if this was a lack of capacity: the client's retries count with its first try.
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -77,10 +77,9 @@
     /// objective: one that comes into many subsets is else filled for seconds before any answer is late.
     fn limit_unknown_hosts(&mut self, now: Timestamp) {
         for index in self.hosts.indices() {
-            let users = self.expected_users(index, self.subset_size(self.group_of(index), now));
-            let host = &mut self.hosts[index];
-            if host.last_answer == Timestamp::ZERO {
-                host.concurrency.limit = self.longest_objective.scaled(1.0 / users);
+            if self.hosts[index].last_answer == Timestamp::ZERO {
+                let users = self.expected_users(index, self.subset_size(self.group_of(index), now));
+                self.hosts[index].concurrency.limit = self.longest_objective.scaled(1.0 / users);
             }
         }
     }
--- a/crates/comethitch-policy/src/policy/group.rs
+++ b/crates/comethitch-policy/src/policy/group.rs
@@ -25,7 +25,7 @@
             let report_age = self.report_age.quantile(0.5).unwrap_or_default();
             host.apply_position(position, &report, report_age, now);
         }
-        // A report may be older than an answer: one made before it last led does not unseat a primary.
+        // A report may be older than an answer: one from before it last answered as primary is void.
         let newer = report.position.is_none_or(|position| position > host.last_seen_primary);
         let reported_role = report.role.filter(|role| *role == Role::Primary || newer);
         let Some(role) = note.and_then(|note| note.role).or(reported_role) else { return };
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -7,6 +7,8 @@
 const POINTS_PER_COMMAND: f64 = 0.02;
 /// The part of these that timers get where positions are refreshed on demand besides.
 const TIMER_PART: f64 = 0.25;
+/// How many health checks may be saved up for each member of a group.
+const SAVED_PER_MEMBER: f64 = 2.0;
 /// A group of which fewer recent commands are left than this is not checked.
 const MIN_RECENT_COMMANDS: f64 = 0.5;
 /// How soon a health check that reported nothing is sent again, and how often hosts are checked urgently.
@@ -51,7 +53,7 @@
         let Some(group) = self.host_groups.get_mut(&shard) else { return };
         let points = POINTS_PER_COMMAND * if self.refresh_on_demand { TIMER_PART } else { 1.0 };
         let funded = group.health_check_budget + points / self.deployment.health_check_price;
-        group.health_check_budget = funded.min(group.members.len() as f64 * 2.0);
+        group.health_check_budget = funded.min(group.members.len() as f64 * SAVED_PER_MEMBER);
         group.recent_commands.add(1.0, now, RECENT_COMMANDS_WINDOW);
     }
 
@@ -89,8 +91,8 @@
     fn is_check_due(&self, index: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[index];
         let drained = host.draining_since.is_some() && host.concurrency.in_flight == Duration::ZERO;
-        let possible = host.health_check_sent.is_none() && host.connection_slots.has_free(now) && !drained;
-        possible && host.next_health_check <= now
+        let is_due = host.next_health_check <= now && host.health_check_sent.is_none();
+        is_due && !drained && host.connection_slots.has_free(now)
     }
 
     fn is_check_urgent(&self, index: HostIndex) -> bool {
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Ejects an unreachable host, for twice as long each time: hundreds of routers try what is gone.
+    /// Ejects an unreachable host, for twice as long each time: hundreds of routers try one that is down.
     pub(super) fn record_failure(&mut self, connect_timeout: Duration, now: Timestamp) {
         self.consecutive_failures += 1;
         if self.is_unreachable() {
--- a/crates/comethitch-policy/src/router.rs
+++ b/crates/comethitch-policy/src/router.rs
@@ -1,6 +1,6 @@
-//! The state of a router: data alone.
+//! The state of a router, and the steps on it that choose nothing: counting, marking, cancelling.
 //!
-//! What follows from it is decided in [`policy`](crate::policy), which adds the entry points to [`Router`].
+//! What follows from the state is decided in [`policy`](crate::policy), which adds the entry points to [`Router`].
 
 use crate::command::{Attempt, Command};
 use crate::histogram::Histogram;
@@ -33,7 +33,7 @@
     pub(crate) service_times: Vec<Histogram>,
     /// How old a primary's report of its position is: pure age, as a primary has all commits.
     pub(crate) report_age: Histogram,
-    /// The latest commit that each session was told of, where this router has to remember.
+    /// The latest commit that each session has written, where this router has to remember.
     pub(crate) session_commits: SessionCommits,
     /// The shortest latency objective of all command groups.
     pub(crate) shortest_objective: Duration,
--- a/crates/comethitch-policy/src/session_commits.rs
+++ b/crates/comethitch-policy/src/session_commits.rs
@@ -1,4 +1,4 @@
-//! The latest commit that each session was told of, within a bound on how many sessions are remembered.
+//! The latest commit that each session has written, within a bound on how many sessions are remembered.
 
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 /// }
 /// commits.record(99_999, Timestamp::from_micros(5));
 /// assert_eq!(commits.latest(99_999), Timestamp::from_micros(100_999), "never going back");
-/// // An unknown session may have been told of any commit that was forgotten.
+/// // An unknown session may have written any commit that was forgotten.
 /// assert!(commits.latest(0) >= Timestamp::from_millis(1));
 /// assert!(commits.latest(0) < Timestamp::from_micros(100_999));
 /// assert!(commits.len() <= 4096);
@@ -24,17 +24,17 @@
 #[derive(Default)]
 pub struct SessionCommits {
     latest: BTreeMap<u64, Timestamp>,
-    /// Sessions that are not remembered were told of no later commit.
+    /// Sessions that are not remembered have written no later one.
     latest_forgotten: Timestamp,
 }
 
 impl SessionCommits {
-    /// The latest commit that a session may have been told of.
+    /// The latest commit that a session may have written.
     pub fn latest(&self, session: u64) -> Timestamp {
         self.latest.get(&session).copied().unwrap_or(self.latest_forgotten)
     }
 
-    /// Records that a session was told of a commit.
+    /// Records that a session has written a commit.
     pub fn record(&mut self, session: u64, commit: Timestamp) {
         let commit = commit.max(self.latest(session));
         self.latest.insert(session, commit);
