--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -3,7 +3,7 @@
 use async_io::Async;
 use comethitch_testkit::{Asked, Client, Host, HostBehavior, Ledger, Protocol, Received};
 use comethitchd::service::listen;
-use comethitchd::stages::learn;
+use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
 use serde_json::{Value, json};
@@ -39,9 +39,9 @@
     let (stop, stopped) = async_channel::bounded::<()>(1);
     let router = std::thread::spawn(move || {
         let site = Config::read(&all.to_string(), |_| None).expect("a configuration");
-        let site = site.judging(rules).expect("rules");
+        let site = site.with_statement_rules(rules).expect("rules");
         let protocol = listen::Protocol::postgres();
-        let hub = learn::start(site, Clock::start(), protocol.back);
+        let hub = startup::start(site, Clock::start(), protocol.back).expect("a router");
         let listener = Async::new(listener).expect("a listener");
         async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
             let _ = stopped.recv().await;
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -7,7 +7,7 @@
 use comethitch_testkit::{Client, Host, Ledger, Protocol, Received};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
-use comethitchd::stages::learn;
+use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -51,7 +51,7 @@
     });
     let thread = std::thread::spawn(move || {
         let site = Config::read(&all.to_string(), |_| None).expect("a configuration");
-        let site = site.judging(&rules.to_string()).expect("rules");
+        let site = site.with_statement_rules(&rules.to_string()).expect("rules");
         let listener = Async::new(listener).expect("a listener");
         let protocol = match protocol {
             Protocol::Postgres => listen::Protocol::postgres(),
@@ -60,7 +60,7 @@
                 listen::Protocol::tds(ways, &site).expect("a protocol")
             }
         };
-        let hub = learn::start(site, Clock::start(), protocol.back);
+        let hub = startup::start(site, Clock::start(), protocol.back).expect("a router");
         async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
             let _ = stopped.recv().await;
         }));
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -7,7 +7,7 @@
 use comethitchd::service::listen::{self, Protocol};
 use comethitchd::service::logger::{self, LogForm};
 use comethitchd::state::clock::Clock;
-use comethitchd::state::config::Config;
+use comethitchd::state::config::{Config, ConfigError};
 use log::LevelFilter;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -69,12 +69,12 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn load(configuration: &Option<PathBuf>, statements: &Option<PathBuf>) -> Result<Config, String> {
+fn load(configuration: &Option<PathBuf>, statements: &Option<PathBuf>) -> Result<Config, ConfigError> {
     let named = configuration.clone().or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from));
-    let path = named.ok_or("no configuration: give --configuration, or set RELAY_CONFIG")?;
+    let path = named.ok_or(ConfigError::NoFile)?;
     let site = Config::load(&path, |name| std::env::var(name).ok())?;
     match statements {
-        Some(path) => site.with_statements(path),
+        Some(path) => site.with_statement_rules_file(path),
         None => Ok(site),
     }
 }
@@ -95,12 +95,12 @@
             let clock = Clock::start();
             logger::start(serve.log, serve.log_form);
             let (path, rules) = (serve.configuration, serve.statements);
-            let site = load(&path, &rules)?;
+            let site = load(&path, &rules).map_err(|e| e.to_string())?;
             let protocol = protocol(&serve.tds, &site)?;
             listen::run(site, clock, protocol, move || load(&path, &rules))
         }
         Command::Check(check) => {
-            let site = load(&check.configuration, &check.statements)?;
+            let site = load(&check.configuration, &check.statements).map_err(|e| e.to_string())?;
             protocol(&check.tds, &site)?;
             let (groups, hosts) = (site.groups.len(), site.known.entries.len());
             println!(
--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -2,12 +2,12 @@
 //! its end told. What is said on the connection is the protocol's.
 
 use crate::protocols::flow::Flow;
-use crate::stages::route;
-use crate::state::client_registry::DescriptorPermit;
+use crate::stages::policy_driver;
 use crate::state::clock::after;
-use crate::state::host_connection::{ConnectionEnd, HostConnection};
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::host_connection::{ConnectionError, HostConnection};
 use crate::state::pending_commands::Statement;
-use crate::state::protocol::Outcome;
+use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use async_io::Timer;
 use comethitch_policy::time::Duration;
@@ -45,15 +45,15 @@
 
 /// Starts the command's next dispatch. One that is too late before it begins, as after the router stood still,
 /// is not tried, and its number returned: the host has no part in that.
-pub fn start<F: Future<Output = Outcome> + 'static>(
+pub fn start<F: Future<Output = AttemptResult> + 'static>(
     state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
     send: impl FnOnce(Rc<Dispatch>) -> F + 'static,
 ) -> Option<u16> {
     let mut commands = state.commands.borrow_mut();
     let statement = commands.statement(id)?;
-    let nth = commands.next_dispatch(id);
+    let nth = commands.next_attempt(id);
     if time_out == Duration::ZERO {
-        commands.dispatched(id, None);
+        commands.record_attempt(id, None);
         return Some(nth);
     }
     let (hub_held, flow) = (state.clone(), Flow::new(state, id, nth));
@@ -61,30 +61,30 @@
     let task = state.tasks.spawn(async move {
         let state = dispatch.state.clone();
         let began = state.clock.now();
-        let mut outcome = send(dispatch.clone()).await;
-        outcome.told = dispatch.flow.begun();
-        let known = dispatch.statement.known.as_ref();
-        if let Some(known) = known.filter(|_| outcome.end == ConnectionEnd::Whole) {
-            state.answered_after(known, state.clock.now() - began);
+        let mut result = send(dispatch.clone()).await;
+        result.already_reported = dispatch.flow.begun();
+        let shape = dispatch.statement.shape.as_ref();
+        if let Some(shape) = shape.filter(|_| result.completion.is_ok()) {
+            state.record_statement_latency(shape, state.clock.now() - began);
         }
-        state.met(host, outcome.end.ending(), outcome.noted.role);
-        route::ended(&state, id, nth, outcome);
+        state.record_host_outcome(host, result.outcome(), result.note.role);
+        policy_driver::attempt_ended(&state, id, nth, result);
     });
-    commands.dispatched(id, Some(task));
+    commands.record_attempt(id, Some(task));
     None
 }
 
 /// An exchange within its time; what has begun to flow to the client may take longer, as long as it moves.
 pub async fn within<T>(
     state: &RouterState, time_out: Duration, written: &Cell<bool>, flow: Option<&Flow>,
-    exchange: impl Future<Output = Result<T, ConnectionEnd>>,
-) -> Result<T, ConnectionEnd> {
+    exchange: impl Future<Output = Result<T, ConnectionError>>,
+) -> Result<T, ConnectionError> {
     let late = async {
         Timer::after(time_out.to_std()).await;
         if let Some(flow) = flow {
             flow.stalled(state.longest_timeout.to_std()).await;
         }
-        Err(if written.get() { ConnectionEnd::Silent } else { ConnectionEnd::Unsent })
+        Err(if written.get() { ConnectionError::TimedOut } else { ConnectionError::BrokenBeforeSend })
     };
     exchange.or(late).await
 }
@@ -94,53 +94,53 @@
 /// `may_go` still.
 pub async fn written(
     state: &RouterState, host: Host, may_go: impl Fn() -> bool,
-    connect: impl AsyncFn(SocketAddr) -> Result<HostConnection, ConnectionEnd>,
+    connect: impl AsyncFn(SocketAddr) -> Result<HostConnection, ConnectionError>,
     wire: impl Fn(&HostConnection) -> Vec<u8>,
-) -> Result<HostConnection, ConnectionEnd> {
-    let dial = state.endpoints.borrow().dial(host).ok_or(ConnectionEnd::NotTried)?;
+) -> Result<HostConnection, ConnectionError> {
+    let dial = state.endpoints.borrow().address(host).ok_or(ConnectionError::NotSent)?;
     loop {
         let kept = state.pool.borrow_mut().take(host, dial, state.clock.now());
         let fresh = kept.is_none();
         let connection = match kept {
             Some(kept) => kept,
             None => connect(dial).await.inspect_err(|end| {
-                if *end == ConnectionEnd::NoSlot {
-                    state.pool.borrow_mut().turned_away(state.clock.now());
+                if *end == ConnectionError::NoConnectionSlot {
+                    state.pool.borrow_mut().record_no_slot(state.clock.now());
                 }
             })?,
         };
         if !may_go() {
             keep(state, host, connection);
-            return Err(ConnectionEnd::NotTried);
+            return Err(ConnectionError::NotSent);
         }
         let bytes = wire(&connection);
         match (&connection.stream).write_all(&bytes).await {
             Ok(()) => return Ok(connection),
             // The host had closed a kept connection: nothing of this has run, another one will do.
             Err(_) if !fresh => {}
-            Err(_) => return Err(ConnectionEnd::Unsent),
+            Err(_) => return Err(ConnectionError::BrokenBeforeSend),
         }
     }
 }
 
 /// Keeps a connection for the next use, if the host is still listed where it goes to and nothing is left to read.
 pub fn keep(state: &RouterState, host: Host, connection: HostConnection) {
-    let listed = state.endpoints.borrow().is_at(host, connection.dial);
+    let listed = state.endpoints.borrow().is_listed_at(host, connection.address);
     if listed && connection.buffer.unread().is_empty() {
         state.pool.borrow_mut().put(host, connection, state.clock.now());
     }
 }
 
 /// The right to a descriptor for a connection to a host, waited for no longer than a connection may take.
-pub async fn descriptor(state: &RouterState) -> Result<DescriptorPermit, ConnectionEnd> {
+pub async fn descriptor(state: &RouterState) -> Result<DescriptorPermit, ConnectionError> {
     let free = async {
         loop {
-            match state.host_descriptor() {
+            match state.acquire_host_descriptor() {
                 Some(permit) => break Ok(permit),
                 None => Timer::after(PAUSE).await,
             };
         }
     };
     let limit = state.config.deployment.connect_timeout.to_std();
-    free.or(after(limit, Err(ConnectionEnd::NotTried))).await
+    free.or(after(limit, Err(ConnectionError::NotSent))).await
 }
--- a/crates/comethitchd/src/protocols/client_connection.rs
+++ b/crates/comethitchd/src/protocols/client_connection.rs
@@ -3,9 +3,9 @@
 
 use crate::state::arrivals::Arrivals;
 use crate::state::buffer::Buffer;
-use crate::state::client_registry::{ConnectionPhase, DescriptorPermit};
+use crate::state::client_registry::ConnectionPhase;
 use crate::state::clock::after;
-use crate::state::metrics::count;
+use crate::state::descriptors::DescriptorPermit;
 use crate::state::router_state::RouterState;
 use crate::state::signals::{CloseRequest, ConnectionSignal};
 use crate::wire::Malformed;
@@ -77,7 +77,7 @@
     ) -> ClientConnection {
         let _ = stream.get_ref().set_nodelay(true);
         let arrived = state.now();
-        let (number, notice) = state.clients.enter(arrived);
+        let (number, notice) = state.clients.register(arrived);
         let buffer = Buffer::new(largest, &state.memory);
         let origin = stream.get_ref().peer_addr().map_or(0, |address| match address.ip() {
             IpAddr::V4(ip) => u64::from(ip.to_bits()),
@@ -107,7 +107,7 @@
 
     /// A statement was no command; an error once it is one too many.
     pub fn rejected(&mut self, why: &str) -> Result<(), Disconnect> {
-        count(&self.state.metrics.rejected);
+        self.state.metrics.invalid_requests.increment();
         log::debug!("client {}: {why}", self.number);
         self.rejected += 1;
         match self.rejected >= MOST_REJECTED {
@@ -120,11 +120,11 @@
     pub async fn end(mut self, stop: Disconnect, told: impl Fn(&'static str, &'static str) -> Vec<u8>) {
         match stop {
             Disconnect::Lost(why) => {
-                count(&self.state.metrics.rejected);
+                self.state.metrics.invalid_requests.increment();
                 self.dismiss(told("08P01", why), why).await;
             }
             Disconnect::Io(error) if error.kind() == io::ErrorKind::OutOfMemory => {
-                count(&self.state.metrics.at_limit);
+                self.state.metrics.throttled_at_limit.increment();
                 let why = "no room for this now";
                 self.dismiss(told("53300", why), why).await;
             }
@@ -133,7 +133,7 @@
             Disconnect::Closing => self.dismiss(Vec::new(), "closed between two commands").await,
             Disconnect::ClientLeft => {}
         }
-        self.state.clients.leave(self.number);
+        self.state.clients.unregister(self.number);
     }
 
     /// Reads more, while nothing of this client is in hand. How long that may take is looked after by the
@@ -146,7 +146,7 @@
     pub async fn more_of(&mut self, between: bool) -> Result<(), Disconnect> {
         let (empty, clients) = (between && self.buffer.unread().is_empty(), &self.state.clients);
         let at_rest = empty && self.served;
-        clients.turn(
+        clients.set_phase(
             self.number,
             if at_rest { ConnectionPhase::Idle } else { ConnectionPhase::Reading },
             self.state.clock.now(),
@@ -158,7 +158,7 @@
         }
         let fill = async { Ok(self.buffer.fill(stream).await?) };
         let close = async {
-            notice.reaches(if at_rest { CloseRequest::WhenIdle } else { CloseRequest::Now }).await;
+            notice.wait_for_close(if at_rest { CloseRequest::WhenIdle } else { CloseRequest::Now }).await;
             Err(Disconnect::Closing)
         };
         let read = match fill.or(close).await {
@@ -184,8 +184,8 @@
 
     /// So many bytes were read just now.
     fn has_read(&mut self, length: usize) {
-        self.arrivals.read(length, self.state.arrival());
-        self.last_read = self.notice.asked() != CloseRequest::Never;
+        self.arrivals.read(length, self.state.arrival_time());
+        self.last_read = self.notice.close_requested() != CloseRequest::Never;
     }
 
     /// Ends a connection: tells the client why, if there is anything to tell, and ends the sending. What it still sends
@@ -193,7 +193,7 @@
     /// the client might never read its error, or its last answer.
     async fn dismiss(&mut self, out: Vec<u8>, why: &'static str) {
         log::debug!("client {}: {why}", self.number);
-        self.state.clients.turn(self.number, ConnectionPhase::Closing, self.state.clock.now());
+        self.state.clients.set_phase(self.number, ConnectionPhase::Closing, self.state.clock.now());
         let notice = self.notice.clone();
         let told = async {
             self.write(&out).await.ok()?;
@@ -201,7 +201,7 @@
             self.consume(self.buffer.unread().len());
             loop {
                 self.stream.readable().await.ok()?;
-                match self.stream.get_ref().read(&mut self.state.dropped.borrow_mut()) {
+                match self.stream.get_ref().read(&mut self.state.discard_buffer.borrow_mut()) {
                     Ok(length) if length > 0 => {}
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                     _ => return None,
@@ -209,7 +209,7 @@
             }
         };
         told.or(async {
-            notice.reaches(CloseRequest::Now).await;
+            notice.wait_for_close(CloseRequest::Now).await;
             after(LINGER, None::<()>).await
         })
         .await;
@@ -246,8 +246,8 @@
 
     /// Records the bytes that wait in the system to be read: they have come by now.
     fn time_waiting(&mut self) {
-        let waiting = self.stream.get_ref().peek(&mut self.state.dropped.borrow_mut());
-        self.arrivals.waiting(waiting.unwrap_or(0), self.state.arrival());
+        let waiting = self.stream.get_ref().peek(&mut self.state.discard_buffer.borrow_mut());
+        self.arrivals.waiting(waiting.unwrap_or(0), self.state.arrival_time());
     }
 
     /// Waits for something, and notices if the client goes away before it.
--- a/crates/comethitchd/src/protocols/flow.rs
+++ b/crates/comethitchd/src/protocols/flow.rs
@@ -4,9 +4,9 @@
 //! What has begun is the command's final answer: the module is told that it was answered, and nothing else is
 //! sent for it. If the host fails midway, the client is told by the end of its connection.
 
-use crate::stages::{relay, route};
-use crate::state::host_connection::ConnectionEnd;
-use crate::state::pending_commands::{Part, Reply};
+use crate::stages::{policy_driver, reply};
+use crate::state::host_connection::ConnectionError;
+use crate::state::pending_commands::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
 use async_channel::{Sender, bounded};
 use async_io::Timer;
@@ -23,7 +23,7 @@
     state: Rc<RouterState>,
     id: CommandId,
     nth: u16,
-    parts: RefCell<Option<Sender<Part>>>,
+    parts: RefCell<Option<Sender<ValuePart>>>,
     moved: Cell<Timestamp>,
 }
 
@@ -39,17 +39,19 @@
     }
 
     /// Passes a part on; an error if nobody wants it.
-    pub async fn pass(&self, bytes: Vec<u8>) -> Result<(), ConnectionEnd> {
+    pub async fn pass(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         let parts = self.parts.borrow().clone();
         match parts {
-            Some(parts) => parts.send(Part::Bytes(bytes)).await.map_err(|_| ConnectionEnd::Cancelled)?,
+            Some(parts) => {
+                parts.send(ValuePart::Bytes(bytes)).await.map_err(|_| ConnectionError::Cancelled)?
+            }
             None => {
                 let (sender, receiver) = bounded(1);
-                if !relay::answer(&self.state, self.id, Reply::Begun(bytes, receiver)) {
-                    return Err(ConnectionEnd::Cancelled);
+                if !reply::answer(&self.state, self.id, Reply::Streaming(bytes, receiver)) {
+                    return Err(ConnectionError::Cancelled);
                 }
                 *self.parts.borrow_mut() = Some(sender);
-                route::begun(&self.state, self.id, self.nth);
+                policy_driver::answer_started(&self.state, self.id, self.nth);
             }
         }
         self.moved.set(self.state.clock.now());
@@ -57,11 +59,11 @@
     }
 
     /// Passes the last part on.
-    pub async fn end(&self, bytes: Vec<u8>) -> Result<(), ConnectionEnd> {
+    pub async fn end(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         self.pass(bytes).await?;
         let parts = self.parts.borrow().clone();
         match parts {
-            Some(parts) => parts.send(Part::End).await.map_err(|_| ConnectionEnd::Cancelled),
+            Some(parts) => parts.send(ValuePart::End).await.map_err(|_| ConnectionError::Cancelled),
             None => Ok(()),
         }
     }
--- a/crates/comethitchd/src/protocols/postgres/backend.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -2,44 +2,39 @@
 
 use crate::protocols::attempt;
 use crate::protocols::flow::{Flow, HELD_WHOLE};
-use crate::stages::route;
-use crate::state::buffer::{Buffer, Reservation};
+use crate::stages::policy_driver;
+use crate::state::buffer::Buffer;
 use crate::state::clock::after;
-use crate::state::host_connection::{Code, ConnectionEnd, HostConnection, Kept};
-use crate::state::metrics::count;
+use crate::state::host_connection::{ConnectionError, HostConnection, HostErrorCode, SessionState};
+use crate::state::memory_budget::Reservation;
 use crate::state::pending_commands::Statement;
-use crate::state::protocol::Outcome;
+use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use crate::wire::host_report;
 use crate::wire::postgres::{self, Answer, Form, LARGEST_MESSAGE};
 use async_io::Async;
 use comethitch_policy::time::Duration;
-use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport};
+use comethitch_policy::{AttemptOutcome, CommandId, Host};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-impl From<Result<Answer, ConnectionEnd>> for Outcome {
-    fn from(ended: Result<Answer, ConnectionEnd>) -> Outcome {
+impl From<Result<Answer, ConnectionError>> for AttemptResult {
+    fn from(ended: Result<Answer, ConnectionError>) -> AttemptResult {
         match ended {
-            Ok(answer) => Outcome {
-                noted: host_report::noted(&answer),
-                reported: answer.vitals.as_deref().map(host_report::reported).unwrap_or_default(),
-                end: answer
-                    .code
-                    .map_or(ConnectionEnd::Whole, |code| ConnectionEnd::HostError(Code::Postgres(code))),
-                value: if answer.error.is_empty() { answer.value } else { answer.error },
-                told: false,
-            },
-            Err(end) => Outcome {
-                end,
-                noted: HostReport::default(),
-                reported: HostReport::default(),
-                value: Vec::new(),
-                told: false,
+            Ok(answer) => AttemptResult {
+                note: host_report::noted(&answer),
+                report: answer.vitals.as_deref().map(host_report::reported).unwrap_or_default(),
+                completion: match answer.code {
+                    Some(code) => Err(ConnectionError::HostError(HostErrorCode::Postgres(code))),
+                    None => Ok(()),
+                },
+                payload: if answer.error.is_empty() { answer.value } else { answer.error },
+                already_reported: false,
             },
+            Err(error) => AttemptResult::failed(error),
         }
     }
 }
@@ -56,7 +51,7 @@
 /// The statement as it came, but for how long the router waits.
 fn query(statement: &Statement, time_out: Duration) -> Vec<u8> {
     let (text, mut out) = (&statement.text, Vec::with_capacity(statement.text.len() + 16));
-    match &statement.wait_at {
+    match &statement.timeout_range {
         Some(at) => {
             let wait = (time_out.as_micros() / 1_000).to_string();
             postgres::put_query(&mut out, &[&text[..at.start], wait.as_bytes(), &text[at.end..]]);
@@ -68,7 +63,7 @@
 
 /// Asks a host how it stands. A probe waits no longer than a connection may take.
 pub fn probe(state: &Rc<RouterState>, host: Host) {
-    count(&state.metrics.probes);
+    state.metrics.health_checks.increment();
     let held = state.clone();
     let probe = async move {
         let mut query = Vec::new();
@@ -77,14 +72,19 @@
         let ended = within(&held, host, &query, limit, || true, None).await;
         let row =
             ended.as_ref().ok().and_then(|answer| answer.column().map(|text| host_report::reported(&text)));
-        let outcome = Outcome::from(ended);
-        if outcome.end != ConnectionEnd::Whole {
-            count(&held.metrics.probes_failed);
+        let result = AttemptResult::from(ended);
+        if result.completion.is_err() {
+            held.metrics.health_checks_failed.increment();
         }
-        let told = row.unwrap_or(outcome.reported);
-        held.met(host, outcome.end.ending(), told.role);
-        log::debug!("probe of {}: {:?}, {told:?}", held.endpoints.borrow().name(host), outcome.end);
-        route::decide(&held, |router, out| router.health_checked(host, outcome.end.ending(), told, out));
+        let outcome = result.outcome();
+        let told = row.unwrap_or(result.report);
+        held.record_host_outcome(host, outcome, told.role);
+        log::debug!(
+            "health check of {}: {:?}, {told:?}",
+            held.endpoints.borrow().name(host),
+            result.completion
+        );
+        policy_driver::call(&held, |router, out| router.health_checked(host, outcome, told, out));
     };
     state.tasks.spawn(probe).detach();
 }
@@ -93,7 +93,7 @@
 async fn within(
     state: &RouterState, host: Host, query: &[u8], time_out: Duration, may_go: impl Fn() -> bool,
     flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<Answer, ConnectionError> {
     let written = Cell::new(false);
     let exchange = exchange(state, host, query, may_go, &written, flow);
     attempt::within(state, time_out, &written, flow, exchange).await
@@ -102,7 +102,7 @@
 async fn exchange(
     state: &RouterState, host: Host, query: &[u8], may_go: impl Fn() -> bool, written: &Cell<bool>,
     flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<Answer, ConnectionError> {
     let connect = async |dial| connect(state, dial).await;
     let mut connection = attempt::written(state, host, may_go, connect, |_| query.to_vec()).await?;
     written.set(true);
@@ -128,18 +128,18 @@
         ended.clone()?;
         // An error that must not be passed on leaves it unfinished.
         if answer.code.is_some() && answer.error.is_empty() {
-            return Err(ConnectionEnd::Broken);
+            return Err(ConnectionError::BrokenAfterSend);
         }
         let rest = [answer.pass(), std::mem::take(&mut answer.error)].concat();
         flow.end(rest).await?;
         answer.code = None;
-    } else if ended == Err(ConnectionEnd::TooLarge) {
-        return Err(ConnectionEnd::TooLarge);
+    } else if ended == Err(ConnectionError::TooLarge) {
+        return Err(ConnectionError::TooLarge);
     }
     // A value or a code stands if the connection breaks behind it, but not if nonsense follows.
     let told = answer.whole() || answer.code.is_some();
-    if !told || ended == Err(ConnectionEnd::Malformed) {
-        return Err(ended.err().unwrap_or(ConnectionEnd::Malformed));
+    if !told || ended == Err(ConnectionError::Malformed) {
+        return Err(ended.err().unwrap_or(ConnectionError::Malformed));
     }
     if ended.is_ok() && !answer.in_transaction {
         attempt::keep(state, host, connection);
@@ -151,17 +151,17 @@
 async fn read(
     connection: &mut HostConnection, answer: &mut Answer, mut has_room: impl FnMut(&Answer) -> bool,
     pauses: impl Fn(&Answer) -> bool,
-) -> Result<bool, ConnectionEnd> {
+) -> Result<bool, ConnectionError> {
     loop {
         while let Some(message) =
-            answer.next(connection.buffer.unread()).map_err(|_| ConnectionEnd::Malformed)?
+            answer.next(connection.buffer.unread()).map_err(|_| ConnectionError::Malformed)?
         {
             answer.take(&message).map_err(|malformed| match malformed {
-                postgres::TOO_LARGE => ConnectionEnd::TooLarge,
-                _ => ConnectionEnd::Malformed,
+                postgres::TOO_LARGE => ConnectionError::TooLarge,
+                _ => ConnectionError::Malformed,
             })?;
             if !has_room(answer) {
-                return Err(ConnectionEnd::TooLarge);
+                return Err(ConnectionError::TooLarge);
             }
             let length = message.raw.len();
             connection.buffer.consume(length);
@@ -175,41 +175,42 @@
         match connection.buffer.fill(&connection.stream).await {
             Ok(1..) => {}
             // The host has no part in that.
-            Err(error) if error.kind() == ErrorKind::OutOfMemory => return Err(ConnectionEnd::TooLarge),
-            Ok(0) | Err(_) => return Err(ConnectionEnd::Broken),
+            Err(error) if error.kind() == ErrorKind::OutOfMemory => return Err(ConnectionError::TooLarge),
+            Ok(0) | Err(_) => return Err(ConnectionError::BrokenAfterSend),
         }
     }
 }
 
 /// Connects and lets the host greet, so that what breaks until then is known never to have run.
-async fn connect(state: &RouterState, dial: SocketAddr) -> Result<HostConnection, ConnectionEnd> {
+async fn connect(state: &RouterState, dial: SocketAddr) -> Result<HostConnection, ConnectionError> {
     let limit = state.config.deployment.connect_timeout.to_std();
     let permit = attempt::descriptor(state).await?;
     let open = async {
-        let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionEnd::NeverUp)?;
-        count(&state.metrics.connected);
+        let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionError::ConnectFailed)?;
+        state.metrics.connections_opened.increment();
         let _ = stream.get_ref().set_nodelay(true);
         let mut startup = Vec::new();
         postgres::put_startup(&mut startup, "portal", "crm");
-        (&stream).write_all(&startup).await.map_err(|_| ConnectionEnd::NeverUp)?;
+        (&stream).write_all(&startup).await.map_err(|_| ConnectionError::ConnectFailed)?;
         let buffer = Buffer::new(LARGEST_MESSAGE + 1, &state.memory);
         let mut connection = HostConnection {
             stream,
             buffer,
-            dial,
+            address: dial,
             idle_since: state.clock.now(),
-            kept: Kept::default(),
+            session: SessionState::default(),
             permit,
         };
         let mut greeting = Answer::default();
         let greeted = read(&mut connection, &mut greeting, |_| true, |_| false).await;
         // Of the codes in a greeting, one tells more than that no connection came up.
-        let full = greeting.code.map(|code| ConnectionEnd::HostError(Code::Postgres(code)).ending());
+        let full =
+            greeting.code.map(|code| ConnectionError::HostError(HostErrorCode::Postgres(code)).outcome());
         match full {
-            Some(AttemptOutcome::Overloaded) => Err(ConnectionEnd::NoSlot),
+            Some(AttemptOutcome::Overloaded) => Err(ConnectionError::NoConnectionSlot),
             _ if greeted.is_ok() => Ok(connection),
-            _ => Err(ConnectionEnd::NeverUp),
+            _ => Err(ConnectionError::ConnectFailed),
         }
     };
-    open.or(after(limit, Err(ConnectionEnd::NeverUp))).await
+    open.or(after(limit, Err(ConnectionError::ConnectFailed))).await
 }
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -1,11 +1,11 @@
 //! First stage: a client's connection, from its startup message to its end.
 
 use crate::protocols::client_connection::{ClientConnection, Disconnect};
-use crate::stages::admit::{Asked, NotTaken};
-use crate::stages::{admit, route};
-use crate::state::client_registry::{ConnectionPhase, DescriptorPermit};
-use crate::state::metrics::count;
-use crate::state::pending_commands::{Part, Reply};
+use crate::stages::admit::{AdmissionError, StatementRequest};
+use crate::stages::{admit, policy_driver};
+use crate::state::client_registry::ConnectionPhase;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::pending_commands::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
 use crate::wire::postgres::{self, LARGEST_MESSAGE, Opening};
 use async_channel::Receiver;
@@ -51,7 +51,7 @@
                     // As the protocol has it, whoever asks learns nothing of what comes of it.
                     if let Some((number, key)) = postgres::cancels(&self.connection.buffer.unread()[..length])
                     {
-                        self.connection.state.clients.cancel(number, key);
+                        self.connection.state.clients.cancel_command(number, key);
                     }
                     return Err(Disconnect::ClientLeft);
                 }
@@ -66,7 +66,7 @@
                         &mut out,
                         minor,
                         self.connection.number,
-                        self.connection.notice.key,
+                        self.connection.notice.cancel_key,
                     );
                     return self.connection.write(&out).await;
                 }
@@ -115,11 +115,11 @@
     }
 
     /// Passes the parts of a large value on; without an end the connection's own tells that it is not whole.
-    async fn pass_on(&self, parts: &Receiver<Part>) -> Result<(), Disconnect> {
+    async fn pass_on(&self, parts: &Receiver<ValuePart>) -> Result<(), Disconnect> {
         while let Ok(part) = parts.recv().await {
             match part {
-                Part::Bytes(bytes) => self.connection.write(&bytes).await?,
-                Part::End => return Ok(()),
+                ValuePart::Bytes(bytes) => self.connection.write(&bytes).await?,
+                ValuePart::End => return Ok(()),
             }
         }
         Err(Disconnect::Closing)
@@ -128,12 +128,12 @@
     async fn query(&mut self, text: Vec<u8>, mut out: Vec<u8>) -> Result<(), Disconnect> {
         if text.iter().all(|b| b.is_ascii_whitespace() || *b == b';') {
             let state = self.connection.state.clone();
-            self.connection.while_here(state.ready.raised()).await?;
+            self.connection.while_here(state.ready.wait()).await?;
             postgres::put_empty(&mut out);
         } else if let Some(tag) = admit::session_statement(&self.connection.state, &text) {
             postgres::put_complete(&mut out, tag);
         } else {
-            let asked = Asked {
+            let asked = StatementRequest {
                 text: &text,
                 arguments: &[],
                 arrived: self.connection.arrived,
@@ -141,33 +141,33 @@
             };
             match admit::admit(&self.connection.state, &asked) {
                 // A hard limit: no decision is asked for.
-                Ok(admitted) if self.connection.state.is_full() => {
-                    count(&self.connection.state.metrics.at_limit);
-                    self.connection.state.turned_away(&admitted.name, "at_limit");
+                Ok(admitted) if self.connection.state.at_command_limit() => {
+                    self.connection.state.metrics.throttled_at_limit.increment();
+                    self.connection.state.log_rejection(&admitted.client_id, "at_limit");
                     put_reply(&mut out, Reply::Throttled(None));
                 }
                 // It went while its statement waited to be read: nothing begins for it.
                 Ok(_) if self.connection.has_left() => return Err(Disconnect::ClientLeft),
                 Ok(admitted) => {
-                    self.connection.state.clients.turn(
+                    self.connection.state.clients.set_phase(
                         self.connection.number,
                         ConnectionPhase::Busy,
                         self.connection.state.clock.now(),
                     );
                     let notice = self.connection.notice.clone();
-                    notice.begins();
-                    let (id, reply) = route::take(&self.connection.state, admitted, text, b'Q');
+                    notice.reset_cancel();
+                    let (id, reply) = policy_driver::submit(&self.connection.state, admitted, text, b'Q');
                     let cancelled = async {
-                        notice.cancelled().await;
+                        notice.wait_for_cancel().await;
                         Ok(Reply::Cancelled)
                     };
                     match self.connection.while_here(reply.recv().or(cancelled)).await {
                         Ok(Ok(Reply::Cancelled)) => {
-                            route::left(&self.connection.state, id);
+                            policy_driver::client_disconnected(&self.connection.state, id);
                             put_reply(&mut out, Reply::Cancelled);
                             self.connection.answered();
                         }
-                        Ok(Ok(Reply::Begun(first, parts))) => {
+                        Ok(Ok(Reply::Streaming(first, parts))) => {
                             out.extend(first);
                             self.connection.write(&out).await?;
                             out.clear();
@@ -179,19 +179,20 @@
                             self.connection.answered();
                         }
                         _ => {
-                            route::left(&self.connection.state, id);
+                            policy_driver::client_disconnected(&self.connection.state, id);
                             return Err(Disconnect::ClientLeft);
                         }
                     }
                 }
-                Err(NotTaken::Throttled) => {
-                    count(&self.connection.state.metrics.throttled);
-                    self.connection.state.turned_away("", "statement_budget");
+                Err(AdmissionError::Throttled) => {
+                    self.connection.state.metrics.throttled.increment();
+                    self.connection.state.log_rejection("", "statement_budget");
                     put_reply(&mut out, Reply::Throttled(None));
                 }
-                Err(NotTaken::Rejected(rejected)) => {
-                    self.connection.rejected(&rejected.text)?;
-                    postgres::put_error(&mut out, "ERROR", rejected.code, &rejected.text, None);
+                Err(AdmissionError::Invalid(error)) => {
+                    let text = error.to_string();
+                    self.connection.rejected(&text)?;
+                    postgres::put_error(&mut out, "ERROR", error.sqlstate(), &text, None);
                 }
             }
         }
@@ -206,8 +207,8 @@
         Reply::Value(value) if out.is_empty() => *out = value,
         Reply::Value(value) => out.extend(value),
         // Passed on part by part before it comes here.
-        Reply::Begun(first, _) => out.extend(first),
-        Reply::FailedBy(error) => out.extend(error),
+        Reply::Streaming(first, _) => out.extend(first),
+        Reply::FailedWithHostError(error) => out.extend(error),
         Reply::Cancelled => {
             let text = "cancelled by its client; nothing is known of its effect";
             postgres::put_error(out, "ERROR", "57014", text, None);
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -3,8 +3,8 @@
 pub mod backend;
 pub mod client;
 
-use crate::state::client_registry::DescriptorPermit;
-use crate::state::protocol::{BackendProtocol, ClientProtocol, Serving};
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::protocol::{BackendProtocol, ClientProtocol, ClientSession};
 use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
@@ -16,19 +16,21 @@
 pub struct Postgres;
 
 impl ClientProtocol for Postgres {
-    fn serve(&self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit) -> Serving {
+    fn serve(
+        &self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
+    ) -> ClientSession {
         Box::pin(client::serve(state, stream, permit))
     }
 }
 
 impl BackendProtocol for Postgres {
-    fn dispatch(
+    fn send_attempt(
         &self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
     ) -> Option<u16> {
         backend::start(state, id, host, time_out)
     }
 
-    fn probe(&self, state: &Rc<RouterState>, host: Host) {
+    fn check_health(&self, state: &Rc<RouterState>, host: Host) {
         backend::probe(state, host);
     }
 }
--- a/crates/comethitchd/src/protocols/tds/answer.rs
+++ b/crates/comethitchd/src/protocols/tds/answer.rs
@@ -1,7 +1,7 @@
 //! What a host has answered so far: packets are taken off, tokens told apart, and what concerns the router's own
 //! session left out.
 
-use crate::state::host_connection::Code;
+use crate::state::host_connection::HostErrorCode;
 use comethitch_tds::packet::{Header, Kind, status};
 use comethitch_tds::token::{Change, Token, Tokens, code, done};
 use comethitch_tds::types::Value;
@@ -20,7 +20,7 @@
     /// Tokens as the client gets them.
     pub value: Vec<u8>,
     /// The first error.
-    pub error: Option<Code>,
+    pub error: Option<HostErrorCode>,
     /// The first row's first two values, for probes.
     pub row: Option<(Value, Value)>,
     pub acknowledged: bool,
@@ -122,7 +122,7 @@
         match token {
             Token::Error(message) if message.class > 10 => {
                 let first = !self.begun;
-                let code = Code::Tds { number: message.number, class: message.class, first };
+                let code = HostErrorCode::Tds { number: message.number, class: message.class, first };
                 self.error.get_or_insert(code);
             }
             Token::LoginAck { .. } => self.acknowledged = true,
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -4,12 +4,12 @@
 use super::settings::TdsSettings;
 use crate::protocols::attempt;
 use crate::protocols::flow::{Flow, HELD_WHOLE};
-use crate::stages::route;
-use crate::state::buffer::{Buffer, Reservation};
+use crate::stages::policy_driver;
+use crate::state::buffer::Buffer;
 use crate::state::clock::after;
-use crate::state::host_connection::{ConnectionEnd, HostConnection, Kept};
-use crate::state::metrics::count;
-use crate::state::protocol::Outcome;
+use crate::state::host_connection::{ConnectionError, HostConnection, SessionState, attempt_outcome};
+use crate::state::memory_budget::Reservation;
+use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -33,27 +33,29 @@
 ) -> Option<u16> {
     let ways = ways.clone();
     attempt::start(state, id, host, time_out, |dispatch| async move {
-        let kind = Kind::of(dispatch.statement.kind).unwrap_or(Kind::Batch);
+        let kind = Kind::of(dispatch.statement.message_kind).unwrap_or(Kind::Batch);
         let message = (kind, &dispatch.statement.text[..]);
         let (state, may_go, flow) = (&*dispatch.state, || dispatch.may_go(), Some(&dispatch.flow));
-        outcome(within(state, &ways, dispatch.host, message, dispatch.time_out, may_go, flow).await)
+        attempt_result(within(state, &ways, dispatch.host, message, dispatch.time_out, may_go, flow).await)
     })
 }
 
-fn outcome(ended: Result<Answer, ConnectionEnd>) -> Outcome {
-    let (end, value) = match ended {
-        Ok(answer) => match answer.error {
-            Some(code) => (ConnectionEnd::HostError(code), answer.value),
-            None => (ConnectionEnd::Whole, answer.value),
+fn attempt_result(ended: Result<Answer, ConnectionError>) -> AttemptResult {
+    match ended {
+        Ok(answer) => AttemptResult {
+            completion: answer.error.map_or(Ok(()), |code| Err(ConnectionError::HostError(code))),
+            note: HostReport::default(),
+            report: HostReport::default(),
+            payload: answer.value,
+            already_reported: false,
         },
-        Err(end) => (end, Vec::new()),
-    };
-    Outcome { end, noted: HostReport::default(), reported: HostReport::default(), value, told: false }
+        Err(error) => AttemptResult::failed(error),
+    }
 }
 
 /// Asks a host how it stands. A probe waits no longer than a connection may take.
 pub fn probe(state: &Rc<RouterState>, ways: &Rc<TdsSettings>, host: Host) {
-    count(&state.metrics.probes);
+    state.metrics.health_checks.increment();
     let (held, ways) = (state.clone(), ways.clone());
     let probe = async move {
         let mut payload = Vec::new();
@@ -62,17 +64,18 @@
         let ended = within(&held, &ways, host, (Kind::Batch, &payload), limit, || true, None).await;
         let told = ended.as_ref().ok().and_then(|answer| answer.row.as_ref());
         let told = told.map(|row| standing(row, &ways.probe.primary)).unwrap_or_default();
-        let mut end = outcome(ended).end;
-        if end == ConnectionEnd::Whole && told.role.is_none() {
+        let mut completion = attempt_result(ended).completion;
+        if completion.is_ok() && told.role.is_none() {
             // Without a role it tells nothing: the query is not what it should be.
-            end = ConnectionEnd::Malformed;
+            completion = Err(ConnectionError::Malformed);
         }
-        if end != ConnectionEnd::Whole {
-            count(&held.metrics.probes_failed);
+        if completion.is_err() {
+            held.metrics.health_checks_failed.increment();
         }
-        held.met(host, end.ending(), told.role);
-        log::debug!("probe of {}: {end:?}, {told:?}", held.endpoints.borrow().name(host));
-        route::decide(&held, |router, out| router.health_checked(host, end.ending(), told, out));
+        let outcome = attempt_outcome(&completion);
+        held.record_host_outcome(host, outcome, told.role);
+        log::debug!("health check of {}: {completion:?}, {told:?}", held.endpoints.borrow().name(host));
+        policy_driver::call(&held, |router, out| router.health_checked(host, outcome, told, out));
     };
     state.tasks.spawn(probe).detach();
 }
@@ -102,7 +105,7 @@
 async fn within(
     state: &RouterState, ways: &TdsSettings, host: Host, message: (Kind, &[u8]), time_out: Duration,
     may_go: impl Fn() -> bool, flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<Answer, ConnectionError> {
     let written = Cell::new(false);
     let exchange = exchange(state, ways, host, message, may_go, &written, flow);
     attempt::within(state, time_out, &written, flow, exchange).await
@@ -111,18 +114,18 @@
 async fn exchange(
     state: &RouterState, ways: &TdsSettings, host: Host, (kind, payload): (Kind, &[u8]),
     may_go: impl Fn() -> bool, written: &Cell<bool>, flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<Answer, ConnectionError> {
     let connect = async |dial| connect(state, ways, dial).await;
     let wire = |connection: &HostConnection| {
         // What another's command left in the session is gone before this one runs.
-        let first = if connection.kept.used { status::RESET } else { 0 };
+        let first = if connection.session.reused { status::RESET } else { 0 };
         let mut wire = Vec::with_capacity(payload.len() + payload.len() / 64 + 16);
-        put_parts(&mut wire, kind, connection.kept.packet, payload, first, true);
+        put_parts(&mut wire, kind, connection.session.packet_size, payload, first, true);
         wire
     };
     let mut connection = attempt::written(state, host, may_go, connect, wire).await?;
     written.set(true);
-    connection.kept.used = true;
+    connection.session.reused = true;
     let (mut answer, mut held) = (Answer::new(), Reservation::new(&state.memory));
     let ended = loop {
         match read(&mut connection, &mut answer, &mut held, flow.is_some()).await {
@@ -136,13 +139,13 @@
         }
     };
     // An answer whose last token has come stands, whatever becomes of its connection.
-    if !answer.whole() || ended == Err(ConnectionEnd::TooLarge) {
-        return Err(ended.err().unwrap_or(ConnectionEnd::Malformed));
+    if !answer.whole() || ended == Err(ConnectionError::TooLarge) {
+        return Err(ended.err().unwrap_or(ConnectionError::Malformed));
     }
     if let Some(flow) = flow.filter(|flow| flow.begun()) {
         flow.end(std::mem::take(&mut answer.value)).await?;
     }
-    let end = answer.error.clone().map(|code| ConnectionEnd::HostError(code).ending());
+    let end = answer.error.clone().map(|code| ConnectionError::HostError(code).outcome());
     if ended.is_ok() && !answer.in_transaction && end != Some(AttemptOutcome::ConnectionReset) {
         attempt::keep(state, host, connection);
     }
@@ -152,12 +155,12 @@
 /// Reads up to the answer's end, or up to a pause once there is enough to be passed on; true at the end.
 async fn read(
     connection: &mut HostConnection, answer: &mut Answer, held: &mut Reservation, pauses: bool,
-) -> Result<bool, ConnectionEnd> {
+) -> Result<bool, ConnectionError> {
     loop {
-        let taken = answer.take(connection.buffer.unread()).map_err(|_| ConnectionEnd::Malformed)?;
+        let taken = answer.take(connection.buffer.unread()).map_err(|_| ConnectionError::Malformed)?;
         connection.buffer.consume(taken);
         if answer.held() > HELD_WHOLE + LARGEST_TOKEN || !held.resize_to(answer.held()) {
-            return Err(ConnectionEnd::TooLarge);
+            return Err(ConnectionError::TooLarge);
         }
         if answer.over() {
             return Ok(true);
@@ -169,8 +172,8 @@
         match connection.buffer.fill(&connection.stream).await {
             Ok(1..) => {}
             // The host has no part in that.
-            Err(error) if error.kind() == ErrorKind::OutOfMemory => return Err(ConnectionEnd::TooLarge),
-            Ok(0) | Err(_) => return Err(ConnectionEnd::Broken),
+            Err(error) if error.kind() == ErrorKind::OutOfMemory => return Err(ConnectionError::TooLarge),
+            Ok(0) | Err(_) => return Err(ConnectionError::BrokenAfterSend),
         }
     }
 }
@@ -178,51 +181,51 @@
 /// Connects and logs in, so that what breaks until then is known never to have run.
 async fn connect(
     state: &RouterState, ways: &TdsSettings, dial: SocketAddr,
-) -> Result<HostConnection, ConnectionEnd> {
+) -> Result<HostConnection, ConnectionError> {
     let limit = state.config.deployment.connect_timeout.to_std();
     let permit = attempt::descriptor(state).await?;
     let open = async {
-        let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionEnd::NeverUp)?;
-        count(&state.metrics.connected);
+        let stream = Async::<TcpStream>::connect(dial).await.map_err(|_| ConnectionError::ConnectFailed)?;
+        state.metrics.connections_opened.increment();
         let _ = stream.get_ref().set_nodelay(true);
         let buffer = Buffer::new(LARGEST_SIZE + 1, &state.memory);
-        let kept = Kept { packet: FIRST_SIZE, used: false };
+        let session = SessionState { packet_size: FIRST_SIZE, reused: false };
         let idle_since = state.clock.now();
-        let mut connection = HostConnection { stream, buffer, dial, idle_since, kept, permit };
+        let mut connection = HostConnection { stream, buffer, address: dial, idle_since, session, permit };
         prelogin(&mut connection).await?;
         log_in(state, ways, &mut connection).await?;
         Ok(connection)
     };
-    open.or(after(limit, Err(ConnectionEnd::NeverUp))).await
+    open.or(after(limit, Err(ConnectionError::ConnectFailed))).await
 }
 
-async fn prelogin(connection: &mut HostConnection) -> Result<(), ConnectionEnd> {
+async fn prelogin(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let (mut payload, mut wire) = (Vec::new(), Vec::new());
     Prelogin::default().put(&mut payload);
     put_message(&mut wire, Kind::Prelogin, FIRST_SIZE, &payload);
-    (&connection.stream).write_all(&wire).await.map_err(|_| ConnectionEnd::NeverUp)?;
+    (&connection.stream).write_all(&wire).await.map_err(|_| ConnectionError::ConnectFailed)?;
     let mut message = Assembly::new(LARGEST_PRELOGIN);
     while !message.over() {
         if connection.buffer.unread().is_empty() {
             match connection.buffer.fill(&connection.stream).await {
-                Ok(0) | Err(_) => return Err(ConnectionEnd::NeverUp),
+                Ok(0) | Err(_) => return Err(ConnectionError::ConnectFailed),
                 Ok(_) => {}
             }
         }
-        let taken = message.take(connection.buffer.unread()).map_err(|_| ConnectionEnd::NeverUp)?;
+        let taken = message.take(connection.buffer.unread()).map_err(|_| ConnectionError::ConnectFailed)?;
         connection.buffer.consume(taken);
     }
-    let told = Prelogin::read(message.payload()).map_err(|_| ConnectionEnd::NeverUp)?;
+    let told = Prelogin::read(message.payload()).map_err(|_| ConnectionError::ConnectFailed)?;
     // A host that insists on encryption can't be spoken with.
     match told.encryption {
         Encryption::NotSupported | Encryption::Off => Ok(()),
-        Encryption::On | Encryption::Required => Err(ConnectionEnd::NeverUp),
+        Encryption::On | Encryption::Required => Err(ConnectionError::ConnectFailed),
     }
 }
 
 async fn log_in(
     state: &RouterState, ways: &TdsSettings, connection: &mut HostConnection,
-) -> Result<(), ConnectionEnd> {
+) -> Result<(), ConnectionError> {
     let login = Login {
         version: VERSION,
         packet_size: ways.packet_size as u32,
@@ -237,19 +240,19 @@
     let (mut payload, mut wire) = (Vec::new(), Vec::new());
     login.put(&mut payload);
     put_message(&mut wire, Kind::Login, FIRST_SIZE, &payload);
-    (&connection.stream).write_all(&wire).await.map_err(|_| ConnectionEnd::NeverUp)?;
+    (&connection.stream).write_all(&wire).await.map_err(|_| ConnectionError::ConnectFailed)?;
     let (mut answer, mut held) = (Answer::new(), Reservation::new(&state.memory));
     let ended = read(connection, &mut answer, &mut held, false).await;
     match answer.error.take() {
         // Of the errors at a login one tells more than that no connection came up.
-        Some(code) => match ConnectionEnd::HostError(code) {
-            end if end.ending() == AttemptOutcome::Overloaded => Err(ConnectionEnd::NoSlot),
-            _ => Err(ConnectionEnd::NeverUp),
+        Some(code) => match ConnectionError::HostError(code) {
+            error if error.outcome() == AttemptOutcome::Overloaded => Err(ConnectionError::NoConnectionSlot),
+            _ => Err(ConnectionError::ConnectFailed),
         },
         None if ended.is_ok() && answer.acknowledged => {
-            connection.kept.packet = answer.packet.unwrap_or(FIRST_SIZE).min(LARGEST_SIZE);
+            connection.session.packet_size = answer.packet.unwrap_or(FIRST_SIZE).min(LARGEST_SIZE);
             Ok(())
         }
-        None => Err(ConnectionEnd::NeverUp),
+        None => Err(ConnectionError::ConnectFailed),
     }
 }
--- a/crates/comethitchd/src/protocols/tds/client.rs
+++ b/crates/comethitchd/src/protocols/tds/client.rs
@@ -3,12 +3,12 @@
 use super::prepared::Prepared;
 use super::settings::{TRIED_AGAIN, TdsSettings};
 use crate::protocols::client_connection::{ClientConnection, Disconnect};
-use crate::stages::admit::{self, Asked, NotTaken};
-use crate::stages::route;
-use crate::state::buffer::Reservation;
-use crate::state::client_registry::{ConnectionPhase, DescriptorPermit};
-use crate::state::metrics::count;
-use crate::state::pending_commands::{Part, Reply};
+use crate::stages::admit::{self, AdmissionError, StatementRequest};
+use crate::stages::policy_driver;
+use crate::state::client_registry::ConnectionPhase;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::memory_budget::Reservation;
+use crate::state::pending_commands::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
 use async_channel::Receiver;
 use async_io::Async;
@@ -139,7 +139,7 @@
         }
         // Until the list is held no command could be served.
         let state = self.connection.state.clone();
-        self.connection.while_here(state.ready.raised()).await?;
+        self.connection.while_here(state.ready.wait()).await?;
         let asked = usize::try_from(login.packet_size).unwrap_or(FIRST_SIZE);
         let size = match asked {
             0 => FIRST_SIZE,
@@ -325,7 +325,7 @@
         payload: Vec<u8>, called: Called,
     ) -> Result<bool, Disconnect> {
         let (state, numbers) = (self.connection.state.clone(), self.ways.numbers);
-        let asked = Asked {
+        let asked = StatementRequest {
             text: text.as_bytes(),
             arguments,
             arrived: self.connection.arrived,
@@ -333,21 +333,21 @@
         };
         let admitted = match admit::admit(&state, &asked) {
             Ok(admitted) => admitted,
-            Err(NotTaken::Throttled) => {
-                count(&state.metrics.throttled);
-                state.turned_away("", "statement_budget");
+            Err(AdmissionError::Throttled) => {
+                state.metrics.throttled.increment();
+                state.log_rejection("", "statement_budget");
                 put_reply(tokens, Reply::Throttled(None), numbers, called, true);
                 return Ok(true);
             }
-            Err(NotTaken::Rejected(rejected)) => {
-                self.refuse(tokens, &rejected.text, called)?;
+            Err(AdmissionError::Invalid(error)) => {
+                self.refuse(tokens, &error.to_string(), called)?;
                 return Ok(true);
             }
         };
         // A hard limit: no decision is asked for.
-        if state.is_full() {
-            count(&state.metrics.at_limit);
-            state.turned_away(&admitted.name, "at_limit");
+        if state.at_command_limit() {
+            state.metrics.throttled_at_limit.increment();
+            state.log_rejection(&admitted.client_id, "at_limit");
             put_reply(tokens, Reply::Throttled(None), numbers, called, true);
             return Ok(true);
         }
@@ -355,12 +355,12 @@
         if self.connection.has_left() {
             return Err(Disconnect::ClientLeft);
         }
-        let repeatable = admitted.known.as_ref().is_some_and(|known| known.verdict.effect.may_repeat());
-        state.clients.turn(self.connection.number, ConnectionPhase::Busy, state.clock.now());
-        let (id, reply) = route::take(&state, admitted, payload, kind.code());
+        let repeatable = admitted.shape.as_ref().is_some_and(|known| known.verdict.effect.may_repeat());
+        state.clients.set_phase(self.connection.number, ConnectionPhase::Busy, state.clock.now());
+        let (id, reply) = policy_driver::submit(&state, admitted, payload, kind.code());
         let attention = |unread: &[u8]| unread.first() == Some(&Kind::Attention.code());
         match self.connection.unless(reply.recv(), Some(attention)).await {
-            Ok(Some(Ok(Reply::Begun(first, parts)))) => {
+            Ok(Some(Ok(Reply::Streaming(first, parts)))) => {
                 self.pass_on(tokens, first, &parts, called).await?;
                 self.connection.answered();
                 Ok(true)
@@ -371,14 +371,14 @@
                 Ok(true)
             }
             Ok(None) => {
-                route::left(&state, id);
+                policy_driver::client_disconnected(&state, id);
                 // The attention itself is taken off; its acknowledgement is the one answer.
                 self.message(HEADER).await?;
                 self.connection.answered();
                 Ok(false)
             }
             _ => {
-                route::left(&state, id);
+                policy_driver::client_disconnected(&state, id);
                 Err(Disconnect::ClientLeft)
             }
         }
@@ -389,7 +389,7 @@
     /// Passes a large value on part by part, all but its end, which is left in `tokens`: a handle may have to come
     /// before it. Where the end does not come, the connection's own tells that the answer is not whole.
     async fn pass_on(
-        &mut self, tokens: &mut Vec<u8>, first: Vec<u8>, parts: &Receiver<Part>, called: Called,
+        &mut self, tokens: &mut Vec<u8>, first: Vec<u8>, parts: &Receiver<ValuePart>, called: Called,
     ) -> Result<(), Disconnect> {
         tokens.extend(first);
         loop {
@@ -401,8 +401,8 @@
                 self.connection.write(&wire).await?;
             }
             match parts.recv().await {
-                Ok(Part::Bytes(bytes)) => tokens.extend(bytes),
-                Ok(Part::End) => break,
+                Ok(ValuePart::Bytes(bytes)) => tokens.extend(bytes),
+                Ok(ValuePart::End) => break,
                 Err(_) => return Err(Disconnect::Closing),
             }
         }
@@ -472,7 +472,7 @@
     };
     match reply {
         // Passed on part by part before it comes here.
-        Reply::Begun(first, _) => out.extend(first),
+        Reply::Streaming(first, _) => out.extend(first),
         Reply::Value(value) => match called {
             Called::Preparing(handle) => put_with_handle(out, &value, handle),
             _ => out.extend(value),
@@ -487,7 +487,7 @@
         Reply::Failed | Reply::Cancelled => {
             fault(out, numbers.failed, "failed; nothing is known of its effect")
         }
-        Reply::FailedBy(tokens) => match tried_again(&tokens).filter(|_| !repeatable) {
+        Reply::FailedWithHostError(tokens) => match tried_again(&tokens).filter(|_| !repeatable) {
             // A driver would send again what may have run.
             Some(message) => {
                 let text = format!("failed by error {}: {}", message.number, message.text);
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -6,8 +6,8 @@
 mod prepared;
 pub mod settings;
 
-use crate::state::client_registry::DescriptorPermit;
-use crate::state::protocol::{BackendProtocol, ClientProtocol, Serving};
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::protocol::{BackendProtocol, ClientProtocol, ClientSession};
 use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
@@ -21,19 +21,21 @@
 pub struct Tds(pub Rc<TdsSettings>);
 
 impl ClientProtocol for Tds {
-    fn serve(&self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit) -> Serving {
+    fn serve(
+        &self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
+    ) -> ClientSession {
         Box::pin(client::serve(state, self.0.clone(), stream, permit))
     }
 }
 
 impl BackendProtocol for Tds {
-    fn dispatch(
+    fn send_attempt(
         &self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
     ) -> Option<u16> {
         backend::start(state, &self.0, id, host, time_out)
     }
 
-    fn probe(&self, state: &Rc<RouterState>, host: Host) {
+    fn check_health(&self, state: &Rc<RouterState>, host: Host) {
         backend::probe(state, &self.0, host);
     }
 }
--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -1,7 +1,7 @@
 //! Statements that a client has prepared. They are kept here and not at hosts: each execution is a call of
 //! `sp_executesql`, which any host can take.
 
-use crate::state::buffer::{MemoryBudget, Reservation};
+use crate::state::memory_budget::{MemoryBudget, Reservation};
 use std::collections::BTreeMap;
 
 /// The most bytes of all statements that a client may keep.
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -1,6 +1,6 @@
 //! `classify`: verdicts for statements, one JSON object a line in and out, in the same order.
 
-use crate::state::config::{Config, read_rules, secret};
+use crate::state::config::{Config, in_file, random_secret, read_rules};
 use argh::FromArgs;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
@@ -81,22 +81,20 @@
         rules.dialect = self.dialect.unwrap_or(rules.dialect);
         let (groups, names) = match &self.configuration {
             Some(path) => {
-                let site = Config::load(path, |name| std::env::var(name).ok())?;
+                let site = Config::load(path, |name| std::env::var(name).ok()).map_err(|e| e.to_string())?;
                 (site.deployment.groups, site.groups)
             }
             None => groups_of(&rules),
         };
         let shown = self.rules.as_deref().unwrap_or(Path::new("the rules")).display().to_string();
-        let desk = StatementAdmission::unlimited(rules, &groups, &names, secret())
+        let desk = StatementAdmission::unlimited(rules, &groups, &names, random_secret())
             .map_err(|e| format!("{shown}: {e}"))?;
         Ok((desk, names, ruled))
     }
 }
 
 fn load(path: &Path) -> Result<Rules, String> {
-    let shown = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{shown} can't be read: {e}"))?;
-    read_rules(&text).map_err(|e| format!("{shown}: {e}"))
+    in_file(path, read_rules).map_err(|e| e.to_string())
 }
 
 /// Rules that only judge.
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -3,10 +3,11 @@
 use crate::protocols::postgres::Postgres;
 use crate::protocols::tds::Tds;
 use crate::protocols::tds::settings::TdsSettings;
-use crate::service::watch;
-use crate::stages::{learn, route};
+use crate::service::{startup, watch};
+use crate::stages::{policy_driver, updates};
 use crate::state::clock::{Clock, after};
-use crate::state::config::Config;
+use crate::state::config::{Config, ConfigError};
+use crate::state::metrics_report::log_metrics;
 use crate::state::protocol::{BackendProtocol, ClientProtocol};
 use crate::state::router_state::RouterState;
 use crate::state::signals::OneShotEvent;
@@ -67,7 +68,8 @@
 
 /// Serves until SIGTERM or SIGINT; at SIGHUP the configuration is read again.
 pub fn run(
-    site: Config, clock: Clock, protocol: Protocol, reread: impl Fn() -> Result<Config, String> + 'static,
+    site: Config, clock: Clock, protocol: Protocol,
+    reread: impl Fn() -> Result<Config, ConfigError> + 'static,
 ) -> Result<(), String> {
     async_io::block_on(async {
         let mut signals =
@@ -77,20 +79,20 @@
         };
         let addresses = std::iter::once(&site.listen).chain(&protocol.also_listen);
         let listeners = addresses.map(bind).collect::<Result<Vec<_>, String>>()?;
-        let state = learn::start(site, clock, protocol.back);
+        let state = startup::start(site, clock, protocol.back).map_err(|e| e.to_string())?;
         let (held, stop) = (state.clone(), OneShotEvent::default());
         let asked = stop.clone();
         // Listened to up to the end: neither signal may end a router that is stopping.
         let heard = async move {
             while let Some(signal) = signals.next().await {
                 match signal {
-                    Ok(Signal::Hup) => learn::reload(&held, reread()),
-                    _ => asked.raise(),
+                    Ok(Signal::Hup) => updates::reload(&held, reread()),
+                    _ => asked.set(),
                 }
             }
         };
         state.tasks.spawn(heard).detach();
-        serve(state, protocol.front, listeners, stop.raised()).await;
+        serve(state, protocol.front, listeners, stop.wait()).await;
         Ok(())
     })
 }
@@ -115,7 +117,7 @@
     let held = state.clone();
     let ready = async move {
         Timer::after(first).await;
-        held.ready.raise();
+        held.ready.set();
     };
     state.tasks.spawn(ready).detach();
     let work = async {
@@ -134,11 +136,11 @@
         let given_up = async {
             // A client may wait longer than its command group says: it is answered while there is time to.
             Timer::after(limit.saturating_sub(WRITTEN)).await;
-            route::decide(&state, |router, out| router.shut_down(out));
+            policy_driver::call(&state, |router, out| router.shut_down(out));
             Timer::after(WRITTEN).await;
         };
         through.or(given_up).await;
-        state.report();
+        log_metrics(&state);
         log::info!("stopped with {} commands in hand", in_hand(&state));
     };
     state.tasks.run(work).await;
@@ -166,7 +168,7 @@
 async fn accept(state: &Rc<RouterState>, front: &Rc<dyn ClientProtocol>, listener: &Async<TcpListener>) {
     let mut incoming = std::pin::pin!(listener.incoming());
     loop {
-        let Some(permit) = state.client_descriptor() else {
+        let Some(permit) = state.acquire_client_descriptor() else {
             Timer::after(PAUSE).await;
             continue;
         };
@@ -188,10 +190,10 @@
     for round in 1.. {
         Timer::after(SWEEP).await;
         let now = state.clock.now();
-        state.pool.borrow_mut().sweep(now);
-        state.clients.sweep(now);
+        state.pool.borrow_mut().close_expired(now);
+        state.clients.close_expired(now);
         if round % SWEEPS_TOLD == 0 {
-            state.report();
+            log_metrics(&state);
         }
     }
 }
--- a/crates/comethitchd/src/service/mod.rs
+++ b/crates/comethitchd/src/service/mod.rs
@@ -3,5 +3,6 @@
 pub mod classify;
 pub mod listen;
 pub mod logger;
+pub mod startup;
 pub mod trail;
 pub mod watch;
--- a/crates/comethitchd/src/service/watch.rs
+++ b/crates/comethitchd/src/service/watch.rs
@@ -5,9 +5,11 @@
 //! (fall silent, never come up, be reset, send parts of a line for ever), the list held is never older than [`OVERDUE`]
 //! and one call: [`look`] asks on, however the watch fares.
 
-use crate::stages::learn;
-use crate::state::buffer::{Buffer, MemoryBudget};
+use crate::stages::updates;
+use crate::state::buffer::Buffer;
 use crate::state::clock::after;
+use crate::state::discovery_state::DiscoveryService;
+use crate::state::memory_budget::MemoryBudget;
 use crate::state::router_state::RouterState;
 use crate::wire::discovery::{self, Entry, Piece, Pieces};
 use crate::wire::http::{self, Body};
@@ -37,19 +39,19 @@
 pub async fn follow(state: Rc<RouterState>) {
     let mut told = false;
     loop {
-        let (address, moved) = state.discovery.borrow().clone();
-        let since = state.endpoints.borrow().since;
+        let DiscoveryService { address, replaced: moved } = state.discovery.service();
+        let since = state.endpoints.borrow().version;
         // Looked at before the watch, so that nothing of one that is left counts any more.
         let left = async {
-            moved.raised().await;
+            moved.wait().await;
             Err("another one is followed now".to_string())
         };
         let step = async {
             match since {
                 Some(since) => watch(&state, address, since).await,
-                None => {
-                    whole(&state, address).await.inspect(|()| state.last_watch_event.set(state.clock.now()))
-                }
+                None => whole(&state, address)
+                    .await
+                    .inspect(|()| state.discovery.record_watch_event(state.clock.now())),
             }
         };
         match left.or(step).await {
@@ -63,9 +65,12 @@
             Err(_) => {}
         }
         // A list that was just told is followed at once.
-        let pause =
-            if since.is_none() && state.endpoints.borrow().since.is_some() { Duration::ZERO } else { AGAIN };
-        after(pause, ()).or(moved.raised()).await;
+        let pause = if since.is_none() && state.endpoints.borrow().version.is_some() {
+            Duration::ZERO
+        } else {
+            AGAIN
+        };
+        after(pause, ()).or(moved.wait()).await;
     }
 }
 
@@ -74,14 +79,14 @@
     loop {
         Timer::after(LOOK).await;
         // Without a list, whoever follows discovery asks for the whole one already.
-        if state.endpoints.borrow().since.is_none()
-            || (state.clock.now() - state.last_watch_event.get()).to_std() < OVERDUE
+        if state.endpoints.borrow().version.is_none()
+            || state.discovery.watch_silence(state.clock.now()).to_std() < OVERDUE
         {
             continue;
         }
-        let (address, moved) = state.discovery.borrow().clone();
+        let DiscoveryService { address, replaced: moved } = state.discovery.service();
         let left = async {
-            moved.raised().await;
+            moved.wait().await;
             Ok(())
         };
         match left.or(whole(&state, address)).await {
@@ -96,9 +101,9 @@
     let path = format!("/api/targets?follow=1&since={since}");
     let mut answer = Answer::of(address, &path, &state.memory).await?;
     while let Some(piece) = soon("it has fallen silent", SILENT, answer.piece()).await? {
-        state.last_watch_event.set(state.clock.now());
+        state.discovery.record_watch_event(state.clock.now());
         if let Piece::Object(text) = piece {
-            let held = state.endpoints.borrow().since;
+            let held = state.endpoints.borrow().version;
             take(state, &text, held)?;
         }
     }
@@ -107,7 +112,7 @@
 
 /// One call for the whole list, which counts only if all of it came.
 async fn whole(state: &Rc<RouterState>, address: SocketAddr) -> Result<(), String> {
-    let before = state.endpoints.borrow().since;
+    let before = state.endpoints.borrow().version;
     let call = async {
         let mut answer = Answer::of(address, "/api/targets", &state.memory).await?;
         let mut text = None;
@@ -126,7 +131,7 @@
 /// another call has brought since then tells of the past.
 fn take(state: &Rc<RouterState>, text: &[u8], before: Option<u64>) -> Result<(), String> {
     let listing = discovery::listing(text, &state.config.zones)?;
-    let held = state.endpoints.borrow().since;
+    let held = state.endpoints.borrow().version;
     let outrun = held != before || !listing.whole;
     if outrun && held.is_some_and(|held| listing.seq < held) {
         log::debug!("list {} is older than what is held, {held:?}", listing.seq);
@@ -138,8 +143,8 @@
         let (lifecycle, shard) = (endpoint.lifecycle, endpoint.shard);
         log::info!("list {}: {name} at {dial} is {lifecycle:?}{primary}, group {shard}", listing.seq);
     }
-    learn::listed(state, &listing);
-    state.ready.raise();
+    updates::apply_endpoint_list(state, &listing);
+    state.ready.set();
     Ok(())
 }
 
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,4 +1,4 @@
-//! Second stage: what a statement's comment says becomes what the module is told.
+//! Admission: makes a command of a statement, by its comment alone or, with rules for statements, also by its text.
 
 use crate::state::router_state::RouterState;
 use crate::wire::statement::{self, Fields};
@@ -6,152 +6,201 @@
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::StatementAdmission;
 use comethitch_statement::admission::{KnownShape, StatementHints, StatementRejection};
-use comethitch_statement::assign::Arguments;
+use comethitch_statement::assign::{Arguments, Refusal};
+use std::error::Error;
 use std::ops::Range;
 use std::rc::Rc;
 
-/// A statement as a front has read it: what it says, and the values that came beside it.
-pub struct Asked<'a> {
+/// A client's timeout is never longer than this: a day.
+const MAX_TIMEOUT_MS: u64 = 24 * 60 * 60 * 1000;
+
+/// A statement as a client protocol has read it.
+pub struct StatementRequest<'a> {
+    /// The statement, with its comment.
     pub text: &'a [u8],
+    /// The values of its parameters, where they came beside it.
     pub arguments: &'a Arguments,
+    /// When its last byte arrived.
     pub arrived: Timestamp,
-    /// The client's machine, as a number.
+    /// A number for the client's machine, whose statements share one budget for parsing.
     pub origin: u64,
 }
 
-/// A command as it is handed to the module, but for its statement.
-pub struct Admitted {
-    /// The id that its client gave it, or one of the router's own.
-    pub name: String,
-    /// Where in the text stands how long the client waits, if it tells.
-    pub wait_at: Option<Range<usize>>,
-    /// What is known of its shape, where statements are judged by their text.
-    pub known: Option<Rc<KnownShape>>,
+/// A command as it is handed to the policy, but for its statement.
+pub struct AdmittedCommand {
+    /// The id that its client gave it, or a generated one.
+    pub client_id: String,
+    /// Where the text holds the client's timeout, if it does.
+    pub timeout_range: Option<Range<usize>>,
+    /// What is known of its shape, where statements are classified by their text.
+    pub shape: Option<Rc<KnownShape>>,
+    /// Its command group, by index.
     pub group: usize,
+    /// Its shard.
     pub shard: Shard,
+    /// A number for its session, whose commands may stay at one host.
     pub session: u64,
     /// The commit that it must see.
     pub after: Option<Timestamp>,
     /// When the client stops waiting.
-    pub expiry: Timestamp,
-}
-
-/// A statement that is no command.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Rejected {
-    pub code: &'static str,
-    pub text: String,
+    pub deadline: Timestamp,
 }
 
-/// Why a statement is not taken.
-#[derive(Debug, PartialEq, Eq)]
-pub enum NotTaken {
-    Rejected(Rejected),
-    /// The work of finding out what it is was more than its client may cause now; trying again is harmless.
-    Throttled,
+/// Why a statement is no valid command. The texts are for clients.
+#[derive(Debug, thiserror::Error)]
+pub enum StatementError {
+    /// The comment is missing or malformed, or what follows it is no statement that hosts take.
+    #[error("{0}")]
+    Comment(#[source] Box<dyn Error + Send + Sync>),
+    /// The comment leaves out what the rules for statements do not supply.
+    #[error("the statement's comment must hold id, c, d and cluster: the rules admit none without")]
+    CommentIncomplete,
+    /// No command group has this name.
+    #[error("unknown command group {name:?}")]
+    UnknownGroup {
+        /// The name in the comment.
+        name: String,
+    },
+    /// A command with this id is in progress.
+    #[error("a command of the id {id} is in hand")]
+    IdInUse {
+        /// The id in the comment.
+        id: String,
+    },
+    /// The client's timeout is too long.
+    #[error("d is more than a day: {timeout_ms}")]
+    TimeoutTooLong {
+        /// The timeout in the comment.
+        timeout_ms: u64,
+    },
+    /// The rules for statements refuse it.
+    #[error("{0}")]
+    Refused(Refusal),
 }
 
-impl From<Rejected> for NotTaken {
-    fn from(rejected: Rejected) -> NotTaken {
-        NotTaken::Rejected(rejected)
+impl StatementError {
+    /// The SQLSTATE that tells a client of it.
+    pub fn sqlstate(&self) -> &'static str {
+        match self {
+            StatementError::Comment(_) | StatementError::CommentIncomplete => "42601",
+            StatementError::UnknownGroup { .. } | StatementError::TimeoutTooLong { .. } => "22023",
+            StatementError::IdInUse { .. } => "42710",
+            StatementError::Refused(refusal) => refusal.code(),
+        }
     }
 }
 
-fn rejected(code: &'static str, text: impl Into<String>) -> Rejected {
-    Rejected { code, text: text.into() }
+/// Why a statement is not admitted.
+#[derive(Debug, thiserror::Error)]
+pub enum AdmissionError {
+    /// It is no valid command.
+    #[error(transparent)]
+    Invalid(#[from] StatementError),
+    /// Its client's budget for parsing statements is spent; a retry is harmless.
+    #[error("the budget for parsing is spent")]
+    Throttled,
 }
 
-/// A client's wait is never longer than this, whatever it says: a day.
-const LONGEST_WAIT_MS: u64 = 24 * 60 * 60 * 1000;
-
-/// Admits a statement: by its comment alone, or, where an operator's rules are on, by its text besides.
-pub fn admit(state: &RouterState, asked: &Asked<'_>) -> Result<Admitted, NotTaken> {
+/// Admits a statement by its comment or, if there are rules for statements, also by its text.
+///
+/// # Errors
+///
+/// If the statement is no valid command, or its client's budget for parsing statements is spent.
+pub fn admit(state: &RouterState, request: &StatementRequest<'_>) -> Result<AdmittedCommand, AdmissionError> {
     match &mut *state.admission.borrow_mut() {
-        None => Ok(by_comment(state, asked)?),
-        Some(desk) => by_text(state, desk, asked),
+        None => Ok(admit_by_comment(state, request)?),
+        Some(admission) => admit_by_text(state, admission, request),
     }
 }
 
-fn by_comment(state: &RouterState, asked: &Asked<'_>) -> Result<Admitted, Rejected> {
-    let comment = statement::comment(asked.text).map_err(|text| rejected("42601", text))?;
-    let group = group_named(state, comment.group)?;
-    checked(state, comment.id, comment.wait_ms)?;
-    Ok(Admitted {
+fn admit_by_comment(
+    state: &RouterState, request: &StatementRequest<'_>,
+) -> Result<AdmittedCommand, StatementError> {
+    let comment = statement::comment(request.text).map_err(|error| StatementError::Comment(error.into()))?;
+    let group = find_group(state, comment.group)?;
+    check_id_and_timeout(state, comment.id, comment.wait_ms)?;
+    Ok(AdmittedCommand {
         group,
         shard: comment.shard,
-        session: statement::session(asked.text),
+        session: statement::session(request.text),
         after: comment.after_ms.map(Timestamp::from_millis),
-        expiry: asked.arrived + Duration::from_millis(comment.wait_ms),
-        name: comment.id.into(),
-        wait_at: Some(comment.wait_at),
-        known: None,
+        deadline: request.arrived + Duration::from_millis(comment.wait_ms),
+        client_id: comment.id.into(),
+        timeout_range: Some(comment.wait_at),
+        shape: None,
     })
 }
 
-/// What the comment leaves out, the rules supply; what it tells must not be less strict than the text.
-fn by_text(
-    state: &RouterState, desk: &mut StatementAdmission, asked: &Asked<'_>,
-) -> Result<Admitted, NotTaken> {
-    let Asked { text, arguments, .. } = *asked;
-    let fields = match statement::fields(text) {
-        Ok(fields) => fields,
-        // A statement that begins otherwise has no comment of this kind.
-        Err(_) if !text.trim_ascii_start().starts_with(b"/*") => Fields::default(),
-        Err(why) => return Err(rejected("42601", why).into()),
-    };
-    let whole =
-        fields.id.is_some() && fields.group.is_some() && fields.wait.is_some() && fields.shard.is_some();
-    let wait_ms = match (desk.rules().commentless, &fields.wait) {
-        (_, Some((wait_ms, _))) if whole => *wait_ms,
-        (Some(commentless), wait) => wait.as_ref().map_or(commentless.wait_ms, |(wait_ms, _)| *wait_ms),
-        (None, _) => {
-            let why = "the statement's comment must hold id, c, d and cluster: the rules admit none without";
-            return Err(rejected("42601", why).into());
-        }
-    };
-    let group = fields.group.map(|name| group_named(state, name)).transpose()?;
-    let name = fields.id.map_or_else(|| state.commands.borrow_mut().own_name(), String::from);
-    checked(state, &name, wait_ms)?;
-    let told = StatementHints { group, shard: fields.shard };
+/// The rules supply what the comment leaves out; what it says must not be less strict than the text.
+fn admit_by_text(
+    state: &RouterState, admission: &mut StatementAdmission, request: &StatementRequest<'_>,
+) -> Result<AdmittedCommand, AdmissionError> {
+    let StatementRequest { text, arguments, .. } = *request;
+    let fields = comment_fields(text)?;
+    let timeout_ms = timeout_ms(admission, &fields)?;
+    let group = fields.group.map(|name| find_group(state, name)).transpose()?;
+    let client_id = fields.id.map_or_else(|| state.commands.borrow_mut().generate_id(), String::from);
+    check_id_and_timeout(state, &client_id, timeout_ms)?;
+    let hints = StatementHints { group, shard: fields.shard };
     let clock = || state.clock.now();
-    let passed = desk.admit_with(text, arguments, told, asked.origin, &clock);
-    let passed = passed.map_err(|turned| match turned {
-        StatementRejection::Refused(refusal) => {
-            NotTaken::Rejected(rejected(refusal.code(), refusal.to_string()))
-        }
-        StatementRejection::Throttled => NotTaken::Throttled,
-    })?;
-    Ok(Admitted {
+    let passed =
+        admission.admit_with(text, arguments, hints, request.origin, &clock).map_err(|rejection| {
+            match rejection {
+                StatementRejection::Refused(refusal) => StatementError::Refused(refusal).into(),
+                StatementRejection::Throttled => AdmissionError::Throttled,
+            }
+        })?;
+    Ok(AdmittedCommand {
         group: passed.assigned.group,
         shard: passed.assigned.shard,
         session: passed.assigned.session.unwrap_or_else(|| statement::session(text)),
         after: fields.after_ms.map(Timestamp::from_millis),
-        expiry: asked.arrived + Duration::from_millis(wait_ms),
-        name,
-        wait_at: fields.wait.map(|(_, at)| at),
-        known: Some(passed.known),
+        deadline: request.arrived + Duration::from_millis(timeout_ms),
+        client_id,
+        timeout_range: fields.wait.map(|(_, range)| range),
+        shape: Some(passed.known),
     })
 }
 
-fn group_named(state: &RouterState, name: &str) -> Result<usize, Rejected> {
+/// The fields of the comment that the statement begins with; none if it begins otherwise.
+fn comment_fields(text: &[u8]) -> Result<Fields<'_>, StatementError> {
+    match statement::fields(text) {
+        Ok(fields) => Ok(fields),
+        Err(_) if !text.trim_ascii_start().starts_with(b"/*") => Ok(Fields::default()),
+        Err(error) => Err(StatementError::Comment(error.into())),
+    }
+}
+
+/// The client's timeout in milliseconds: by its comment, or by the rules where these admit an incomplete comment.
+fn timeout_ms(admission: &StatementAdmission, fields: &Fields<'_>) -> Result<u64, StatementError> {
+    let told = fields.wait.as_ref().map(|(timeout_ms, _)| *timeout_ms);
+    let complete = fields.id.is_some() && fields.group.is_some() && fields.shard.is_some();
+    match (told, &admission.rules().commentless) {
+        (Some(timeout_ms), _) if complete => Ok(timeout_ms),
+        (told, Some(commentless)) => Ok(told.unwrap_or(commentless.wait_ms)),
+        (_, None) => Err(StatementError::CommentIncomplete),
+    }
+}
+
+fn find_group(state: &RouterState, name: &str) -> Result<usize, StatementError> {
     let group = state.config.groups.iter().position(|known| known == name);
-    group.ok_or_else(|| rejected("22023", format!("unknown command group {name:?}")))
+    group.ok_or_else(|| StatementError::UnknownGroup { name: name.to_string() })
 }
 
-fn checked(state: &RouterState, id: &str, wait_ms: u64) -> Result<(), Rejected> {
-    if state.commands.borrow().is_open(id) {
-        return Err(rejected("42710", format!("a command of the id {id} is in hand")));
+fn check_id_and_timeout(state: &RouterState, id: &str, timeout_ms: u64) -> Result<(), StatementError> {
+    if state.commands.borrow().is_unanswered(id) {
+        return Err(StatementError::IdInUse { id: id.to_string() });
     }
-    if wait_ms > LONGEST_WAIT_MS {
-        return Err(rejected("22023", format!("d is more than a day: {wait_ms}")));
+    if timeout_ms > MAX_TIMEOUT_MS {
+        return Err(StatementError::TimeoutTooLong { timeout_ms });
     }
     Ok(())
 }
 
 /// The tag that answers a statement about the session alone, which has no effect here.
 pub fn session_statement(state: &RouterState, text: &[u8]) -> Option<&'static str> {
-    // Where any statement may come, one that goes on behind a semicolon is looked at whole.
-    if state.admission.borrow().is_some() && several(text) {
+    // With rules, any text may come: one that goes on behind a semicolon is admitted as a whole.
+    if state.admission.borrow().is_some() && has_several_statements(text) {
         return None;
     }
     let word = text.trim_ascii_start().split(|b| !b.is_ascii_alphabetic()).next().unwrap_or_default();
@@ -160,7 +209,7 @@
 }
 
 /// Whether a semicolon stands before the end.
-fn several(text: &[u8]) -> bool {
+fn has_several_statements(text: &[u8]) -> bool {
     let text = text.trim_ascii_end();
     text.strip_suffix(b";").unwrap_or(text).contains(&b';')
 }
--- a/crates/comethitchd/src/stages/mod.rs
+++ b/crates/comethitchd/src/stages/mod.rs
@@ -1,8 +1,9 @@
-//! The way of a command, whatever protocol it came by: admitted, routed, answered and booked. A protocol takes it
-//! in before, and sends it in between.
+//! The path of a command, whatever protocol it came by: [`admit`] makes a command of a statement, [`policy_driver`]
+//! hands it to the policy and carries out the policy's actions, [`attempt_end`] records how an attempt ended, and
+//! [`reply`] gives the final answer. [`updates`] applies endpoint lists and configuration reloads.
 
 pub mod admit;
-pub mod book;
-pub mod learn;
-pub mod relay;
-pub mod route;
+pub mod attempt_end;
+pub mod policy_driver;
+pub mod reply;
+pub mod updates;
--- /dev/null
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -0,0 +1,88 @@
+//! Changes to a running router that are not commands: endpoint lists from discovery, and a reloaded configuration.
+
+use crate::stages::policy_driver;
+use crate::state::config::{Config, ConfigError};
+use crate::state::router_state::RouterState;
+use crate::wire::discovery::EndpointList;
+use comethitch_policy::EndpointUpdate;
+use comethitch_statement::{Rules, StatementAdmission};
+use std::rc::Rc;
+
+/// Why a reloaded configuration is not applied.
+#[derive(Debug, thiserror::Error)]
+enum ReloadError {
+    /// The protocol that is spoken has one dialect.
+    #[error("dialect has changed, which needs a new start")]
+    DialectChanged,
+    /// The memory for buffers was computed with the size of the cache.
+    #[error("cache.kib has grown, which needs a new start")]
+    CacheGrown,
+    /// The new configuration is not valid.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+}
+
+/// Applies an endpoint list or an update of it: to the directory, the idle connections and the policy.
+pub fn apply_endpoint_list(state: &Rc<RouterState>, list: &EndpointList) {
+    let removed_or_moved = state.endpoints.borrow_mut().apply(list);
+    removed_or_moved.iter().for_each(|host| state.pool.borrow_mut().close_host(*host));
+    let endpoints = list.entries.iter().map(|entry| entry.endpoint).collect();
+    let update = EndpointUpdate { complete: list.whole, endpoints };
+    policy_driver::call(state, |router, actions| router.update_endpoints(&update, actions));
+}
+
+/// Applies what a reloaded configuration changes. A faulty one is logged, and changes nothing.
+pub fn reload(state: &RouterState, reloaded: Result<Config, ConfigError>) {
+    // All or nothing: what can fail comes before what changes anything.
+    let applied = reloaded.map_err(ReloadError::from).and_then(|config| {
+        reload_statement_rules(state, &config)?;
+        Ok(config)
+    });
+    let config = match applied {
+        Ok(config) => config,
+        Err(error) => return log::error!("the configuration stays as it was: {error}"),
+    };
+    for key in state.config.fixed_keys_changed(&config) {
+        log::warn!("{key} has changed, and takes effect only after a restart");
+    }
+    reload_discovery(state, &config);
+}
+
+fn reload_discovery(state: &RouterState, config: &Config) {
+    if state.discovery.service().address == config.discovery {
+        log::info!("the configuration was reloaded: discovery stays {}", config.discovery);
+        return;
+    }
+    log::info!("discovery is {} from now on", config.discovery);
+    state.endpoints.borrow_mut().version = None;
+    state.discovery.replace(config.discovery);
+}
+
+/// Replaces the rules for statements if they have changed. They are made for the command groups that this router runs
+/// with; what was known of statement shapes is dropped with the rules that it was found by.
+fn reload_statement_rules(state: &RouterState, config: &Config) -> Result<(), ReloadError> {
+    let mut admission = state.admission.borrow_mut();
+    let current = admission.as_ref().map(StatementAdmission::rules);
+    if current == config.statements.as_ref() {
+        return Ok(());
+    }
+    if let (Some(current), Some(new)) = (current, &config.statements) {
+        check_fixed_rules(current, new)?;
+    }
+    let rules = config.statements.clone();
+    *admission = rules.map(|rules| state.config.admission_by(rules, state.clock.now())).transpose()?;
+    let which = if admission.is_some() { "other" } else { "no" };
+    log::info!("statements are judged by {which} rules from now on");
+    Ok(())
+}
+
+/// Checks that no rule has changed that can't be changed in a running router.
+fn check_fixed_rules(current: &Rules, new: &Rules) -> Result<(), ReloadError> {
+    if current.dialect != new.dialect {
+        return Err(ReloadError::DialectChanged);
+    }
+    if new.cache.kib > current.cache.kib {
+        return Err(ReloadError::CacheGrown);
+    }
+    Ok(())
+}
--- a/crates/comethitchd/src/state/buffer.rs
+++ b/crates/comethitchd/src/state/buffer.rs
@@ -1,107 +1,59 @@
-//! The one buffer that a connection reads into.
+//! The read buffer of a connection: grows on demand within the shared memory budget, and is compacted in place.
 
+use crate::state::memory_budget::MemoryBudget;
 use futures_lite::{AsyncRead, AsyncReadExt};
-use std::cell::Cell;
 use std::io;
-use std::rc::Rc;
 
-/// The least room worth a read, and what an empty buffer keeps.
-const LEAST: usize = 1024;
-const KEPT: usize = 8 * LEAST;
+/// The least free space that is worth a read.
+const MIN_FREE_BYTES: usize = 1024;
+/// An empty buffer larger than this gives its memory back.
+const MAX_IDLE_BYTES: usize = 8 * MIN_FREE_BYTES;
 
-/// The bytes that all buffers together may hold, so that memory is bounded however many there are.
-#[derive(Clone)]
-pub struct MemoryBudget(Rc<Cell<usize>>);
-
-impl MemoryBudget {
-    pub fn new(bytes: usize) -> MemoryBudget {
-        MemoryBudget(Rc::new(Cell::new(bytes)))
-    }
-
-    pub fn left(&self) -> usize {
-        self.0.get()
-    }
-
-    /// Whether a buffer may now hold so much in place of what it held.
-    fn change(&self, held: usize, wanted: usize) -> bool {
-        let enough = self.0.get() + held >= wanted;
-        if enough {
-            self.0.set(self.0.get() + held - wanted);
-        }
-        enough
-    }
-}
-
-/// Bytes held outside of a buffer, counted against the same room until this is dropped.
-pub struct Reservation(MemoryBudget, usize);
-
-impl Reservation {
-    pub fn new(room: &MemoryBudget) -> Reservation {
-        Reservation(room.clone(), 0)
-    }
-
-    /// Whether so many bytes may be held from now on.
-    pub fn resize_to(&mut self, bytes: usize) -> bool {
-        let enough = self.0.change(self.1, bytes);
-        if enough {
-            self.1 = bytes;
-        }
-        enough
-    }
-}
-
-impl Drop for Reservation {
-    fn drop(&mut self) {
-        self.0.change(self.1, 0);
-    }
-}
-
-/// It grows as it needs, up to a limit and while there is room, and is compacted in place.
+/// The bytes read from a connection and not consumed yet.
 pub struct Buffer {
-    room: MemoryBudget,
+    budget: MemoryBudget,
     bytes: Vec<u8>,
     start: usize,
     end: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
 impl Buffer {
-    pub fn new(most: usize, room: &MemoryBudget) -> Buffer {
-        Buffer { room: room.clone(), bytes: Vec::new(), start: 0, end: 0, most }
+    /// An empty buffer that may grow to `max_bytes`, all of it taken from `budget`.
+    pub fn new(max_bytes: usize, budget: &MemoryBudget) -> Buffer {
+        Buffer { budget: budget.clone(), bytes: Vec::new(), start: 0, end: 0, max_bytes }
     }
 
+    /// The bytes that were read and not consumed.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Gives up what is read; a large buffer that has become empty is given back.
+    /// Drops the first `length` unread bytes. A large buffer that becomes empty gives its memory back.
     pub fn consume(&mut self, length: usize) {
         self.start = (self.start + length).min(self.end);
         if self.start == self.end {
-            (self.start, self.end) = (0, 0);
-            if self.bytes.len() > KEPT {
+            self.start = 0;
+            self.end = 0;
+            if self.bytes.len() > MAX_IDLE_BYTES {
                 self.release();
             }
         }
     }
 
-    fn release(&mut self) {
-        self.room.change(self.bytes.len(), 0);
-        self.bytes = Vec::new();
-    }
-
-    /// Reads once; 0 bytes are the end of the stream. Dropping the future loses nothing.
-    pub async fn fill(&mut self, mut from: impl AsyncRead + Unpin) -> io::Result<usize> {
-        if self.bytes.len() - self.end < LEAST && self.start > 0 {
-            self.bytes.copy_within(self.start..self.end, 0);
-            (self.start, self.end) = (0, self.end - self.start);
+    /// Reads once, and returns how many bytes came; 0 is the end of the stream. Cancel safe: dropping the future
+    /// loses no data.
+    ///
+    /// # Errors
+    ///
+    /// `OutOfMemory` if the memory budget is exhausted, `InvalidData` if the buffer is full at its largest size, and
+    /// the reader's own errors.
+    pub async fn fill(&mut self, mut reader: impl AsyncRead + Unpin) -> io::Result<usize> {
+        if self.free() < MIN_FREE_BYTES && self.start > 0 {
+            self.compact();
         }
-        if self.bytes.len() - self.end < LEAST {
-            let wanted = (self.bytes.len() * 2).clamp(LEAST, self.most.max(LEAST));
-            if !self.room.change(self.bytes.len(), wanted) {
-                return Err(io::ErrorKind::OutOfMemory.into());
-            }
-            self.bytes.resize(wanted, 0);
+        if self.free() < MIN_FREE_BYTES {
+            self.grow()?;
         }
         if self.end == self.bytes.len() {
             return Err(io::Error::new(
@@ -109,10 +61,36 @@
                 "a message larger than its buffer may be",
             ));
         }
-        let length = from.read(&mut self.bytes[self.end..]).await?;
+        let length = reader.read(&mut self.bytes[self.end..]).await?;
         self.end += length;
         Ok(length)
     }
+
+    fn free(&self) -> usize {
+        self.bytes.len() - self.end
+    }
+
+    /// Moves the unread bytes to the front.
+    fn compact(&mut self) {
+        self.bytes.copy_within(self.start..self.end, 0);
+        self.end -= self.start;
+        self.start = 0;
+    }
+
+    /// Doubles the buffer, up to its largest size.
+    fn grow(&mut self) -> io::Result<()> {
+        let wanted = (self.bytes.len() * 2).clamp(MIN_FREE_BYTES, self.max_bytes.max(MIN_FREE_BYTES));
+        if !self.budget.exchange(self.bytes.len(), wanted) {
+            return Err(io::ErrorKind::OutOfMemory.into());
+        }
+        self.bytes.resize(wanted, 0);
+        Ok(())
+    }
+
+    fn release(&mut self) {
+        self.budget.exchange(self.bytes.len(), 0);
+        self.bytes = Vec::new();
+    }
 }
 
 impl Drop for Buffer {
--- a/crates/comethitchd/src/state/client_registry.rs
+++ b/crates/comethitchd/src/state/client_registry.rs
@@ -1,4 +1,5 @@
-//! Descriptors, and the connections of clients that hold most of them.
+//! The registry of open client connections: their phases, their idle timeouts, and which one is evicted first as
+//! descriptors run short.
 
 use crate::state::signals::{CloseRequest, ConnectionSignal};
 use comethitch_policy::time::{Duration, Timestamp};
@@ -8,173 +9,159 @@
 use std::hash::{BuildHasher, Hasher};
 use std::rc::Rc;
 
-/// How many descriptors one kind of connection may use, and how many it does.
-pub struct DescriptorLimit {
-    most: usize,
-    used: Rc<Cell<usize>>,
-}
-
-/// The right to one descriptor, given back when dropped.
-pub struct DescriptorPermit(Rc<Cell<usize>>);
-
-impl Drop for DescriptorPermit {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
-
-impl DescriptorLimit {
-    pub fn new(most: usize) -> DescriptorLimit {
-        DescriptorLimit { most, used: Rc::default() }
-    }
-
-    pub fn take(&self) -> Option<DescriptorPermit> {
-        let used = self.used.get();
-        (used < self.most).then(|| {
-            self.used.set(used + 1);
-            DescriptorPermit(self.used.clone())
-        })
-    }
-
-    pub fn most(&self) -> usize {
-        self.most
-    }
+/// With no descriptor left, a connection may be evicted before its first command after this part of the shortened
+/// timeout.
+const LAST_RESORT_DIVISOR: u64 = 8;
 
-    pub fn used(&self) -> usize {
-        self.used.get()
-    }
-}
-
-/// What a client's connection is at.
+/// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// It was told an error that ends it, and what it still sends is dropped.
+    /// It was sent an error that ends it; what it still sends is discarded.
     Closing,
-    /// Its first command, or the rest of a command that has begun, is waited for.
+    /// Its first command, or the rest of a command that has begun, is awaited.
     Reading,
-    /// It has been answered, and has begun nothing since.
+    /// Its last command was answered, and no other has begun.
     Idle,
-    /// A command of its own is in hand.
+    /// A command of its own is in progress.
     Busy,
 }
 
-struct Open {
-    stage: ConnectionPhase,
+struct OpenConnection {
+    phase: ConnectionPhase,
     since: Timestamp,
-    notice: Rc<ConnectionSignal>,
+    signal: Rc<ConnectionSignal>,
 }
 
-/// For how long a connection may be at a stage.
+/// How long a connection may stay in a phase.
 pub struct IdleTimeouts {
-    /// Until a whole command has come, or while what a lost client still sends is dropped. One that is idle
-    /// for as long may be closed.
-    pub rest: Duration,
-    /// Until one that is idle is closed in any case.
+    /// For reading a complete command, and for discarding what is sent after an error. A connection that is idle for
+    /// as long may be evicted.
+    pub command: Duration,
+    /// Until an idle connection is closed in any case.
     pub idle: Duration,
-    /// In place of `rest`, as descriptors run short or the router stops.
-    pub least: Duration,
+    /// In place of `command` while descriptors are short or the router stops.
+    pub shortened: Duration,
 }
 
 /// The clients' open connections.
 pub struct ClientRegistry {
-    patience: IdleTimeouts,
-    next: Cell<u32>,
+    timeouts: IdleTimeouts,
+    next_number: Cell<u32>,
     stopping: Cell<bool>,
-    open: RefCell<BTreeMap<u32, Open>>,
+    open: RefCell<BTreeMap<u32, OpenConnection>>,
 }
 
 impl ClientRegistry {
-    pub fn new(patience: IdleTimeouts) -> ClientRegistry {
+    /// An empty registry.
+    pub fn new(timeouts: IdleTimeouts) -> ClientRegistry {
         ClientRegistry {
-            patience,
-            next: Cell::default(),
+            timeouts,
+            next_number: Cell::default(),
             stopping: Cell::default(),
             open: RefCell::default(),
         }
     }
 
-    /// Enters a connection; what it returns tells it when to close.
-    pub fn enter(&self, now: Timestamp) -> (u32, Rc<ConnectionSignal>) {
-        // From the system's own random numbers: nobody else's client may guess it.
-        let key = RandomState::new().build_hasher().finish() as u32;
-        let notice = Rc::new(ConnectionSignal::with(key));
-        let number = self.next.get();
-        self.next.set(number.wrapping_add(1));
-        let open = Open { stage: ConnectionPhase::Reading, since: now, notice: notice.clone() };
-        self.open.borrow_mut().insert(number, open);
-        (number, notice)
+    /// Registers a connection; returns its number, and the signal that asks it to close.
+    pub fn register(&self, now: Timestamp) -> (u32, Rc<ConnectionSignal>) {
+        // From the operating system's random numbers: no other client may guess it.
+        let cancel_key = RandomState::new().build_hasher().finish() as u32;
+        let signal = Rc::new(ConnectionSignal::new(cancel_key));
+        let number = self.next_number.get();
+        self.next_number.set(number.wrapping_add(1));
+        let connection =
+            OpenConnection { phase: ConnectionPhase::Reading, since: now, signal: signal.clone() };
+        self.open.borrow_mut().insert(number, connection);
+        (number, signal)
     }
 
-    /// Cancels the command in hand on a connection, for whoever knows its key.
-    pub fn cancel(&self, number: u32, key: u32) {
-        if let Some(open) = self.open.borrow().get(&number).filter(|open| open.notice.key == key) {
-            open.notice.cancel();
+    /// Cancels the command in progress on a connection, if the caller knows its cancel key.
+    pub fn cancel_command(&self, number: u32, cancel_key: u32) {
+        let open = self.open.borrow();
+        if let Some(connection) = open.get(&number).filter(|open| open.signal.cancel_key == cancel_key) {
+            connection.signal.cancel();
         }
     }
 
-    pub fn leave(&self, number: u32) {
+    /// Removes a connection that has ended.
+    pub fn unregister(&self, number: u32) {
         self.open.borrow_mut().remove(&number);
     }
 
-    /// Notes what a connection is at; the same stage again does not begin anew.
-    pub fn turn(&self, number: u32, stage: ConnectionPhase, now: Timestamp) {
-        if let Some(open) = self.open.borrow_mut().get_mut(&number).filter(|open| open.stage != stage) {
-            (open.stage, open.since) = (stage, now);
+    /// Sets what a connection is doing; setting the same phase again does not restart its timeout.
+    pub fn set_phase(&self, number: u32, phase: ConnectionPhase, now: Timestamp) {
+        let mut open = self.open.borrow_mut();
+        if let Some(connection) = open.get_mut(&number).filter(|open| open.phase != phase) {
+            connection.phase = phase;
+            connection.since = now;
         }
     }
 
-    /// Makes room: by a connection that was told an error, or has not asked for a while, or has been idle long.
-    /// Once there is no room left, by one that has hardly had the time to ask; by whichever is idle only if
-    /// no connection is new.
-    pub fn shed(&self, now: Timestamp, full: bool) {
-        let IdleTimeouts { rest, least, .. } = self.patience;
+    /// Asks one connection to close, to free its descriptor: one that was sent an error, or has sent no command for a
+    /// while, or has long been idle. With no descriptor left (`exhausted`), also one that hardly had the time to send
+    /// a command; and any idle one only if no connection is new.
+    pub fn evict_idle(&self, now: Timestamp, exhausted: bool) {
         let open = self.open.borrow();
-        let waits = |one: &Open| matches!(one.stage, ConnectionPhase::Reading | ConnectionPhase::Closing);
-        let in_use = full && !open.values().any(waits);
-        let rank = |one: &Open| {
-            let age = now - one.since;
-            match one.stage {
-                ConnectionPhase::Closing if age >= least => Some(0),
-                ConnectionPhase::Reading if age >= least => Some(1),
-                ConnectionPhase::Idle if age >= rest => Some(2),
-                ConnectionPhase::Reading if full && age >= least / 8 => Some(3),
-                ConnectionPhase::Idle if in_use => Some(4),
-                _ => None,
-            }
+        let awaits_input = |connection: &OpenConnection| {
+            matches!(connection.phase, ConnectionPhase::Reading | ConnectionPhase::Closing)
         };
-        let ready = open.values().filter(|one| one.notice.asked() != CloseRequest::Now);
-        let ranked = ready.filter_map(|one| Some((rank(one)?, one.since, &one.notice)));
-        if let Some((_, _, notice)) = ranked.min_by_key(|(rank, since, _)| (*rank, *since)) {
-            notice.ask(CloseRequest::Now);
+        let any_idle = exhausted && !open.values().any(awaits_input);
+        let candidates =
+            open.values().filter(|connection| connection.signal.close_requested() != CloseRequest::Now);
+        let ranked = candidates.filter_map(|connection| {
+            let rank = self.eviction_rank(connection, now, exhausted, any_idle)?;
+            Some((rank, connection.since, &connection.signal))
+        });
+        if let Some((_, _, signal)) = ranked.min_by_key(|(rank, since, _)| (*rank, *since)) {
+            signal.request_close(CloseRequest::Now);
         }
     }
 
-    /// Ends connections that have been at one stage for too long.
-    pub fn sweep(&self, now: Timestamp) {
-        let IdleTimeouts { rest, idle, least } = self.patience;
-        for one in self.open.borrow().values() {
-            let limit = match one.stage {
+    /// The lowest rank is evicted first; none may not be evicted.
+    fn eviction_rank(
+        &self, connection: &OpenConnection, now: Timestamp, exhausted: bool, any_idle: bool,
+    ) -> Option<u8> {
+        let IdleTimeouts { command, shortened, .. } = self.timeouts;
+        let age = now - connection.since;
+        match connection.phase {
+            ConnectionPhase::Closing if age >= shortened => Some(0),
+            ConnectionPhase::Reading if age >= shortened => Some(1),
+            ConnectionPhase::Idle if age >= command => Some(2),
+            ConnectionPhase::Reading if exhausted && age >= shortened / LAST_RESORT_DIVISOR => Some(3),
+            ConnectionPhase::Idle if any_idle => Some(4),
+            _ => None,
+        }
+    }
+
+    /// Asks connections to close that have been in one phase for too long.
+    pub fn close_expired(&self, now: Timestamp) {
+        let IdleTimeouts { command, idle, shortened } = self.timeouts;
+        for connection in self.open.borrow().values() {
+            let limit = match connection.phase {
                 ConnectionPhase::Busy => continue,
                 ConnectionPhase::Idle => idle,
-                _ if self.stopping.get() => least,
-                _ => rest,
+                _ if self.stopping.get() => shortened,
+                _ => command,
             };
-            if now - one.since >= limit {
-                one.notice.ask(CloseRequest::Now);
+            if now - connection.since >= limit {
+                connection.signal.request_close(CloseRequest::Now);
             }
         }
     }
 
-    /// Asks every connection to close once it has nothing in hand.
+    /// Asks every connection to close once it has no command in progress.
     pub fn close_all(&self) {
         self.stopping.set(true);
-        self.open.borrow().values().for_each(|one| one.notice.ask(CloseRequest::WhenIdle));
+        let open = self.open.borrow();
+        open.values().for_each(|connection| connection.signal.request_close(CloseRequest::WhenIdle));
     }
 
+    /// How many connections are open.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -1,49 +1,107 @@
-//! The one place where the configuration is read, checked and given defaults.
+//! The configuration of a router: read, checked and completed with defaults here and nowhere else. The rules for
+//! statements, which stand in a file of their own, are added to it.
+
+mod error;
+mod json;
+
+pub use error::ConfigError;
 
 use crate::wire::discovery::{EndpointList, listing_of};
 use comethitch_policy::Deployment;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::{Rules, Secret, StatementAdmission};
+use json::JsonKeys;
 use serde_json::Value;
 use std::collections::hash_map::RandomState;
-use std::fmt::Write;
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Where a router runs, within which limits, and what it knows as it starts.
+/// The fewest descriptors that a router can work with, and how many it may use by default.
+const MIN_SOCKETS: u64 = 64;
+const DEFAULT_SOCKETS: u64 = 1024;
+/// The least memory that a router can work with, and how much it may use by default.
+const MIN_MEMORY_MB: u64 = 32;
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// After this long a host closes an idle connection, by default.
+const DEFAULT_HOST_IDLE_US: u64 = 30_000_000;
+/// The cache of statement shapes may take one part in so many of the memory limit.
+const CACHE_MEMORY_DIVISOR: u64 = 4;
+
+/// Where a router runs, within which limits, and which hosts it knows as it starts.
 #[derive(Debug)]
 pub struct Config {
+    /// The router's name, for the log and for hosts.
     pub name: String,
+    /// The address that clients connect to.
     pub listen: SocketAddr,
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
+    /// The seed of the policy's random draws.
     pub seed: u64,
+    /// The memory limit in MB.
     pub memory_mb: u64,
+    /// The limit of file descriptors.
     pub sockets: usize,
+    /// The endpoint list to start with.
     pub known: EndpointList,
+    /// The policy's settings.
     pub deployment: Deployment,
-    /// The command groups' names, in the module's order.
+    /// The names of the command groups, in the policy's order.
     pub groups: Vec<String>,
+    /// The names of the zones, in the policy's order.
     pub zones: Vec<String>,
     /// After this long a host closes an idle connection.
     pub host_idle: Duration,
-    /// How statements are judged by their text; none, and comments alone count.
+    /// The rules by which statements are classified by their text; none, and comments alone count.
     pub statements: Option<Rules>,
 }
 
-/// The fewest descriptors, and the least memory, that a router can work with.
-const FEWEST_SOCKETS: u64 = 64;
-const LEAST_MEMORY_MB: u64 = 32;
-
 impl Config {
-    /// Reads the file; what it lacks of name and addresses is taken from `variable`.
-    pub fn load(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let shown = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{shown} can't be read: {e}"))?;
-        Config::read(&text, variable).map_err(|e| format!("{shown}: {e}"))
+    /// Reads a file; an environment `variable` may replace a name or an address that the file lacks.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be read, or a key is missing or has a value that is not accepted.
+    pub fn load(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        in_file(path, |text| Config::read(text, variable))
+    }
+
+    /// The same, with the file's text.
+    ///
+    /// # Errors
+    ///
+    /// If a key is missing or has a value that is not accepted.
+    pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+        let document: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
+        let reader = ConfigReader { keys: JsonKeys(&document), variable };
+        let keys = &reader.keys;
+        let deployment = reader.deployment()?;
+        let seed = keys.text("seed")?;
+        let zones = keys.names("settings.dcs")?;
+        let known = reader.known_hosts(&zones)?;
+        let groups = reader.command_groups()?;
+        Ok(Config {
+            name: reader.text("name", "RELAY_NAME")?,
+            listen: reader.address("listen", "RELAY_LISTEN")?,
+            discovery: reader.address("discovery", "RELAY_DISCOVERY")?,
+            seed: parse_seed(&seed)?,
+            memory_mb: keys.number_or("limits.memory_mb", MIN_MEMORY_MB, DEFAULT_MEMORY_MB)?,
+            sockets: keys.number_or("limits.sockets", MIN_SOCKETS, DEFAULT_SOCKETS)? as usize,
+            known,
+            deployment,
+            groups,
+            zones,
+            host_idle: Duration::from_micros(keys.number_or(
+                "settings.permissions.conn_idle_us",
+                1,
+                DEFAULT_HOST_IDLE_US,
+            )?),
+            statements: None,
+        })
     }
 
-    /// What differs in another configuration and can't be changed in a running router.
+    /// The keys that differ in another configuration and can't be changed in a running router.
     pub fn fixed_keys_changed(&self, other: &Config) -> Vec<&'static str> {
         let changed = [
             ("name", self.name != other.name),
@@ -60,93 +118,79 @@
         changed.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
     }
 
-    pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let all: Value = serde_json::from_str(text).map_err(|e| format!("this is no JSON: {e}"))?;
-        let all = Keys(&all);
-        let or_variable = |key: &str, name: &str| match all.at(key) {
-            Some(_) => all.text(key),
-            None => variable(name).ok_or_else(|| format!("{key} is missing, and {name} is not set")),
-        };
-        let address = |key: &str, name: &str| -> Result<SocketAddr, String> {
-            let text = or_variable(key, name)?;
-            let wanted = || format!("{key} must be an address with a port, not {text:?}");
-            text.parse().map_err(|_| wanted())
-        };
-        let mut lines = String::new();
-        flatten(&mut lines, "", all.at("settings").ok_or("settings is missing")?);
-        let deployment = Deployment::read(&lines).map_err(|e| format!("settings.{e}"))?;
-        check(&deployment)?;
-        let seed = all.text("seed")?;
-        let zones = all.names("settings.dcs", None)?;
-        let known = match all.at("known") {
-            Some(known) => listing_of(known, &zones).map_err(|e| format!("known.{e}"))?,
-            None => EndpointList { whole: true, ..EndpointList::default() },
-        };
-        let groups = all.names("settings.classes", Some("name"))?;
-        if groups.is_empty() {
-            return Err("settings.classes must name one command group or more".into());
-        }
-        Ok(Config {
-            name: or_variable("name", "RELAY_NAME")?,
-            listen: address("listen", "RELAY_LISTEN")?,
-            discovery: address("discovery", "RELAY_DISCOVERY")?,
-            seed: u64::from_str_radix(&seed, 16)
-                .map_err(|_| format!("seed must be up to 16 hexadecimal digits, not {seed:?}"))?,
-            memory_mb: all.number("limits.memory_mb", LEAST_MEMORY_MB, Some(192))?,
-            sockets: all.number("limits.sockets", FEWEST_SOCKETS, Some(1024))? as usize,
-            known,
-            deployment,
-            groups,
-            zones,
-            host_idle: Duration::from_micros(all.number(
-                "settings.permissions.conn_idle_us",
-                1,
-                Some(30_000_000),
-            )?),
-            statements: None,
-        })
+    /// Adds the rules for statements from a file, checked against the command groups and the memory limit.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be read, or the rules have a fault.
+    pub fn with_statement_rules_file(self, path: &Path) -> Result<Config, ConfigError> {
+        in_file(path, |text| self.with_statement_rules(text))
     }
 
-    /// Adds the operator's rules for statements, checked against this site's command groups and memory.
-    pub fn with_statements(self, path: &Path) -> Result<Config, String> {
-        let shown = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{shown} can't be read: {e}"))?;
-        self.judging(&text).map_err(|e| format!("{shown}: {e}"))
-    }
-
-    /// The same, with the rules as a text.
-    pub fn judging(mut self, text: &str) -> Result<Config, String> {
+    /// The same, with the file's text.
+    ///
+    /// # Errors
+    ///
+    /// If the rules have a fault.
+    pub fn with_statement_rules(mut self, text: &str) -> Result<Config, ConfigError> {
         let rules = read_rules(text)?;
         self.admission_by(rules.clone(), Timestamp::ZERO)?;
-        if rules.cache.kib as u64 > self.memory_mb << 10 >> 2 {
-            return Err(format!("cache.kib is more than a quarter of {} MB, the limit", self.memory_mb));
+        let memory_kib = self.memory_mb << 10;
+        if rules.cache.kib as u64 > memory_kib / CACHE_MEMORY_DIVISOR {
+            return Err(ConfigError::CacheTooLarge { memory_mb: self.memory_mb });
         }
         self.statements = Some(rules);
         Ok(self)
     }
 
-    /// The place where statements are judged, if there are rules for it.
-    pub fn admission(&self, now: Timestamp) -> Result<Option<StatementAdmission>, String> {
+    /// The admission of statements by their text, if there are rules for it.
+    ///
+    /// # Errors
+    ///
+    /// If the rules do not fit the command groups.
+    pub fn admission(&self, now: Timestamp) -> Result<Option<StatementAdmission>, ConfigError> {
         self.statements.clone().map(|rules| self.admission_by(rules, now)).transpose()
     }
 
-    /// The same by other rules, for the command groups of this site.
-    pub fn admission_by(&self, rules: Rules, now: Timestamp) -> Result<StatementAdmission, String> {
-        StatementAdmission::new(rules, &self.deployment.groups, &self.groups, secret(), now)
+    /// The same by other rules, for the command groups of this configuration.
+    ///
+    /// # Errors
+    ///
+    /// If the rules do not fit the command groups.
+    pub fn admission_by(&self, rules: Rules, now: Timestamp) -> Result<StatementAdmission, ConfigError> {
+        StatementAdmission::new(rules, &self.deployment.groups, &self.groups, random_secret(), now)
+            .map_err(|error| ConfigError::Rules(error.into()))
     }
 }
 
-/// Reads rules for statements; an error names the key.
-pub fn read_rules(text: &str) -> Result<Rules, String> {
+/// Reads a file's text with `read`; an error names the file.
+///
+/// # Errors
+///
+/// If the file can't be read, or `read` fails.
+pub fn in_file<T>(path: &Path, read: impl FnOnce(&str) -> Result<T, ConfigError>) -> Result<T, ConfigError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| ConfigError::UnreadableFile { path: path.to_path_buf(), source })?;
+    read(&text).map_err(|source| ConfigError::InFile { path: path.to_path_buf(), source: Box::new(source) })
+}
+
+/// Reads the rules for statements.
+///
+/// # Errors
+///
+/// If they can't be read; the error names the key.
+pub fn read_rules(text: &str) -> Result<Rules, ConfigError> {
     let mut reader = serde_json::Deserializer::from_str(text);
-    let rules =
-        serde_path_to_error::deserialize(&mut reader).map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
-    reader.end().map_err(|e| format!("behind the rules: {e}"))?;
+    let rules = serde_path_to_error::deserialize(&mut reader).map_err(|error| ConfigError::RulesKey {
+        key: error.path().to_string(),
+        source: error.into_inner(),
+    })?;
+    reader.end().map_err(ConfigError::AfterRules)?;
     Ok(rules)
 }
 
-/// A secret from the system's own random numbers, drawn anew at each call.
-pub fn secret() -> Secret {
+/// A secret from the operating system's random numbers, drawn anew at each call.
+pub fn random_secret() -> Secret {
     let draw = || RandomState::new().build_hasher().finish().to_le_bytes();
     let mut secret = [0; 16];
     let (first, second) = secret.split_at_mut(8);
@@ -155,88 +199,89 @@
     Secret(secret)
 }
 
-/// Checks the ranges of what the module works with.
-fn check(deployment: &Deployment) -> Result<(), String> {
-    let mut spans = vec![
-        ("tick_us".to_string(), deployment.tick),
-        ("permissions.connect_timeout_us".into(), deployment.connect_timeout),
-        ("rules.fall_us".into(), deployment.slow_start.window),
-    ];
-    for (i, group) in deployment.groups.iter().enumerate() {
-        spans.push((format!("classes.{i}.target_us"), group.latency_objective));
-        spans.push((format!("classes.{i}.deadline_us"), group.timeout));
-    }
-    if let Some((key, _)) = spans.iter().find(|(_, span)| *span == Duration::ZERO) {
-        return Err(format!("settings.{key} must be 1 or more"));
-    }
-    if !(0.0..=1.0).contains(&deployment.slow_start.initial_capacity) {
-        return Err(format!(
-            "settings.rules.cold_from must be 0 to 1, not {}",
-            deployment.slow_start.initial_capacity
-        ));
-    }
-    match deployment.max_attempts {
-        0 => Err("settings.permissions.max_attempts must be 1 or more".into()),
-        _ => Ok(()),
-    }
+/// A configuration's document, and the environment variables that may replace some of its keys.
+struct ConfigReader<'a, F> {
+    keys: JsonKeys<'a>,
+    variable: F,
 }
 
-/// A JSON object whose values are named by paths.
-struct Keys<'a>(&'a Value);
+impl<F: Fn(&str) -> Option<String>> ConfigReader<'_, F> {
+    fn text(&self, key: &str, variable: &str) -> Result<String, ConfigError> {
+        if self.keys.get(key).is_some() {
+            return self.keys.text(key);
+        }
+        (self.variable)(variable).ok_or_else(|| ConfigError::MissingWithVariable {
+            key: key.to_string(),
+            variable: variable.to_string(),
+        })
+    }
 
-impl<'a> Keys<'a> {
-    fn at(&self, path: &str) -> Option<&'a Value> {
-        path.split('.').try_fold(self.0, |value, key| value.get(key)).filter(|value| !value.is_null())
+    fn address(&self, key: &str, variable: &str) -> Result<SocketAddr, ConfigError> {
+        let text = self.text(key, variable)?;
+        text.parse().map_err(|_| ConfigError::Unexpected {
+            key: key.to_string(),
+            expected: "an address with a port".to_string(),
+            found: format!("{text:?}"),
+        })
     }
 
-    fn text(&self, path: &str) -> Result<String, String> {
-        let value = self.at(path).ok_or_else(|| format!("{path} is missing"))?;
-        value.as_str().map(String::from).ok_or_else(|| format!("{path} must be a text, not {value}"))
+    fn deployment(&self) -> Result<Deployment, ConfigError> {
+        let settings = self.keys.required("settings")?;
+        let deployment = Deployment::read(&json::settings_lines(settings))
+            .map_err(|error| ConfigError::Settings(error.into()))?;
+        check_ranges(&deployment)?;
+        Ok(deployment)
     }
 
-    fn number(&self, path: &str, least: u64, otherwise: Option<u64>) -> Result<u64, String> {
-        let Some(value) = self.at(path) else {
-            return otherwise.ok_or_else(|| format!("{path} is missing"));
-        };
-        let wanted = || format!("{path} must be a whole number of {least} or more, not {value}");
-        value.as_u64().filter(|number| *number >= least).ok_or_else(wanted)
+    fn known_hosts(&self, zones: &[String]) -> Result<EndpointList, ConfigError> {
+        match self.keys.get("known") {
+            Some(known) => listing_of(known, zones).map_err(|error| ConfigError::KnownHosts(error.into())),
+            None => Ok(EndpointList { whole: true, ..EndpointList::default() }),
+        }
     }
 
-    /// A list of texts, or of objects that each hold one under `key`.
-    fn names(&self, path: &str, key: Option<&str>) -> Result<Vec<String>, String> {
-        let list = self.at(path).ok_or_else(|| format!("{path} is missing"))?;
-        let list = list.as_array().ok_or_else(|| format!("{path} must be a list"))?;
-        let name = |(i, item): (usize, &Value)| {
-            let (value, dot) = match key {
-                Some(key) => (&item[key], format!(".{key}")),
-                None => (item, String::new()),
-            };
-            value.as_str().map(String::from).ok_or_else(|| format!("{path}.{i}{dot} must be a text"))
-        };
-        list.iter().enumerate().map(name).collect()
+    fn command_groups(&self) -> Result<Vec<String>, ConfigError> {
+        let groups = self.keys.names_under("settings.classes", "name")?;
+        if groups.is_empty() {
+            return Err(ConfigError::NoCommandGroups);
+        }
+        Ok(groups)
     }
 }
 
-/// Nested JSON as the lines that the module's own reader takes: `a.b=value`, plain lists joined by commas,
-/// lists of objects numbered, with their length under `count`.
-fn flatten(lines: &mut String, path: &str, value: &Value) {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
-    let plain = |value: &Value| match value {
-        Value::String(text) => text.replace([' ', ',', '\n'], "_"),
-        other => other.to_string(),
-    };
-    match value {
-        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(lines, &below(key), value)),
-        Value::Array(items) if items.first().is_some_and(Value::is_object) => {
-            let _ = writeln!(lines, "{}={}", below("count"), items.len());
-            items.iter().enumerate().for_each(|(i, item)| flatten(lines, &below(&i.to_string()), item));
-        }
-        Value::Array(items) => {
-            let joined = items.iter().map(plain).collect::<Vec<_>>().join(",");
-            let _ = writeln!(lines, "{path}={joined}");
-        }
-        value => {
-            let _ = writeln!(lines, "{path}={}", plain(value));
-        }
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Unexpected {
+        key: "seed".to_string(),
+        expected: "up to 16 hexadecimal digits".to_string(),
+        found: format!("{text:?}"),
+    })
+}
+
+/// Checks the ranges of the policy's settings.
+fn check_ranges(deployment: &Deployment) -> Result<(), ConfigError> {
+    let mut durations = vec![
+        ("tick_us".to_string(), deployment.tick),
+        ("permissions.connect_timeout_us".into(), deployment.connect_timeout),
+        ("rules.fall_us".into(), deployment.slow_start.window),
+    ];
+    for (i, group) in deployment.groups.iter().enumerate() {
+        durations.push((format!("classes.{i}.target_us"), group.latency_objective));
+        durations.push((format!("classes.{i}.deadline_us"), group.timeout));
+    }
+    if let Some((key, _)) = durations.iter().find(|(_, duration)| *duration == Duration::ZERO) {
+        return Err(ConfigError::Required { key: format!("settings.{key}"), expected: "1 or more" });
+    }
+    let initial_capacity = deployment.slow_start.initial_capacity;
+    if !(0.0..=1.0).contains(&initial_capacity) {
+        return Err(ConfigError::Unexpected {
+            key: "settings.rules.cold_from".to_string(),
+            expected: "0 to 1".to_string(),
+            found: initial_capacity.to_string(),
+        });
+    }
+    if deployment.max_attempts == 0 {
+        let key = "settings.permissions.max_attempts".to_string();
+        return Err(ConfigError::Required { key, expected: "1 or more" });
     }
+    Ok(())
 }
--- a/crates/comethitchd/src/state/connection_pool.rs
+++ b/crates/comethitchd/src/state/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to hosts, kept to be used again.
+//! The pool of idle connections to hosts.
 
 use crate::state::host_connection::HostConnection;
 use comethitch_fleet::slots;
@@ -7,68 +7,76 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// Idle connections by host, each host's in the order of their last use.
 pub struct ConnectionPool {
-    /// Kept no longer than this: the host closes what has been idle for its own limit.
-    longest: Duration,
-    /// When a host last had no place for one more connection.
-    turned_away: Option<Timestamp>,
+    /// Shorter than the time after which a host closes an idle connection.
+    idle_timeout: Duration,
+    /// When a host last had no slot for one more connection.
+    last_no_slot: Option<Timestamp>,
     idle: BTreeMap<Host, Vec<HostConnection>>,
 }
 
 impl ConnectionPool {
-    pub fn new(host_limit: Duration) -> ConnectionPool {
-        ConnectionPool { longest: host_limit / 4 * 3, turned_away: None, idle: BTreeMap::new() }
+    /// An empty pool; hosts close a connection that is idle for `host_idle_timeout`.
+    pub fn new(host_idle_timeout: Duration) -> ConnectionPool {
+        ConnectionPool { idle_timeout: host_idle_timeout / 4 * 3, last_no_slot: None, idle: BTreeMap::new() }
     }
 
-    pub fn turned_away(&mut self, now: Timestamp) {
-        self.turned_away = Some(now);
+    /// Records that a host had no slot for one more connection; idle ones are then closed sooner.
+    pub fn record_no_slot(&mut self, now: Timestamp) {
+        self.last_no_slot = Some(now);
     }
 
-    /// The one used last, so that the others age out; what is old, moved or broken is closed on the way.
-    pub fn take(&mut self, host: Host, dial: SocketAddr, now: Timestamp) -> Option<HostConnection> {
+    /// Takes the host's most recently used connection, so that the others age out. Those found expired, broken or
+    /// open to another address are closed.
+    pub fn take(&mut self, host: Host, address: SocketAddr, now: Timestamp) -> Option<HostConnection> {
         let idle = self.idle.get_mut(&host)?;
         while let Some(connection) = idle.pop() {
-            let young = now - connection.idle_since < self.longest;
-            if young && connection.dial == dial && connection.is_quiet() {
+            let fresh = now - connection.idle_since < self.idle_timeout;
+            if fresh && connection.address == address && connection.is_quiet() {
                 return Some(connection);
             }
         }
         None
     }
 
+    /// Returns a connection to the pool.
     pub fn put(&mut self, host: Host, mut connection: HostConnection, now: Timestamp) {
         connection.idle_since = now;
         self.idle.entry(host).or_default().push(connection);
     }
 
-    pub fn close(&mut self, host: Host) {
+    /// Closes a host's idle connections.
+    pub fn close_host(&mut self, host: Host) {
         self.idle.remove(&host);
     }
 
-    /// Closes what has been idle too long, and forgets hosts without any.
-    pub fn sweep(&mut self, now: Timestamp) {
-        let longest = slots::kept(self.longest, self.turned_away, now);
+    /// Closes connections that were idle for too long.
+    pub fn close_expired(&mut self, now: Timestamp) {
+        let idle_timeout = slots::kept(self.idle_timeout, self.last_no_slot, now);
         self.idle.retain(|_, idle| {
-            idle.retain(|connection| now - connection.idle_since < longest);
+            idle.retain(|connection| now - connection.idle_since < idle_timeout);
             !idle.is_empty()
         });
     }
 
-    /// Closes the one that has been idle longest of all, to free its descriptor.
-    pub fn shed(&mut self) {
-        let oldest = |(host, idle): (&Host, &Vec<HostConnection>)| {
+    /// Closes the connection that is idle longest of all, to free its descriptor.
+    pub fn evict_longest_idle(&mut self) {
+        let first_idle = |(host, idle): (&Host, &Vec<HostConnection>)| {
             idle.first().map(|connection| (connection.idle_since, *host))
         };
-        let oldest = self.idle.iter().filter_map(oldest).min();
-        if let Some(idle) = oldest.and_then(|(_, host)| self.idle.get_mut(&host)) {
+        let longest_idle = self.idle.iter().filter_map(first_idle).min();
+        if let Some(idle) = longest_idle.and_then(|(_, host)| self.idle.get_mut(&host)) {
             idle.remove(0);
         }
     }
 
+    /// How many connections are idle.
     pub fn len(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
+    /// Whether none is idle.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/comethitchd/src/state/endpoints.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -1,82 +1,104 @@
-//! The list of hosts as last told: here only where each is dialled; all else is the module's.
+//! The endpoint directory: names and addresses of the hosts on the endpoint list. All else about hosts is the
+//! policy's.
 
 use crate::wire::discovery::EndpointList;
 use comethitch_policy::{Host, Lifecycle, Role};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
+/// How many removed hosts are remembered.
+const MAX_REMOVED: usize = 32;
+
+struct KnownHost {
+    name: String,
+    address: SocketAddr,
+}
+
+/// The hosts that are listed, and the latest ones that were removed.
 #[derive(Default)]
 pub struct EndpointDirectory {
-    /// The version last told by the discovery that is followed; nothing is known of another's.
-    pub since: Option<u64>,
-    hosts: BTreeMap<Host, (String, SocketAddr)>,
-    /// What hosts last said they were, for the log.
+    /// The version of the list last received from the current discovery service; none of another one's.
+    pub version: Option<u64>,
+    hosts: BTreeMap<Host, KnownHost>,
+    /// The roles that hosts last reported, for the log.
     roles: BTreeMap<Host, Role>,
-    /// Hosts that have gone, in that order: kept a while, as what is out to them may still end.
-    gone: VecDeque<Host>,
+    /// Removed hosts, in that order: remembered for a while, as attempts in flight to them may still end.
+    removed: VecDeque<Host>,
 }
 
-/// How many hosts are kept that have gone.
-const GONE: usize = 32;
-
 impl EndpointDirectory {
-    /// Takes in what was told, and returns the hosts that have gone or moved.
-    pub fn take(&mut self, listing: &EndpointList) -> Vec<Host> {
-        self.since = Some(listing.seq);
-        let named = |host: &Host| listing.entries.iter().any(|entry| entry.endpoint.host == *host);
-        let mut left: Vec<Host> = match listing.whole {
-            true => self.hosts.keys().copied().filter(|host| !named(host)).collect(),
-            false => Vec::new(),
-        };
-        for entry in &listing.entries {
-            let before = self.hosts.insert(entry.endpoint.host, (entry.name.clone(), entry.dial));
-            let moved = before.as_ref().is_some_and(|(_, dial)| *dial != entry.dial);
-            if before.is_some_and(|(name, _)| name != entry.name) {
-                log::error!("two names of hosts have one number: {} hides the other", entry.name);
+    /// Applies a list or an update, and returns the hosts that were removed or have another address.
+    pub fn apply(&mut self, list: &EndpointList) -> Vec<Host> {
+        self.version = Some(list.seq);
+        let mut removed_or_moved = self.missing_from(list);
+        for entry in &list.entries {
+            let known = KnownHost { name: entry.name.clone(), address: entry.dial };
+            let before = self.hosts.insert(entry.endpoint.host, known);
+            let moved = before.as_ref().is_some_and(|known| known.address != entry.dial);
+            if before.is_some_and(|known| known.name != entry.name) {
+                log::error!("two host names have the same number: {} hides the other", entry.name);
             }
             if moved || entry.endpoint.lifecycle == Lifecycle::Removed {
-                left.push(entry.endpoint.host);
+                removed_or_moved.push(entry.endpoint.host);
             }
         }
-        let still_gone = |host: &Host| {
-            !listing
-                .entries
+        self.remember_removed(list, &removed_or_moved);
+        removed_or_moved
+    }
+
+    /// The known hosts that a complete list no longer names.
+    fn missing_from(&self, list: &EndpointList) -> Vec<Host> {
+        if !list.whole {
+            return Vec::new();
+        }
+        let is_named = |host: &Host| list.entries.iter().any(|entry| entry.endpoint.host == *host);
+        self.hosts.keys().copied().filter(|host| !is_named(host)).collect()
+    }
+
+    /// Updates which hosts are removed, and forgets the ones removed longest ago.
+    fn remember_removed(&mut self, list: &EndpointList, removed_or_moved: &[Host]) {
+        let is_present = |host: &Host| {
+            list.entries
                 .iter()
-                .any(|e| e.endpoint.host == *host && e.endpoint.lifecycle != Lifecycle::Removed)
+                .any(|entry| entry.endpoint.host == *host && entry.endpoint.lifecycle != Lifecycle::Removed)
         };
-        self.gone.retain(|host| still_gone(host) && !left.contains(host));
-        self.gone.extend(left.iter().copied().filter(still_gone));
-        while self.gone.len() > GONE {
-            let oldest = self.gone.pop_front();
-            oldest.map(|host| (self.hosts.remove(&host), self.roles.remove(&host)));
+        self.removed.retain(|host| !is_present(host) && !removed_or_moved.contains(host));
+        self.removed.extend(removed_or_moved.iter().copied().filter(|host| !is_present(host)));
+        while self.removed.len() > MAX_REMOVED {
+            if let Some(oldest) = self.removed.pop_front() {
+                self.hosts.remove(&oldest);
+                self.roles.remove(&oldest);
+            }
         }
-        left
     }
 
-    /// How many hosts are known of, listed or gone.
+    /// How many hosts are known, listed or removed.
     pub fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Whether a host is listed at this address, and has not gone.
-    pub fn is_at(&self, host: Host, dial: SocketAddr) -> bool {
-        self.dial(host) == Some(dial) && !self.gone.contains(&host)
-    }
-
+    /// Whether no host is known.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
 
-    /// Whether a host that says this of itself said otherwise before, or nothing.
-    pub fn tells(&mut self, host: Host, role: Role) -> bool {
+    /// Whether a host is listed at this address, and not removed.
+    pub fn is_listed_at(&self, host: Host, address: SocketAddr) -> bool {
+        self.address(host) == Some(address) && !self.removed.contains(&host)
+    }
+
+    /// Records the role that a known host reports; true if that is news.
+    pub fn record_role(&mut self, host: Host, role: Role) -> bool {
         self.hosts.contains_key(&host) && self.roles.insert(host, role) != Some(role)
     }
 
-    pub fn dial(&self, host: Host) -> Option<SocketAddr> {
-        self.hosts.get(&host).map(|(_, dial)| *dial)
+    /// The address of a known host.
+    pub fn address(&self, host: Host) -> Option<SocketAddr> {
+        self.hosts.get(&host).map(|known| known.address)
     }
 
+    /// The name of a host, for the log.
     pub fn name(&self, host: Host) -> &str {
-        self.hosts.get(&host).map_or("unlisted", |(name, _)| name)
+        self.hosts.get(&host).map_or("unlisted", |known| &known.name)
     }
 }
--- a/crates/comethitchd/src/state/host_connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -1,112 +1,143 @@
-//! Connections to hosts, and the ways in which they can end.
+//! A connection to a host, the errors it can end with, and the policy's [`AttemptOutcome`] for each of them.
 
 use crate::state::buffer::Buffer;
-use crate::state::client_registry::DescriptorPermit;
+use crate::state::descriptors::DescriptorPermit;
 use async_io::Async;
 use comethitch_policy::AttemptOutcome;
 use comethitch_policy::time::Timestamp;
 use std::net::{SocketAddr, TcpStream};
 
+/// An established connection to a host, in use or idle in the pool.
 pub struct HostConnection {
+    /// The socket.
     pub stream: Async<TcpStream>,
+    /// What was read and not consumed.
     pub buffer: Buffer,
-    pub dial: SocketAddr,
+    /// The address that it was opened to.
+    pub address: SocketAddr,
+    /// Since when it is idle, while it is in the pool.
     pub idle_since: Timestamp,
-    /// What its protocol keeps of it.
-    pub kept: Kept,
+    /// What its protocol remembers of it.
+    pub session: SessionState,
+    /// Its descriptor.
     pub permit: DescriptorPermit,
 }
 
-/// What a protocol keeps of a connection from one use to the next.
+/// What a protocol remembers of a connection from one use to the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    /// The size of packets that was settled, where there are packets.
-    pub packet: usize,
-    /// It was used before: the session must be made as new.
-    pub used: bool,
+pub struct SessionState {
+    /// The negotiated packet size in bytes, in protocols with packets.
+    pub packet_size: usize,
+    /// It was used before: the session must be reset before the next command.
+    pub reused: bool,
 }
 
 impl HostConnection {
-    /// Whether nothing has come while it was idle: the end, an error or a stray message make it useless.
+    /// Whether nothing came while it was idle. An end of stream, an error or a stray message make it unusable.
     pub fn is_quiet(&self) -> bool {
-        let met = self.stream.get_ref().peek(&mut [0; 1]);
-        self.buffer.unread().is_empty() && met.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+        let peeked = self.stream.get_ref().peek(&mut [0; 1]);
+        self.buffer.unread().is_empty() && peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 }
 
-/// The code of a host's error.
+/// The code of an error that a host answered with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Code {
-    /// An SQLSTATE.
+pub enum HostErrorCode {
+    /// An SQLSTATE of PostgreSQL.
     Postgres(String),
-    /// The number and class of an error of TDS, and whether the answer held anything before it.
-    Tds { number: i32, class: u8, first: bool },
+    /// An error of TDS.
+    Tds {
+        /// Its number.
+        number: i32,
+        /// Its severity class; from 20 on the connection ends.
+        class: u8,
+        /// No row or row count came before it.
+        first: bool,
+    },
 }
 
-impl Code {
-    fn ending(&self) -> AttemptOutcome {
+impl HostErrorCode {
+    /// What the policy is told of an attempt that ended with this error.
+    fn outcome(&self) -> AttemptOutcome {
         match self {
-            Code::Postgres(code) => match code.as_str() {
+            HostErrorCode::Postgres(code) => match code.as_str() {
                 "25006" | "72000" => AttemptOutcome::NotPrimary,
                 "53300" => AttemptOutcome::Overloaded,
                 _ => AttemptOutcome::Error,
             },
             // The database is read-only, or this replica takes no such commands. Behind another statement of
             // the batch it would say nothing of that one.
-            Code::Tds { number: 3906 | 3908 | 976 | 978 | 979 | 982 | 983, first: true, .. } => {
+            HostErrorCode::Tds { number: 3906 | 3908 | 976 | 978 | 979 | 982 | 983, first: true, .. } => {
                 AttemptOutcome::NotPrimary
             }
-            // Out of room before anything was begun.
-            Code::Tds { number: 10_928 | 10_929 | 17_809 | 49_918..=49_920, first: true, .. } => {
-                AttemptOutcome::Overloaded
-            }
+            // Out of resources before anything was begun.
+            HostErrorCode::Tds {
+                number: 10_928 | 10_929 | 17_809 | 49_918..=49_920, first: true, ..
+            } => AttemptOutcome::Overloaded,
             // The connection ends with such an error.
-            Code::Tds { class: 20.., .. } => AttemptOutcome::ConnectionReset,
-            Code::Tds { .. } => AttemptOutcome::Error,
+            HostErrorCode::Tds { class: 20.., .. } => AttemptOutcome::ConnectionReset,
+            HostErrorCode::Tds { .. } => AttemptOutcome::Error,
         }
     }
 }
 
-/// Every way in which a connection to a host, or its use for one query, can end.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ConnectionEnd {
-    /// The value came whole.
-    Whole,
+/// Why a connection to a host, or its use for one query, brought no complete answer.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConnectionError {
     /// The host answered with an error.
-    HostError(Code),
-    /// There was no time, descriptor or such host, or no use for it any more once it was up: never sent.
-    NotTried,
-    /// The host has no place for one more connection.
-    NoSlot,
-    /// It was refused, or broke before it could be used.
-    NeverUp,
-    /// It broke, or time ran out, before the query's last byte was written.
-    Unsent,
-    /// It broke or ended after that.
-    Broken,
+    #[error("the host answered with the error {0:?}")]
+    HostError(HostErrorCode),
+    /// There was no time, descriptor or such host, or the query was no longer wanted once the connection was up.
+    #[error("the query was not sent")]
+    NotSent,
+    /// The host has no slot for one more connection.
+    #[error("the host has no free connection slot")]
+    NoConnectionSlot,
+    /// The connection was refused, or broke before it could be used.
+    #[error("no connection could be established")]
+    ConnectFailed,
+    /// The connection broke, or time ran out, before the query's last byte was written.
+    #[error("the connection broke before the query was sent")]
+    BrokenBeforeSend,
+    /// The connection broke or ended after that.
+    #[error("the connection broke after the query was sent")]
+    BrokenAfterSend,
     /// What the host sent after that could not be understood.
+    #[error("the host's answer is malformed")]
     Malformed,
-    /// The answer is larger than what is passed on, or than there is room for.
+    /// The answer is larger than what is passed on, or than the memory budget allows.
+    #[error("the host's answer is too large")]
     TooLarge,
     /// Nothing more came until the router stopped waiting.
-    Silent,
-    /// The router gave the query up.
+    #[error("the host did not answer in time")]
+    TimedOut,
+    /// The router cancelled the query.
+    #[error("the query was cancelled")]
     Cancelled,
 }
 
-impl ConnectionEnd {
-    /// What the module is told: the table in the protocol's page.
-    pub fn ending(&self) -> AttemptOutcome {
+impl ConnectionError {
+    /// What the policy is told of an attempt or a health check that ended with this error.
+    pub fn outcome(&self) -> AttemptOutcome {
         match self {
-            ConnectionEnd::Whole => AttemptOutcome::Answered,
-            ConnectionEnd::HostError(code) => code.ending(),
-            ConnectionEnd::NotTried => AttemptOutcome::NotSent,
-            ConnectionEnd::NoSlot => AttemptOutcome::NoConnectionSlot,
-            ConnectionEnd::NeverUp | ConnectionEnd::Unsent => AttemptOutcome::ConnectionFailed,
-            ConnectionEnd::TooLarge => AttemptOutcome::Error,
-            ConnectionEnd::Broken | ConnectionEnd::Malformed => AttemptOutcome::ConnectionReset,
-            ConnectionEnd::Silent => AttemptOutcome::TimedOut,
-            ConnectionEnd::Cancelled => AttemptOutcome::Cancelled,
+            ConnectionError::HostError(code) => code.outcome(),
+            ConnectionError::NotSent => AttemptOutcome::NotSent,
+            ConnectionError::NoConnectionSlot => AttemptOutcome::NoConnectionSlot,
+            ConnectionError::ConnectFailed | ConnectionError::BrokenBeforeSend => {
+                AttemptOutcome::ConnectionFailed
+            }
+            ConnectionError::TooLarge => AttemptOutcome::Error,
+            ConnectionError::BrokenAfterSend | ConnectionError::Malformed => AttemptOutcome::ConnectionReset,
+            ConnectionError::TimedOut => AttemptOutcome::TimedOut,
+            ConnectionError::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 }
+
+/// What the policy is told of an attempt or a health check that ended so; a complete answer is the only success.
+pub fn attempt_outcome(completion: &Result<(), ConnectionError>) -> AttemptOutcome {
+    match completion {
+        Ok(()) => AttemptOutcome::Answered,
+        Err(error) => error.outcome(),
+    }
+}
--- a/crates/comethitchd/src/state/log_fields.rs
+++ b/crates/comethitchd/src/state/log_fields.rs
@@ -1,12 +1,12 @@
-//! Lines of the log whose fields are known only as they are told.
+//! Structured log lines whose field names are known only at run time.
 
 use log::kv::{Key, Source, ToValue, Value, VisitSource};
 use log::{Level, Record};
 
-/// Fields whose names are known only as they are told.
-pub struct Fields(pub Vec<(String, u64)>);
+/// The fields of a log line, by name.
+pub struct LogFields(pub Vec<(String, u64)>);
 
-impl Source for Fields {
+impl Source for LogFields {
     fn visit<'kvs>(&'kvs self, visitor: &mut dyn VisitSource<'kvs>) -> Result<(), log::kv::Error> {
         self.0
             .iter()
@@ -18,8 +18,8 @@
     }
 }
 
-/// Logs a line with such fields.
-pub fn tell(level: Level, target: &str, message: &str, fields: &Fields) {
+/// Logs a line with such fields, as of the module `target`.
+pub fn log_with_fields(level: Level, target: &str, message: &str, fields: &LogFields) {
     let arguments = format_args!("{message}");
     log::logger()
         .log(&Record::builder().args(arguments).level(level).target(target).key_values(fields).build());
--- a/crates/comethitchd/src/state/metrics.rs
+++ b/crates/comethitchd/src/state/metrics.rs
@@ -1,62 +1,116 @@
-//! Counts of what was done, for the log.
+//! Counters of what the router did, for the log.
 
 use comethitch_policy::{AttemptOutcome, Host};
 use std::cell::{Cell, RefCell};
 
-/// Counts since the last line of the log that told them.
+/// A count since it was last taken.
 #[derive(Default)]
-pub struct Metrics {
-    pub taken: Cell<u64>,
-    pub answered: Cell<u64>,
-    pub throttled: Cell<u64>,
-    pub at_limit: Cell<u64>,
-    pub failed: Cell<u64>,
-    pub left: Cell<u64>,
-    pub rejected: Cell<u64>,
-    pub probes: Cell<u64>,
-    pub probes_failed: Cell<u64>,
-    pub connected: Cell<u64>,
-    pub endings: RefCell<Vec<(AttemptOutcome, u64)>>,
-    /// Commands that the module gave up, by its reason; those turned away before it are counted above.
-    pub given_up: RefCell<Vec<(&'static str, u64)>>,
-    /// By host, what was neither answered nor called off; probes too.
-    pub troubles: RefCell<Vec<((Host, AttemptOutcome), u64)>>,
+pub struct Counter(Cell<u64>);
+
+impl Counter {
+    /// Counts one more.
+    pub fn increment(&self) {
+        self.0.set(self.0.get() + 1);
+    }
+
+    /// The count, which starts from zero again.
+    pub fn take(&self) -> u64 {
+        self.0.take()
+    }
 }
 
-pub fn count(of: &Cell<u64>) {
-    of.set(of.get() + 1);
+/// One count for each kind that occurred, in the order of their first occurrence.
+pub struct CounterByKind<K>(RefCell<Vec<(K, u64)>>);
+
+impl<K> Default for CounterByKind<K> {
+    fn default() -> CounterByKind<K> {
+        CounterByKind(RefCell::default())
+    }
 }
 
-/// Counts one more of a kind.
-pub fn count_kind<K: PartialEq>(of: &RefCell<Vec<(K, u64)>>, kind: K) {
-    let mut of = of.borrow_mut();
-    match of.iter_mut().find(|(known, _)| *known == kind) {
-        Some((_, number)) => *number += 1,
-        None => of.push((kind, 1)),
+impl<K: PartialEq> CounterByKind<K> {
+    /// Counts one more of a kind.
+    pub fn increment(&self, kind: K) {
+        let mut counts = self.0.borrow_mut();
+        match counts.iter_mut().find(|(known, _)| *known == kind) {
+            Some((_, count)) => *count += 1,
+            None => counts.push((kind, 1)),
+        }
+    }
+
+    /// The counts, which start from zero again.
+    pub fn take(&self) -> Vec<(K, u64)> {
+        self.0.take()
     }
 }
 
+/// The counters of a router.
+#[derive(Default)]
+pub struct Metrics {
+    /// Commands handed to the policy.
+    pub requests_received: Counter,
+    /// Commands answered with a value.
+    pub answered: Counter,
+    /// Commands throttled, by the policy or by a client's budget for parsing statements.
+    pub throttled: Counter,
+    /// Commands throttled at the limit of commands in progress, and connections ended for lack of memory.
+    pub throttled_at_limit: Counter,
+    /// Commands failed.
+    pub failed: Counter,
+    /// Clients that disconnected with a command in progress, or cancelled it.
+    pub clients_disconnected: Counter,
+    /// Statements that are no valid command, and connections that broke their protocol.
+    pub invalid_requests: Counter,
+    /// Health checks sent.
+    pub health_checks: Counter,
+    /// Health checks that were not answered.
+    pub health_checks_failed: Counter,
+    /// Connections opened to hosts.
+    pub connections_opened: Counter,
+    /// Attempts that have ended, by outcome.
+    pub attempts: CounterByKind<AttemptOutcome>,
+    /// Commands that the policy rejected, by the name of its reason.
+    pub rejections: CounterByKind<&'static str>,
+    /// Attempts and health checks that were neither answered nor cancelled, by host.
+    pub host_faults: CounterByKind<(Host, AttemptOutcome)>,
+}
+
 impl Metrics {
-    /// What was counted, as fields by name, and from nothing again; empty if nothing was.
-    pub fn told(&self) -> Vec<(String, u64)> {
+    /// The counts since the last call, by name, without those of zero. Faults by host are taken apart from these.
+    pub fn take_counts(&self) -> Vec<(String, u64)> {
         let named = [
-            ("taken", &self.taken),
+            ("requests_received", &self.requests_received),
             ("answered", &self.answered),
             ("throttled", &self.throttled),
-            ("throttled_at_limit", &self.at_limit),
+            ("throttled_at_limit", &self.throttled_at_limit),
             ("failed", &self.failed),
-            ("clients_left", &self.left),
-            ("not_understood", &self.rejected),
-            ("probes", &self.probes),
-            ("probes_failed", &self.probes_failed),
-            ("connected", &self.connected),
+            ("clients_disconnected", &self.clients_disconnected),
+            ("invalid_requests", &self.invalid_requests),
+            ("health_checks", &self.health_checks),
+            ("health_checks_failed", &self.health_checks_failed),
+            ("connections_opened", &self.connections_opened),
         ];
-        let counts = named.into_iter().map(|(name, cell)| (name.to_string(), cell.take()));
-        let endings = self.endings.take().into_iter();
-        let endings =
-            endings.map(|(ending, number)| (format!("dispatches_{ending:?}").to_lowercase(), number));
-        let given_up =
-            self.given_up.take().into_iter().map(|(why, number)| (format!("given_up_{why}"), number));
-        counts.chain(endings).chain(given_up).filter(|(_, number)| *number > 0).collect()
+        let counts = named.into_iter().map(|(name, counter)| (name.to_string(), counter.take()));
+        let attempts = self.attempts.take().into_iter();
+        let attempts = attempts.map(|(outcome, count)| (attempts_name(outcome).to_string(), count));
+        let rejections = self.rejections.take().into_iter();
+        let rejections = rejections.map(|(reason, count)| (format!("rejected_{reason}"), count));
+        counts.chain(attempts).chain(rejections).filter(|(_, count)| *count > 0).collect()
+    }
+}
+
+/// The name under which attempts of an outcome are counted.
+fn attempts_name(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Answered => "attempts_answered",
+        AttemptOutcome::Error => "attempts_error",
+        AttemptOutcome::Overloaded => "attempts_overloaded",
+        AttemptOutcome::NoConnectionSlot => "attempts_no_connection_slot",
+        AttemptOutcome::TimedOut => "attempts_timed_out",
+        AttemptOutcome::ConnectionFailed => "attempts_connection_failed",
+        AttemptOutcome::ConnectionReset => "attempts_connection_reset",
+        AttemptOutcome::Cancelled => "attempts_cancelled",
+        AttemptOutcome::NotSent => "attempts_not_sent",
+        AttemptOutcome::NotPrimary => "attempts_not_primary",
     }
 }
--- /dev/null
+++ b/crates/comethitchd/src/state/metrics_report.rs
@@ -0,0 +1,72 @@
+//! The periodic log lines of a router: its counts, what was done with statements, and the faults by host.
+
+use crate::state::log_fields::{LogFields, log_with_fields};
+use crate::state::router_state::RouterState;
+use comethitch_statement::StatementAdmission;
+use log::Level;
+
+/// Logs what was counted since the last time; no line for what did not happen.
+pub fn log_metrics(state: &RouterState) {
+    log_counts(state);
+    log_statements(state);
+    log_host_faults(state);
+}
+
+fn log_counts(state: &RouterState) {
+    let mut counts = state.metrics.take_counts();
+    if counts.is_empty() {
+        return;
+    }
+    let gauges = [
+        ("now_commands_in_progress", state.commands.borrow().len()),
+        ("now_client_connections", state.clients.len()),
+        ("now_idle_host_connections", state.pool.borrow().len()),
+        ("now_host_connections", state.descriptors.hosts.in_use()),
+    ];
+    counts.extend(gauges.map(|(name, number)| (name.to_string(), number as u64)));
+    log_with_fields(Level::Info, module_path!(), "counts", &LogFields(counts));
+}
+
+fn log_statements(state: &RouterState) {
+    if let Some(admission) = &mut *state.admission.borrow_mut() {
+        let counts = statement_counts(admission);
+        if !counts.is_empty() {
+            log_with_fields(Level::Info, module_path!(), "statements", &LogFields(counts));
+        }
+    }
+}
+
+/// What was done with statements since the last time, and the state of the cache; empty if nothing was done.
+fn statement_counts(admission: &mut StatementAdmission) -> Vec<(String, u64)> {
+    let done = admission.done();
+    let effects = StatementAdmission::EFFECTS.iter().zip(done.effects);
+    let effects = effects.map(|(effect, count)| (effect.name(), count));
+    let decisions = [
+        ("cache_hits", done.hits),
+        ("parsed", done.parsed),
+        ("ambiguous", done.doubtful),
+        ("client_budget_exhausted", done.beyond_client),
+        ("total_budget_exhausted", done.beyond_all),
+        ("rejected", done.refused),
+        ("raised", done.raised),
+    ];
+    let mut counts: Vec<(String, u64)> = effects
+        .chain(decisions)
+        .filter(|(_, count)| *count > 0)
+        .map(|(name, count)| (name.to_string(), count))
+        .collect();
+    if !counts.is_empty() {
+        counts.extend([
+            ("cache_bytes".to_string(), admission.held() as u64),
+            ("cache_rejections_total".to_string(), admission.cached().turned_away),
+            ("cache_evictions_total".to_string(), admission.cached().pushed_out),
+        ]);
+    }
+    counts
+}
+
+fn log_host_faults(state: &RouterState) {
+    for ((host, outcome), number) in state.metrics.host_faults.take() {
+        log::warn!(number; "{}: {outcome:?} {number} times", state.endpoints.borrow().name(host));
+    }
+}
--- a/crates/comethitchd/src/state/mod.rs
+++ b/crates/comethitchd/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What a running router holds: its configuration, buffers, connections, commands in flight, the endpoint list and its counts.
+//! What a running router holds: its configuration, buffers, connections, commands in progress, the endpoint list and
+//! its counts.
 //!
 //! [`router_state::RouterState`] owns all of it.
 
@@ -8,11 +9,16 @@
 pub mod clock;
 pub mod config;
 pub mod connection_pool;
+pub mod descriptors;
+pub mod discovery_state;
 pub mod endpoints;
 pub mod host_connection;
 pub mod log_fields;
+pub mod memory_budget;
 pub mod metrics;
+pub mod metrics_report;
 pub mod pending_commands;
 pub mod protocol;
 pub mod router_state;
 pub mod signals;
+pub mod stall_detector;
--- a/crates/comethitchd/src/state/protocol.rs
+++ b/crates/comethitchd/src/state/protocol.rs
@@ -1,45 +1,69 @@
-//! The seam between the core and a protocol. A front turns what clients send into commands and hands them their
-//! answers; a back sends a command to a host and asks a host how it stands. Neither decides anything.
+//! The interface between the router and a wire protocol. A client protocol turns what clients send into commands and
+//! writes their answers; a backend protocol sends attempts to hosts and checks their health. Neither makes decisions.
 
-use crate::state::client_registry::DescriptorPermit;
-use crate::state::host_connection::ConnectionEnd;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::host_connection::{ConnectionError, attempt_outcome};
 use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
-use comethitch_policy::{CommandId, Host, HostReport};
+use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport};
 use std::future::Future;
 use std::net::TcpStream;
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// A client served to its end.
-pub type Serving = Pin<Box<dyn Future<Output = ()>>>;
+/// Serves one client's connection to its end.
+pub type ClientSession = Pin<Box<dyn Future<Output = ()>>>;
 
-/// What speaks with clients.
+/// The protocol spoken with clients.
 pub trait ClientProtocol {
-    /// Serves a client's connection to its end. The client counts as there from this call on.
-    fn serve(&self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit) -> Serving;
+    /// Serves a client's connection to its end. The client is registered by this call, before the first poll.
+    fn serve(
+        &self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
+    ) -> ClientSession;
 }
 
-/// What speaks with hosts.
+/// The protocol spoken with hosts.
 pub trait BackendProtocol {
-    /// Starts the command's next dispatch, whose end is told to `stages::route::ended`. One that is too late
-    /// before it begins, as after the router stood still, is not tried, and its number returned: the host has
-    /// no part in that.
-    fn dispatch(&self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration)
-    -> Option<u16>;
-
-    /// Asks a host how it stands; the answer goes to the module.
-    fn probe(&self, state: &Rc<RouterState>, host: Host);
+    /// Starts the command's next attempt; its end is reported to [`crate::stages::policy_driver::attempt_ended`]. An
+    /// attempt whose timeout has already passed, as after a stall of the event loop, is not sent, and its number is
+    /// returned: the host is not to blame for it.
+    fn send_attempt(
+        &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
+    ) -> Option<u16>;
+
+    /// Sends a health check to a host; its outcome and the host's report go to the policy.
+    fn check_health(&self, state: &Rc<RouterState>, host: Host);
+}
+
+/// How an attempt ended, and what its answer reported.
+pub struct AttemptResult {
+    /// Whether a complete answer came, or why not.
+    pub completion: Result<(), ConnectionError>,
+    /// The role and position that came with the answer.
+    pub note: HostReport,
+    /// The load report that came with the answer.
+    pub report: HostReport,
+    /// The value as the client protocol passes it on, or the host's error.
+    pub payload: Vec<u8>,
+    /// The policy was told already, as the answer began to be streamed.
+    pub already_reported: bool,
 }
 
-/// How a dispatch ended, and what its answer told.
-pub struct Outcome {
-    pub end: ConnectionEnd,
-    pub noted: HostReport,
-    pub reported: HostReport,
-    /// The value as the front passes it on, or a host's error.
-    pub value: Vec<u8>,
-    /// The module was told as the answer began.
-    pub told: bool,
+impl AttemptResult {
+    /// An attempt that brought no answer.
+    pub fn failed(error: ConnectionError) -> AttemptResult {
+        AttemptResult {
+            completion: Err(error),
+            note: HostReport::default(),
+            report: HostReport::default(),
+            payload: Vec::new(),
+            already_reported: false,
+        }
+    }
+
+    /// What the policy is told of it.
+    pub fn outcome(&self) -> AttemptOutcome {
+        attempt_outcome(&self.completion)
+    }
 }
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -1,95 +1,96 @@
-//! What one running router holds, shared by all its tasks on their one thread.
+//! The state of one running router, shared by all its tasks on their one thread.
+//!
+//! It owns the policy, the tasks, the configuration and one small structure for each concern; no task may hold a
+//! borrow of any of them across an await.
 
-use crate::state::buffer::MemoryBudget;
-use crate::state::client_registry::{ClientRegistry, DescriptorLimit, DescriptorPermit, IdleTimeouts};
+use crate::state::client_registry::{ClientRegistry, IdleTimeouts};
 use crate::state::clock::Clock;
-use crate::state::config::Config;
+use crate::state::config::{Config, ConfigError};
 use crate::state::connection_pool::ConnectionPool;
+use crate::state::descriptors::{DescriptorLimits, DescriptorPermit};
+use crate::state::discovery_state::DiscoveryState;
 use crate::state::endpoints::EndpointDirectory;
-use crate::state::log_fields::{self, Fields};
-use crate::state::metrics::{Metrics, count_kind};
+use crate::state::memory_budget::MemoryBudget;
+use crate::state::metrics::Metrics;
 use crate::state::pending_commands::PendingCommands;
 use crate::state::protocol::BackendProtocol;
 use crate::state::signals::OneShotEvent;
+use crate::state::stall_detector::StallDetector;
 use async_executor::LocalExecutor;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{AttemptOutcome, Host, Role, Router};
 use comethitch_statement::StatementAdmission;
 use comethitch_statement::admission::KnownShape;
-use log::Level;
-use std::cell::{Cell, RefCell};
-use std::net::SocketAddr;
+use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Descriptors that are no connections of clients or hosts: standard streams, poller, signals, listener,
-/// discovery, the log.
-const OTHER_DESCRIPTORS: usize = 20;
-/// Of the others, clients get this part and hosts the rest, so that neither waits for what the other holds.
-const CLIENTS_PART: (usize, usize) = (5, 8);
-/// Commands may be in hand on this part of the clients' connections.
-const BUSY_PART: (usize, usize) = (4, 5);
-/// Memory that is no connection's buffer; of the rest buffers get half, as what they hold is copied once.
+/// Memory, in bytes, that is not a connection's buffer.
 const OTHER_MEMORY: u64 = 12 << 20;
-/// A connection with nothing in hand may be closed after this long.
-const AT_REST: Duration = Duration::from_secs(2);
-/// What clients' connections have: to be closed for saying nothing within 3 s, for being idle, and when
-/// descriptors run short.
+/// The part of the remaining memory that buffers get, as what they hold is copied once.
+const BUFFER_MEMORY_DIVISOR: usize = 2;
+/// A client connection with no command in progress may be closed after this long.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Of client connections: one that sends no complete command is closed within 3 s, checks included.
 const IDLE_TIMEOUTS: IdleTimeouts = IdleTimeouts {
-    rest: AT_REST,
-    idle: Duration::from_micros(AT_REST.as_micros() * 5),
-    least: Duration::from_micros(AT_REST.as_micros() / 32),
+    command: COMMAND_TIMEOUT,
+    idle: Duration::from_micros(COMMAND_TIMEOUT.as_micros() * 5),
+    shortened: Duration::from_micros(COMMAND_TIMEOUT.as_micros() / 32),
 };
-/// Bytes of lost clients that are dropped at once.
-const DROPPED: usize = 64 * 1024;
-/// While less than this part of the clients' descriptors is free, room is made ahead of need.
-const FREE_PART: usize = 8;
+/// Bytes read at once from a connection whose input is discarded.
+const DISCARD_BYTES: usize = 64 * 1024;
 
+/// The state of one running router.
 pub struct RouterState {
+    /// The configuration that the router runs with.
     pub config: Config,
+    /// The clock; [`RouterState::now`] detects stalls besides.
     pub clock: Clock,
+    /// All tasks but the one that runs these.
     pub tasks: LocalExecutor<'static>,
+    /// The policy, which makes all decisions.
     pub router: RefCell<Router>,
-    /// What speaks with hosts.
+    /// The protocol spoken with hosts.
     pub backend: Box<dyn BackendProtocol>,
+    /// Commands in progress.
     pub commands: RefCell<PendingCommands>,
+    /// Idle connections to hosts.
     pub pool: RefCell<ConnectionPool>,
+    /// Names and addresses of hosts.
     pub endpoints: RefCell<EndpointDirectory>,
+    /// Open connections of clients.
     pub clients: ClientRegistry,
+    /// The memory that buffers may take.
     pub memory: MemoryBudget,
-    /// Where what lost clients still send is dropped.
-    pub dropped: RefCell<Vec<u8>>,
-    pub client_descriptors: DescriptorLimit,
-    pub host_descriptors: DescriptorLimit,
-    /// Whom to ask for the list, and what is raised once that is somebody else.
-    pub discovery: RefCell<(SocketAddr, OneShotEvent)>,
-    /// When a watch last told anything, were it an empty line.
-    pub last_watch_event: Cell<Timestamp>,
-    /// The list is held: clients may come.
+    /// Where input that is discarded is read to.
+    pub discard_buffer: RefCell<Vec<u8>>,
+    /// How many connections may be open.
+    pub descriptors: DescriptorLimits,
+    /// The discovery service that is followed.
+    pub discovery: DiscoveryState,
+    /// Set once there is an endpoint list, or none is waited for any longer: clients may connect.
     pub ready: OneShotEvent,
-    /// Where statements are judged by their text, if the operator has given rules for that.
+    /// Classifies statements by their text, if there are rules for it.
     pub admission: RefCell<Option<StatementAdmission>>,
+    /// Counts for the log.
     pub metrics: Metrics,
-    /// The span after which the module last asked to be woken.
-    pub tick: Cell<Duration>,
-    /// The longest that any client waits.
+    /// Detects stalls of the event loop.
+    pub stalls: StallDetector,
+    /// The longest timeout of any command group.
     pub longest_timeout: Duration,
-    seen: Cell<Timestamp>,
-    /// When the router last stood still, if it ever did: from, and until.
-    stood: Cell<(Timestamp, Timestamp)>,
 }
 
 impl RouterState {
-    /// A hub around a router that has been started; what hosts are known is not told to it yet.
+    /// The state around a policy that has been started, and that knows no hosts yet.
+    ///
+    /// # Errors
+    ///
+    /// If the rules for statements do not fit the command groups.
     pub fn new(
         config: Config, clock: Clock, router: Router, backend: Box<dyn BackendProtocol>,
-    ) -> Rc<RouterState> {
-        let shapes = config.statements.as_ref().map_or(0, |rules| rules.cache.kib as u64) << 10;
-        let memory = (config.memory_mb << 20).saturating_sub(OTHER_MEMORY + shapes) as usize / 2;
-        let admission = config.admission(clock.now()).expect("the rules were checked as they were read");
-        let connections = config.sockets - OTHER_DESCRIPTORS;
-        let client_descriptors = connections * CLIENTS_PART.0 / CLIENTS_PART.1;
+    ) -> Result<Rc<RouterState>, ConfigError> {
+        let admission = config.admission(clock.now())?;
         let timeouts = config.deployment.groups.iter().map(|group| group.timeout);
-        Rc::new(RouterState {
+        Ok(Rc::new(RouterState {
             clock,
             tasks: LocalExecutor::new(),
             router: RefCell::new(router),
@@ -98,139 +99,82 @@
             pool: RefCell::new(ConnectionPool::new(config.host_idle)),
             endpoints: RefCell::default(),
             clients: ClientRegistry::new(IDLE_TIMEOUTS),
-            memory: MemoryBudget::new(memory),
-            dropped: RefCell::new(vec![0; DROPPED]),
-            client_descriptors: DescriptorLimit::new(client_descriptors),
-            host_descriptors: DescriptorLimit::new(connections - client_descriptors),
-            discovery: RefCell::new((config.discovery, OneShotEvent::default())),
-            last_watch_event: Cell::new(clock.now()),
+            memory: MemoryBudget::new(buffer_memory(&config)),
+            discard_buffer: RefCell::new(vec![0; DISCARD_BYTES]),
+            descriptors: DescriptorLimits::new(config.sockets),
+            discovery: DiscoveryState::new(config.discovery, clock.now()),
             ready: OneShotEvent::default(),
             admission: RefCell::new(admission),
             metrics: Metrics::default(),
-            tick: Cell::default(),
+            stalls: StallDetector::new(clock.now()),
             longest_timeout: timeouts.max().unwrap_or_default(),
-            seen: Cell::new(clock.now()),
-            stood: Cell::default(),
             config,
-        })
-    }
-
-    /// A host has answered a statement whose shape is known.
-    pub fn answered_after(&self, known: &KnownShape, took: Duration) {
-        if let Some(desk) = &*self.admission.borrow() {
-            desk.learn(known, took);
-        }
+        }))
     }
 
-    /// The present. Gaps between calls show that the router stood still: it wakes at every beat.
+    /// The present time; logs if the event loop stalled before.
     pub fn now(&self) -> Timestamp {
         let now = self.clock.now();
-        if now - self.seen.get() > self.tick.get() * 2 {
-            self.stood.set((self.seen.get(), now));
-            log::warn!("stood still for {} ms", (now - self.seen.get()).as_micros() / 1_000);
-        }
-        self.seen.set(now);
+        self.stalls.observe(now);
         now
     }
 
-    /// When bytes that are read now came in: if the router stood still, perhaps as that began.
-    pub fn arrival(&self) -> Timestamp {
-        let now = self.now();
-        let (from, until) = self.stood.get();
-        if now - until < self.config.deployment.tick { from } else { now }
+    /// When bytes that are read now arrived: if the event loop stalled, perhaps as that began.
+    pub fn arrival_time(&self) -> Timestamp {
+        self.stalls.earliest_arrival(self.now(), self.config.deployment.tick)
     }
 
-    /// Keeps for the log what a dispatch or a probe has told of a host.
-    pub fn met(&self, host: Host, ending: AttemptOutcome, role: Option<Role>) {
-        if !matches!(ending, AttemptOutcome::Answered | AttemptOutcome::Cancelled) {
-            count_kind(&self.metrics.troubles, (host, ending));
+    /// Records for the log how an attempt or a health check ended, and the role that the host reported.
+    pub fn record_host_outcome(&self, host: Host, outcome: AttemptOutcome, role: Option<Role>) {
+        if !matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Cancelled) {
+            self.metrics.host_faults.increment((host, outcome));
         }
-        let mut list = self.endpoints.borrow_mut();
-        if let Some(role) = role.filter(|role| list.tells(host, *role)) {
-            log::info!("{} answers as {role:?}", list.name(host));
+        let mut endpoints = self.endpoints.borrow_mut();
+        if let Some(role) = role.filter(|role| endpoints.record_role(host, *role)) {
+            log::info!("{} reports its role as {role:?}", endpoints.name(host));
         }
     }
 
-    /// Logs what was counted since the last time.
-    pub fn report(&self) {
-        let mut told = self.metrics.told();
-        if !told.is_empty() {
-            let now = [
-                ("now_in_hand", self.commands.borrow().len()),
-                ("now_clients", self.clients.len()),
-                ("now_kept", self.pool.borrow().len()),
-                ("now_to_hosts", self.host_descriptors.used()),
-            ];
-            told.extend(now.map(|(name, number)| (name.to_string(), number as u64)));
-            log_fields::tell(Level::Info, module_path!(), "counts", &Fields(told));
-        }
-        if let Some(desk) = &mut *self.admission.borrow_mut() {
-            let told = shapes_told(desk);
-            if !told.is_empty() {
-                log_fields::tell(Level::Info, module_path!(), "statements", &Fields(told));
-            }
-        }
-        for ((host, ending), number) in self.metrics.troubles.take() {
-            log::warn!(number; "{}: {ending:?} {number} times", self.endpoints.borrow().name(host));
+    /// Records how long a host took to answer a statement whose shape is known.
+    pub fn record_statement_latency(&self, shape: &KnownShape, latency: Duration) {
+        if let Some(admission) = &*self.admission.borrow() {
+            admission.learn(shape, latency);
         }
     }
 
-    /// Logs a command that the router turned away before the module saw it: `at_limit` where [`RouterState::is_full`],
-    /// `statement_budget` where its client's budget for judging statements was spent (its id is not read yet:
-    /// empty). Counted where it is turned away, as `throttled_at_limit` and `throttled`, not twice.
-    pub fn turned_away(&self, id: &str, why: &'static str) {
-        log::info!(id, why, answer = "throttled"; "given up");
+    /// Logs a command that was throttled before the policy saw it: `at_limit` where
+    /// [`RouterState::at_command_limit`], `statement_budget` where its client's budget for parsing statements was
+    /// spent (its id is not read yet: empty). Counted by the caller, as `throttled_at_limit` or `throttled`.
+    pub fn log_rejection(&self, id: &str, reason: &'static str) {
+        log::info!(id, reason, answer = "throttled"; "request rejected");
     }
 
-    /// Whether as many commands are in hand as connections allow. Past that, clients' connections are still
+    /// Whether as many commands are in progress as connections allow. Past that, clients' connections are still
     /// accepted, and their commands throttled at once.
-    pub fn is_full(&self) -> bool {
-        self.commands.borrow().len() >= self.client_descriptors.most() * BUSY_PART.0 / BUSY_PART.1
+    pub fn at_command_limit(&self) -> bool {
+        self.commands.borrow().len() >= self.descriptors.max_commands()
     }
 
-    /// A descriptor for one more client. As they run short, connections that are not in use are asked to go.
-    pub fn client_descriptor(&self) -> Option<DescriptorPermit> {
-        let (used, most) = (self.client_descriptors.used(), self.client_descriptors.most());
-        if used >= most - most / FREE_PART {
-            self.clients.shed(self.clock.now(), used == most);
+    /// A descriptor for one more client. As they run short, idle clients are evicted.
+    pub fn acquire_client_descriptor(&self) -> Option<DescriptorPermit> {
+        if self.descriptors.clients_run_short() {
+            self.clients.evict_idle(self.clock.now(), self.descriptors.clients.is_exhausted());
         }
-        self.client_descriptors.take()
+        self.descriptors.clients.acquire()
     }
 
     /// A descriptor for one more connection to a host, if need be that of the one idle longest.
-    pub fn host_descriptor(&self) -> Option<DescriptorPermit> {
-        self.host_descriptors.take().or_else(|| {
-            self.pool.borrow_mut().shed();
-            self.host_descriptors.take()
+    pub fn acquire_host_descriptor(&self) -> Option<DescriptorPermit> {
+        self.descriptors.hosts.acquire().or_else(|| {
+            self.pool.borrow_mut().evict_longest_idle();
+            self.descriptors.hosts.acquire()
         })
     }
 }
 
-/// What was done with statements since the last time, and what is held; empty if nothing was.
-fn shapes_told(desk: &mut StatementAdmission) -> Vec<(String, u64)> {
-    let done = desk.done();
-    let effects =
-        StatementAdmission::EFFECTS.iter().zip(done.effects).map(|(effect, number)| (effect.name(), number));
-    let others = [
-        ("hits", done.hits),
-        ("parsed", done.parsed),
-        ("doubtful", done.doubtful),
-        ("beyond_client", done.beyond_client),
-        ("beyond_all", done.beyond_all),
-        ("refused", done.refused),
-        ("raised", done.raised),
-    ];
-    let mut told: Vec<(String, u64)> = effects
-        .chain(others)
-        .filter(|(_, number)| *number > 0)
-        .map(|(name, number)| (name.to_string(), number))
-        .collect();
-    if !told.is_empty() {
-        told.extend([
-            ("shapes_bytes".to_string(), desk.held() as u64),
-            ("turned_away_ever".to_string(), desk.cached().turned_away),
-            ("pushed_out_ever".to_string(), desk.cached().pushed_out),
-        ]);
-    }
-    told
+/// The memory in bytes that buffers may take: what the cache of statement shapes and all else leave.
+fn buffer_memory(config: &Config) -> usize {
+    let shape_cache = config.statements.as_ref().map_or(0, |rules| rules.cache.kib as u64) << 10;
+    let limit = config.memory_mb << 20;
+    limit.saturating_sub(OTHER_MEMORY + shape_cache) as usize / BUFFER_MEMORY_DIVISOR
 }
--- a/crates/comethitchd/src/state/signals.rs
+++ b/crates/comethitchd/src/state/signals.rs
@@ -1,100 +1,112 @@
-//! What is waited for and happens once.
+//! Signals between tasks of the one thread: a one-shot event, and the requests to close a client's connection or to
+//! cancel its command.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Raised once; any number of tasks can wait for it.
+/// An event that is set once and stays set; any number of tasks can wait for it. Clones share one event.
 #[derive(Clone)]
-pub struct OneShotEvent(Sender<()>, Receiver<()>);
+pub struct OneShotEvent {
+    sender: Sender<()>,
+    receiver: Receiver<()>,
+}
 
 impl Default for OneShotEvent {
     fn default() -> OneShotEvent {
         let (sender, receiver) = async_channel::bounded(1);
-        OneShotEvent(sender, receiver)
+        OneShotEvent { sender, receiver }
     }
 }
 
 impl OneShotEvent {
-    pub fn raise(&self) {
-        self.0.close();
+    /// Sets the event and wakes every task that waits for it.
+    pub fn set(&self) {
+        self.sender.close();
     }
 
-    pub fn is_raised(&self) -> bool {
-        self.0.is_closed()
+    /// Whether the event is set.
+    pub fn is_set(&self) -> bool {
+        self.sender.is_closed()
     }
 
-    pub async fn raised(&self) {
-        let _ = self.1.recv().await;
+    /// Waits until the event is set.
+    pub async fn wait(&self) {
+        let _ = self.receiver.recv().await;
     }
 }
 
 /// When a connection is to close.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseRequest {
+    /// It may stay open.
     #[default]
     Never,
-    /// Once nothing of it is in hand or has begun to come in.
+    /// Once no command is in progress or has begun to come in.
     WhenIdle,
+    /// At once.
     Now,
 }
 
-/// What tells one connection to close. One task alone waits for it, many times over its life, so that this
-/// costs nothing while nobody asks.
+/// The requests made to one client connection. Only the connection's own task waits on it, many times over its
+/// life, so that waiting costs nothing while nothing is requested.
 #[derive(Default)]
 pub struct ConnectionSignal {
-    /// Whoever knows this may cancel the connection's command.
-    pub key: u32,
-    asked: Cell<CloseRequest>,
-    /// The command in hand was cancelled.
-    cancel: Cell<bool>,
+    /// Whoever presents this key may cancel the connection's command.
+    pub cancel_key: u32,
+    close: Cell<CloseRequest>,
+    cancelled: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl ConnectionSignal {
-    pub fn with(key: u32) -> ConnectionSignal {
-        ConnectionSignal { key, ..ConnectionSignal::default() }
+    /// A signal with nothing requested.
+    pub fn new(cancel_key: u32) -> ConnectionSignal {
+        ConnectionSignal { cancel_key, ..ConnectionSignal::default() }
     }
 
-    /// Asks for this much, or for more if that was asked before.
-    pub fn ask(&self, close: CloseRequest) {
-        self.asked.set(self.asked.get().max(close));
-        if let Some(waker) = self.waker.take() {
-            waker.wake();
-        }
+    /// Requests a close; the most urgent request made so far holds.
+    pub fn request_close(&self, close: CloseRequest) {
+        self.close.set(self.close.get().max(close));
+        self.wake();
     }
 
-    /// A command begins: what was cancelled before is none of its business.
-    pub fn begins(&self) {
-        self.cancel.set(false);
+    /// A new command begins: a cancellation of an earlier one does not concern it.
+    pub fn reset_cancel(&self) {
+        self.cancelled.set(false);
     }
 
-    /// Cancels the command in hand, if there is one.
+    /// Cancels the command in progress, if there is one.
     pub fn cancel(&self) {
-        self.cancel.set(true);
-        if let Some(waker) = self.waker.take() {
-            waker.wake();
-        }
+        self.cancelled.set(true);
+        self.wake();
+    }
+
+    /// Waits until the command in progress is cancelled.
+    pub async fn wait_for_cancel(&self) {
+        self.wait_until(|| self.cancelled.get()).await;
     }
 
-    /// Waits until the command that has begun is cancelled.
-    pub async fn cancelled(&self) {
-        self.until(|| self.cancel.get()).await;
+    /// The most urgent close requested so far.
+    pub fn close_requested(&self) -> CloseRequest {
+        self.close.get()
     }
 
-    pub fn asked(&self) -> CloseRequest {
-        self.asked.get()
+    /// Waits until a close at least this urgent is requested.
+    pub async fn wait_for_close(&self, close: CloseRequest) {
+        self.wait_until(|| self.close.get() >= close).await;
     }
 
-    /// Waits until it is asked for this much.
-    pub async fn reaches(&self, close: CloseRequest) {
-        self.until(|| self.asked.get() >= close).await;
+    fn wake(&self) {
+        if let Some(waker) = self.waker.take() {
+            waker.wake();
+        }
     }
 
-    async fn until(&self, come: impl Fn() -> bool) {
+    async fn wait_until(&self, is_met: impl Fn() -> bool) {
         poll_fn(|context| {
-            if come() {
+            if is_met() {
                 return Poll::Ready(());
             }
             let mut waker = self.waker.borrow_mut();
--- /dev/null
+++ b/crates/comethitchd/src/state/stall_detector.rs
@@ -0,0 +1,49 @@
+//! Detects stalls of the event loop: spans in which the router's one thread did not run, as the process was stopped
+//! or starved.
+
+use comethitch_policy::time::{Duration, Timestamp};
+use std::cell::Cell;
+
+/// When the event loop last did not run.
+#[derive(Clone, Copy, Default)]
+struct Stall {
+    from: Timestamp,
+    until: Timestamp,
+}
+
+/// Takes note of each reading of the clock. The policy asks to be woken at every tick, so that a gap of more than two
+/// ticks between readings is a stall.
+pub struct StallDetector {
+    last_reading: Cell<Timestamp>,
+    last_stall: Cell<Stall>,
+    tick: Cell<Duration>,
+}
+
+impl StallDetector {
+    /// A detector that has seen no stall.
+    pub fn new(now: Timestamp) -> StallDetector {
+        StallDetector { last_reading: Cell::new(now), last_stall: Cell::default(), tick: Cell::default() }
+    }
+
+    /// Sets the span after which the policy last asked to be woken.
+    pub fn set_tick(&self, tick: Duration) {
+        self.tick.set(tick);
+    }
+
+    /// Takes note of a reading of the clock, and logs a stall before it.
+    pub fn observe(&self, now: Timestamp) {
+        let from = self.last_reading.get();
+        if now - from > self.tick.get() * 2 {
+            self.last_stall.set(Stall { from, until: now });
+            log::warn!("event loop stalled for {} ms", (now - from).as_micros() / 1_000);
+        }
+        self.last_reading.set(now);
+    }
+
+    /// The earliest time at which bytes that are read `now` may have arrived: the beginning of a stall that ended
+    /// within `recent`.
+    pub fn earliest_arrival(&self, now: Timestamp, recent: Duration) -> Timestamp {
+        let Stall { from, until } = self.last_stall.get();
+        if now - until < recent { from } else { now }
+    }
+}
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -51,7 +51,7 @@
         let primary = Host::start("p", protocol, true, &ledger);
         let replica = Host::start("r", protocol, false, &ledger);
         let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
-        let router = Router::speaking(protocol, site(&hosts, None, 1024), Some(rules(protocol)));
+        let router = Router::start_with_protocol(protocol, site(&hosts, None, 1024), Some(rules(protocol)));
         Scene {
             protocol,
             primary,
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -492,12 +492,13 @@
     assert_eq!(client.ask(&write(7301, 600)), Got::Error("53300".into()));
     program.signal("TERM");
     let mut lines = program.log.by_ref().map(|line| serde_json::from_str::<serde_json::Value>(&line));
-    let given = lines.find(|line| line.as_ref().is_ok_and(|l| l["message"] == "given up")).expect("a line");
+    let given =
+        lines.find(|line| line.as_ref().is_ok_and(|l| l["message"] == "request rejected")).expect("a line");
     let kvs = given.expect("JSON")["kvs"].clone();
     assert_eq!((&kvs["id"], &kvs["answer"]), (&"7301".into(), &"throttled".into()), "{kvs}");
-    let why = kvs["why"].as_str().expect("a reason").to_string();
+    let why = kvs["reason"].as_str().expect("a reason").to_string();
     let counts = program.log.find(|line| line.contains("\"counts\"")).expect("the counts");
     let counts: serde_json::Value = serde_json::from_str(&counts).expect("JSON");
-    assert_eq!(counts["kvs"][format!("given_up_{why}")], 1, "{counts}");
+    assert_eq!(counts["kvs"][format!("rejected_{why}")], 1, "{counts}");
     program.ends();
 }
