--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -102,7 +102,7 @@
         // Every statement is parsed, however slow the machine: past the client's share of a core even reads would go
         // to the primary, by the cautious verdict.
         rules["parsing"] = json!({"core_part": 1.0, "client_part": 1.0});
-        let router = Router::judging(hosts(&primary, &replica), Some(rules));
+        let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules));
         play(&router, &corpus());
         router.wait();
     }
@@ -125,7 +125,7 @@
     let (primary, replica, at_primary, at_replica) = pair(|nth| nth % 3 == 1);
     let mut with_rules = rules();
     with_rules["disagreement"] = "raise".into();
-    let router = Router::judging(hosts(&primary, &replica), Some(with_rules));
+    let router = Router::with_statement_rules(hosts(&primary, &replica), Some(with_rules));
     play(&router, &corpus());
     router.wait();
     for row in corpus().iter().filter(|row| !matches!(&*row.effect, "read" | "locking_read")) {
@@ -144,7 +144,7 @@
 fn a_comment_that_claims_less_than_the_text_is_refused_or_raised() {
     let (primary, replica, at_primary, at_replica) = pair(|_| false);
     let lie = "/* id=1,c=read,d=900,cluster=0 */ DELETE FROM facts";
-    let router = Router::judging(hosts(&primary, &replica), Some(rules()));
+    let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask(lie), Got::Error("42809".into()));
     assert_eq!(client.ask(&write(2, 900)), Got::Value(b"value".to_vec()), "the platform's form stays");
@@ -152,7 +152,7 @@
     assert_eq!((at_primary.often("DELETE FROM facts"), at_replica.often("DELETE FROM facts")), (0, 0));
     let mut raising = rules();
     raising["disagreement"] = "raise".into();
-    let router = Router::judging(hosts(&primary, &replica), Some(raising));
+    let router = Router::with_statement_rules(hosts(&primary, &replica), Some(raising));
     assert_eq!(Client::connect(router.address).ask(lie), Got::Value(b"value".to_vec()));
     router.wait();
     assert_eq!((at_primary.often("DELETE FROM facts"), at_replica.often("DELETE FROM facts")), (1, 0));
@@ -171,7 +171,7 @@
 #[test]
 fn what_concerns_a_session_or_a_transaction_is_not_half_done() {
     let (primary, replica, at_primary, _) = pair(|_| false);
-    let router = Router::judging(hosts(&primary, &replica), Some(rules()));
+    let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask("SET a = 1;"), Got::Done("SET".into()));
     for text in ["BEGIN", "COMMIT", "BEGIN; DELETE FROM facts", "SELECT 1; START TRANSACTION"] {
@@ -193,8 +193,10 @@
     let answers = [two_rows, message(b'C', b"DELETE 3\0"), error("42P01"), message(b'I', b"")];
     let sent = answers.clone();
     let primary = host(true, move |nth, _| Act::Answer(sent[nth % 4].clone()));
-    let router =
-        Router::judging(site(&[entry("p", primary.address, true, "ready")], None, 1024), Some(rules()));
+    let router = Router::with_statement_rules(
+        site(&[entry("p", primary.address, true, "ready")], None, 1024),
+        Some(rules()),
+    );
     let mut client = Client::connect(router.address);
     let wanted = [
         Got::Value(b"\0\0\0\x01y\xff\xff\xff\xff"[4..].to_vec()),
@@ -218,7 +220,7 @@
     });
     let mut small = site(&[entry("p", primary.address, true, "ready")], None, 1024);
     small["limits"]["memory_mb"] = 32.into();
-    let router = Router::judging(small, Some(rules()));
+    let router = Router::with_statement_rules(small, Some(rules()));
     let mut client = Client::connect(router.address);
     for _ in 0..2 {
         let got = client.ask("DELETE FROM facts RETURNING data");
@@ -233,8 +235,10 @@
         0 => Act::Raw([row(b"first"), message(b'Z', b"T")].concat()),
         _ => Act::Answer(row(b"second")),
     });
-    let router =
-        Router::judging(site(&[entry("p", primary.address, true, "ready")], None, 1024), Some(rules()));
+    let router = Router::with_statement_rules(
+        site(&[entry("p", primary.address, true, "ready")], None, 1024),
+        Some(rules()),
+    );
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask("SELECT cobrar(1)"), Got::Value(b"first".to_vec()));
     assert!(matches!(primary.next(), Met::Query(_)));
@@ -253,7 +257,7 @@
     rules["keys"] = json!([{"tables": ["facts"], "column": "n",
         "spread": {"range": [{"below": 100, "hosts": 0}, {"hosts": 1}]}}]);
     let site = site(&[entry("p", first.address, true, "ready"), other], None, 1024);
-    let router = Router::judging(site, Some(rules));
+    let router = Router::with_statement_rules(site, Some(rules));
     let mut client = Client::connect(router.address);
     for (text, wanted) in [
         ("UPDATE facts SET a = 1 WHERE n = 99", Got::Value(b"0".to_vec())),
@@ -340,7 +344,7 @@
     let line: Value = serde_json::from_str(&line).expect("JSON");
     let kvs = &line["kvs"];
     assert_eq!(
-        (&kvs["write"], &kvs["parsed"], &kvs["hits"], &kvs["refused"]),
+        (&kvs["write"], &kvs["parsed"], &kvs["cache_hits"], &kvs["rejected"]),
         (&json!(3), &json!(1), &json!(2), &json!(1))
     );
     let time = line["timestamp"].as_str().expect("a time");
@@ -352,12 +356,12 @@
 #[test]
 fn the_sample_of_rules_fits_the_sample_of_a_configuration_and_its_schema() {
     let site = Config::read(SAMPLE, |_| None).expect("the sample");
-    site.judging(include_str!("../../../deploy/statements.json")).expect("the sample of rules");
+    site.with_statement_rules(include_str!("../../../deploy/statements.json")).expect("the sample of rules");
     let schema: Value =
         serde_json::from_str(include_str!("../../../deploy/statements.schema.json")).expect("JSON");
     let made = serde_json::to_value(schemars::schema_for!(comethitch_statement::Rules)).expect("a schema");
     assert_eq!(made, schema, "comethitch schema statements > deploy/statements.schema.json");
-    assert!(read_rules("{}").expect_err("faulty").contains("missing field"));
+    assert!(read_rules("{}").expect_err("faulty").to_string().contains("missing field"));
 }
 
 #[test]
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
 use comethitchd::service::listen::Protocol;
-use comethitchd::stages::learn;
+use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
 use serde_json::{Value, json};
@@ -290,23 +290,25 @@
 
 impl Router {
     pub fn start(site: Value) -> Router {
-        Router::judging(site, None)
+        Router::with_statement_rules(site, None)
     }
 
     /// With rules by which statements are judged by their text.
-    pub fn judging(site: Value, rules: Option<Value>) -> Router {
-        Router::speaking(comethitch_testkit::Protocol::Postgres, site, rules)
+    pub fn with_statement_rules(site: Value, rules: Option<Value>) -> Router {
+        Router::start_with_protocol(comethitch_testkit::Protocol::Postgres, site, rules)
     }
 
     /// The same in either protocol.
-    pub fn speaking(protocol: comethitch_testkit::Protocol, site: Value, rules: Option<Value>) -> Router {
+    pub fn start_with_protocol(
+        protocol: comethitch_testkit::Protocol, site: Value, rules: Option<Value>,
+    ) -> Router {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = spawn(move || {
             let site = Config::read(&site.to_string(), |_| None).expect("a configuration");
             let site = match rules {
-                Some(rules) => site.judging(&rules.to_string()).expect("rules"),
+                Some(rules) => site.with_statement_rules(&rules.to_string()).expect("rules"),
                 None => site,
             };
             let listener = Async::new(listener).expect("a listener");
@@ -317,7 +319,7 @@
                     Protocol::tds(ways, &site).expect("a protocol")
                 }
             };
-            let hub = learn::start(site, Clock::start(), protocol.back);
+            let hub = startup::start(site, Clock::start(), protocol.back).expect("a router");
             async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
                 let _ = stopped.recv().await;
             }));
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -43,7 +43,7 @@
     let primary = Host::start("p", Protocol::Tds, true, &ledger);
     let replica = Host::start("r", Protocol::Tds, false, &ledger);
     let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
-    let router = Router::speaking(Protocol::Tds, site(&hosts, None, 1024), Some(rules));
+    let router = Router::start_with_protocol(Protocol::Tds, site(&hosts, None, 1024), Some(rules));
     Scene { primary, replica, ledger, router }
 }
 
@@ -297,7 +297,7 @@
     rules["keys"] = json!([{"tables": ["facts"], "column": "n",
         "spread": {"range": [{"below": 100, "hosts": 0}, {"hosts": 1}]}}]);
     let hosts = site(&[entry("0", first.address, true, "ready"), other], None, 1024);
-    let router = Router::speaking(Protocol::Tds, hosts, Some(rules));
+    let router = Router::start_with_protocol(Protocol::Tds, hosts, Some(rules));
     let mut client = Client::connect(Protocol::Tds, router.address);
     for (value, host) in [(Some(99), "0"), (Some(100), "1"), (None, "")] {
         let mut payload = Vec::new();
@@ -403,7 +403,8 @@
     let new = Host::start("new", Protocol::Tds, false, &ledger);
     let discovery = discovery();
     let hosts = [entry("old", old.address, true, "ready"), entry("new", new.address, false, "ready")];
-    let router = Router::speaking(Protocol::Tds, site(&hosts, Some(&discovery), 1024), Some(rules()));
+    let router =
+        Router::start_with_protocol(Protocol::Tds, site(&hosts, Some(&discovery), 1024), Some(rules()));
     let (_, mut watch) = discovery.watch();
     let tell = |watch: &mut TcpStream, seq: u64, hosts: Value| {
         send_chunk(watch, &format!("{}\n", json!({"seq": seq, "whole": false, "hosts": hosts})));
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -5,10 +5,11 @@
 use comethitch_policy::chance::Chance;
 use comethitch_policy::time::Timestamp;
 use comethitch_policy::{AttemptOutcome, Lifecycle, Role};
-use comethitchd::state::buffer::{Buffer, MemoryBudget};
+use comethitchd::state::buffer::Buffer;
 use comethitchd::state::config::Config;
 use comethitchd::state::endpoints::EndpointDirectory;
-use comethitchd::state::host_connection::{Code, ConnectionEnd};
+use comethitchd::state::host_connection::{ConnectionError, HostErrorCode, attempt_outcome};
+use comethitchd::state::memory_budget::MemoryBudget;
 use comethitchd::wire::http::{self, Body};
 use comethitchd::wire::postgres::{self, Answer, LARGEST_MESSAGE, Opening, host_message, message};
 use comethitchd::wire::{Malformed, discovery, host_report, statement};
@@ -209,24 +210,25 @@
 
 #[test]
 fn every_end_of_a_connection_has_its_outcome() {
-    let code = |code: &str| ConnectionEnd::HostError(Code::Postgres(code.into()));
+    let code = |code: &str| Err(ConnectionError::HostError(HostErrorCode::Postgres(code.into())));
     let table = [
-        (ConnectionEnd::Whole, AttemptOutcome::Answered, false),
+        (Ok(()), AttemptOutcome::Answered, false),
         (code("25006"), AttemptOutcome::NotPrimary, true),
         (code("72000"), AttemptOutcome::NotPrimary, true),
         (code("XX000"), AttemptOutcome::Error, false),
         (code("08P01"), AttemptOutcome::Error, false),
         (code("53300"), AttemptOutcome::Overloaded, true),
-        (ConnectionEnd::NotTried, AttemptOutcome::NotSent, true),
-        (ConnectionEnd::NeverUp, AttemptOutcome::ConnectionFailed, true),
-        (ConnectionEnd::Unsent, AttemptOutcome::ConnectionFailed, true),
-        (ConnectionEnd::Broken, AttemptOutcome::ConnectionReset, false),
-        (ConnectionEnd::Malformed, AttemptOutcome::ConnectionReset, false),
-        (ConnectionEnd::Silent, AttemptOutcome::TimedOut, false),
-        (ConnectionEnd::Cancelled, AttemptOutcome::Cancelled, false),
+        (Err(ConnectionError::NotSent), AttemptOutcome::NotSent, true),
+        (Err(ConnectionError::ConnectFailed), AttemptOutcome::ConnectionFailed, true),
+        (Err(ConnectionError::BrokenBeforeSend), AttemptOutcome::ConnectionFailed, true),
+        (Err(ConnectionError::BrokenAfterSend), AttemptOutcome::ConnectionReset, false),
+        (Err(ConnectionError::Malformed), AttemptOutcome::ConnectionReset, false),
+        (Err(ConnectionError::TimedOut), AttemptOutcome::TimedOut, false),
+        (Err(ConnectionError::Cancelled), AttemptOutcome::Cancelled, false),
     ];
     for (end, ending, never_ran) in table {
-        assert_eq!((end.ending(), end.ending().never_ran()), (ending, never_ran), "{end:?}");
+        let outcome = attempt_outcome(&end);
+        assert_eq!((outcome, outcome.never_ran()), (ending, never_ran), "{end:?}");
     }
 }
 
@@ -246,7 +248,7 @@
     assert!(block_on(buffer.fill(&mut from)).expect("room again") > 1_000, "compacted in place");
     assert!(buffer.unread().iter().all(|b| *b == 7));
     drop(buffer);
-    assert_eq!(room.left(), 3_500, "given back");
+    assert_eq!(room.available(), 3_500, "given back");
     assert!(block_on(other.fill(&mut from)).is_ok(), "room again");
 }
 
@@ -289,12 +291,18 @@
         // Told of as gone, or missing from a whole list.
         let whole = round % 2 == 0;
         let told = json!({"seq": round, "whole": whole, "hosts": hosts[..if whole { 1 } else { 2 }]});
-        list.take(&discovery::listing_of(&told, &[]).expect("a list"));
-        list.tells(discovery::host(&new), Role::Replica);
-        assert!(list.is_at(discovery::host(&new), address) && !list.is_at(discovery::host(&old), address));
+        list.apply(&discovery::listing_of(&told, &[]).expect("a list"));
+        list.record_role(discovery::host(&new), Role::Replica);
+        assert!(
+            list.is_listed_at(discovery::host(&new), address)
+                && !list.is_listed_at(discovery::host(&old), address)
+        );
     }
     assert!(list.len() < 64, "{} hosts are kept", list.len());
-    assert!(!list.tells(discovery::host("s-3"), Role::Primary), "nothing is noted of one that is forgotten");
+    assert!(
+        !list.record_role(discovery::host("s-3"), Role::Primary),
+        "nothing is noted of one that is forgotten"
+    );
 }
 
 #[test]
@@ -320,7 +328,7 @@
         (changed("settings.permissions.max_attempts", json!(0)), "settings.permissions.max_attempts must be"),
     ];
     for (text, wanted) in cases {
-        let message = Config::read(&text, |_| None).expect_err(wanted);
+        let message = Config::read(&text, |_| None).expect_err(wanted).to_string();
         assert!(message.contains(wanted) && !message.contains('\n'), "{message}");
     }
     let site = Config::read(&changed("listen", Value::Null), |name| {
