--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -3,6 +3,7 @@
 use async_io::Async;
 use comethitch_testkit::{Asked, Client, Host, HostBehavior, Ledger, Protocol, Received};
 use comethitchd::service::listen;
+use comethitchd::service::protocol::Protocol as RouterProtocol;
 use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
@@ -40,10 +41,10 @@
     let router = std::thread::spawn(move || {
         let site = Config::read(&all.to_string(), |_| None).expect("a configuration");
         let site = site.with_statement_rules(rules).expect("rules");
-        let protocol = listen::Protocol::postgres();
-        let hub = startup::start(site, Clock::start(), protocol.back).expect("a router");
+        let protocol = RouterProtocol::postgres();
+        let hub = startup::start(site, Clock::start(), protocol.backend).expect("a router");
         let listener = Async::new(listener).expect("a listener");
-        async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
+        async_io::block_on(listen::serve(hub, protocol.client, vec![listener], async {
             let _ = stopped.recv().await;
         }));
     });
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -7,6 +7,7 @@
 use comethitch_testkit::{Client, Host, Ledger, Protocol, Received};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
+use comethitchd::service::protocol::Protocol as RouterProtocol;
 use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
@@ -54,14 +55,14 @@
         let site = site.with_statement_rules(&rules.to_string()).expect("rules");
         let listener = Async::new(listener).expect("a listener");
         let protocol = match protocol {
-            Protocol::Postgres => listen::Protocol::postgres(),
+            Protocol::Postgres => RouterProtocol::postgres(),
             Protocol::Tds => {
                 let ways = TdsSettings::read(include_str!("../../../deploy/tds.json")).expect("ways");
-                listen::Protocol::tds(ways, &site).expect("a protocol")
+                RouterProtocol::tds(ways, &site).expect("a protocol")
             }
         };
-        let hub = startup::start(site, Clock::start(), protocol.back).expect("a router");
-        async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
+        let hub = startup::start(site, Clock::start(), protocol.backend).expect("a router");
+        async_io::block_on(listen::serve(hub, protocol.client, vec![listener], async {
             let _ = stopped.recv().await;
         }));
         cpu()
--- a/crates/comethitchd/src/bin/comethitch.rs
+++ b/crates/comethitchd/src/bin/comethitch.rs
@@ -1,15 +1,16 @@
-//! The operator's tool: what can be done without a running router.
+//! The command line of the operator's tool: what can be done without a running router.
 
 use argh::FromArgs;
 use comethitch_statement::Rules;
 use comethitchd::protocols::tds::settings::TdsSettings;
-use comethitchd::service::classify::Classify;
-use comethitchd::service::trail::TrailCommand;
+use comethitchd::service::classify::{Classify, ClassifyError};
+use comethitchd::service::command_line::exit_code;
+use comethitchd::service::trail::{TrailCommand, TrailError};
 use std::process::ExitCode;
 
 /// Tools around the query router.
 #[derive(FromArgs)]
-struct Line {
+struct CommandLine {
     #[argh(subcommand)]
     command: Command,
 }
@@ -31,30 +32,46 @@
     file: String,
 }
 
+/// Why a schema can't be printed.
+#[derive(Debug, thiserror::Error)]
+enum SchemaError {
+    #[error("there are schemas of statements and tds, none of {file:?}")]
+    UnknownFile { file: String },
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Classify(#[from] ClassifyError),
+    #[error(transparent)]
+    Schema(#[from] SchemaError),
+    #[error(transparent)]
+    Trail(#[from] TrailError),
+}
+
 impl Schema {
-    fn run(self) -> Result<(), String> {
+    fn run(self) -> Result<(), SchemaError> {
         let schema = match self.file.as_str() {
             "statements" => schemars::schema_for!(Rules),
             "tds" => schemars::schema_for!(TdsSettings),
-            other => return Err(format!("there are schemas of statements and tds, none of {other:?}")),
+            _ => return Err(SchemaError::UnknownFile { file: self.file }),
         };
-        let text = serde_json::to_string_pretty(&schema).map_err(|e| e.to_string())?;
-        println!("{text}");
+        println!("{}", serde_json::to_string_pretty(&schema)?);
         Ok(())
     }
 }
 
-fn main() -> ExitCode {
-    let done = match argh::from_env::<Line>().command {
-        Command::Classify(classify) => classify.run(),
-        Command::Schema(schema) => schema.run(),
-        Command::Trail(trail) => trail.run(),
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("comethitch: {message}");
-            ExitCode::FAILURE
-        }
+fn run(command: Command) -> Result<(), CommandError> {
+    match command {
+        Command::Classify(classify) => Ok(classify.run()?),
+        Command::Schema(schema) => Ok(schema.run()?),
+        Command::Trail(trail) => Ok(trail.run()?),
     }
 }
+
+fn main() -> ExitCode {
+    exit_code("comethitch", run(argh::from_env::<CommandLine>().command))
+}
--- a/crates/comethitchd/src/lib.rs
+++ b/crates/comethitchd/src/lib.rs
@@ -1,8 +1,8 @@
 //! The router on sockets around the decisions of the `comethitch-policy` package.
 //!
-//! What is spoken stands in [`wire`], what is kept in [`memory`], the way of a command in [`stages`], what speaks with
-//! clients and hosts in [`protocols`], and start and stop in [`service`]. Each imports only from those before it.
-//! Nothing here chooses a host, a retry, a throttle or a time-out.
+//! Wire formats are in [`wire`], what a running router holds in [`state`], the path of a command in [`stages`], what
+//! speaks with clients and hosts in [`protocols`], and start and stop in [`service`]. Nothing here chooses a host, a
+//! retry, a throttle or a timeout.
 
 pub mod protocols;
 pub mod service;
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -1,20 +1,22 @@
-//! The command line.
+//! The command line of the daemon.
 
 use argh::FromArgs;
 use comethitch_statement::Dialect;
 use comethitchd::protocols::tds::settings::TdsSettings;
-use comethitchd::service::classify::Classify;
-use comethitchd::service::listen::{self, Protocol};
+use comethitchd::service::classify::{Classify, ClassifyError};
+use comethitchd::service::command_line::{ConfigFiles, exit_code};
+use comethitchd::service::listen::{self, ServeError};
 use comethitchd::service::logger::{self, LogForm};
+use comethitchd::service::protocol::{Protocol, ProtocolError};
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::{Config, ConfigError};
 use log::LevelFilter;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// A query router for sharded, replicated databases.
 #[derive(FromArgs)]
-struct Line {
+struct CommandLine {
     #[argh(subcommand)]
     command: Command,
 }
@@ -38,7 +40,7 @@
     /// the rules by which statements are judged by their text; without it, comments alone count
     #[argh(option)]
     statements: Option<PathBuf>,
-    /// the ways of TDS, as in deploy/tds.json; without it, PostgreSQL's protocol is spoken
+    /// the settings of TDS, as in deploy/tds.json; without it, PostgreSQL's protocol is spoken
     #[argh(option)]
     tds: Option<PathBuf>,
     /// what to log: error, warn, info, debug or trace; info if not given
@@ -59,7 +61,7 @@
     /// the rules by which statements are judged by their text, to be checked too
     #[argh(option)]
     statements: Option<PathBuf>,
-    /// the ways of TDS, to be checked too
+    /// the settings of TDS, to be checked too
     #[argh(option)]
     tds: Option<PathBuf>,
 }
@@ -69,66 +71,80 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn load(configuration: &Option<PathBuf>, statements: &Option<PathBuf>) -> Result<Config, ConfigError> {
-    let named = configuration.clone().or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from));
-    let path = named.ok_or(ConfigError::NoFile)?;
-    let site = Config::load(&path, |name| std::env::var(name).ok())?;
-    match statements {
-        Some(path) => site.with_statement_rules_file(path),
-        None => Ok(site),
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
+    #[error(transparent)]
+    Serve(#[from] ServeError),
+    #[error(transparent)]
+    Classify(#[from] ClassifyError),
+}
+
+impl Serve {
+    fn run(self) -> Result<(), CommandError> {
+        let clock = Clock::start();
+        logger::start(self.log, self.log_form);
+        let files = ConfigFiles { configuration: self.configuration, statements: self.statements };
+        let config = files.load()?;
+        let protocol = choose_protocol(self.tds.as_deref(), &config)?;
+        Ok(listen::run(config, clock, protocol, move || files.load())?)
     }
 }
 
-fn protocol(tds: &Option<PathBuf>, site: &Config) -> Result<Protocol, String> {
-    match tds {
-        Some(path) => Protocol::tds(TdsSettings::load(path)?, site),
-        None if site.statements.as_ref().is_some_and(|rules| rules.dialect != Dialect::Postgres) => {
-            Err("the rules for statements are not of the dialect postgres".into())
+impl Check {
+    fn run(self) -> Result<(), CommandError> {
+        let files = ConfigFiles { configuration: self.configuration, statements: self.statements };
+        let config = files.load()?;
+        choose_protocol(self.tds.as_deref(), &config)?;
+        let groups = config.groups.len();
+        let hosts = config.known.entries.len();
+        println!(
+            "{} would listen on {}: {groups} command groups, {hosts} hosts known",
+            config.name, config.listen
+        );
+        if let Some(rules) = &config.statements {
+            let groups = rules.groups.len();
+            let keys = rules.keys.len();
+            println!("statements would be judged by {groups} rules for command groups and {keys} for keys");
         }
-        None => Ok(Protocol::postgres()),
+        Ok(())
+    }
+}
+
+impl Version {
+    fn print(&self) {
+        println!("comethitchd {}", env!("CARGO_PKG_VERSION"));
+    }
+}
+
+/// TDS if there are settings for it, or else PostgreSQL's protocol.
+fn choose_protocol(tds: Option<&Path>, config: &Config) -> Result<Protocol, ProtocolError> {
+    if let Some(path) = tds {
+        let settings = TdsSettings::load(path).map_err(|error| ProtocolError::TdsSettings(error.into()))?;
+        return Protocol::tds(settings, config);
+    }
+    if config.statements.as_ref().is_some_and(|rules| rules.dialect != Dialect::Postgres) {
+        return Err(ProtocolError::WrongDialect { expected: "postgres" });
     }
+    Ok(Protocol::postgres())
 }
 
-fn carry_out(command: Command) -> Result<(), String> {
+fn run(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Serve(serve) => {
-            let clock = Clock::start();
-            logger::start(serve.log, serve.log_form);
-            let (path, rules) = (serve.configuration, serve.statements);
-            let site = load(&path, &rules).map_err(|e| e.to_string())?;
-            let protocol = protocol(&serve.tds, &site)?;
-            listen::run(site, clock, protocol, move || load(&path, &rules))
-        }
-        Command::Check(check) => {
-            let site = load(&check.configuration, &check.statements).map_err(|e| e.to_string())?;
-            protocol(&check.tds, &site)?;
-            let (groups, hosts) = (site.groups.len(), site.known.entries.len());
-            println!(
-                "{} would listen on {}: {groups} command groups, {hosts} hosts known",
-                site.name, site.listen
-            );
-            if let Some(rules) = &site.statements {
-                let (groups, keys) = (rules.groups.len(), rules.keys.len());
-                println!(
-                    "statements would be judged by {groups} rules for command groups and {keys} for keys"
-                );
-            }
-            Ok(())
-        }
-        Command::Classify(classify) => classify.run(),
-        Command::Version(_) => {
-            println!("comethitchd {}", env!("CARGO_PKG_VERSION"));
+        Command::Serve(serve) => serve.run(),
+        Command::Check(check) => check.run(),
+        Command::Classify(classify) => Ok(classify.run()?),
+        Command::Version(version) => {
+            version.print();
             Ok(())
         }
     }
 }
 
 fn main() -> ExitCode {
-    match carry_out(argh::from_env::<Line>().command) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("comethitchd: {message}");
-            ExitCode::FAILURE
-        }
-    }
+    exit_code("comethitchd", run(argh::from_env::<CommandLine>().command))
 }
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -1,6 +1,7 @@
 //! `classify`: verdicts for statements, one JSON object a line in and out, in the same order.
 
-use crate::state::config::{Config, in_file, random_secret, read_rules};
+use crate::service::command_line::load_config;
+use crate::state::config::{ConfigError, in_file, random_secret, read_rules};
 use argh::FromArgs;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
@@ -8,18 +9,23 @@
 use comethitch_statement::rules::{CacheSize, Disagreement, GroupRule, Parsing};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
 use serde::{Deserialize, Serialize};
+use std::error::Error;
 use std::io::{self, BufRead, BufReader, Read, Write};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
-/// A longer line is no statement that a router would take: it gets an error, and the rest of it is skipped.
-const LONGEST_LINE: usize = 16 << 20;
+/// A longer line, in bytes, is no statement that a router would take: it gets an error, and the rest of it is skipped.
+const MAX_LINE_BYTES: usize = 16 << 20;
+/// How much of the input is read at once, in bytes.
+const READ_BYTES: usize = 64 << 10;
+/// All statements are looked at as one client's: there is no budget here.
+const ORIGIN: u64 = 0;
 
 /// Judge statements: reads one JSON object a line, {"sql": "…"}, and writes one a line in the same order.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "classify")]
 pub struct Classify {
     /// the language: postgres or tsql; the one that the rules name, or postgres, if not given
-    #[argh(option, from_str_fn(dialect))]
+    #[argh(option, from_str_fn(parse_dialect))]
     dialect: Option<Dialect>,
     /// the rules for statements, as in deploy/statements.json
     #[argh(option)]
@@ -29,7 +35,27 @@
     configuration: Option<PathBuf>,
 }
 
-fn dialect(name: &str) -> Result<Dialect, String> {
+/// Why statements can't be classified.
+#[derive(Debug, thiserror::Error)]
+pub enum ClassifyError {
+    /// The rules or the configuration can't be read, or have a fault.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The rules do not fit the command groups.
+    #[error("{rules}: {source}")]
+    Rules {
+        /// Where the rules are from.
+        rules: String,
+        /// What is wrong; it begins with the key.
+        source: Box<dyn Error + Send + Sync>,
+    },
+    /// Standard input or output fails.
+    #[error("statements can't be read or verdicts written: {0}")]
+    Io(#[source] io::Error),
+}
+
+/// The parser of an option must have a text for its error.
+fn parse_dialect(name: &str) -> Result<Dialect, String> {
     match name {
         "postgres" => Ok(Dialect::Postgres),
         "tsql" => Ok(Dialect::Tsql),
@@ -37,15 +63,16 @@
     }
 }
 
+/// One line of the input.
 #[derive(Deserialize)]
-struct Asked {
+struct InputLine {
     sql: String,
 }
 
-/// One line of what is written.
+/// One line of the output.
 #[derive(Serialize)]
 #[serde(untagged)]
-enum Line {
+enum OutputLine {
     Verdict {
         effect: &'static str,
         replica: bool,
@@ -61,44 +88,46 @@
 }
 
 impl Classify {
-    pub fn run(self) -> Result<(), String> {
-        let (mut desk, names, ruled) = self.desk()?;
-        let stdin = BufReader::with_capacity(64 << 10, io::stdin().lock());
-        let told = judge_lines(stdin, io::BufWriter::new(io::stdout().lock()), |line| {
-            judged(&mut desk, &names, ruled, line)
-        });
-        match told {
+    /// Reads statements from standard input up to its end, and writes their verdicts to standard output.
+    ///
+    /// # Errors
+    ///
+    /// If the rules or the configuration have a fault, or standard input or output fails.
+    pub fn run(self) -> Result<(), ClassifyError> {
+        let mut classifier = self.classifier()?;
+        let input = BufReader::with_capacity(READ_BYTES, io::stdin().lock());
+        let output = io::BufWriter::new(io::stdout().lock());
+        match classify_lines(input, output, |line| classifier.classify(line)) {
             // Whoever reads has seen enough.
             Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-            told => told.map_err(|e| format!("statements can't be read or verdicts written: {e}")),
+            result => result.map_err(ClassifyError::Io),
         }
     }
 
-    fn desk(&self) -> Result<(StatementAdmission, Vec<String>, bool), String> {
-        let rules = self.rules.as_deref().map(load).transpose()?;
-        let ruled = rules.is_some();
-        let mut rules = rules.unwrap_or_else(|| bare(self.dialect.unwrap_or(Dialect::Postgres)));
+    fn classifier(&self) -> Result<LineClassifier, ClassifyError> {
+        let given = self.rules.as_deref().map(|path| in_file(path, read_rules)).transpose()?;
+        let has_rules = given.is_some();
+        let mut rules = given.unwrap_or_else(|| default_rules(self.dialect.unwrap_or(Dialect::Postgres)));
         rules.dialect = self.dialect.unwrap_or(rules.dialect);
-        let (groups, names) = match &self.configuration {
+        let (groups, group_names) = match &self.configuration {
             Some(path) => {
-                let site = Config::load(path, |name| std::env::var(name).ok()).map_err(|e| e.to_string())?;
-                (site.deployment.groups, site.groups)
+                let config = load_config(path)?;
+                (config.deployment.groups, config.groups)
             }
             None => groups_of(&rules),
         };
-        let shown = self.rules.as_deref().unwrap_or(Path::new("the rules")).display().to_string();
-        let desk = StatementAdmission::unlimited(rules, &groups, &names, random_secret())
-            .map_err(|e| format!("{shown}: {e}"))?;
-        Ok((desk, names, ruled))
+        let admission = StatementAdmission::unlimited(rules, &groups, &group_names, random_secret())
+            .map_err(|error| ClassifyError::Rules { rules: self.rules_name(), source: error.into() })?;
+        Ok(LineClassifier { admission, group_names, has_rules })
     }
-}
 
-fn load(path: &Path) -> Result<Rules, String> {
-    in_file(path, read_rules).map_err(|e| e.to_string())
+    fn rules_name(&self) -> String {
+        self.rules.as_deref().map_or_else(|| "the rules".to_string(), |path| path.display().to_string())
+    }
 }
 
-/// Rules that only judge.
-fn bare(dialect: Dialect) -> Rules {
+/// Rules that classify statements and no more.
+fn default_rules(dialect: Dialect) -> Rules {
     let rule = |group: &str, effects: &[Effect]| GroupRule {
         group: group.into(),
         effects: effects.to_vec(),
@@ -122,82 +151,94 @@
     }
 }
 
-/// The command groups that rules name, each as strict as its effects ask for.
+/// The command groups that rules name, each as strict as its effects ask for, and their names.
 fn groups_of(rules: &Rules) -> (Vec<CommandGroup>, Vec<String>) {
     let mut names: Vec<String> = rules.groups.iter().map(|rule| rule.group.clone()).collect();
     names.sort();
     names.dedup();
     let group = |name: &String| {
-        let own = rules.groups.iter().filter(|rule| rule.group == *name);
-        let reads = own.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
+        let own_rules = rules.groups.iter().filter(|rule| rule.group == *name);
+        let only_reads = own_rules.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
         CommandGroup {
             latency_objective: Duration::from_micros(1),
             timeout: Duration::from_micros(1),
             priority_weight: 1.0,
-            idempotency: if reads { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
+            idempotency: if only_reads { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
             deduplication_scope: DeduplicationScope::Everywhere,
             deduplication_window: Duration::ZERO,
-            consistency: if reads { Consistency::Eventual } else { Consistency::Write },
+            consistency: if only_reads { Consistency::Eventual } else { Consistency::Write },
         }
     };
     (names.iter().map(group).collect(), names)
 }
 
-fn judged(desk: &mut StatementAdmission, names: &[String], ruled: bool, line: &[u8]) -> Line {
-    let asked: Asked = match serde_json::from_slice(line) {
-        Ok(asked) => asked,
-        Err(why) => return Line::Error { error: format!("no statement: {why}") },
-    };
-    let text = asked.sql.as_bytes();
-    let Some((known, key, path)) = desk.look(text, 0, &|| Timestamp::ZERO) else {
-        return Line::Error { error: "the budget for parsing is spent".into() };
-    };
-    let placed = desk
-        .place(known.clone(), key, path, StatementHints::default(), text, &[])
-        .map_err(StatementRejection::Refused);
-    let verdict = &known.verdict;
-    let (group, hosts, why) = match placed {
-        Ok(passed) if ruled => {
-            (Some(names[passed.assigned.group].clone()), Some(passed.assigned.shard), verdict.why.to_string())
+/// Classifies one line of the input after the other.
+struct LineClassifier {
+    admission: StatementAdmission,
+    group_names: Vec<String>,
+    /// The operator gave rules: verdicts name the command group and the shard.
+    has_rules: bool,
+}
+
+impl LineClassifier {
+    fn classify(&mut self, line: &[u8]) -> OutputLine {
+        let input: InputLine = match serde_json::from_slice(line) {
+            Ok(input) => input,
+            Err(error) => return OutputLine::Error { error: format!("no statement: {error}") },
+        };
+        let text = input.sql.as_bytes();
+        let Some((known, key, path)) = self.admission.look(text, ORIGIN, &|| Timestamp::ZERO) else {
+            return OutputLine::Error { error: "the budget for parsing is spent".into() };
+        };
+        let placed = self
+            .admission
+            .place(known.clone(), key, path, StatementHints::default(), text, &[])
+            .map_err(StatementRejection::Refused);
+        let verdict = &known.verdict;
+        let (group, hosts, why) = match placed {
+            Ok(passed) if self.has_rules => {
+                let group = self.group_names[passed.assigned.group].clone();
+                (Some(group), Some(passed.assigned.shard), verdict.why.to_string())
+            }
+            Err(StatementRejection::Refused(refusal)) if self.has_rules => (None, None, refusal.to_string()),
+            _ => (None, None, verdict.why.to_string()),
+        };
+        OutputLine::Verdict {
+            effect: verdict.effect.name(),
+            replica: verdict.effect.on_replica(),
+            shape: key.to_string(),
+            group,
+            hosts,
+            cost: (verdict.features.guess() * 100.0).round() / 100.0,
+            why,
         }
-        Err(StatementRejection::Refused(refusal)) if ruled => (None, None, refusal.to_string()),
-        _ => (None, None, verdict.why.to_string()),
-    };
-    Line::Verdict {
-        effect: verdict.effect.name(),
-        replica: verdict.effect.on_replica(),
-        shape: key.to_string(),
-        group,
-        hosts,
-        cost: (verdict.features.guess() * 100.0).round() / 100.0,
-        why,
     }
 }
 
-/// Reads lines and writes what is told of each; a blank line is left out.
-fn judge_lines<R: Read>(
-    mut lines: BufReader<R>, mut out: impl Write, mut judge: impl FnMut(&[u8]) -> Line,
+/// Reads lines and writes the output line of each; a blank line is left out.
+fn classify_lines<R: Read>(
+    mut input: BufReader<R>, mut output: impl Write, mut classify: impl FnMut(&[u8]) -> OutputLine,
 ) -> io::Result<()> {
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = (&mut lines).take(LONGEST_LINE as u64 + 1).read_until(b'\n', &mut line)?;
+        let read = (&mut input).take(MAX_LINE_BYTES as u64 + 1).read_until(b'\n', &mut line)?;
         if read == 0 {
-            return out.flush();
+            return output.flush();
         }
-        let told = if line.len() > LONGEST_LINE && line.last() != Some(&b'\n') {
-            lines.skip_until(b'\n')?;
-            Line::Error { error: format!("a line of more than {LONGEST_LINE} bytes") }
+        let classified = if line.len() > MAX_LINE_BYTES && line.last() != Some(&b'\n') {
+            input.skip_until(b'\n')?;
+            OutputLine::Error { error: format!("a line of more than {MAX_LINE_BYTES} bytes") }
         } else if line.trim_ascii().is_empty() {
             continue;
         } else {
-            judge(&line)
+            classify(&line)
         };
-        serde_json::to_writer(&mut out, &told)?;
-        out.write_all(b"\n")?;
-        // Whoever asks line by line gets each answer at once.
-        if lines.buffer().is_empty() {
-            out.flush()?;
+        serde_json::to_writer(&mut output, &classified)?;
+        output.write_all(b"\n")?;
+        // Whoever sends line by line gets each answer at once.
+        if input.buffer().is_empty() {
+            output.flush()?;
         }
     }
 }
--- /dev/null
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -0,0 +1,160 @@
+//! A client of the discovery service: one HTTP request, and the JSON objects and empty lines of its response.
+
+use crate::state::buffer::Buffer;
+use crate::state::clock::after;
+use crate::state::memory_budget::MemoryBudget;
+use crate::wire::discovery::{Piece, Pieces};
+use crate::wire::http::{self, Body};
+use async_io::Async;
+use futures_lite::{AsyncWriteExt, FutureExt};
+use std::error::Error;
+use std::future::Future;
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+/// Discovery answers at once: a connection, or the head of a response, that takes longer is abandoned.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(750);
+/// The largest buffer for a response, in bytes.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
+/// The status of a response that is read.
+const STATUS_OK: u16 = 200;
+
+/// Why the discovery service told nothing.
+#[derive(Debug, thiserror::Error)]
+pub enum DiscoveryError {
+    /// Another service is followed in its place.
+    #[error("another service is followed now")]
+    Replaced,
+    /// No connection was established in time.
+    #[error("no connection within {RESPONSE_TIMEOUT:?}")]
+    ConnectTimeout,
+    /// The head of the response did not come in time.
+    #[error("no response within {RESPONSE_TIMEOUT:?}")]
+    HeadTimeout,
+    /// The end of the response did not come in time.
+    #[error("no complete response within {RESPONSE_TIMEOUT:?}")]
+    BodyTimeout,
+    /// The watch sent no complete line in time.
+    #[error("the watch is silent")]
+    WatchSilent,
+    /// The connection failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// The connection was closed within the response.
+    #[error("it closed the connection")]
+    Closed,
+    /// The response has another status than 200.
+    #[error("it answers with status {0}")]
+    Status(u16),
+    /// The response is not HTTP, or does not hold endpoint lists.
+    #[error("{0}")]
+    Malformed(#[source] Box<dyn Error + Send + Sync>),
+    /// The response ends within a list.
+    #[error("its response ends within a list")]
+    Incomplete,
+    /// The response holds no list.
+    #[error("its response holds no list")]
+    NoList,
+}
+
+/// A response of the discovery service as it comes in.
+pub struct DiscoveryResponse {
+    stream: Async<TcpStream>,
+    buffer: Buffer,
+    body: Body,
+    pieces: Pieces,
+}
+
+impl DiscoveryResponse {
+    /// Connects, sends a request for `path`, and reads the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// If the service can't be reached, does not respond in time, or responds with an error.
+    pub async fn request(
+        address: SocketAddr, path: &str, budget: &MemoryBudget,
+    ) -> Result<DiscoveryResponse, DiscoveryError> {
+        let connect = async { Ok(Async::<TcpStream>::connect(address).await?) };
+        let stream = within(RESPONSE_TIMEOUT, DiscoveryError::ConnectTimeout, connect).await?;
+        let _ = stream.get_ref().set_nodelay(true);
+        let request = http::request(path, &address.to_string());
+        let mut buffer = Buffer::new(MAX_BUFFER_BYTES, budget);
+        let head = async {
+            (&stream).write_all(&request).await?;
+            read_head(&stream, &mut buffer).await
+        };
+        // The timeout is for the whole head: one that comes byte by byte without end is none.
+        let (status, body, length) = within(RESPONSE_TIMEOUT, DiscoveryError::HeadTimeout, head).await?;
+        if status != STATUS_OK {
+            return Err(DiscoveryError::Status(status));
+        }
+        buffer.consume(length);
+        Ok(DiscoveryResponse { stream, buffer, body, pieces: Pieces::default() })
+    }
+
+    /// The next object or empty line; none at the end of the response.
+    ///
+    /// # Errors
+    ///
+    /// If the connection fails, or the response is malformed or incomplete.
+    pub async fn next_piece(&mut self) -> Result<Option<Piece>, DiscoveryError> {
+        loop {
+            let next = self.pieces.next().map_err(|error| DiscoveryError::Malformed(error.into()))?;
+            if let Some(piece) = next {
+                return Ok(Some(piece));
+            }
+            if self.body.over() {
+                return if self.pieces.within() { Err(DiscoveryError::Incomplete) } else { Ok(None) };
+            }
+            if self.take_buffered()? == 0 {
+                self.read_more().await?;
+            }
+        }
+    }
+
+    /// Moves what the buffer holds of the body to the pieces; how many bytes that were.
+    fn take_buffered(&mut self) -> Result<usize, DiscoveryError> {
+        let taken = self
+            .body
+            .take(self.buffer.unread(), self.pieces.text())
+            .map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
+        self.buffer.consume(taken);
+        Ok(taken)
+    }
+
+    /// Reads more of the response. A reset is an error and never its end.
+    async fn read_more(&mut self) -> Result<(), DiscoveryError> {
+        if self.buffer.fill(&self.stream).await? > 0 {
+            return Ok(());
+        }
+        if self.body != Body::UntilClosed {
+            return Err(DiscoveryError::Closed);
+        }
+        self.body = Body::Length(0);
+        Ok(())
+    }
+}
+
+/// The status, the form of the body and the length of a response's head.
+async fn read_head(
+    stream: &Async<TcpStream>, buffer: &mut Buffer,
+) -> Result<(u16, Body, usize), DiscoveryError> {
+    loop {
+        let head =
+            http::head(buffer.unread()).map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
+        if let Some(head) = head {
+            return Ok(head);
+        }
+        if buffer.fill(stream).await? == 0 {
+            return Err(DiscoveryError::Closed);
+        }
+    }
+}
+
+/// A step, or `late` once its time is over.
+pub async fn within<T>(
+    limit: Duration, late: DiscoveryError, step: impl Future<Output = Result<T, DiscoveryError>>,
+) -> Result<T, DiscoveryError> {
+    step.or(after(limit, Err(late))).await
+}
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -1,198 +1,213 @@
-//! Listens from start to stop.
+//! Listens for clients from the start of a router to its graceful shutdown.
 
-use crate::protocols::postgres::Postgres;
-use crate::protocols::tds::Tds;
-use crate::protocols::tds::settings::TdsSettings;
-use crate::service::{startup, watch};
+use crate::service::protocol::Protocol;
+use crate::service::{endpoint_watch, startup};
 use crate::stages::{policy_driver, updates};
 use crate::state::clock::{Clock, after};
 use crate::state::config::{Config, ConfigError};
 use crate::state::metrics_report::log_metrics;
-use crate::state::protocol::{BackendProtocol, ClientProtocol};
+use crate::state::protocol::ClientProtocol;
 use crate::state::router_state::RouterState;
 use crate::state::signals::OneShotEvent;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use comethitch_statement::Dialect;
 use futures_lite::{FutureExt, StreamExt};
 use std::future::{Future, poll_fn};
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
 
-/// With a list from its configuration a router waits this long for discovery's own, then serves with that.
-const FIRST_LIST: Duration = Duration::from_secs(1);
-/// Without one it waits longer, and is then ready all the same: what it is asked it throttles until a list comes. A
-/// router counts as restarted well only if it is ready within ten seconds, and discovery may be down for longer.
-const NO_LIST: Duration = Duration::from_secs(5);
-/// After the signal to stop, new connections still come for up to 0.4 s.
-const STILL_COMING: Duration = Duration::from_millis(500);
-/// How much longer than its longest command a router may take to stop.
-const LAST_WORDS: Duration = Duration::from_millis(600);
+/// With an endpoint list from its configuration a router waits this long for discovery's own, then serves with that.
+const KNOWN_LIST_WAIT: Duration = Duration::from_secs(1);
+/// Without one it waits longer, and is then ready all the same: it throttles commands until a list comes. A router
+/// counts as restarted well only if it is ready within ten seconds, and discovery may be down for longer.
+const FIRST_LIST_WAIT: Duration = Duration::from_secs(5);
+/// New connections still come for up to 0.4 s after the signal to stop, and are accepted for this long.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
+/// How much longer than the longest timeout of a command group a shutdown may take.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(600);
 /// The last part of that, in which the last answers are written.
-const WRITTEN: Duration = Duration::from_millis(150);
-/// While no descriptor is free, nothing is accepted for this long.
-const PAUSE: Duration = Duration::from_millis(1);
-const SWEEP: Duration = Duration::from_millis(250);
-const SWEEPS_TOLD: u32 = 40;
+const LAST_WRITES: Duration = Duration::from_millis(150);
+/// The wait before a condition is checked again: a free descriptor, or no client left.
+const RETRY_WAIT: Duration = Duration::from_millis(1);
+/// The interval at which expired connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Counts are logged after so many sweeps: every ten seconds.
+const SWEEPS_PER_REPORT: u32 = 40;
 /// How many connections may wait to be accepted.
 const BACKLOG: i32 = 1024;
 
-/// What is spoken with clients and with hosts, and where else clients come.
-pub struct Protocol {
-    pub front: Rc<dyn ClientProtocol>,
-    pub back: Box<dyn BackendProtocol>,
-    pub also_listen: Vec<SocketAddr>,
+/// Why a router can't serve.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The process can't handle signals.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// An address can't be listened on.
+    #[error("can't listen on {address}: {source}")]
+    Bind {
+        /// The address.
+        address: SocketAddr,
+        /// Why.
+        source: io::Error,
+    },
+    /// The configuration has a fault.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
 }
 
-impl Protocol {
-    pub fn postgres() -> Protocol {
-        Protocol { front: Rc::new(Postgres), back: Box::new(Postgres), also_listen: Vec::new() }
-    }
-
-    /// TDS, in the operator's ways. Its statements are judged by their text, so that rules are needed.
-    pub fn tds(ways: TdsSettings, site: &Config) -> Result<Protocol, String> {
-        match &site.statements {
-            None => return Err("TDS needs rules for statements: give --statements".into()),
-            Some(rules) if rules.dialect != Dialect::Tsql => {
-                return Err("the rules for statements are not of the dialect tsql".into());
-            }
-            Some(_) => {}
-        }
-        let also_listen = ways.addresses()?;
-        let tds = Tds(Rc::new(ways));
-        Ok(Protocol { front: Rc::new(tds.clone()), back: Box::new(tds), also_listen })
-    }
-}
-
-/// Serves until SIGTERM or SIGINT; at SIGHUP the configuration is read again.
+/// Serves until SIGTERM or SIGINT; at SIGHUP the configuration is reloaded.
+///
+/// # Errors
+///
+/// If signals can't be handled, an address can't be listened on, or the configuration has a fault.
 pub fn run(
-    site: Config, clock: Clock, protocol: Protocol,
-    reread: impl Fn() -> Result<Config, ConfigError> + 'static,
-) -> Result<(), String> {
+    config: Config, clock: Clock, protocol: Protocol,
+    load_config: impl Fn() -> Result<Config, ConfigError> + 'static,
+) -> Result<(), ServeError> {
     async_io::block_on(async {
-        let mut signals =
-            Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|e| format!("signals: {e}"))?;
-        let bind = |address: &SocketAddr| {
-            Async::<TcpListener>::bind(*address).map_err(|e| format!("can't listen on {address}: {e}"))
-        };
-        let addresses = std::iter::once(&site.listen).chain(&protocol.also_listen);
-        let listeners = addresses.map(bind).collect::<Result<Vec<_>, String>>()?;
-        let state = startup::start(site, clock, protocol.back).map_err(|e| e.to_string())?;
-        let (held, stop) = (state.clone(), OneShotEvent::default());
-        let asked = stop.clone();
-        // Listened to up to the end: neither signal may end a router that is stopping.
-        let heard = async move {
-            while let Some(signal) = signals.next().await {
-                match signal {
-                    Ok(Signal::Hup) => updates::reload(&held, reread()),
-                    _ => asked.set(),
-                }
-            }
-        };
-        state.tasks.spawn(heard).detach();
-        serve(state, protocol.front, listeners, stop.wait()).await;
+        let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(ServeError::Signals)?;
+        let listeners = bind_all(config.listen, &protocol.also_listen)?;
+        let state = startup::start(config, clock, protocol.backend)?;
+        let stop = OneShotEvent::default();
+        state.tasks.spawn(handle_signals(state.clone(), signals, stop.clone(), load_config)).detach();
+        serve(state, protocol.client, listeners, stop.wait()).await;
         Ok(())
     })
 }
 
-/// Serves until `stop` is through, then answers what was taken and what still comes.
+fn bind_all(listen: SocketAddr, also_listen: &[SocketAddr]) -> Result<Vec<Async<TcpListener>>, ServeError> {
+    let bind = |address: &SocketAddr| {
+        Async::<TcpListener>::bind(*address).map_err(|source| ServeError::Bind { address: *address, source })
+    };
+    std::iter::once(&listen).chain(also_listen).map(bind).collect()
+}
+
+/// Handles signals up to the end: neither signal to stop may kill a router that is shutting down.
+async fn handle_signals(
+    state: Rc<RouterState>, mut signals: Signals, stop: OneShotEvent,
+    load_config: impl Fn() -> Result<Config, ConfigError>,
+) {
+    while let Some(signal) = signals.next().await {
+        match signal {
+            Ok(Signal::Hup) => updates::reload(&state, load_config()),
+            _ => stop.set(),
+        }
+    }
+}
+
+/// Serves until `stop` is complete, then shuts down gracefully: what was received or is still coming is answered.
 pub async fn serve(
-    state: Rc<RouterState>, front: Rc<dyn ClientProtocol>, listeners: Vec<Async<TcpListener>>,
+    state: Rc<RouterState>, protocol: Rc<dyn ClientProtocol>, listeners: Vec<Async<TcpListener>>,
     stop: impl Future<Output = ()>,
 ) {
-    for listener in &listeners {
+    start_listening(&state, &listeners);
+    spawn_background_tasks(&state);
+    let work = async {
+        stop.or(accept_all(&state, &protocol, &listeners)).await;
+        let connections = state.clients.len();
+        log::info!("shutting down: {connections} connections, {} commands", commands_in_progress(&state));
+        // The listeners close only after this: connections that wait to be accepted would be reset.
+        accept_all(&state, &protocol, &listeners).or(after(ACCEPT_AFTER_STOP, ())).await;
+        drop(listeners);
+        state.clients.close_all();
+        all_clients_closed(&state).or(reject_remaining_commands(&state)).await;
+        log_metrics(&state);
+        log::info!("stopped with {} commands in progress", commands_in_progress(&state));
+    };
+    state.tasks.run(work).await;
+}
+
+fn start_listening(state: &RouterState, listeners: &[Async<TcpListener>]) {
+    for listener in listeners {
         let address = listener.get_ref().local_addr().unwrap_or(state.config.listen);
-        // The standard library's own is short for clients that come by the hundred.
-        if let Err(why) = rustix::net::listen(listener.get_ref(), BACKLOG) {
-            log::warn!("no more connections may wait than the system's own limit: {why}");
+        // The standard library's backlog is too short for clients that connect by the hundred.
+        if let Err(error) = rustix::net::listen(listener.get_ref(), BACKLOG) {
+            log::warn!("the backlog of {address} can't be raised: {error}");
         }
         log::info!("{} listens on {address}", state.config.name);
     }
-    state.tasks.spawn(watch::follow(state.clone())).detach();
+}
+
+fn spawn_background_tasks(state: &Rc<RouterState>) {
+    state.tasks.spawn(endpoint_watch::follow(state.clone())).detach();
     state.tasks.spawn(sweep(state.clone())).detach();
-    state.tasks.spawn(watch::look(state.clone())).detach();
-    let first = if state.endpoints.borrow().is_empty() { NO_LIST } else { FIRST_LIST };
-    let held = state.clone();
+    state.tasks.spawn(endpoint_watch::poll_while_silent(state.clone())).detach();
+    let has_list = !state.endpoints.borrow().is_empty();
+    let wait = if has_list { KNOWN_LIST_WAIT } else { FIRST_LIST_WAIT };
+    let waiting_state = state.clone();
     let ready = async move {
-        Timer::after(first).await;
-        held.ready.set();
+        Timer::after(wait).await;
+        waiting_state.ready.set();
     };
     state.tasks.spawn(ready).detach();
-    let work = async {
-        stop.or(accept_all(&state, &front, &listeners)).await;
-        log::info!("asked to stop: {} connections, {} commands", state.clients.len(), in_hand(&state));
-        // Looked at last before the listeners close: what waits there to be accepted would be reset.
-        accept_all(&state, &front, &listeners).or(after(STILL_COMING, ())).await;
-        drop(listeners);
-        state.clients.close_all();
-        let through = async {
-            while !state.clients.is_empty() {
-                Timer::after(PAUSE).await;
-            }
-        };
-        let limit = state.longest_timeout.to_std() + LAST_WORDS - STILL_COMING;
-        let given_up = async {
-            // A client may wait longer than its command group says: it is answered while there is time to.
-            Timer::after(limit.saturating_sub(WRITTEN)).await;
-            policy_driver::call(&state, |router, out| router.shut_down(out));
-            Timer::after(WRITTEN).await;
-        };
-        through.or(given_up).await;
-        log_metrics(&state);
-        log::info!("stopped with {} commands in hand", in_hand(&state));
-    };
-    state.tasks.run(work).await;
 }
 
-fn in_hand(state: &RouterState) -> usize {
+fn commands_in_progress(state: &RouterState) -> usize {
     state.commands.borrow().len()
 }
 
+async fn all_clients_closed(state: &RouterState) {
+    while !state.clients.is_empty() {
+        Timer::after(RETRY_WAIT).await;
+    }
+}
+
+/// Rejects what is still in progress as the time to shut down ends, and leaves a moment for the answers. A client may
+/// wait longer than its command group says: it is answered while there is time to.
+async fn reject_remaining_commands(state: &Rc<RouterState>) {
+    let limit = state.longest_timeout.to_std() + SHUTDOWN_GRACE - ACCEPT_AFTER_STOP;
+    Timer::after(limit.saturating_sub(LAST_WRITES)).await;
+    policy_driver::call(state, |router, actions| router.shut_down(actions));
+    Timer::after(LAST_WRITES).await;
+}
+
 /// Accepts at all listeners for ever.
 async fn accept_all(
-    state: &Rc<RouterState>, front: &Rc<dyn ClientProtocol>, listeners: &[Async<TcpListener>],
+    state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol>, listeners: &[Async<TcpListener>],
 ) {
-    let mut all: Vec<_> = listeners.iter().map(|listener| Box::pin(accept(state, front, listener))).collect();
+    let mut acceptors: Vec<_> =
+        listeners.iter().map(|listener| Box::pin(accept(state, protocol, listener))).collect();
     poll_fn(|context| {
-        for one in &mut all {
-            let _ = one.as_mut().poll(context);
+        for acceptor in &mut acceptors {
+            let _ = acceptor.as_mut().poll(context);
         }
         Poll::Pending
     })
     .await
 }
 
-/// Accepts for ever. What waits to be accepted counts as taken, so no more than a moment may pass.
-async fn accept(state: &Rc<RouterState>, front: &Rc<dyn ClientProtocol>, listener: &Async<TcpListener>) {
+/// Accepts for ever. Clients count from the moment they connect, so they may wait only briefly to be accepted.
+async fn accept(state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol>, listener: &Async<TcpListener>) {
     let mut incoming = std::pin::pin!(listener.incoming());
     loop {
         let Some(permit) = state.acquire_client_descriptor() else {
-            Timer::after(PAUSE).await;
+            Timer::after(RETRY_WAIT).await;
             continue;
         };
         match incoming.next().await {
             Some(Ok(stream)) => {
-                state.tasks.spawn(front.serve(state.clone(), stream, permit)).detach();
+                state.tasks.spawn(protocol.serve(state.clone(), stream, permit)).detach();
             }
             failed => {
-                let why = failed.and_then(Result::err);
-                log::warn!("a connection could not be accepted: {why:?}");
-                Timer::after(PAUSE).await;
+                let error = failed.and_then(Result::err);
+                log::warn!("a connection could not be accepted: {error:?}");
+                Timer::after(RETRY_WAIT).await;
             }
         }
     }
 }
 
-/// Closes what has been idle too long, and tells now and then what was done.
+/// Closes connections that have been idle too long, and logs the counts at intervals.
 async fn sweep(state: Rc<RouterState>) {
     for round in 1.. {
-        Timer::after(SWEEP).await;
+        Timer::after(SWEEP_INTERVAL).await;
         let now = state.clock.now();
         state.pool.borrow_mut().close_expired(now);
         state.clients.close_expired(now);
-        if round % SWEEPS_TOLD == 0 {
+        if round % SWEEPS_PER_REPORT == 0 {
             log_metrics(&state);
         }
     }
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -1,4 +1,4 @@
-//! The log: a line each on standard error, as text or as JSON, with times of RFC 3339 in UTC.
+//! The log: one line for each record on standard error, as text or as JSON, with times of RFC 3339 in UTC.
 
 use log::LevelFilter;
 use logforth::append::Stderr;
@@ -10,6 +10,9 @@
 use logforth::{Diagnostic, Filter};
 use std::str::FromStr;
 
+/// The prefix of the targets of this project's own records.
+const TARGET_PREFIX: &str = "comethitch";
+
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogForm {
@@ -20,27 +23,35 @@
     Json,
 }
 
+/// A form of the log that does not exist.
+#[derive(Debug, thiserror::Error)]
+#[error("the log's form is text or json, not {name:?}")]
+pub struct UnknownLogForm {
+    name: String,
+}
+
 impl FromStr for LogForm {
-    type Err = String;
+    type Err = UnknownLogForm;
 
-    fn from_str(name: &str) -> Result<LogForm, String> {
+    fn from_str(name: &str) -> Result<LogForm, UnknownLogForm> {
         match name {
             "text" => Ok(LogForm::Text),
             "json" => Ok(LogForm::Json),
-            other => Err(format!("the log's form is text or json, not {other:?}")),
+            other => Err(UnknownLogForm { name: other.to_string() }),
         }
     }
 }
 
-/// Other libraries' lines are left out.
+/// Leaves out the records of other libraries.
 #[derive(Debug)]
-struct Ours;
+struct OwnTargets;
 
-impl Filter for Ours {
-    fn enabled(&self, of: &FilterCriteria, _: &[Box<dyn Diagnostic>]) -> FilterResult {
-        match of.target().starts_with("comethitch") {
-            true => FilterResult::Neutral,
-            false => FilterResult::Reject,
+impl Filter for OwnTargets {
+    fn enabled(&self, criteria: &FilterCriteria, _: &[Box<dyn Diagnostic>]) -> FilterResult {
+        if criteria.target().starts_with(TARGET_PREFIX) {
+            FilterResult::Neutral
+        } else {
+            FilterResult::Reject
         }
     }
 }
@@ -53,7 +64,8 @@
         }
         LogForm::Json => Stderr::default().with_layout(JsonLayout::default().timezone(TimeZone::UTC)),
     };
-    let logger = logforth::core::builder().dispatch(|line| line.filter(Ours).append(append)).build();
+    let logger =
+        logforth::core::builder().dispatch(|dispatch| dispatch.filter(OwnTargets).append(append)).build();
     if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
         log::set_max_level(level);
     }
--- a/crates/comethitchd/src/service/mod.rs
+++ b/crates/comethitchd/src/service/mod.rs
@@ -1,8 +1,12 @@
-//! Start and stop: the log, discovery's watch, listening until a signal, and the tools.
+//! Start and stop: the command lines, the log, the watch of the endpoint list, and listening until a signal; and the
+//! tools `classify` and `trail`.
 
 pub mod classify;
+pub mod command_line;
+pub mod discovery_client;
+pub mod endpoint_watch;
 pub mod listen;
 pub mod logger;
+pub mod protocol;
 pub mod startup;
 pub mod trail;
-pub mod watch;
--- /dev/null
+++ b/crates/comethitchd/src/service/trail/log_line.rs
@@ -0,0 +1,69 @@
+//! One line of a router's log, in either form that `--log-form` writes.
+
+use serde_json::Value;
+
+/// A line's message and fields.
+pub(super) struct LogLine<'a> {
+    pub message: String,
+    pub fields: Vec<(String, String)>,
+    pub text: &'a str,
+}
+
+impl<'a> LogLine<'a> {
+    /// Parses the text form, `[bench time] time LEVEL target: file:line message key=value ...`, or a JSON object with
+    /// `message` and `kvs`; none if it is neither.
+    pub fn parse(text: &'a str) -> Option<LogLine<'a>> {
+        let text = text.trim_end();
+        if let Some(start) = text.find('{')
+            && let Ok(value) = serde_json::from_str::<Value>(&text[start..])
+        {
+            return LogLine::from_json(&value, text);
+        }
+        LogLine::from_text(text)
+    }
+
+    fn from_json(value: &Value, text: &'a str) -> Option<LogLine<'a>> {
+        let message = value.get("message")?.as_str()?.to_string();
+        let shown = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_string);
+        let fields = match value.get("kvs").and_then(Value::as_object) {
+            Some(kvs) => kvs.iter().map(|(key, value)| (key.clone(), shown(value))).collect(),
+            None => Vec::new(),
+        };
+        Some(LogLine { message, fields, text })
+    }
+
+    fn from_text(text: &'a str) -> Option<LogLine<'a>> {
+        let words: Vec<&str> = text.split_whitespace().collect();
+        let level = words.iter().position(|word| is_level(word))?;
+        // Behind the level stand the target and the source line.
+        let rest = words.get(level + 3..)?;
+        let first_field = rest.iter().position(|word| word.contains('=')).unwrap_or(rest.len());
+        let message = rest[..first_field].join(" ");
+        let fields = rest[first_field..]
+            .iter()
+            .filter_map(|word| word.split_once('='))
+            .map(|(key, value)| (key.to_string(), value.trim_matches('"').to_string()))
+            .collect();
+        Some(LogLine { message, fields, text })
+    }
+}
+
+fn is_level(word: &str) -> bool {
+    matches!(word, "ERROR" | "WARN" | "INFO" | "DEBUG" | "TRACE")
+}
+
+/// A line's time of RFC 3339 in UTC, which orders as text; empty where it has none. The bench's own clock that may
+/// stand before it is no such time: `10.2` would come before `9.8`.
+pub(super) fn timestamp(line: &str) -> &str {
+    const JSON_KEY: &str = "\"timestamp\":\"";
+    if let Some(at) = line.find(JSON_KEY) {
+        let value = &line[at + JSON_KEY.len()..];
+        return value.split('"').next().unwrap_or_default();
+    }
+    line.split_whitespace().find(|word| is_rfc3339(word)).unwrap_or_default()
+}
+
+fn is_rfc3339(word: &str) -> bool {
+    let bytes = word.as_bytes();
+    bytes.len() >= "2026-12-01T20:00:00Z".len() && bytes[4] == b'-' && bytes[10] == b'T'
+}
--- a/crates/comethitchd/src/state/arrivals/tests.rs
+++ b/crates/comethitchd/src/state/arrivals/tests.rs
@@ -1,4 +1,4 @@
-use super::{Arrivals, MOST_RECORDS, RESOLUTION};
+use super::{Arrivals, MAX_RECORDS, RESOLUTION};
 use comethitch_policy::time::{Duration, Timestamp};
 
 const MS: u64 = 1_000;
@@ -34,7 +34,7 @@
     let mut arrivals = Arrivals::default();
     let at = |nth: u64| Timestamp::from_micros(nth * nth * RESOLUTION.as_micros());
     (1..=1_000).for_each(|nth| arrivals.read(1, at(nth)));
-    assert!(arrivals.records.len() <= MOST_RECORDS);
+    assert!(arrivals.records.len() <= MAX_RECORDS);
     for nth in 1..=1_000 {
         let told = arrivals.consume(1).expect("a record");
         assert!(told <= at(nth), "byte {nth}");
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use async_io::Async;
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
-use comethitchd::service::listen::Protocol;
+use comethitchd::service::protocol::Protocol;
 use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
@@ -319,8 +319,8 @@
                     Protocol::tds(ways, &site).expect("a protocol")
                 }
             };
-            let hub = startup::start(site, Clock::start(), protocol.back).expect("a router");
-            async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
+            let hub = startup::start(site, Clock::start(), protocol.backend).expect("a router");
+            async_io::block_on(listen::serve(hub, protocol.client, vec![listener], async {
                 let _ = stopped.recv().await;
             }));
         });
