--- a/crates/comethitchd/src/service/discovery_client.rs
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -20,7 +20,7 @@
 /// The status of a response that is read.
 const STATUS_OK: u16 = 200;
 
-/// Why the discovery service told nothing.
+/// Why a request to the discovery service brought nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
     /// Another service is followed in its place.
--- a/crates/comethitchd/src/service/trail.rs
+++ b/crates/comethitchd/src/service/trail.rs
@@ -36,7 +36,7 @@
 /// Counts with this prefix are gauges, which are not summed.
 const GAUGE_PREFIX: &str = "now_";
 /// Stands for a field that a line lacks.
-const MISSING_FIELD: &str = "untold";
+const MISSING_FIELD: &str = "unknown";
 
 /// Sum up many routers' logs: why requests were rejected, and what an answer cost; or follow one id.
 #[derive(FromArgs)]
--- a/crates/comethitchd/src/service/trail/log_line.rs
+++ b/crates/comethitchd/src/service/trail/log_line.rs
@@ -4,8 +4,11 @@
 
 /// A line's message and fields.
 pub(super) struct LogLine<'a> {
+    /// The message, without its fields.
     pub message: String,
+    /// Names and values, in their order.
     pub fields: Vec<(String, String)>,
+    /// The line as it was read.
     pub text: &'a str,
 }
 
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -79,7 +79,7 @@
 }
 
 impl StatementError {
-    /// The SQLSTATE that tells a client of it.
+    /// The SQLSTATE that a client gets for it.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             StatementError::Comment(_) | StatementError::CommentIncomplete => "42601",
@@ -173,11 +173,11 @@
 
 /// The client's timeout in milliseconds: by its comment, or by the rules where these admit an incomplete comment.
 fn timeout_ms(admission: &StatementAdmission, fields: &Fields<'_>) -> Result<u64, StatementError> {
-    let told = fields.wait.as_ref().map(|(timeout_ms, _)| *timeout_ms);
+    let given = fields.wait.as_ref().map(|(timeout_ms, _)| *timeout_ms);
     let complete = fields.id.is_some() && fields.group.is_some() && fields.shard.is_some();
-    match (told, &admission.rules().commentless) {
+    match (given, &admission.rules().commentless) {
         (Some(timeout_ms), _) if complete => Ok(timeout_ms),
-        (told, Some(commentless)) => Ok(told.unwrap_or(commentless.wait_ms)),
+        (given, Some(commentless)) => Ok(given.unwrap_or(commentless.wait_ms)),
         (_, None) => Err(StatementError::CommentIncomplete),
     }
 }
--- a/crates/comethitchd/src/state/host_connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -57,7 +57,7 @@
 }
 
 impl HostErrorCode {
-    /// What the policy is told of an attempt that ended with this error.
+    /// The outcome that the policy gets for an attempt that ended with this error.
     fn outcome(&self) -> AttemptOutcome {
         match self {
             HostErrorCode::Postgres(code) => match code.as_str() {
@@ -117,7 +117,7 @@
 }
 
 impl ConnectionError {
-    /// What the policy is told of an attempt or a health check that ended with this error.
+    /// The outcome that the policy gets for an attempt or a health check that ended with this error.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             ConnectionError::HostError(code) => code.outcome(),
@@ -134,7 +134,7 @@
     }
 }
 
-/// What the policy is told of an attempt or a health check that ended so; a complete answer is the only success.
+/// The outcome that the policy gets for an attempt or a health check; a complete answer is the only success.
 pub fn attempt_outcome(completion: &Result<(), ConnectionError>) -> AttemptOutcome {
     match completion {
         Ok(()) => AttemptOutcome::Answered,
--- a/crates/comethitchd/src/state/memory_budget.rs
+++ b/crates/comethitchd/src/state/memory_budget.rs
@@ -19,11 +19,11 @@
         self.0.get()
     }
 
-    /// Replaces a reservation of `held` bytes by one of `wanted` bytes, if the budget allows it.
-    pub(super) fn exchange(&self, held: usize, wanted: usize) -> bool {
-        let allowed = self.0.get() + held >= wanted;
+    /// Replaces a reservation of `reserved` bytes by one of `wanted` bytes, if the budget allows it.
+    pub(super) fn exchange(&self, reserved: usize, wanted: usize) -> bool {
+        let allowed = self.0.get() + reserved >= wanted;
         if allowed {
-            self.0.set(self.0.get() + held - wanted);
+            self.0.set(self.0.get() + reserved - wanted);
         }
         allowed
     }
--- a/crates/comethitchd/src/state/protocol.rs
+++ b/crates/comethitchd/src/state/protocol.rs
@@ -46,7 +46,7 @@
     pub report: HostReport,
     /// The value as the client protocol passes it on, or the host's error.
     pub payload: Vec<u8>,
-    /// The policy was told already, as the answer began to be streamed.
+    /// Its end was reported to the policy already, as the answer began to be streamed.
     pub already_reported: bool,
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What the policy is told of it.
+    /// The outcome that the policy gets.
     pub fn outcome(&self) -> AttemptOutcome {
         attempt_outcome(&self.completion)
     }
--- a/crates/comethitchd/tests/told.rs
+++ b/crates/comethitchd/tests/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! What discovery has counts as told six seconds after it could be reached, whatever became of watches and calls. Here
-//! the program stands before an agent that misbehaves in one way for each test, and a change is put to it at once.
+//! A change of the endpoint list counts as known six seconds after discovery could be reached, whatever became of
+//! watches and polls. Here the program follows a discovery agent that misbehaves in one way for each test.
 
 mod support;
 
@@ -13,67 +13,75 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Within so long a change must be held; the router's own log tells when it is.
-const TOLD: Duration = Duration::from_secs(6);
+/// Within so long a change must be applied; the router's log shows when it is.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 
-/// How the agent treats one call.
+/// How the agent responds to one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
-    /// As it should be: a watch tells what changes, and a call for the whole list is answered.
-    Well,
+enum Behavior {
+    /// As it should: a watch sends what changes, and a poll gets the complete list.
+    Correct,
     /// The same, with each object indented over many lines.
     Indented,
-    /// It takes the connection and says nothing.
-    Mute,
-    /// It answers what is asked at that moment, and nothing ever after.
-    FallsSilent,
-    /// It sends the parts of an object that never ends, each soon after the one before.
+    /// It accepts the connection and sends nothing.
+    Unresponsive,
+    /// It responds, and sends no change and no empty line ever after.
+    StopsSending,
+    /// It sends fragments of an object that never ends, each soon after the one before.
     Fragments,
-    /// It sends its head byte by byte, and no end of it.
+    /// It sends the head of a response byte by byte, and no end of it.
     EndlessHead,
+    /// It closes the connection at once.
     Closes,
-    Refuses,
-    /// All of an older list but for one host, and then a reset before the answer's end, chunked or without a length.
+    /// It responds with status 503.
+    RespondsWithError,
+    /// It sends a list without hosts, and resets the connection before the response's end; the response is chunked.
     CutChunked,
+    /// The same with a response without a length.
     CutUnmeasured,
 }
 
-struct State {
+/// What the agent has, and what it was asked for.
+struct AgentState {
     seq: u64,
     hosts: BTreeMap<String, Value>,
     changed: Option<Instant>,
-    asked: Vec<String>,
+    requests: Vec<String>,
 }
 
 #[derive(Clone)]
 struct Agent {
     address: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<AgentState>>,
 }
 
 impl Agent {
-    /// An agent with one host listed; `manner` tells how to treat a call by its number, whether it is a watch, and the
-    /// time since the change.
-    fn start(manner: impl Fn(usize, bool, Option<Duration>) -> Manner + Send + Sync + 'static) -> Agent {
+    /// An agent with one host listed; `behavior` decides on a response by the number of the request, whether it is a
+    /// watch, and the time since the change.
+    fn start(behavior: impl Fn(usize, bool, Option<Duration>) -> Behavior + Send + Sync + 'static) -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let hosts =
             [("p".to_string(), entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready"))];
-        let state =
-            Arc::new(Mutex::new(State { seq: 7, hosts: hosts.into(), changed: None, asked: Vec::new() }));
-        let (agent, manner) = (Agent { address, state }, Arc::new(manner));
-        let listens = agent.clone();
+        let state = Arc::new(Mutex::new(AgentState {
+            seq: 7,
+            hosts: hosts.into(),
+            changed: None,
+            requests: Vec::new(),
+        }));
+        let (agent, behavior) = (Agent { address, state }, Arc::new(behavior));
+        let accepting_agent = agent.clone();
         spawn(move || {
             for (nth, stream) in listener.incoming().flatten().enumerate() {
-                let (agent, manner) = (listens.clone(), manner.clone());
+                let (agent, behavior) = (accepting_agent.clone(), behavior.clone());
                 spawn(move || {
                     let line = request(&stream);
                     let watch = line.contains("follow");
                     let mut state = agent.state.lock().expect("the state");
-                    state.asked.push(line);
+                    state.requests.push(line);
                     let since = state.changed.map(|at| at.elapsed());
                     drop(state);
-                    let _ = agent.answer(stream, watch, manner(nth, watch, since));
+                    let _ = agent.answer(stream, watch, behavior(nth, watch, since));
                 });
             }
         });
@@ -101,41 +109,43 @@
         text + "\n"
     }
 
-    fn answer(&self, mut stream: TcpStream, watch: bool, manner: Manner) -> std::io::Result<()> {
+    fn answer(&self, mut stream: TcpStream, watch: bool, behavior: Behavior) -> std::io::Result<()> {
         let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let cut = json!({"seq": 99, "whole": true, "hosts": []}).to_string() + "\n";
-        match manner {
-            Manner::Closes => return Ok(()),
-            Manner::Refuses => return stream.write_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n"),
-            Manner::Mute => sleep(LONG),
-            Manner::EndlessHead => {
+        match behavior {
+            Behavior::Closes => return Ok(()),
+            Behavior::RespondsWithError => {
+                return stream.write_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
+            }
+            Behavior::Unresponsive => sleep(LONG),
+            Behavior::EndlessHead => {
                 stream.write_all(b"HTTP/1.1 200 OK\r\nX: ")?;
                 loop {
                     stream.write_all(b"x")?;
                     sleep(Duration::from_millis(100));
                 }
             }
-            Manner::CutChunked => {
+            Behavior::CutChunked => {
                 stream.write_all(chunked)?;
                 chunk(&mut stream, &cut)?;
                 reset(stream);
                 return Ok(());
             }
-            Manner::CutUnmeasured => {
+            Behavior::CutUnmeasured => {
                 stream.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{cut}").as_bytes())?;
                 reset(stream);
                 return Ok(());
             }
             _ => {}
         }
-        let indented = manner == Manner::Indented;
+        let indented = behavior == Behavior::Indented;
         if !watch {
             let list = self.list(indented);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
             return stream.write_all((head + &list).as_bytes());
         }
         stream.write_all(chunked)?;
-        if manner == Manner::Fragments {
+        if behavior == Behavior::Fragments {
             chunk(&mut stream, "{\"seq\":8,\"whole\":false,\"hosts\":[")?;
             loop {
                 stream.write_all(b"1\r\n \r\n")?;
@@ -145,10 +155,10 @@
         let mut held = 7;
         let mut quiet = Instant::now();
         loop {
-            if self.seq() > held && manner != Manner::FallsSilent {
+            if self.seq() > held && behavior != Behavior::StopsSending {
                 held = self.seq();
                 chunk(&mut stream, &self.list(indented).replace("true", "false"))?;
-            } else if quiet.elapsed() > Duration::from_secs(2) && manner != Manner::FallsSilent {
+            } else if quiet.elapsed() > Duration::from_secs(2) && behavior != Behavior::StopsSending {
                 quiet = Instant::now();
                 chunk(&mut stream, "\n")?;
             }
@@ -168,21 +178,21 @@
     linger.expect("a reset to come");
 }
 
-/// Starts the program before the agent, changes the list once the router follows it, and tells how long it took until
-/// the router held the change.
-fn told_after(name: &str, agent: &Agent, known: &[Value]) -> (Duration, Program) {
+/// Starts the program with the agent, changes the list once the router follows it, and returns how long it took until
+/// the router had applied the change.
+fn time_to_update(name: &str, agent: &Agent, known: &[Value]) -> (Duration, Program) {
     let mut all = site(known, None, 1024);
     all["discovery"] = agent.address.to_string().into();
     let mut program = Program::start_with(name, &all, &["--log", "debug"]);
-    let asked = |wanted: &str| {
+    let was_requested = |wanted: &str| {
         let state = agent.state.lock().expect("the state");
-        state.asked.iter().any(|line| line.contains(wanted))
+        state.requests.iter().any(|line| line.contains(wanted))
     };
     let started = Instant::now();
-    while !asked("/api/targets") && started.elapsed() < LONG {
+    while !was_requested("/api/targets") && started.elapsed() < LONG {
         sleep(Duration::from_millis(5));
     }
-    // A watch that is up falls silent, or whatever else is to come of it.
+    // The watch is established by now, or has failed in the agent's way.
     sleep(Duration::from_millis(200));
     agent.change();
     let changed = Instant::now();
@@ -192,97 +202,101 @@
     (changed.elapsed(), program)
 }
 
-fn held_in_time(
-    name: &str, manner: impl Fn(usize, bool, Option<Duration>) -> Manner + Send + Sync + 'static,
+/// The change is applied in time.
+fn updated_in_time(
+    name: &str, behavior: impl Fn(usize, bool, Option<Duration>) -> Behavior + Send + Sync + 'static,
 ) {
-    let agent = Agent::start(manner);
+    let agent = Agent::start(behavior);
     let known = [entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")];
-    let (took, program) = told_after(name, &agent, &known);
-    assert!(took < TOLD, "{name}: held after {took:?}");
+    let (took, program) = time_to_update(name, &agent, &known);
+    assert!(took < UPDATE_DEADLINE, "{name}: applied after {took:?}");
     program.signal("TERM");
     program.ends();
 }
 
 #[test]
-fn a_watch_that_falls_silent_and_new_ones_that_do_so_at_once() {
-    held_in_time("silent", |_, watch, _| if watch { Manner::FallsSilent } else { Manner::Well });
+fn a_watch_that_stops_sending_and_restarted_ones_that_do_so_at_once() {
+    updated_in_time("silent", |_, watch, _| if watch { Behavior::StopsSending } else { Behavior::Correct });
 }
 
 #[test]
-fn new_watches_that_are_mute_from_their_first_byte() {
-    held_in_time("mute", |nth, watch, _| match (watch, nth) {
-        (true, 0) => Manner::FallsSilent,
-        (true, _) => Manner::Mute,
-        _ => Manner::Well,
+fn restarted_watches_that_are_unresponsive_from_their_first_byte() {
+    updated_in_time("mute", |nth, watch, _| match (watch, nth) {
+        (true, 0) => Behavior::StopsSending,
+        (true, _) => Behavior::Unresponsive,
+        _ => Behavior::Correct,
     });
 }
 
 #[test]
-fn watches_in_fragments_that_never_end() {
-    held_in_time("fragments", |_, watch, _| if watch { Manner::Fragments } else { Manner::Well });
+fn watches_that_send_fragments_without_end() {
+    updated_in_time("fragments", |_, watch, _| if watch { Behavior::Fragments } else { Behavior::Correct });
 }
 
 #[test]
-fn a_watch_whose_head_never_ends_is_begun_anew() {
-    held_in_time("head", |nth, _, _| if nth < 3 { Manner::EndlessHead } else { Manner::Well });
+fn a_watch_whose_head_never_ends_is_restarted() {
+    updated_in_time("head", |nth, _, _| if nth < 3 { Behavior::EndlessHead } else { Behavior::Correct });
 }
 
 #[test]
-fn watches_that_are_refused_or_closed_at_once() {
-    held_in_time("refused", |nth, watch, _| match watch {
-        true if nth % 2 == 0 => Manner::Refuses,
-        true => Manner::Closes,
-        false => Manner::Well,
+fn watches_that_get_an_error_or_are_closed_at_once() {
+    updated_in_time("refused", |nth, watch, _| match watch {
+        true if nth % 2 == 0 => Behavior::RespondsWithError,
+        true => Behavior::Closes,
+        false => Behavior::Correct,
     });
 }
 
 #[test]
-fn calls_for_the_whole_list_that_fail_while_watches_are_answered() {
-    held_in_time("calls", |nth, watch, _| if watch || nth == 0 { Manner::Well } else { Manner::Mute });
+fn polls_that_fail_while_watches_are_answered() {
+    updated_in_time(
+        "calls",
+        |nth, watch, _| if watch || nth == 0 { Behavior::Correct } else { Behavior::Unresponsive },
+    );
 }
 
 #[test]
-fn lists_and_changes_that_come_indented() {
-    held_in_time("indented", |_, _, _| Manner::Indented);
+fn lists_and_updates_that_are_indented() {
+    updated_in_time("indented", |_, _, _| Behavior::Indented);
 }
 
 #[test]
-fn an_agent_that_is_mute_for_four_seconds_and_then_answers() {
-    held_in_time("returns", |nth, _, since| match since {
-        _ if nth == 0 => Manner::FallsSilent,
-        Some(since) if since > Duration::from_secs(4) => Manner::Well,
-        _ => Manner::Mute,
+fn an_agent_that_is_unresponsive_for_four_seconds_and_then_answers() {
+    updated_in_time("returns", |nth, _, since| match since {
+        _ if nth == 0 => Behavior::StopsSending,
+        Some(since) if since > Duration::from_secs(4) => Behavior::Correct,
+        _ => Behavior::Unresponsive,
     });
 }
 
 #[test]
-fn a_whole_list_cut_by_a_reset_counts_for_nothing() {
-    for (name, manner) in [("chunked", Manner::CutChunked), ("unmeasured", Manner::CutUnmeasured)] {
-        let agent = Agent::start(move |nth, _, _| if nth < 2 { manner } else { Manner::Well });
-        // Without a list of its own the router asks for the whole one first.
-        let (took, mut program) = told_after(name, &agent, &[]);
-        assert!(took < TOLD, "{name}: held after {took:?}");
+fn a_complete_list_cut_by_a_reset_is_not_applied() {
+    for (name, behavior) in [("chunked", Behavior::CutChunked), ("unmeasured", Behavior::CutUnmeasured)] {
+        let agent = Agent::start(move |nth, _, _| if nth < 2 { behavior } else { Behavior::Correct });
+        // Without a list of its own the router fetches the complete one first.
+        let (took, mut program) = time_to_update(name, &agent, &[]);
+        assert!(took < UPDATE_DEADLINE, "{name}: applied after {took:?}");
         program.signal("TERM");
         let log: Vec<String> = program.log.by_ref().collect();
         assert!(!log.iter().any(|line| line.contains("list 99")), "{name}: {log:?}");
-        let asked = agent.state.lock().expect("the state").asked.clone();
-        assert!(!asked.iter().any(|line| line.contains("since=99")), "{name}: {asked:?}");
+        let requests = agent.state.lock().expect("the state").requests.clone();
+        assert!(!requests.iter().any(|line| line.contains("since=99")), "{name}: {requests:?}");
         program.ends();
     }
 }
 
-/// Discovery is moved by SIGHUP while the old watch still speaks: nothing of it counts any more, and the new one is
-/// asked for all that it has, whatever version the old one was at.
+/// SIGHUP names another discovery while the old watch still sends: nothing of it is applied any more, and the new
+/// service is asked for its complete list, whatever version the old one was at.
 #[test]
-fn a_watch_that_was_left_says_nothing_that_counts() {
-    let (old, new) = (Agent::start(|_, _, _| Manner::Well), Agent::start(|_, _, _| Manner::Well));
+fn a_replaced_watch_changes_nothing() {
+    let (old, new) = (Agent::start(|_, _, _| Behavior::Correct), Agent::start(|_, _, _| Behavior::Correct));
     let mut all = site(&[entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")], None, 1024);
     all["discovery"] = old.address.to_string().into();
     let mut program = Program::start_with("moved", &all, &["--log", "debug"]);
-    while !old.state.lock().expect("the state").asked.iter().any(|line| line.contains("follow")) {
+    while !old.state.lock().expect("the state").requests.iter().any(|line| line.contains("follow")) {
         sleep(Duration::from_millis(5));
     }
-    // Both wait for the router as it goes on: a line of the old watch, and the signal.
+    // Both wait for the router as it continues: a line of the old watch, and the signal.
     program.signal("STOP");
     old.state.lock().expect("the state").seq = 40;
     sleep(Duration::from_millis(100));
@@ -291,23 +305,23 @@
     program.signal("HUP");
     program.signal("CONT");
     program.logs("list 7: p");
-    let asked = new.state.lock().expect("the state").asked.clone();
-    assert!(asked[0].starts_with("GET /api/targets "), "{asked:?}");
+    let requests = new.state.lock().expect("the state").requests.clone();
+    assert!(requests[0].starts_with("GET /api/targets "), "{requests:?}");
     program.signal("TERM");
     program.ends();
 }
 
-/// Twenty routers restarted at once, a third each with discovery down, mute, and mute with no list known.
+/// Twenty routers restarted at once, a third each with discovery down, unresponsive, and unresponsive with no list known.
 #[test]
 fn nine_in_ten_restarted_routers_are_ready_within_ten_seconds() {
-    let mute = Agent::start(|_, _, _| Manner::Mute);
+    let unresponsive = Agent::start(|_, _, _| Behavior::Unresponsive);
     let known = [entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")];
     let started = Instant::now();
     let mut programs: Vec<Program> = (0..20)
         .map(|nth| {
             let mut all = site(if nth % 3 == 2 { &[] } else { &known }, None, 1024);
             if nth % 3 > 0 {
-                all["discovery"] = mute.address.to_string().into();
+                all["discovery"] = unresponsive.address.to_string().into();
             }
             Program::start(&format!("ready-{nth}"), &all)
         })
@@ -325,8 +339,8 @@
 }
 
 #[test]
-fn a_list_newer_than_the_one_known_at_the_start_is_held_at_once() {
-    let agent = Agent::start(|_, _, _| Manner::Well);
+fn a_list_newer_than_the_configured_one_is_applied_at_once() {
+    let agent = Agent::start(|_, _, _| Behavior::Correct);
     agent.change();
     let known = [entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")];
     let mut all = site(&known, None, 1024);
@@ -336,7 +350,7 @@
     let limit = program.ends_after(LONG);
     program.logs("list 8: p at 127.0.0.1:1 is Draining");
     limit.store(true, SeqCst);
-    assert!(started.elapsed() < TOLD, "{:?}", started.elapsed());
+    assert!(started.elapsed() < UPDATE_DEADLINE, "{:?}", started.elapsed());
     program.signal("TERM");
     program.ends();
 }
--- a/crates/comethitchd/tests/fleet.rs
+++ b/crates/comethitchd/tests/fleet.rs
@@ -1,7 +1,7 @@
-//! Twenty processes of the program before a dozen hosts on loopback, through faults that none of them sees whole.
+//! Twenty processes of the program in front of a dozen hosts on loopback, through faults of which each sees only a part.
 //!
-//! All but the one of stopped routers are played a second time with the defence taken out by the routers' settings, where
-//! the same faults break the rule or the service. The cut's is a blunt one: no probes at all.
+//! All trials but that of stopped routers are played a second time with the defence disabled by the routers' settings,
+//! where the same faults break a rule or the service. For the network cut that is all health checks.
 
 use comethitch_lab::ledger::Report;
 use comethitch_lab::live::play;
@@ -11,24 +11,27 @@
 use std::sync::Mutex;
 
 /// One fleet at a time: trials are in real time, and the machine's cores are few.
-static ONE: Mutex<()> = Mutex::new(());
+static ONE_FLEET: Mutex<()> = Mutex::new(());
 
 fn small() -> Trial {
     Trial { routers: 20, groups: 2, replicas: 5, seconds: 6, cores: vec![2, 2, 3], ..Trial::default() }
 }
 
+/// Plays a trial.
 fn played(trial: &Trial) -> Report {
-    let _one = ONE.lock().unwrap_or_else(|broken| broken.into_inner());
+    let _one = ONE_FLEET.lock().unwrap_or_else(|broken| broken.into_inner());
     play(trial, Path::new(env!("CARGO_BIN_EXE_comethitchd")), None).expect("a trial")
 }
 
-fn kept(trial: &Trial) -> Report {
+/// A trial in which no rule breaks.
+fn played_without_violation(trial: &Trial) -> Report {
     let report = played(trial);
     assert_eq!(report.broken, Vec::<String>::new(), "{report}");
     report
 }
 
-fn without(trial: &Trial, key: &str, value: Value) -> Report {
+/// The same trial with another value of one setting.
+fn with_setting(trial: &Trial, key: &str, value: Value) -> Report {
     played(&Trial { settings: [(key.to_string(), value)].into(), ..trial.clone() })
 }
 
@@ -37,12 +40,12 @@
     let release = Fault { at_ms: 1000, trouble: Trouble::Release { part: 0.5, over_ms: 1500 } };
     let herd = Fault { at_ms: 1500, trouble: Trouble::Herd { part: 0.7, back_ms: 300 } };
     let trial = Trial { seed: 2, load: 0.7, fall_multiple: 1.2, faults: vec![release, herd], ..small() };
-    let report = kept(&trial);
+    let report = played_without_violation(&trial);
     assert!(report.in_time > 0.7, "{report}");
-    // Routers that take cold hosts for warm ones push them over.
+    // Routers that treat hosts in slow start as warm overload them.
     let bold = json!({"drain_grace_us": 2_000_000, "cold_from": 1.0, "warm_within_us": 10_000_000,
         "fall_multiple": 10.0, "fall_us": 1_500_000});
-    let broken = without(&trial, "rules", bold).broken;
+    let broken = with_setting(&trial, "rules", bold).broken;
     assert!(broken.iter().any(|what| what.starts_with("cold")), "{broken:?}");
 }
 
@@ -51,30 +54,30 @@
     let cut = Trouble::Links { routers: 0.5, hosts: 0.34, way: Way::Both, harm: Harm::Cut, for_ms: 2000 };
     let fault = Fault { at_ms: 1500, trouble: cut };
     let trial = Trial { seed: 3, load: 0.3, writes: 0.0, faults: vec![fault], ..small() };
-    let report = kept(&trial);
+    let report = played_without_violation(&trial);
     assert!(report.in_time > 0.9, "{report}");
-    // Without proofs they know neither whom they reach nor whose data are young enough.
+    // Without health checks they know neither which hosts they reach nor whose data are fresh enough.
     let permissions = json!({"cancel": true, "may_probe": false, "second_copies": true, "max_attempts": 6,
         "retry_after": false, "connect_timeout_us": 250_000, "conn_idle_us": 30_000_000});
-    let blind = without(&trial, "permissions", permissions);
+    let blind = with_setting(&trial, "permissions", permissions);
     assert!(blind.in_time < 0.7, "{blind}");
 }
 
 #[test]
-fn all_hosts_cold_and_all_routers_new_push_no_host_over() {
+fn all_hosts_in_slow_start_and_all_routers_new_overload_no_host() {
     let trial = Trial { all_cold: true, load: 0.6, fall_multiple: 1.3, ..small() };
     for (routers, seconds) in [(20, 6), (30, 4)] {
-        // What all processes send a host within the span of its fall, against N and twice its root and two.
-        let report = kept(&Trial { routers, seconds, ..trial.clone() });
+        // What all processes send a host within its slow-start window, against N + 2 sqrt(N) + 2.
+        let report = played_without_violation(&Trial { routers, seconds, ..trial.clone() });
         assert!(report.cold_most > 0.0 && report.cold_most <= 1.0, "{routers}: {report}");
     }
-    // Told that it is alone, each router takes the whole of what a cold host bears.
-    let broken = without(&trial, "siblings", 1.into()).broken;
+    // With `siblings` of 1 each router uses the whole capacity of a host in slow start.
+    let broken = with_setting(&trial, "siblings", 1.into()).broken;
     assert!(broken.iter().any(|what| what.starts_with("cold")), "{broken:?}");
 }
 
 #[test]
-fn routers_that_stood_still_answer_all_that_they_take_afterwards() {
+fn routers_that_stalled_answer_all_that_they_receive_afterwards() {
     let stop = Fault { at_ms: 1500, trouble: Trouble::Stop { part: 0.5, for_ms: 1500 } };
     let slow = Trouble::Links {
         routers: 0.5,
@@ -86,6 +89,6 @@
     let resets =
         Trouble::Links { routers: 1.0, hosts: 0.3, way: Way::Both, harm: Harm::Reset(0.05), for_ms: 2000 };
     let faults = vec![stop, Fault { at_ms: 1500, trouble: slow }, Fault { at_ms: 2500, trouble: resets }];
-    let report = kept(&Trial { load: 0.3, faults, ..small() });
+    let report = played_without_violation(&Trial { load: 0.3, faults, ..small() });
     assert!(report.in_time > 0.85, "{report}");
 }
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The daemon between stand-ins on loopback: the paths on which a rule could break.
+//! The daemon between clients and hosts played on loopback: the paths on which a rule could break.
 
 mod support;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_large_value_is_passed_on_whole() {
+fn a_large_value_is_passed_on_completely() {
     let large = vec![0x9f; 64 * 1024];
     let value = large.clone();
     let primary = host(true, move |_, _| Act::Answer(row(&value)));
@@ -65,7 +65,7 @@
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask(&write(1, 1_000)), Got::Error("40003".into()));
-    assert!(matches!(primary.next(), Met::Query(_)), "one dispatch");
+    assert!(matches!(primary.next(), Met::Query(_)), "one attempt");
     drop(client);
     router.wait();
     assert!(!primary.met.try_iter().any(|met| matches!(met, Met::Query(_))), "and no other");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_miss_and_a_turned_away_write_prove_that_nothing_ran() {
+fn not_primary_and_overloaded_errors_prove_that_nothing_ran() {
     for code in ["25006", "53300"] {
         let primary = host(true, move |_, _| Act::Answer(error(code)));
         let router = alone(&primary);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_read_held_up_by_its_connection_gets_no_data_past_their_bound() {
+fn a_read_delayed_by_its_connection_gets_no_data_past_their_bound() {
     let bound = std::time::Duration::from_secs(2);
     let still = Some((std::time::SystemTime::now(), bound));
     let replica = host_since(false, |nth, _| if nth == 0 { Act::Silence } else { answer("old") }, still);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_read_is_tried_elsewhere_after_a_reset() {
+fn a_read_is_retried_elsewhere_after_a_reset() {
     let primary = host(true, |nth, _| if nth == 0 { Act::Close } else { answer("second") });
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_silent_host_is_given_up_in_time_and_hears_no_more() {
+fn an_attempt_at_a_silent_host_times_out_and_its_connection_is_closed() {
     let primary = host(true, |_, _| Act::Silence);
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_dispatch() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let primary = host(true, |_, _| Act::Silence);
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_the_host_closed_costs_nothing() {
+fn an_idle_connection_is_reused() {
     let primary = host(true, |_, _| answer("value"));
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_others_feel_nothing() {
+fn bad_input_is_answered_and_affects_no_others() {
     let primary = host(true, |_, _| answer("value"));
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn the_id_of_a_command_in_hand_is_no_other_commands() {
+fn the_id_of_a_command_in_progress_can_not_be_used_by_another() {
     let (release, held) = channel::<()>();
     let held = std::sync::Mutex::new(held);
     let primary = host(true, move |_, _| {
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn clients_that_never_make_sense_are_told_so_in_time() {
+fn clients_that_never_send_a_command_get_an_error_in_time() {
     let primary = host(true, |_, _| answer("value"));
     let router = alone(&primary);
     let started = std::time::Instant::now();
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn silent_clients_by_the_hundred_keep_none_of_the_usual_ones_out() {
+fn hundreds_of_silent_clients_keep_no_others_out() {
     let primary = host(true, |_, _| answer("value"));
     let router = Router::start(site(&[entry("p", primary.address, true, "ready")], None, 64));
     let mut usual = Client::connect(router.address);
@@ -307,7 +307,7 @@
             "the one that is in use stays"
         );
         let got = Client::connect(router.address).ask(&write(100 + id, 5_000));
-        assert_eq!(got, Got::Value(b"value".to_vec()), "and others find room");
+        assert_eq!(got, Got::Value(b"value".to_vec()), "and others are admitted");
     }
     drop(silent);
     router.wait();
@@ -335,7 +335,7 @@
     let primary = host(true, |_, _| answer("value"));
     let hosts = [entry("p", primary.address, true, "ready")];
     let mut all = site(&hosts, None, 64);
-    // With a long target a command waits long for hosts that are not there.
+    // With a long latency objective a command waits long for hosts that are not there.
     all["settings"]["classes"][2]["target_us"] = 60_000_000.into();
     all["settings"]["permissions"]["connect_timeout_us"] = 10_000_000.into();
     let router = Router::start(all);
@@ -343,13 +343,13 @@
     (100..).zip(&mut held).for_each(|(id, client)| client.0.write_all(&elsewhere(id)).expect("sent"));
     let mut throttled =
         |id| Client::connect(router.address).ask(&write(id, 5_000)) != Got::Value(b"value".to_vec());
-    assert!((0..10_000).any(&mut throttled), "full once all of them are taken in");
+    assert!((0..10_000).any(&mut throttled), "full once all of them are admitted");
     primary.met.try_iter().for_each(drop);
     assert!((0..10).all(&mut throttled), "and full it stays");
     assert!(!primary.met.try_iter().any(|met| matches!(met, Met::Query(_))), "none was sent");
     drop(held);
     let served = |_| Client::connect(router.address).ask(&write(9, 5_000)) == Got::Value(b"value".to_vec());
-    assert!((0..10_000).any(served), "room again once they are gone");
+    assert!((0..10_000).any(served), "capacity again once they have disconnected");
     router.wait();
 }
 
@@ -377,13 +377,13 @@
     send_chunk(&mut watch, before);
     send_chunk(&mut watch, after);
     let met = std::iter::from_fn(|| first.met.recv_timeout(LONG).ok()).find(|met| *met == Met::Ended);
-    assert_eq!(met, Some(Met::Ended), "kept connections to the old address are closed");
+    assert_eq!(met, Some(Met::Ended), "idle connections to the old address are closed");
     assert_eq!(client.ask(&write(3, 2_000)), Got::Value(b"second".to_vec()));
     router.wait();
 }
 
 #[test]
-fn a_start_without_any_list_is_ready_once_discovery_has_told_one() {
+fn a_start_without_any_list_is_ready_once_discovery_has_sent_one() {
     let primary = host(true, |_, _| answer("value"));
     let discovery = discovery();
     let router = Router::start(site(&[], Some(&discovery), 1024));
@@ -401,11 +401,11 @@
 }
 
 #[test]
-fn what_is_taken_around_the_signal_is_answered() {
+fn commands_received_around_the_signal_are_answered() {
     let (release, held) = channel::<()>();
     let held = std::sync::Mutex::new(held);
     let primary = host(true, move |nth, _| {
-        // The first command is let go only once the second one has come, after the signal.
+        // The first command is answered only once the second one has come, after the signal.
         match nth {
             0 => drop(held.lock().expect("one host").recv_timeout(LONG)),
             _ => release.send(()).expect("the first one waits"),
@@ -439,9 +439,9 @@
             .arg(&program.file)
             .output()
             .expect("an end");
-        let told = String::from_utf8_lossy(&out.stderr);
-        assert!(!out.status.success() && told.lines().count() == 1, "{told}");
-        assert!(told.contains("settings.domain.class_read is missing"), "{told}");
+        let printed = String::from_utf8_lossy(&out.stderr);
+        assert!(!out.status.success() && printed.lines().count() == 1, "{printed}");
+        assert!(printed.contains("settings.domain.class_read is missing"), "{printed}");
     }
     program.signal("TERM");
     program.ends();
@@ -471,7 +471,7 @@
     program.logs("limits.sockets has changed");
     let _silent = new.accept().expect("a first try");
     let (mut stream, _) = new.accept().expect("a second try");
-    assert_eq!(request(&stream), "GET /api/targets HTTP/1.1", "all of it, whatever the old one had told");
+    assert_eq!(request(&stream), "GET /api/targets HTTP/1.1", "all of it, whatever the old one had sent");
     assert_eq!(client.ask(&write(2, 2_000)), Got::Value(b"first".to_vec()), "served on the list held");
     let list = format!("{{\"seq\":2,\"whole\":true,\"hosts\":[{}]}}\n", at(second.address));
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).expect("sent");
@@ -483,22 +483,22 @@
 }
 
 #[test]
-fn a_throttled_command_logs_its_id_and_the_check_that_gave_it_up() {
-    // A primary whose port takes no connection: the write never runs, and is given up by the module.
+fn a_throttled_command_logs_its_id_and_the_reason() {
+    // A primary whose port takes no connection: the write never runs, and the policy rejects it.
     let refused = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let site = site(&[entry("p", refused, true, "ready")], None, 1024);
-    let mut program = Program::start_with("given-up", &site, &["--log-form", "json"]);
+    let mut program = Program::start_with("rejected", &site, &["--log-form", "json"]);
     let mut client = Client::connect(program.address);
     assert_eq!(client.ask(&write(7301, 600)), Got::Error("53300".into()));
     program.signal("TERM");
     let mut lines = program.log.by_ref().map(|line| serde_json::from_str::<serde_json::Value>(&line));
-    let given =
+    let rejection =
         lines.find(|line| line.as_ref().is_ok_and(|l| l["message"] == "request rejected")).expect("a line");
-    let kvs = given.expect("JSON")["kvs"].clone();
+    let kvs = rejection.expect("JSON")["kvs"].clone();
     assert_eq!((&kvs["id"], &kvs["answer"]), (&"7301".into(), &"throttled".into()), "{kvs}");
-    let why = kvs["reason"].as_str().expect("a reason").to_string();
+    let reason = kvs["reason"].as_str().expect("a reason").to_string();
     let counts = program.log.find(|line| line.contains("\"counts\"")).expect("the counts");
     let counts: serde_json::Value = serde_json::from_str(&counts).expect("JSON");
-    assert_eq!(counts["kvs"][format!("rejected_{why}")], 1, "{counts}");
+    assert_eq!(counts["kvs"][format!("rejected_{reason}")], 1, "{counts}");
     program.ends();
 }
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback, from the protocols' public descriptions: a database host, discovery, a client.
-//! Every wait is for an event; the limits on waiting only end a test that has failed.
+//! Peers of the router played on loopback, from the protocols' public descriptions: a database host, discovery and a
+//! client. Every wait is for an event; the limits on waiting only end a test that has failed.
 #![allow(dead_code)]
 
 use async_io::Async;
@@ -18,33 +18,39 @@
 use std::thread::{JoinHandle, spawn};
 use std::time::{Duration, SystemTime};
 
+/// The limit on waiting for an event.
 pub const LONG: Duration = Duration::from_secs(20);
+/// The sample of a configuration.
 pub const SAMPLE: &str = include_str!("../../../../deploy/configuration.json");
 
-/// A message of the protocol.
+/// A message of PostgreSQL's protocol.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
+/// A simple query.
 pub fn query(text: &str) -> Vec<u8> {
     message(b'Q', format!("{text}\0").as_bytes())
 }
 
-/// A whole answer of one row, short of ReadyForQuery.
+/// A complete answer of one row, without ReadyForQuery.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let described = message(b'T', &[&[0, 1][..], b"data\0", &[0; 18]].concat());
     let data = message(b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat());
     [described, data, message(b'C', b"SELECT 1\0")].concat()
 }
 
+/// An error with this SQLSTATE.
 pub fn error(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
+/// A parameter that the host reports.
 pub fn parameter(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
+/// ReadyForQuery, outside of a transaction.
 pub fn ready() -> Vec<u8> {
     message(b'Z', b"I")
 }
@@ -60,51 +66,56 @@
 
 /// What a host does with a query.
 pub enum Act {
+    /// Answers with these messages, its role and ReadyForQuery.
     Answer(Vec<u8>),
     /// Sends these bytes, and nothing of its own behind them.
     Raw(Vec<u8>),
-    /// Says nothing until the router ends the connection.
+    /// Sends nothing until the router ends the connection.
     Silence,
+    /// Closes the connection.
     Close,
 }
 
-/// What a host has met.
+/// What a host has observed.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Met {
+    /// A query, but for health checks.
     Query(String),
     /// The router ended a connection, after a query that got no answer or while idle.
     Ended,
 }
 
+/// A database host.
 pub struct Host {
     pub address: SocketAddr,
     pub met: Receiver<Met>,
 }
 
 impl Host {
+    /// The next observation.
     pub fn next(&self) -> Met {
         self.met.recv_timeout(LONG).expect("something at the host")
     }
 }
 
-/// A host that answers probes as primary or replica, and commands as told; `nth` counts commands.
+/// A host that answers health checks as primary or replica, and commands by the script; `nth` counts commands.
 pub fn host(primary: bool, script: impl Fn(usize, &str) -> Act + Send + Sync + 'static) -> Host {
     host_since(primary, script, None)
 }
 
-/// The same, with data that stand still at a moment, and no greeting to a second connection until a span
-/// has passed since then.
+/// The same, with data that do not change from a time on, and no greeting to a second connection until a span has
+/// passed since then.
 pub fn host_since(
     primary: bool, script: impl Fn(usize, &str) -> Act + Send + Sync + 'static,
     still: Option<(SystemTime, Duration)>,
 ) -> Host {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (tell, met) = channel();
+    let (observations, met) = channel();
     let (script, count) = (Arc::new(script), Arc::new(std::sync::atomic::AtomicUsize::new(0)));
     spawn(move || {
         for (connection, stream) in listener.incoming().flatten().enumerate() {
-            let (script, tell, count) = (script.clone(), tell.clone(), count.clone());
+            let (script, observations, count) = (script.clone(), observations.clone(), count.clone());
             spawn(move || {
                 let act = |text: &str| {
                     let nth = count.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
@@ -114,7 +125,7 @@
                     std::thread::sleep((since + span).duration_since(SystemTime::now()).unwrap_or_default());
                 }
                 let at = move || still.map_or_else(SystemTime::now, |(since, _)| since);
-                host_connection(stream, primary, at, act, &tell);
+                host_connection(stream, primary, at, act, &observations);
             });
         }
     });
@@ -123,7 +134,7 @@
 
 fn host_connection(
     mut stream: TcpStream, primary: bool, at: impl Fn() -> SystemTime, act: impl Fn(&str) -> Act,
-    tell: &Sender<Met>,
+    observations: &Sender<Met>,
 ) {
     let mut length = [0; 4];
     let _ = stream.read_exact(&mut length);
@@ -136,7 +147,7 @@
             let at = format!("x0={}.{:03},x1={}", unix / 1000, unix % 1000, u8::from(primary));
             Act::Answer(row(at.as_bytes()))
         } else {
-            let _ = tell.send(Met::Query(text.clone()));
+            let _ = observations.send(Met::Query(text.clone()));
             act(&text)
         };
         match answer {
@@ -154,7 +165,7 @@
             Act::Close => return,
         }
     }
-    let _ = tell.send(Met::Ended);
+    let _ = observations.send(Met::Ended);
 }
 
 /// The program itself, serving by a configuration file of its own, and its log line by line.
@@ -166,10 +177,12 @@
 }
 
 impl Program {
+    /// Starts it with this configuration; `name` tells its files from those of other tests.
     pub fn start(name: &str, site: &Value) -> Program {
         Program::start_with(name, site, &[])
     }
 
+    /// The same with more options.
     pub fn start_with(name: &str, site: &Value, more: &[&str]) -> Program {
         let file = std::env::temp_dir().join(format!("comethitchd-{}-{name}.json", std::process::id()));
         std::fs::write(&file, site.to_string()).expect("written");
@@ -184,18 +197,19 @@
         let mut log: Box<dyn Iterator<Item = String>> = Box::new(lines.map_while(Result::ok));
         let line = log.find(|line| line.contains(" listens on ")).expect("a line");
         // The address ends the message, and in JSON its text.
-        let told = line.split(" listens on ").nth(1).and_then(|rest| rest.split([' ', '"']).next());
-        let address = told.and_then(|text| text.parse().ok()).expect("an address");
+        let address = line.split(" listens on ").nth(1).and_then(|rest| rest.split([' ', '"']).next());
+        let address = address.and_then(|text| text.parse().ok()).expect("an address");
         Program { child, file, log, address }
     }
 
+    /// Sends it a signal.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = std::process::Command::new("sh").args(["-c", &format!("kill -{name} {id}")]).status();
         assert!(sent.expect("a signal").success());
     }
 
-    /// Kills it after so long, unless the flag is set before: a line of its log that never comes then fails the test.
+    /// Kills it after so long, unless the flag is set before, so that a line of its log that never comes fails the test.
     pub fn ends_after(&self, limit: Duration) -> Arc<AtomicBool> {
         let (id, done) = (self.child.id().to_string(), Arc::new(AtomicBool::new(false)));
         let asked = done.clone();
@@ -208,11 +222,12 @@
         done
     }
 
+    /// Reads its log up to a line that holds the text.
     pub fn logs(&mut self, wanted: &str) {
         self.log.find(|line| line.contains(wanted)).expect(wanted);
     }
 
-    /// Ends by itself, with 0.
+    /// Waits until it ends by itself, which it must with 0.
     pub fn ends(mut self) {
         assert!(self.child.wait().expect("an end").success());
         std::fs::remove_file(&self.file).expect("removed");
@@ -227,7 +242,7 @@
     }
 }
 
-/// Reads a request up to its empty line, and tells its first one.
+/// Reads an HTTP request up to its empty line, and returns its first line.
 pub fn request(stream: &TcpStream) -> String {
     let mut lines = BufReader::new(stream.try_clone().expect("a copy")).lines();
     let first = lines.next().and_then(Result::ok).unwrap_or_default();
@@ -235,27 +250,29 @@
     first
 }
 
-/// Discovery: each watch's request is told, and lines are sent to the latest watch.
+/// A discovery service: each request comes through the channel with its connection, on which a response has begun.
 pub struct Discovery {
     pub address: SocketAddr,
     pub asked: Receiver<(String, TcpStream)>,
 }
 
+/// Starts a discovery service.
 pub fn discovery() -> Discovery {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (tell, asked) = channel();
+    let (requests, asked) = channel();
     spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let first = request(&stream);
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            let _ = tell.send((first, stream));
+            let _ = requests.send((first, stream));
         }
     });
     Discovery { address, asked }
 }
 
 impl Discovery {
+    /// The next request.
     pub fn watch(&self) -> (String, TcpStream) {
         self.asked.recv_timeout(LONG).expect("a watch")
     }
@@ -266,22 +283,24 @@
     write!(stream, "{:x}\r\n{text}\r\n", text.len()).expect("a chunk sent");
 }
 
+/// An entry of the endpoint list.
 pub fn entry(name: &str, address: SocketAddr, primary: bool, health: &str) -> Value {
     json!({"host": name, "dial": address.to_string(), "site": "north", "class": "m", "block": 0,
         "health": health, "share": 1.0, "rank": if primary { "source" } else { "copy" }, "born_ms": 0})
 }
 
-/// A configuration with these hosts, none of them changing unless a discovery is given.
+/// A configuration with these hosts, which do not change unless a discovery service is given.
 pub fn site(hosts: &[Value], discovery: Option<&Discovery>, sockets: usize) -> Value {
     let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample");
     all["known"] = json!({"seq": 7, "whole": true, "hosts": hosts});
     all["limits"]["sockets"] = sockets.into();
     all["listen"] = "127.0.0.1:0".into();
-    // Without one, an address where nothing listens.
+    // Without a discovery service, an address where nothing listens.
     all["discovery"] = discovery.map_or("127.0.0.1:1".into(), |d| d.address.to_string().into());
     all
 }
 
+/// A router in a thread of this process.
 pub struct Router {
     pub address: SocketAddr,
     stop: async_channel::Sender<()>,
@@ -289,6 +308,7 @@
 }
 
 impl Router {
+    /// Starts it with this configuration.
     pub fn start(site: Value) -> Router {
         Router::with_statement_rules(site, None)
     }
@@ -298,7 +318,7 @@
         Router::start_with_protocol(comethitch_testkit::Protocol::Postgres, site, rules)
     }
 
-    /// The same in either protocol.
+    /// The same with either protocol.
     pub fn start_with_protocol(
         protocol: comethitch_testkit::Protocol, site: Value, rules: Option<Value>,
     ) -> Router {
@@ -306,21 +326,22 @@
         let address = listener.local_addr().expect("an address");
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = spawn(move || {
-            let site = Config::read(&site.to_string(), |_| None).expect("a configuration");
-            let site = match rules {
-                Some(rules) => site.with_statement_rules(&rules.to_string()).expect("rules"),
-                None => site,
+            let config = Config::read(&site.to_string(), |_| None).expect("a configuration");
+            let config = match rules {
+                Some(rules) => config.with_statement_rules(&rules.to_string()).expect("rules"),
+                None => config,
             };
             let listener = Async::new(listener).expect("a listener");
             let protocol = match protocol {
                 comethitch_testkit::Protocol::Postgres => Protocol::postgres(),
                 comethitch_testkit::Protocol::Tds => {
-                    let ways = TdsSettings::read(include_str!("../../../../deploy/tds.json")).expect("ways");
-                    Protocol::tds(ways, &site).expect("a protocol")
+                    let sample = include_str!("../../../../deploy/tds.json");
+                    let settings = TdsSettings::read(sample).expect("settings");
+                    Protocol::tds(settings, &config).expect("a protocol")
                 }
             };
-            let hub = startup::start(site, Clock::start(), protocol.backend).expect("a router");
-            async_io::block_on(listen::serve(hub, protocol.client, vec![listener], async {
+            let state = startup::start(config, Clock::start(), protocol.backend).expect("a router");
+            async_io::block_on(listen::serve(state, protocol.client, vec![listener], async {
                 let _ = stopped.recv().await;
             }));
         });
@@ -332,6 +353,7 @@
         self.stop.close();
     }
 
+    /// Stops it, and waits until it has.
     pub fn wait(self) {
         self.ask_to_stop();
         self.thread.join().expect("the router ends without a panic");
@@ -341,16 +363,23 @@
 /// What a client got for one query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Got {
+    /// The value of one row.
     Value(Vec<u8>),
+    /// An error, by its SQLSTATE.
     Error(String),
+    /// The answer to an empty query.
     Empty,
+    /// A tag without a row, or the greeting.
     Done(String),
+    /// The connection ended.
     Closed,
 }
 
+/// A client.
 pub struct Client(pub TcpStream);
 
 impl Client {
+    /// Connects and gets the greeting.
     pub fn connect(address: SocketAddr) -> Client {
         let mut client = Client::raw(address);
         client.0.write_all(&startup()).expect("the startup message sent");
@@ -358,12 +387,14 @@
         client
     }
 
+    /// Connects and sends nothing.
     pub fn raw(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a connection");
         stream.set_read_timeout(Some(LONG)).expect("a limit");
         Client(stream)
     }
 
+    /// Sends a query and waits for its answer.
     pub fn ask(&mut self, text: &str) -> Got {
         self.0.write_all(&query(text)).expect("a query sent");
         self.got()
@@ -394,15 +425,18 @@
     String::from_utf8_lossy(bytes).trim_end_matches('\0').to_string()
 }
 
+/// The startup message.
 pub fn startup() -> Vec<u8> {
     let body = [&(3u32 << 16).to_be_bytes()[..], b"user\0portal\0database\0crm\0\0"].concat();
     [&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat()
 }
 
+/// A read with this id and timeout.
 pub fn read(id: u32, wait_ms: u32) -> String {
     format!("/* id={id},c=read,d={wait_ms},cluster=0 */ SELECT data FROM facts WHERE code = 'k{id}'")
 }
 
+/// A write with this id and timeout.
 pub fn write(id: u32, wait_ms: u32) -> String {
     format!(
         "/* id={id},c=write,d={wait_ms},cluster=0 */ INSERT INTO facts (code, data) VALUES ('k', '\\x9f') RETURNING data"
