--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -3,7 +3,8 @@
 use async_io::Async;
 use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Received};
 use comethitchd::service::listen;
-use comethitchd::stages::learn;
+use comethitchd::service::protocol::Protocol as RouterProtocol;
+use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
 use serde_json::{Value, json};
@@ -39,11 +40,11 @@
     let (stop, stopped) = async_channel::bounded::<()>(1);
     let router = std::thread::spawn(move || {
         let site = Config::read(&all.to_string(), |_| None).expect("a configuration");
-        let site = site.judging(rules).expect("rules");
-        let protocol = listen::Protocol::postgres();
-        let hub = learn::start(site, Clock::start(), protocol.back);
+        let site = site.with_statement_rules(rules).expect("rules");
+        let protocol = RouterProtocol::postgres();
+        let hub = startup::start(site, Clock::start(), protocol.backend).expect("a router");
         let listener = Async::new(listener).expect("a listener");
-        async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
+        async_io::block_on(listen::serve(hub, protocol.client, vec![listener], async {
             let _ = stopped.recv().await;
         }));
     });
