--- a/crates/comethitch-statement/src/admission.rs
+++ b/crates/comethitch-statement/src/admission.rs
@@ -179,7 +179,7 @@
         self.lexer.read(text);
         let key = self.secret.key(self.lexer.shape());
         let classifier = Classifier::new(self.rules.dialect, &self.rules.catalogue);
-        let (known, path) = if self.lexer.doubt().is_some() {
+        let (known, path) = if self.lexer.ambiguity().is_some() {
             self.done.doubtful += 1;
             (KnownShape::new(classifier.classify(&self.lexer)), Path::Doubtful)
         } else if let Some(known) = self.cache.get(key, client) {
--- a/crates/comethitch-statement/src/assign.rs
+++ b/crates/comethitch-statement/src/assign.rs
@@ -4,7 +4,7 @@
 //! may be sent again takes nothing that a second run could harm. Rules that would break this are turned down when
 //! they are read, and a comment that would is refused, or raised to the group that the rules name.
 
-use crate::lexer::{Form, Lexer};
+use crate::lexer::{Lexer, LiteralForm};
 use crate::rules::{Bound, Disagreement, KeyRule, Rules, Spread};
 use crate::verdict::TableUse;
 use crate::{Effect, Verdict};
@@ -402,12 +402,12 @@
             let text = self.text.get(literal.at.start as usize..literal.at.end as usize)?;
             match literal.form {
                 // One number has many notations; only the plainest is taken for a key.
-                Form::Number => {
+                LiteralForm::Number => {
                     let sign = self.text[..literal.at.start as usize].trim_ascii_end().last();
                     let plain = text.iter().all(u8::is_ascii_digit) && (text.len() == 1 || text[0] != b'0');
                     (plain && !matches!(sign, Some(b'-' | b'+'))).then(|| text.to_vec())
                 }
-                Form::Text => {
+                LiteralForm::Text => {
                     let inner = text.iter().position(|byte| *byte == b'\'').map(|at| &text[at + 1..])?;
                     let inner = inner.strip_suffix(b"'")?;
                     let mut value = Vec::with_capacity(inner.len());
@@ -420,11 +420,11 @@
                     }
                     Some(value)
                 }
-                Form::Parameter => {
+                LiteralForm::Parameter => {
                     let name = std::str::from_utf8(text).ok()?.trim_start_matches(['@', '$']).to_lowercase();
                     self.arguments.iter().find(|(known, _)| *known == name)?.1.clone()
                 }
-                Form::Special => None,
+                LiteralForm::Special => None,
             }
         };
         let values: Option<Vec<Vec<u8>>> = literals.map(value).collect();
--- a/crates/comethitch-statement/src/classify.rs
+++ b/crates/comethitch-statement/src/classify.rs
@@ -3,7 +3,7 @@
 //! alias), so that a read is one only where the walk and the tokens agree.
 
 use crate::catalogue::{self, Catalogue, Does, Lists};
-use crate::lexer::{Kind, Lexer, Token};
+use crate::lexer::{Lexer, Token, TokenKind};
 use crate::uses::Uses;
 use crate::{Dialect, Effect, Features, Verdict};
 use sqlparser::ast::{
@@ -37,8 +37,8 @@
 
     /// The verdict on the statement that was read last.
     pub fn classify(&self, lexer: &Lexer) -> Verdict {
-        if let Some(doubt) = lexer.doubt() {
-            return self.cautious(lexer, doubt.told());
+        if let Some(ambiguity) = lexer.ambiguity() {
+            return self.cautious(lexer, ambiguity.reason());
         }
         let tokens = lexer.tokens();
         if tokens.is_empty() {
@@ -89,7 +89,7 @@
             Some(first)
                 if lists.leading_session.contains(first)
                     && self.dialect == Dialect::Postgres
-                    && lexer.doubt().is_none()
+                    && lexer.ambiguity().is_none()
                     && !lexer.tokens().iter().any(|token| lexer.bytes(*token) == b";") =>
             {
                 without_parts(Effect::Session, why)
@@ -108,7 +108,7 @@
             let before = at.checked_sub(1).map_or(&b""[..], text);
             let next = text(at + 1);
             let word = word(lexer, *token);
-            if before == b"." || word.is_empty() && token.kind != Kind::Quoted {
+            if before == b"." || word.is_empty() && token.kind != TokenKind::Quoted {
                 continue;
             }
             match self.dialect {
@@ -165,7 +165,7 @@
     fn name(&self, lexer: &Lexer, token: Token) -> String {
         let text = String::from_utf8_lossy(lexer.bytes(token));
         match token.kind {
-            Kind::Quoted => unquoted(&text).to_string(),
+            TokenKind::Quoted => unquoted(&text).to_string(),
             _ => text.into_owned(),
         }
     }
@@ -193,14 +193,14 @@
     const ISOLATION: [&str; 3] = ["transaction", "isolation", "level"];
     /// Options that decide which rows or indexes a statement touches belong to one connection's work.
     const KEPT: [&str; 2] = ["identity_insert", "implicit_transactions"];
-    if lexer.doubt().is_some() || lexer.tokens().is_empty() {
+    if lexer.ambiguity().is_some() || lexer.tokens().is_empty() {
         return false;
     }
     let words: Vec<&str> = lexer
         .tokens()
         .iter()
         .map(|token| match token.kind {
-            Kind::Placeholder => "?",
+            TokenKind::Placeholder => "?",
             _ => std::str::from_utf8(lexer.bytes(*token)).unwrap_or_default(),
         })
         .collect();
@@ -228,7 +228,7 @@
 
 /// A word's text; empty for any other token.
 fn word(lexer: &Lexer, token: Token) -> &str {
-    let is_word = token.kind == Kind::Word;
+    let is_word = token.kind == TokenKind::Word;
     std::str::from_utf8(lexer.bytes(token)).ok().filter(|_| is_word).unwrap_or_default()
 }
 
@@ -252,8 +252,8 @@
     let (mut depth, mut deepest) = (0_usize, 0);
     for token in lexer.tokens() {
         match lexer.bytes(*token) {
-            b"(" | b"[" if token.kind == Kind::Symbol => depth += 1,
-            b")" | b"]" if token.kind == Kind::Symbol => depth = depth.saturating_sub(1),
+            b"(" | b"[" if token.kind == TokenKind::Symbol => depth += 1,
+            b")" | b"]" if token.kind == TokenKind::Symbol => depth = depth.saturating_sub(1),
             b"case" => depth += 1,
             b"end" => depth = depth.saturating_sub(1),
             _ => {}
@@ -298,14 +298,14 @@
             left_out = query_hints(lexer, at);
         }
         if left_out.contains(&at) {
-            number += u32::from(token.kind == Kind::Placeholder);
+            number += u32::from(token.kind == TokenKind::Placeholder);
             continue;
         }
         let next = lexer.tokens().get(at + 1).map_or(&b""[..], |next| lexer.bytes(*next));
         // Two clauses that the parser lacks are written as their like: FOR NO KEY UPDATE and FOR KEY SHARE.
         let weaker_lock =
             matches!((before, bytes, next), (b"for", b"no" | b"key", _) | (b"no", b"key", b"update"));
-        if lexer.dialect() == Dialect::Postgres && token.kind == Kind::Word {
+        if lexer.dialect() == Dialect::Postgres && token.kind == TokenKind::Word {
             if weaker_lock {
                 before = if bytes == b"no" { bytes } else { b"" };
                 continue;
@@ -317,7 +317,7 @@
                 continue;
             }
         }
-        if token.kind == Kind::Placeholder {
+        if token.kind == TokenKind::Placeholder {
             number += 1;
             let named =
                 before == b"(" && at >= 2 && matches!(lexer.bytes(lexer.tokens()[at - 2]), b"path" | b"root");
--- /dev/null
+++ b/crates/comethitch-statement/src/lexer/quoted.rs
@@ -0,0 +1,122 @@
+//! Everything between quotes: strings, quoted names and PostgreSQL's dollar quotes.
+
+use super::characters::{is_word_byte, run_end};
+use super::comments::line_end;
+use super::{Ambiguity, Lexer, LiteralForm, TokenKind};
+use crate::Dialect;
+
+/// A string literal about to be read.
+pub(super) struct StringStart {
+    /// Where it begins, prefix included.
+    pub start: usize,
+    /// Where its opening quote stands.
+    pub quote: usize,
+    /// Its notation, as the prefix tells.
+    pub form: LiteralForm,
+    /// Whether backslashes escape in it whatever the server's settings are.
+    pub escapes: bool,
+}
+
+impl Lexer {
+    /// Reads a string, and those that continue it; returns where it ends.
+    pub(super) fn read_string(&mut self, text: &[u8], string: StringStart) -> usize {
+        let mut form = string.form;
+        let mut at = string.quote + 1;
+        let end = loop {
+            match text.get(at) {
+                Some(b'\'') if text.get(at + 1) == Some(&b'\'') => at += 2,
+                Some(b'\'') => match self.continuation(text, at + 1) {
+                    Some(next) => {
+                        at = next;
+                        form = LiteralForm::Special;
+                    }
+                    None => break at + 1,
+                },
+                Some(b'\\') if string.escapes || self.backslash_escapes && form == LiteralForm::Text => {
+                    at += 2;
+                }
+                Some(b'\\') => at = self.skip_plain_backslashes(text, at),
+                Some(_) => at += 1,
+                None => break self.unterminated(text),
+            }
+        };
+        self.push_literal(form, string.start..end);
+        end
+    }
+
+    /// Skips backslashes that the standard gives no meaning, and notes whether one would escape a quote.
+    fn skip_plain_backslashes(&mut self, text: &[u8], at: usize) -> usize {
+        let end = run_end(text, at, |byte| byte == b'\\');
+        let odd_before_quote = (end - at) % 2 == 1 && text.get(end) == Some(&b'\'');
+        self.backslash_before_quote |= self.dialect == Dialect::Postgres && odd_before_quote;
+        end
+    }
+
+    /// Where a string goes on that has ended before `at`: behind the next quote, if only white space and
+    /// comments with a line end come between.
+    fn continuation(&self, text: &[u8], mut at: usize) -> Option<usize> {
+        if self.dialect != Dialect::Postgres {
+            return None;
+        }
+        let mut line_ended = false;
+        loop {
+            match text.get(at)? {
+                b'\n' | b'\r' => line_ended = true,
+                b' ' | b'\t' | 0x0c => {}
+                b'-' if text.get(at + 1) == Some(&b'-') => {
+                    at += line_end(&text[at..])?;
+                    line_ended = true;
+                }
+                b'\'' if line_ended => return Some(at + 1),
+                _ => return None,
+            }
+            at += 1;
+        }
+    }
+
+    /// Reads a quoted name that begins at `start`, with its opening quote at `quote`; a doubled closing one
+    /// belongs to it. Returns where it ends.
+    pub(super) fn read_quoted_name(&mut self, text: &[u8], start: usize, quote: usize, close: u8) -> usize {
+        let mut at = quote + 1;
+        let end = loop {
+            match text.get(at) {
+                Some(byte) if *byte == close && text.get(at + 1) == Some(&close) => at += 2,
+                Some(byte) if *byte == close => break at + 1,
+                Some(_) => at += 1,
+                None => break self.unterminated(text),
+            }
+        };
+        self.push_token(TokenKind::Quoted, &text[start..end]);
+        end
+    }
+
+    /// Reads `$tag$ … $tag$`; returns where it ends.
+    pub(super) fn read_dollar_quoted(&mut self, text: &[u8], at: usize) -> usize {
+        let tag_end = run_end(text, at + 1, |byte| is_word_byte(byte) && byte != b'$');
+        if text.get(tag_end) != Some(&b'$') {
+            self.mark_ambiguous(Ambiguity::Character);
+            return at + 1;
+        }
+        let body = tag_end + 1;
+        let delimiter = &text[at..body];
+        // Looked for by its last byte: a tag that comes again and again is compared once for each byte.
+        let mut end = body;
+        while let Some(next) = text[end..].iter().position(|byte| *byte == b'$') {
+            end += next + 1;
+            let closing = end.checked_sub(delimiter.len()).filter(|closing| *closing >= body);
+            if closing.is_some_and(|closing| &text[closing..end] == delimiter) {
+                self.push_literal(LiteralForm::Special, at..end);
+                return end;
+            }
+        }
+        let end = self.unterminated(text);
+        self.push_literal(LiteralForm::Special, at..end);
+        end
+    }
+
+    /// Marks the statement as one without an end; returns the end of the text, where reading stops.
+    pub(super) fn unterminated(&mut self, text: &[u8]) -> usize {
+        self.mark_ambiguous(Ambiguity::Unterminated);
+        text.len()
+    }
+}
--- a/crates/comethitch-statement/tests/corpus.rs
+++ b/crates/comethitch-statement/tests/corpus.rs
@@ -1,7 +1,7 @@
 //! Statements with the verdict that each must get. A row's effect is what the router may make of it: for one
 //! that writes, `unknown` would be as safe, and is told apart all the same.
 
-use comethitch_statement::lexer::LONGEST_TEXT;
+use comethitch_statement::lexer::MAX_STATEMENT_BYTES;
 use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer, Verdict};
 use serde::Deserialize;
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn long_and_deep_statements_end_in_time_and_are_no_reads() {
-    let many = |part: &str| part.repeat(LONGEST_TEXT / part.len());
+    let many = |part: &str| part.repeat(MAX_STATEMENT_BYTES / part.len());
     let deep = |open: &str, close: &str, n: usize| format!("SELECT {}1{}", open.repeat(n), close.repeat(n));
     for dialect in [Dialect::Postgres, Dialect::Tsql] {
         let texts = [
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -1,6 +1,6 @@
 //! What makes two statements one shape, and that no text is too strange to be read.
 
-use comethitch_statement::lexer::{Form, Kind};
+use comethitch_statement::lexer::{LiteralForm, TokenKind};
 use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer, Verdict};
 use proptest::prelude::*;
 use serde_json::Value;
@@ -61,7 +61,7 @@
     let text = "INSERT INTO t (a, b) VALUES (1, 'x'), (2, 'y') ON CONFLICT (a) DO UPDATE SET b = 'z'";
     let mut lexer = Lexer::new(Dialect::Postgres);
     lexer.read(text.as_bytes());
-    let told: Vec<(u32, Form, &str)> = lexer
+    let told: Vec<(u32, LiteralForm, &str)> = lexer
         .literals()
         .iter()
         .map(|literal| {
@@ -69,14 +69,14 @@
         })
         .collect();
     let wanted = [
-        (0, Form::Number, "1"),
-        (1, Form::Text, "'x'"),
-        (0, Form::Number, "2"),
-        (1, Form::Text, "'y'"),
-        (2, Form::Text, "'z'"),
+        (0, LiteralForm::Number, "1"),
+        (1, LiteralForm::Text, "'x'"),
+        (0, LiteralForm::Number, "2"),
+        (1, LiteralForm::Text, "'y'"),
+        (2, LiteralForm::Text, "'z'"),
     ];
     assert_eq!(told, wanted);
-    let placeholders = lexer.tokens().iter().filter(|token| token.kind == Kind::Placeholder).count();
+    let placeholders = lexer.tokens().iter().filter(|token| token.kind == TokenKind::Placeholder).count();
     assert_eq!(placeholders, 3);
 }
 
@@ -138,8 +138,8 @@
             lexer.read(text.as_bytes());
             let pairs = lexer.tokens().windows(2);
             let in_a_row =
-                pairs.filter(|two| two.iter().all(|token| token.kind == Kind::Placeholder)).count();
-            lexer.doubt().is_none() && in_a_row == 0
+                pairs.filter(|two| two.iter().all(|token| token.kind == TokenKind::Placeholder)).count();
+            lexer.ambiguity().is_none() && in_a_row == 0
         })
         .collect()
 }
@@ -164,14 +164,14 @@
         };
         let bytes = String::from_utf8(lexer.bytes(*token).to_vec()).expect("UTF-8");
         match token.kind {
-            Kind::Word => {
+            TokenKind::Word => {
                 let letters = bytes.chars().enumerate();
                 out.extend(
                     letters
                         .map(|(at, c)| if case >> (at % 64) & 1 == 1 { c.to_ascii_uppercase() } else { c }),
                 );
             }
-            Kind::Placeholder => {
+            TokenKind::Placeholder => {
                 out += match (dialect, literal % 8) {
                     (_, 0) => "42",
                     (_, 1) => "'x'",
@@ -186,7 +186,7 @@
                     _ => "''",
                 };
             }
-            Kind::Quoted | Kind::Symbol => out += &bytes,
+            TokenKind::Quoted | TokenKind::Symbol => out += &bytes,
         }
     }
     out
--- a/crates/comethitchd/src/protocols/tds/client.rs
+++ b/crates/comethitchd/src/protocols/tds/client.rs
@@ -428,7 +428,7 @@
     }
     let mut lexer = Lexer::new(Dialect::Tsql);
     lexer.read(text.as_bytes());
-    lexer.tokens().is_empty() && lexer.doubt().is_none() || only_settings(&lexer)
+    lexer.tokens().is_empty() && lexer.ambiguity().is_none() || only_settings(&lexer)
 }
 
 /// A prepared statement's execution as a call that any host can take.
