--- a/crates/comethitch-statement/benches/statements.rs
+++ b/crates/comethitch-statement/benches/statements.rs
@@ -33,7 +33,7 @@
         group.bench_function(BenchmarkId::new("beyond the budget", name), |bench| {
             bench.iter(|| {
                 lexer.read(black_box(text.as_bytes()));
-                classifier.cautious(&lexer, "spent").effect
+                classifier.classify_unparsed(&lexer, "spent").effect
             });
         });
     }
--- a/crates/comethitch-statement/src/admission.rs
+++ b/crates/comethitch-statement/src/admission.rs
@@ -205,7 +205,8 @@
                     if self.rules.parsing.beyond == Beyond::Throttle {
                         return None;
                     }
-                    let verdict = classifier.cautious(&self.lexer, "the budget for parsing is spent");
+                    let verdict =
+                        classifier.classify_unparsed(&self.lexer, "the budget for parsing is spent");
                     (KnownShape::new(verdict), Path::Beyond)
                 }
             }
--- a/crates/comethitch-statement/src/catalogue.rs
+++ b/crates/comethitch-statement/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! What is known of names: the functions of each dialect, kept as data, and what the operator adds.
+//! What is known about names: the built-in functions, types and operators of each dialect, kept as data in
+//! `data/`, and the catalogue that the operator adds.
 //!
 //! A function that is on no list is taken to write. Names are compared as a server does: an unquoted one in
 //! lower case, a quoted one as it stands.
@@ -12,7 +13,8 @@
 /// What a function, table or view does when it is used in a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Does {
+#[schemars(rename = "Does")]
+pub enum SideEffect {
     /// It changes nothing.
     Read,
     /// It changes data.
@@ -21,12 +23,13 @@
     Session,
 }
 
-impl Does {
+impl SideEffect {
+    /// The effect of a statement that uses it.
     pub fn effect(self) -> Effect {
         match self {
-            Does::Read => Effect::Read,
-            Does::Write => Effect::Write,
-            Does::Session => Effect::Session,
+            SideEffect::Read => Effect::Read,
+            SideEffect::Write => Effect::Write,
+            SideEffect::Session => Effect::Session,
         }
     }
 }
@@ -37,9 +40,9 @@
 pub struct Catalogue {
     /// Functions, by name as statements call them: `"tienda.precio": "read"`. What is told here comes before
     /// the list of functions known of the dialect.
-    pub functions: BTreeMap<String, Does>,
+    pub functions: BTreeMap<String, SideEffect>,
     /// Tables and views, by name as statements call them; a view that calls a writing function is "write".
-    pub tables: BTreeMap<String, Does>,
+    pub tables: BTreeMap<String, SideEffect>,
     /// Types of the operator's own whose casts change nothing.
     pub types: Vec<String>,
     /// Operators of the operator's own, such as "<~>", that change nothing.
@@ -49,8 +52,9 @@
     pub unlisted_tables: Option<bool>,
 }
 
+/// A file of `data/`: names separated by white space.
 #[derive(Deserialize)]
-struct KnownShape {
+struct NameLists {
     functions: BTreeMap<String, String>,
     types: String,
     operators: String,
@@ -67,8 +71,8 @@
 }
 
 /// The lists of one dialect, made ready for look-ups.
-pub(crate) struct Lists {
-    pub functions: HashMap<&'static str, Does>,
+pub(crate) struct KnownNames {
+    pub functions: HashMap<&'static str, SideEffect>,
     pub types: HashSet<&'static str>,
     pub operators: HashSet<&'static str>,
     pub before_brackets: HashSet<&'static str>,
@@ -79,35 +83,43 @@
     pub transaction: HashSet<&'static str>,
 }
 
-fn lists(text: &'static str) -> Lists {
-    let known: KnownShape =
-        serde_json::from_str(text).expect("the list of functions is sound: a test reads it");
-    let set = |words: String| -> HashSet<&'static str> { words.leak().split_whitespace().collect() };
-    let mut functions = HashMap::new();
-    for (does, names) in known.functions {
-        let does = match does.as_str() {
-            "write" => Does::Write,
-            "session" => Does::Session,
-            _ => Does::Read,
-        };
-        functions.extend(set(names).into_iter().map(|name| (name, does)));
-    }
-    Lists {
-        functions,
-        types: set(known.types),
-        operators: set(known.operators),
-        before_brackets: set(known.before_brackets),
-        constructs: set(known.constructs),
-        never_in_reads: set(known.never_in_reads),
-        leading_write: set(known.leading_write),
-        leading_session: set(known.leading_session),
-        transaction: set(known.transaction),
+impl KnownNames {
+    fn read(json: &'static str) -> KnownNames {
+        let lists: NameLists =
+            serde_json::from_str(json).expect("the lists are part of the program, and tests read both");
+        let mut functions = HashMap::new();
+        for (side_effect, names) in lists.functions {
+            let side_effect = match side_effect.as_str() {
+                "write" => SideEffect::Write,
+                "session" => SideEffect::Session,
+                _ => SideEffect::Read,
+            };
+            functions.extend(names_of(names).into_iter().map(|name| (name, side_effect)));
+        }
+        KnownNames {
+            functions,
+            types: names_of(lists.types),
+            operators: names_of(lists.operators),
+            before_brackets: names_of(lists.before_brackets),
+            constructs: names_of(lists.constructs),
+            never_in_reads: names_of(lists.never_in_reads),
+            leading_write: names_of(lists.leading_write),
+            leading_session: names_of(lists.leading_session),
+            transaction: names_of(lists.transaction),
+        }
     }
 }
 
-pub(crate) fn known(dialect: Dialect) -> &'static Lists {
-    static POSTGRES: LazyLock<Lists> = LazyLock::new(|| lists(include_str!("../data/postgres.json")));
-    static TSQL: LazyLock<Lists> = LazyLock::new(|| lists(include_str!("../data/tsql.json")));
+/// The names of a list. They are kept as long as the program runs.
+fn names_of(list: String) -> HashSet<&'static str> {
+    list.leak().split_whitespace().collect()
+}
+
+/// The lists of a dialect, read at their first use.
+pub(crate) fn known(dialect: Dialect) -> &'static KnownNames {
+    static POSTGRES: LazyLock<KnownNames> =
+        LazyLock::new(|| KnownNames::read(include_str!("../data/postgres.json")));
+    static TSQL: LazyLock<KnownNames> = LazyLock::new(|| KnownNames::read(include_str!("../data/tsql.json")));
     match dialect {
         Dialect::Postgres => &POSTGRES,
         Dialect::Tsql => &TSQL,
@@ -115,27 +127,33 @@
 }
 
 impl Catalogue {
-    /// What a function does, by its name as it is called; nothing if it is on no list.
-    pub fn function(&self, dialect: Dialect, name: &str) -> Option<Does> {
-        if let Some(does) = self.functions.get(name) {
-            return Some(*does);
+    /// What a function does, by its name as it is called; none if it is on no list.
+    pub fn function(&self, dialect: Dialect, name: &str) -> Option<SideEffect> {
+        if let Some(side_effect) = self.functions.get(name) {
+            return Some(*side_effect);
         }
-        let own = if dialect == Dialect::Postgres { name.strip_prefix("pg_catalog.") } else { None };
-        known(dialect).functions.get(own.unwrap_or(name)).copied()
+        let built_in = if dialect == Dialect::Postgres { without_system_schema(name) } else { name };
+        known(dialect).functions.get(built_in).copied()
     }
 
-    /// What reading a table or view does.
-    pub fn table(&self, name: &str) -> Option<Does> {
+    /// What reading a table or view does; none if only listed ones are known.
+    pub fn table(&self, name: &str) -> Option<SideEffect> {
         let listed = self.tables.get(name).copied();
-        listed.or_else(|| self.unlisted_tables.unwrap_or(true).then_some(Does::Read))
+        listed.or_else(|| self.unlisted_tables.unwrap_or(true).then_some(SideEffect::Read))
     }
 
+    /// Whether casts to a type change nothing.
     pub(crate) fn is_type(&self, dialect: Dialect, name: &str) -> bool {
-        let own = name.strip_prefix("pg_catalog.").unwrap_or(name);
-        known(dialect).types.contains(own) || self.types.iter().any(|own| own == name)
+        known(dialect).types.contains(without_system_schema(name)) || self.types.iter().any(|own| own == name)
     }
 
+    /// Whether an operator changes nothing.
     pub(crate) fn is_operator(&self, dialect: Dialect, name: &str) -> bool {
         known(dialect).operators.contains(name) || self.operators.iter().any(|own| own == name)
     }
 }
+
+/// A built-in name of PostgreSQL without its schema.
+fn without_system_schema(name: &str) -> &str {
+    name.strip_prefix("pg_catalog.").unwrap_or(name)
+}
--- /dev/null
+++ b/crates/comethitch-statement/src/classify/findings.rs
@@ -0,0 +1,218 @@
+//! What is found out about one statement: the strictest effect and the reason for it, and which of its functions,
+//! types, operators and tables the lists and the catalogue know.
+
+use super::names::{identifier, qualified_name};
+use super::table_uses::TableUseCollector;
+use crate::catalogue::{self, Catalogue, SideEffect};
+use crate::{Dialect, Effect, Features, Verdict};
+use sqlparser::ast::{ArrayElemTypeDef, BinaryOperator, DataType, Expr, ObjectName};
+
+/// The longest list of functions that a verdict keeps; more are counted, and all are judged.
+const MAX_LISTED_FUNCTIONS: usize = 32;
+/// A name of more parts than this names a table of another server.
+const MAX_TABLE_NAME_PARTS: usize = 3;
+/// The reason given for clauses that neither dialect has.
+pub(super) const FOREIGN_CLAUSE: &str = "it has a clause of another dialect";
+
+const AGGREGATES: [&str; 12] = [
+    "count",
+    "sum",
+    "avg",
+    "min",
+    "max",
+    "array_agg",
+    "string_agg",
+    "json_agg",
+    "jsonb_agg",
+    "bool_and",
+    "bool_or",
+    "count_big",
+];
+
+/// T-SQL's table hints that take no locks beyond those of a plain read.
+const LOCK_FREE_HINTS: [&str; 10] = [
+    "nolock",
+    "readuncommitted",
+    "readcommitted",
+    "readcommittedlock",
+    "readpast",
+    "noexpand",
+    "forceseek",
+    "forcescan",
+    "snapshot",
+    "nowait",
+];
+
+/// The findings so far.
+pub(super) struct Findings<'a> {
+    pub dialect: Dialect,
+    pub catalogue: &'a Catalogue,
+    pub effect: Effect,
+    pub why: String,
+    pub table_uses: TableUseCollector,
+    functions: Vec<Box<str>>,
+    /// All names called, judged already.
+    pub called_names: Vec<String>,
+    /// Names that stand before a list of columns, or before hints.
+    pub declared_names: Vec<String>,
+    pub features: Features,
+    pub transaction: bool,
+}
+
+impl<'a> Findings<'a> {
+    pub fn new(dialect: Dialect, catalogue: &'a Catalogue) -> Findings<'a> {
+        Findings {
+            dialect,
+            catalogue,
+            effect: Effect::Read,
+            why: String::new(),
+            table_uses: TableUseCollector::default(),
+            functions: Vec::new(),
+            called_names: Vec::new(),
+            declared_names: Vec::new(),
+            features: Features::default(),
+            transaction: false,
+        }
+    }
+
+    /// The verdict on a statement that was parsed.
+    pub fn into_verdict(mut self) -> Verdict {
+        if self.table_uses.overflow {
+            let effect = self.effect.max(Effect::Unknown);
+            let unparsed = Verdict::unparsed(effect, "it uses too many tables");
+            return Verdict { transaction: self.transaction, ..unparsed };
+        }
+        Verdict {
+            effect: self.effect,
+            why: self.why.into(),
+            uses: self.table_uses.finish(&mut self.features),
+            functions: self.functions,
+            features: self.features,
+            parsed: true,
+            transaction: self.transaction,
+        }
+    }
+
+    /// Keeps the strictest effect found, with the first reason for it.
+    pub fn raise(&mut self, effect: Effect, why: &str) {
+        if effect > self.effect {
+            self.effect = effect;
+            self.why = why.into();
+        }
+    }
+
+    /// Judges a function's call; one without brackets is a name such as CURRENT_DATE.
+    pub fn call(&mut self, function: &ObjectName, has_brackets: bool) {
+        let Some(name) = qualified_name(function) else {
+            return self.raise(Effect::Unknown, "it calls a function whose name is made up");
+        };
+        self.check_quoted_construct(function, &name);
+        if !self.called_names.contains(&name) {
+            self.check_function(&name, has_brackets);
+            self.called_names.push(name.clone());
+            self.features.functions = self.features.functions.saturating_add(1);
+            if self.functions.len() < MAX_LISTED_FUNCTIONS {
+                self.functions.push(name.as_str().into());
+            }
+        }
+        if AGGREGATES.contains(&name.as_str()) {
+            self.features.aggregates = self.features.aggregates.saturating_add(1);
+        }
+    }
+
+    /// A construct of the grammar, once quoted, is the name of a function that the operator made.
+    fn check_quoted_construct(&mut self, function: &ObjectName, name: &str) {
+        let mut parts = function.0.iter().filter_map(|part| part.as_ident());
+        let is_quoted = parts.any(|part| part.quote_style.is_some());
+        if is_quoted && catalogue::known(self.dialect).constructs.contains(name) {
+            self.raise(Effect::Write, &format!("it calls \"{name}\", which is on no list"));
+        }
+    }
+
+    fn check_function(&mut self, name: &str, has_brackets: bool) {
+        // T-SQL compares names without regard to case; a quoted built-in is no built-in there.
+        match self.catalogue.function(self.dialect, name) {
+            Some(SideEffect::Read) => {}
+            Some(does) => self.raise(does.effect(), &format!("it calls {name}")),
+            None if !has_brackets => {
+                self.raise(Effect::Unknown, &format!("it names {name}, which is on no list"));
+            }
+            None => self.raise(Effect::Write, &format!("it calls {name}, which is on no list")),
+        }
+    }
+
+    /// Judges a cast, which may call a function of the type's.
+    pub fn cast(&mut self, to: &DataType) {
+        match to {
+            DataType::Custom(name, _) => {
+                let name = qualified_name(name).unwrap_or_default();
+                if !self.catalogue.is_type(self.dialect, &name) {
+                    self.raise(Effect::Unknown, &format!("a cast to {name}, which is on no list"));
+                }
+            }
+            DataType::Array(
+                ArrayElemTypeDef::AngleBracket(inner)
+                | ArrayElemTypeDef::SquareBracket(inner, _)
+                | ArrayElemTypeDef::Parenthesis(inner),
+            ) => self.cast(inner),
+            DataType::Array(ArrayElemTypeDef::None) => {}
+            DataType::Array(_) => self.raise(Effect::Unknown, "it has a type of another dialect"),
+            DataType::Collate(inner, _) => self.cast(inner),
+            _ => {}
+        }
+    }
+
+    /// Judges an operator, which may call a function of the operator's own.
+    pub fn operator(&mut self, operator: &BinaryOperator) {
+        let name = match operator {
+            BinaryOperator::Custom(name) => name.clone(),
+            BinaryOperator::PGCustomBinaryOperator(parts) => match &parts[..] {
+                [schema, name] if schema.eq_ignore_ascii_case("pg_catalog") => name.clone(),
+                [name] => name.clone(),
+                parts => parts.join("."),
+            },
+            BinaryOperator::Assignment => return self.raise(Effect::Unknown, "it assigns"),
+            _ => return,
+        };
+        if !self.catalogue.is_operator(self.dialect, &name) {
+            self.raise(Effect::Unknown, &format!("the operator {name} is on no list"));
+        }
+    }
+
+    /// Judges a table hint of T-SQL: some take locks.
+    pub fn table_hint(&mut self, hint: &Expr) {
+        let name = hint_name(hint);
+        if name == "index" || name == "forceseek" {
+            self.called_names.push(name);
+        } else if !LOCK_FREE_HINTS.contains(&name.as_str()) {
+            self.raise(Effect::LockingRead, "a table hint takes locks");
+        }
+    }
+
+    /// Judges the use of a table or view.
+    pub fn table(&mut self, table: &ObjectName) {
+        let Some(name) = qualified_name(table) else {
+            return self.raise(Effect::Unknown, "it names a table by an expression");
+        };
+        if table.0.len() > MAX_TABLE_NAME_PARTS {
+            self.raise(Effect::Unknown, "it names a table of another server");
+        }
+        match self.catalogue.table(&name) {
+            Some(SideEffect::Read) => {}
+            Some(does) => self.raise(does.effect(), &format!("{name} is told to be no plain read")),
+            None => self.raise(Effect::Unknown, &format!("{name} is in no catalogue")),
+        }
+    }
+}
+
+fn hint_name(hint: &Expr) -> String {
+    match hint {
+        Expr::Identifier(name) => identifier(name),
+        Expr::Function(function) => qualified_name(&function.name).unwrap_or_default(),
+        Expr::BinaryOp { left, .. } => match &**left {
+            Expr::Identifier(name) => identifier(name),
+            _ => String::new(),
+        },
+        _ => String::new(),
+    }
+}
--- /dev/null
+++ b/crates/comethitch-statement/src/classify/token_scan.rs
@@ -0,0 +1,96 @@
+//! Looks through the tokens of a shape for what the syntax tree does not show.
+//!
+//! The parser accepts some texts that servers read in another way: in `SELECT 1 DELETE FROM t` it takes DELETE
+//! for an alias. A statement is a read only where the tree and its tokens agree.
+
+use super::findings::Findings;
+use crate::catalogue::{self, KnownNames};
+use crate::lexer::{Lexer, Token, TokenKind};
+use crate::{Dialect, Effect};
+
+/// Raises the findings by what the tokens hold.
+pub(super) fn scan_tokens(lexer: &Lexer, findings: &mut Findings<'_>) {
+    let known = catalogue::known(findings.dialect);
+    for (at, token) in lexer.tokens().iter().enumerate() {
+        let before = at.checked_sub(1).map_or(&b""[..], |before| token_bytes(lexer, before));
+        let is_name = token.kind == TokenKind::Quoted || !word(lexer, *token).is_empty();
+        if before == b"." || !is_name {
+            continue;
+        }
+        match findings.dialect {
+            Dialect::Postgres => scan_postgres_word(lexer, at, before, findings),
+            Dialect::Tsql => scan_tsql_word(lexer, at, known, findings),
+        }
+        scan_call(lexer, at, known, findings);
+    }
+}
+
+fn scan_postgres_word(lexer: &Lexer, at: usize, before: &[u8], findings: &mut Findings<'_>) {
+    let begins_statement = at == 0 || matches!(before, b"(" | b")" | b";");
+    match word(lexer, lexer.tokens()[at]) {
+        "insert" | "update" | "delete" | "merge" if begins_statement => {
+            findings.raise(Effect::Write, "it changes rows");
+        }
+        "into" => findings.raise(Effect::Write, "it writes into a table"),
+        "for" if matches!(token_bytes(lexer, at + 1), b"update" | b"share" | b"no" | b"key") => {
+            findings.raise(Effect::LockingRead, "it locks rows");
+        }
+        _ => {}
+    }
+}
+
+fn scan_tsql_word(lexer: &Lexer, at: usize, known: &KnownNames, findings: &mut Findings<'_>) {
+    let word = word(lexer, lexer.tokens()[at]);
+    if word == "next" && token_bytes(lexer, at + 1) == b"value" {
+        findings.raise(Effect::Write, "it takes a value of a sequence");
+    } else if known.never_in_reads.contains(word) {
+        findings.raise(Effect::Write, "it holds a word that no read holds");
+    }
+}
+
+/// A name before a bracket is a call, unless the grammar or the syntax tree has another reading of it.
+fn scan_call(lexer: &Lexer, at: usize, known: &KnownNames, findings: &mut Findings<'_>) {
+    let tokens = lexer.tokens();
+    let mut name = name(lexer, tokens[at]);
+    // `a . b (` is looked at from its first part.
+    let mut last = at;
+    while token_bytes(lexer, last + 1) == b"." && last + 2 < tokens.len() {
+        name = format!("{name}.{}", self::name(lexer, tokens[last + 2]));
+        last += 2;
+    }
+    if token_bytes(lexer, last + 1) != b"(" {
+        return;
+    }
+    let is_grammar = last == at && known.before_brackets.contains(word(lexer, tokens[at]));
+    let is_judged = is_grammar
+        || findings.called_names.contains(&name)
+        || findings.declared_names.contains(&name)
+        || findings.catalogue.is_type(findings.dialect, &name);
+    if is_judged {
+        return;
+    }
+    match findings.catalogue.function(findings.dialect, &name) {
+        Some(does) => findings.raise(does.effect(), "it calls a function that is no read"),
+        None => findings.raise(Effect::Write, "it may call a function that is on no list"),
+    }
+}
+
+/// A word's text; empty for any other token.
+pub(super) fn word(lexer: &Lexer, token: Token) -> &str {
+    let is_word = token.kind == TokenKind::Word;
+    std::str::from_utf8(lexer.bytes(token)).ok().filter(|_| is_word).unwrap_or_default()
+}
+
+/// A token as a name, without its quotes.
+fn name(lexer: &Lexer, token: Token) -> String {
+    let text = String::from_utf8_lossy(lexer.bytes(token));
+    match token.kind {
+        TokenKind::Quoted => text.get(1..text.len().saturating_sub(1)).unwrap_or_default().to_string(),
+        _ => text.into_owned(),
+    }
+}
+
+/// The bytes of the token at a place; empty past the end.
+pub(super) fn token_bytes(lexer: &Lexer, at: usize) -> &[u8] {
+    lexer.tokens().get(at).map_or(&b""[..], |token| lexer.bytes(*token))
+}
--- /dev/null
+++ b/crates/comethitch-statement/src/classify/visitor.rs
@@ -0,0 +1,271 @@
+//! Walks the syntax tree of a statement and hands what matters to [`Findings`].
+
+use super::findings::{FOREIGN_CLAUSE, Findings};
+use super::names::{identifier, qualified_name};
+use crate::{Dialect, Effect};
+use sqlparser::ast::{
+    CopyTarget, Expr, FunctionArguments, GroupByExpr, InTarget, ObjectName, Query, Select, SetExpr,
+    Statement, TableAlias, TableFactor, TableFunctionArgs, Visitor,
+};
+use std::ops::ControlFlow;
+
+/// Visits every statement, query, table and expression of a tree.
+pub(super) struct StatementVisitor<'a> {
+    pub findings: Findings<'a>,
+}
+
+impl Visitor for StatementVisitor<'_> {
+    type Break = ();
+
+    fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<()> {
+        self.statement(statement);
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
+        self.query(query);
+        ControlFlow::Continue(())
+    }
+
+    fn post_visit_query(&mut self, _: &Query) -> ControlFlow<()> {
+        self.findings.table_uses.leave_query();
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_select(&mut self, select: &Select) -> ControlFlow<()> {
+        self.select(select);
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_table_factor(&mut self, factor: &TableFactor) -> ControlFlow<()> {
+        self.table_factor(factor);
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<()> {
+        self.findings.table(relation);
+        ControlFlow::Continue(())
+    }
+
+    fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
+        self.expression(expression);
+        ControlFlow::Continue(())
+    }
+}
+
+impl StatementVisitor<'_> {
+    fn raise(&mut self, effect: Effect, why: &str) {
+        self.findings.raise(effect, why);
+    }
+
+    fn statement(&mut self, statement: &Statement) {
+        match statement {
+            Statement::Query(_) => {}
+            Statement::Insert(_) | Statement::Update(_) | Statement::Delete(_) | Statement::Merge(_) => {
+                self.raise(Effect::Write, "it changes rows");
+                self.findings.table_uses.changing_statement(statement);
+            }
+            // EXPLAIN is as its statement, which is visited next: with ANALYZE it runs.
+            Statement::Explain { .. } if self.findings.dialect == Dialect::Postgres => {}
+            Statement::StartTransaction { .. }
+            | Statement::Commit { .. }
+            | Statement::Rollback { .. }
+            | Statement::Savepoint { .. }
+            | Statement::ReleaseSavepoint { .. } => {
+                self.findings.transaction = true;
+                self.raise(Effect::Session, "it concerns a transaction");
+            }
+            Statement::Set(_)
+            | Statement::Reset(_)
+            | Statement::Discard { .. }
+            | Statement::ShowVariable { .. }
+            | Statement::Prepare { .. }
+            | Statement::Deallocate { .. }
+            | Statement::LISTEN { .. }
+            | Statement::UNLISTEN { .. }
+            | Statement::Print(_)
+            | Statement::Use(_) => self.raise(Effect::Session, "it concerns the session"),
+            Statement::Declare { .. }
+            | Statement::Fetch { .. }
+            | Statement::Open(_)
+            | Statement::Close { .. } => self.raise(Effect::Unknown, "it concerns a cursor"),
+            Statement::Copy { to: true, target: CopyTarget::Stdout, .. } => {
+                self.raise(Effect::Unknown, "it copies out");
+            }
+            Statement::Copy { .. } => self.raise(Effect::Write, "it copies to or from elsewhere"),
+            Statement::WaitFor(_) | Statement::Return(_) | Statement::If(_) | Statement::While(_) => {
+                self.raise(Effect::Unknown, "it is a batch with a course of its own");
+            }
+            _ => self.raise(Effect::Write, "it is no query"),
+        }
+    }
+
+    fn query(&mut self, query: &Query) {
+        if !query.locks.is_empty() {
+            self.raise(Effect::LockingRead, "it locks rows");
+        }
+        if query.settings.is_some() || query.format_clause.is_some() || !query.pipe_operators.is_empty() {
+            self.raise(Effect::Unknown, FOREIGN_CLAUSE);
+        }
+        if let Some(with) = &query.with {
+            self.findings.features.recursive |= with.recursive;
+            let names = with.cte_tables.iter().map(|cte| identifier(&cte.alias.name));
+            self.findings.declared_names.extend(names);
+        }
+        self.findings.features.ordered |= query.order_by.is_some();
+        self.findings.features.limited |= query.limit_clause.is_some() || query.fetch.is_some();
+        self.query_body(&query.body);
+        self.findings.table_uses.enter_query(query);
+    }
+
+    /// Finds what changes rows, at any depth of a query's set operations.
+    fn query_body(&mut self, body: &SetExpr) {
+        match body {
+            SetExpr::SetOperation { left, right, .. } => {
+                let features = &mut self.findings.features;
+                features.set_operations = features.set_operations.saturating_add(1);
+                self.query_body(left);
+                self.query_body(right);
+            }
+            SetExpr::Insert(_) | SetExpr::Update(_) | SetExpr::Delete(_) | SetExpr::Merge(_) => {
+                self.raise(Effect::Write, "it changes rows");
+            }
+            SetExpr::Table(table) => {
+                let schema = table.schema_name.iter().map(|name| format!("{}.", identifier(name)));
+                let name: String = schema.chain(table.table_name.iter().map(identifier)).collect();
+                self.findings.table_uses.full_scan(&name);
+            }
+            SetExpr::Select(_) | SetExpr::Query(_) | SetExpr::Values(_) => {}
+        }
+    }
+
+    fn select(&mut self, select: &Select) {
+        if select.into.is_some() {
+            self.raise(Effect::Write, "it writes into a table");
+        }
+        if has_foreign_clause(select) {
+            self.raise(Effect::Unknown, FOREIGN_CLAUSE);
+        }
+        let features = &mut self.findings.features;
+        features.grouped |= is_grouped(&select.group_by);
+        features.distinct |= select.distinct.is_some();
+        features.limited |= select.top.is_some();
+        let explicit_joins: usize = select.from.iter().map(|table| table.joins.len()).sum();
+        let joins = explicit_joins + select.from.len().saturating_sub(1);
+        features.joins = features.joins.saturating_add(joins.min(usize::from(u8::MAX)) as u8);
+        self.findings.table_uses.select(select);
+    }
+
+    fn table_factor(&mut self, factor: &TableFactor) {
+        let alias = match factor {
+            TableFactor::Table { name, args, with_hints, alias, .. } => {
+                if let Some(arguments) = args {
+                    self.table_arguments(name, arguments);
+                }
+                with_hints.iter().for_each(|hint| self.findings.table_hint(hint));
+                alias
+            }
+            TableFactor::Function { name, alias, .. } => {
+                self.findings.call(name, true);
+                alias
+            }
+            TableFactor::Derived { alias, .. } => {
+                self.count_subquery();
+                alias
+            }
+            TableFactor::TableFunction { alias, .. }
+            | TableFactor::UNNEST { alias, .. }
+            | TableFactor::JsonTable { alias, .. }
+            | TableFactor::OpenJsonTable { alias, .. }
+            | TableFactor::NestedJoin { alias, .. }
+            | TableFactor::Pivot { alias, .. }
+            | TableFactor::Unpivot { alias, .. }
+            | TableFactor::XmlTable { alias, .. } => alias,
+            _ => return self.raise(Effect::Unknown, FOREIGN_CLAUSE),
+        };
+        self.declare_alias(alias.as_ref());
+    }
+
+    /// A table with arguments is a function's call, or in T-SQL a table with hints as they were written formerly:
+    /// `FROM t (NOLOCK)`.
+    fn table_arguments(&mut self, name: &ObjectName, arguments: &TableFunctionArgs) {
+        let table = qualified_name(name).filter(|_| self.findings.dialect == Dialect::Tsql);
+        match table {
+            Some(table) if self.is_unknown_function(&table) && are_dirty_read_hints(arguments) => {
+                self.findings.declared_names.push(table);
+            }
+            _ => self.findings.call(name, true),
+        }
+    }
+
+    fn is_unknown_function(&self, name: &str) -> bool {
+        self.findings.catalogue.function(self.findings.dialect, name).is_none()
+    }
+
+    /// A table's alias with columns looks like a call to the token scan.
+    fn declare_alias(&mut self, alias: Option<&TableAlias>) {
+        let with_columns = alias.filter(|alias| !alias.columns.is_empty());
+        self.findings.declared_names.extend(with_columns.map(|alias| identifier(&alias.name)));
+    }
+
+    fn count_subquery(&mut self) {
+        let features = &mut self.findings.features;
+        features.subqueries = features.subqueries.saturating_add(1);
+    }
+
+    fn expression(&mut self, expression: &Expr) {
+        match expression {
+            Expr::Function(function) => {
+                self.findings.call(&function.name, !matches!(function.args, FunctionArguments::None));
+                if function.over.is_some() {
+                    let features = &mut self.findings.features;
+                    features.windows = features.windows.saturating_add(1);
+                }
+            }
+            Expr::Cast { data_type, .. } => self.findings.cast(data_type),
+            Expr::Convert { data_type: Some(data_type), .. } => self.findings.cast(data_type),
+            Expr::TypedString(typed) => self.findings.cast(&typed.data_type),
+            Expr::BinaryOp { op, .. } => self.findings.operator(op),
+            Expr::AnyOp { compare_op, .. } | Expr::AllOp { compare_op, .. } => {
+                self.findings.operator(compare_op);
+            }
+            Expr::Subquery(_) | Expr::Exists { .. } => self.count_subquery(),
+            Expr::In { target: InTarget::List(_), .. } => {}
+            Expr::In { target: InTarget::Subquery(_), .. } => self.count_subquery(),
+            Expr::In { .. } => self.raise(Effect::Unknown, FOREIGN_CLAUSE),
+            Expr::Lambda(_)
+            | Expr::Dictionary(_)
+            | Expr::Map(_)
+            | Expr::Struct { .. }
+            | Expr::MatchAgainst { .. }
+            | Expr::MemberOf(_)
+            | Expr::Prior(_)
+            | Expr::OuterJoin(_) => self.raise(Effect::Unknown, "it has an expression of another dialect"),
+            _ => {}
+        }
+    }
+}
+
+/// Whether a SELECT has a clause that the parser knows and neither dialect has.
+fn has_foreign_clause(select: &Select) -> bool {
+    !select.lateral_views.is_empty()
+        || select.prewhere.is_some()
+        || !select.connect_by.is_empty()
+        || !select.cluster_by.is_empty()
+        || !select.distribute_by.is_empty()
+        || !select.sort_by.is_empty()
+        || select.value_table_mode.is_some()
+        || select.select_modifiers.is_some()
+}
+
+fn is_grouped(group_by: &GroupByExpr) -> bool {
+    match group_by {
+        GroupByExpr::Expressions(by, modifiers) => !by.is_empty() || !modifiers.is_empty(),
+        GroupByExpr::All(_) => true,
+    }
+}
+
+fn are_dirty_read_hints(arguments: &TableFunctionArgs) -> bool {
+    let mut hints = arguments.args.iter().map(|argument| argument.to_string().to_ascii_lowercase());
+    !arguments.args.is_empty() && hints.all(|hint| matches!(hint.as_str(), "nolock" | "readuncommitted"))
+}
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -33,7 +33,6 @@
 pub mod rules;
 pub mod shape;
 pub mod sketch;
-mod uses;
 pub mod verdict;
 
 pub use admission::StatementAdmission;
--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known of a shape.
+//! The verdict on a shape: its effect, the tables and functions that it uses, and the features that make it costly.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -91,12 +91,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TableUse {
     pub table: Box<str>,
-    pub keys: Vec<KeyUse>,
+    pub keys: Vec<ColumnValues>,
 }
 
-/// `column = ?`, `column IN (?)`, or a value inserted.
+/// A column whose value is known: `column = ?`, `column IN (?)`, or a value inserted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyUse {
+pub struct ColumnValues {
+    /// The column's name, without its table.
     pub column: Box<str>,
     /// The numbers of the placeholders, from 0: the value is one of theirs.
     pub placeholders: Vec<u32>,
@@ -119,6 +120,19 @@
 }
 
 impl Verdict {
+    /// The verdict on a statement that was not parsed: no part of it is known.
+    pub(crate) fn unparsed(effect: Effect, why: &str) -> Verdict {
+        Verdict {
+            effect,
+            why: why.into(),
+            uses: Vec::new(),
+            functions: Vec::new(),
+            features: Features::default(),
+            parsed: false,
+            transaction: false,
+        }
+    }
+
     /// The names of the tables, each once, in order.
     pub fn tables(&self) -> Vec<&str> {
         let mut tables: Vec<&str> = self.uses.iter().map(|a_use| &*a_use.table).collect();
@@ -130,11 +144,12 @@
     /// The bytes that it holds, its own place and what the allocator adds to each piece included.
     pub fn bytes(&self) -> usize {
         let text = |text: &str| allocated(text.len());
-        let key =
-            |key: &KeyUse| text(&key.column) + allocated(key.placeholders.capacity() * size_of::<u32>());
+        let key = |key: &ColumnValues| {
+            text(&key.column) + allocated(key.placeholders.capacity() * size_of::<u32>())
+        };
         let a_use = |a_use: &TableUse| {
             text(&a_use.table)
-                + allocated(a_use.keys.capacity() * size_of::<KeyUse>())
+                + allocated(a_use.keys.capacity() * size_of::<ColumnValues>())
                 + a_use.keys.iter().map(key).sum::<usize>()
         };
         size_of::<Verdict>()
