--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -3,7 +3,7 @@
 //!
 //! Rules count a change as known some seconds after discovery had it, whether or not it came here. So whatever happens
 //! to a watch (it may fall silent, never connect, be reset, or send fragments without end), the list held is never
-//! older than [`SILENT_WATCH`] and one poll.
+//! older than `SILENT_WATCH` and one poll.
 
 use crate::service::discovery_client::{DiscoveryError, DiscoveryResponse, RESPONSE_TIMEOUT, within};
 use crate::stages::updates;
--- a/crates/comethitchd/src/state/arrivals/tests.rs
+++ b/crates/comethitchd/src/state/arrivals/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_message_arrived_with_its_own_last_byte_whatever_the_reads_hold() {
     let mut arrivals = Arrivals::default();
-    // Messages of 10, 10 and 5 bytes; the second read brings the end of the second and the third whole.
+    // Messages of 10, 10 and 5 bytes; the second read brings the end of the second and all of the third.
     arrivals.read(15, Timestamp::from_micros(10 * MS));
     arrivals.read(10, Timestamp::from_micros(90 * MS));
     assert_eq!(arrivals.consume(10), Some(Timestamp::from_micros(10 * MS)));
@@ -36,8 +36,8 @@
     (1..=1_000).for_each(|nth| arrivals.read(1, at(nth)));
     assert!(arrivals.records.len() <= MAX_RECORDS);
     for nth in 1..=1_000 {
-        let told = arrivals.consume(1).expect("a record");
-        assert!(told <= at(nth), "byte {nth}");
+        let arrived = arrivals.consume(1).expect("a record");
+        assert!(arrived <= at(nth), "byte {nth}");
     }
     assert!(arrivals.records.is_empty() && at(3) - at(2) > Duration::ZERO);
 }
