--- a/crates/comethitchd/tests/endpoint_updates.rs
+++ b/crates/comethitchd/tests/endpoint_updates.rs
@@ -16,6 +16,9 @@
 /// Within so long a change must be applied; the router's log shows when it is.
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 
+/// The head of a chunked response.
+const CHUNKED: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
 /// How the agent responds to one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behavior {
@@ -110,7 +113,6 @@
     }
 
     fn answer(&self, mut stream: TcpStream, watch: bool, behavior: Behavior) -> std::io::Result<()> {
-        let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let cut = json!({"seq": 99, "whole": true, "hosts": []}).to_string() + "\n";
         match behavior {
             Behavior::Closes => return Ok(()),
@@ -126,7 +128,7 @@
                 }
             }
             Behavior::CutChunked => {
-                stream.write_all(chunked)?;
+                stream.write_all(CHUNKED)?;
                 chunk(&mut stream, &cut)?;
                 reset(stream);
                 return Ok(());
@@ -138,13 +140,19 @@
             }
             _ => {}
         }
-        let indented = behavior == Behavior::Indented;
-        if !watch {
-            let list = self.list(indented);
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
-            return stream.write_all((head + &list).as_bytes());
-        }
-        stream.write_all(chunked)?;
+        if watch { self.answer_watch(stream, behavior) } else { self.answer_poll(stream, behavior) }
+    }
+
+    /// Sends the complete list.
+    fn answer_poll(&self, mut stream: TcpStream, behavior: Behavior) -> std::io::Result<()> {
+        let list = self.list(behavior == Behavior::Indented);
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
+        stream.write_all((head + &list).as_bytes())
+    }
+
+    /// Sends changes and empty lines, or whatever else the behavior asks for, until the router closes the connection.
+    fn answer_watch(&self, mut stream: TcpStream, behavior: Behavior) -> std::io::Result<()> {
+        stream.write_all(CHUNKED)?;
         if behavior == Behavior::Fragments {
             chunk(&mut stream, "{\"seq\":8,\"whole\":false,\"hosts\":[")?;
             loop {
@@ -152,11 +160,12 @@
                 sleep(Duration::from_millis(200));
             }
         }
-        let mut held = 7;
+        let indented = behavior == Behavior::Indented;
+        let mut sent = 7;
         let mut quiet = Instant::now();
         loop {
-            if self.seq() > held && behavior != Behavior::StopsSending {
-                held = self.seq();
+            if self.seq() > sent && behavior != Behavior::StopsSending {
+                sent = self.seq();
                 chunk(&mut stream, &self.list(indented).replace("true", "false"))?;
             } else if quiet.elapsed() > Duration::from_secs(2) && behavior != Behavior::StopsSending {
                 quiet = Instant::now();
