--- a/crates/comethitchd/src/protocols/client_connection.rs
+++ b/crates/comethitchd/src/protocols/client_connection.rs
@@ -8,7 +8,7 @@
 use crate::state::metrics::count;
 use crate::state::router_state::RouterState;
 use crate::state::signals::{CloseRequest, ConnectionSignal};
-use crate::wire::Malformed;
+use crate::wire::MalformedMessage;
 use async_io::{Async, Timer};
 use comethitch_policy::time::Timestamp;
 use futures_lite::{AsyncWriteExt, FutureExt};
@@ -58,8 +58,8 @@
     Io(io::Error),
 }
 
-impl From<Malformed> for Disconnect {
-    fn from(malformed: Malformed) -> Disconnect {
+impl From<MalformedMessage> for Disconnect {
+    fn from(malformed: MalformedMessage) -> Disconnect {
         Disconnect::Lost(malformed.0)
     }
 }
--- a/crates/comethitchd/src/protocols/postgres/backend.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -11,7 +11,7 @@
 use crate::state::protocol::Outcome;
 use crate::state::router_state::RouterState;
 use crate::wire::host_report;
-use crate::wire::postgres::{self, Answer, Form, LARGEST_MESSAGE};
+use crate::wire::postgres::{self, HostResponse, MAX_MESSAGE_BYTES, ResponseError, ResponseShape};
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport};
@@ -21,16 +21,21 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-impl From<Result<Answer, ConnectionEnd>> for Outcome {
-    fn from(ended: Result<Answer, ConnectionEnd>) -> Outcome {
+impl From<Result<HostResponse, ConnectionEnd>> for Outcome {
+    fn from(ended: Result<HostResponse, ConnectionEnd>) -> Outcome {
         match ended {
             Ok(answer) => Outcome {
-                noted: host_report::noted(&answer),
-                reported: answer.vitals.as_deref().map(host_report::reported).unwrap_or_default(),
+                noted: host_report::from_parameters(&answer.parameters),
+                reported: answer
+                    .parameters
+                    .load_report
+                    .as_deref()
+                    .map(host_report::parse_load_report)
+                    .unwrap_or_default(),
                 end: answer
-                    .code
+                    .error_code
                     .map_or(ConnectionEnd::Whole, |code| ConnectionEnd::HostError(Code::Postgres(code))),
-                value: if answer.error.is_empty() { answer.value } else { answer.error },
+                value: if answer.error.is_empty() { answer.rows } else { answer.error },
                 told: false,
             },
             Err(end) => Outcome {
@@ -75,8 +80,10 @@
         postgres::put_query(&mut query, &[b"SHOW vitals"]);
         let limit = held.config.deployment.connect_timeout;
         let ended = within(&held, host, &query, limit, || true, None).await;
-        let row =
-            ended.as_ref().ok().and_then(|answer| answer.column().map(|text| host_report::reported(&text)));
+        let row = ended
+            .as_ref()
+            .ok()
+            .and_then(|answer| answer.single_value().map(|text| host_report::parse_load_report(&text)));
         let outcome = Outcome::from(ended);
         if outcome.end != ConnectionEnd::Whole {
             count(&held.metrics.probes_failed);
@@ -93,7 +100,7 @@
 async fn within(
     state: &RouterState, host: Host, query: &[u8], time_out: Duration, may_go: impl Fn() -> bool,
     flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<HostResponse, ConnectionEnd> {
     let written = Cell::new(false);
     let exchange = exchange(state, host, query, may_go, &written, flow);
     attempt::within(state, time_out, &written, flow, exchange).await
@@ -102,19 +109,21 @@
 async fn exchange(
     state: &RouterState, host: Host, query: &[u8], may_go: impl Fn() -> bool, written: &Cell<bool>,
     flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<HostResponse, ConnectionEnd> {
     let connect = async |dial| connect(state, dial).await;
     let mut connection = attempt::written(state, host, may_go, connect, |_| query.to_vec()).await?;
     written.set(true);
-    let form = if state.admission.borrow().is_some() { Form::Any } else { Form::OneValue };
-    let flow = flow.filter(|_| form == Form::Any);
-    let (mut answer, mut held) = (Answer::of(form), Reservation::new(&state.memory));
+    let form =
+        if state.admission.borrow().is_some() { ResponseShape::AnyRows } else { ResponseShape::SingleValue };
+    let flow = flow.filter(|_| form == ResponseShape::AnyRows);
+    let (mut answer, mut held) = (HostResponse::new(form), Reservation::new(&state.memory));
     let ended = loop {
-        let has_room = |answer: &Answer| form == Form::OneValue || held.resize_to(answer.value.len());
-        let pauses = |answer: &Answer| flow.is_some() && answer.value.len() >= HELD_WHOLE;
+        let has_room =
+            |answer: &HostResponse| form == ResponseShape::SingleValue || held.resize_to(answer.rows.len());
+        let pauses = |answer: &HostResponse| flow.is_some() && answer.rows.len() >= HELD_WHOLE;
         match read(&mut connection, &mut answer, has_room, pauses).await {
             Ok(false) => {
-                let bytes = answer.pass();
+                let bytes = answer.take_rows();
                 if let Some(flow) = flow {
                     flow.pass(bytes).await?;
                 }
@@ -127,17 +136,17 @@
         // What the client has of it is whole only once the host has said so.
         ended.clone()?;
         // An error that must not be passed on leaves it unfinished.
-        if answer.code.is_some() && answer.error.is_empty() {
+        if answer.error_code.is_some() && answer.error.is_empty() {
             return Err(ConnectionEnd::Broken);
         }
-        let rest = [answer.pass(), std::mem::take(&mut answer.error)].concat();
+        let rest = [answer.take_rows(), std::mem::take(&mut answer.error)].concat();
         flow.end(rest).await?;
-        answer.code = None;
+        answer.error_code = None;
     } else if ended == Err(ConnectionEnd::TooLarge) {
         return Err(ConnectionEnd::TooLarge);
     }
     // A value or a code stands if the connection breaks behind it, but not if nonsense follows.
-    let told = answer.whole() || answer.code.is_some();
+    let told = answer.is_complete() || answer.error_code.is_some();
     if !told || ended == Err(ConnectionEnd::Malformed) {
         return Err(ended.err().unwrap_or(ConnectionEnd::Malformed));
     }
@@ -149,23 +158,23 @@
 
 /// Reads up to the host's word that it is ready, or up to a pause; true where it is ready.
 async fn read(
-    connection: &mut HostConnection, answer: &mut Answer, mut has_room: impl FnMut(&Answer) -> bool,
-    pauses: impl Fn(&Answer) -> bool,
+    connection: &mut HostConnection, answer: &mut HostResponse,
+    mut has_room: impl FnMut(&HostResponse) -> bool, pauses: impl Fn(&HostResponse) -> bool,
 ) -> Result<bool, ConnectionEnd> {
     loop {
         while let Some(message) =
-            answer.next(connection.buffer.unread()).map_err(|_| ConnectionEnd::Malformed)?
+            answer.next_message(connection.buffer.unread()).map_err(|_| ConnectionEnd::Malformed)?
         {
-            answer.take(&message).map_err(|malformed| match malformed {
-                postgres::TOO_LARGE => ConnectionEnd::TooLarge,
-                _ => ConnectionEnd::Malformed,
+            answer.accept(&message).map_err(|malformed| match malformed {
+                ResponseError::TooLarge => ConnectionEnd::TooLarge,
+                ResponseError::Malformed(_) => ConnectionEnd::Malformed,
             })?;
             if !has_room(answer) {
                 return Err(ConnectionEnd::TooLarge);
             }
             let length = message.raw.len();
             connection.buffer.consume(length);
-            if answer.ready() {
+            if answer.is_ready() {
                 return Ok(true);
             }
             if pauses(answer) {
@@ -192,7 +201,7 @@
         let mut startup = Vec::new();
         postgres::put_startup(&mut startup, "portal", "crm");
         (&stream).write_all(&startup).await.map_err(|_| ConnectionEnd::NeverUp)?;
-        let buffer = Buffer::new(LARGEST_MESSAGE + 1, &state.memory);
+        let buffer = Buffer::new(MAX_MESSAGE_BYTES + 1, &state.memory);
         let mut connection = HostConnection {
             stream,
             buffer,
@@ -201,10 +210,10 @@
             kept: Kept::default(),
             permit,
         };
-        let mut greeting = Answer::default();
+        let mut greeting = HostResponse::default();
         let greeted = read(&mut connection, &mut greeting, |_| true, |_| false).await;
         // Of the codes in a greeting, one tells more than that no connection came up.
-        let full = greeting.code.map(|code| ConnectionEnd::HostError(Code::Postgres(code)).ending());
+        let full = greeting.error_code.map(|code| ConnectionEnd::HostError(Code::Postgres(code)).ending());
         match full {
             Some(AttemptOutcome::Overloaded) => Err(ConnectionEnd::NoSlot),
             _ if greeted.is_ok() => Ok(connection),
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -7,7 +7,7 @@
 use crate::state::metrics::count;
 use crate::state::pending_commands::{Part, Reply};
 use crate::state::router_state::RouterState;
-use crate::wire::postgres::{self, LARGEST_MESSAGE, Opening};
+use crate::wire::postgres::{self, ErrorFields, MAX_MESSAGE_BYTES, StartupRequest};
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::FutureExt;
@@ -25,7 +25,7 @@
 pub fn serve(
     state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
-    let line = ClientConnection::new(state, stream, permit, LARGEST_MESSAGE + 1);
+    let line = ClientConnection::new(state, stream, permit, MAX_MESSAGE_BYTES + 1);
     run(Client { connection: line, skipping: false })
 }
 
@@ -36,7 +36,7 @@
     };
     let told = |code, why| {
         let mut out = Vec::new();
-        postgres::put_error(&mut out, "FATAL", code, why, None);
+        postgres::put_error(&mut out, &ErrorFields::fatal(code, why));
         out
     };
     client.connection.end(stop, told).await;
@@ -45,21 +45,21 @@
 impl Client {
     async fn open(&mut self) -> Result<(), Disconnect> {
         loop {
-            match postgres::opening(self.connection.buffer.unread())? {
+            match postgres::startup_request(self.connection.buffer.unread())? {
                 None => self.connection.more().await?,
-                Some((Opening::Cancel, length)) => {
+                Some((StartupRequest::Cancel, length)) => {
                     // As the protocol has it, whoever asks learns nothing of what comes of it.
-                    if let Some((number, key)) = postgres::cancels(&self.connection.buffer.unread()[..length])
+                    if let Some(target) = postgres::cancel_target(&self.connection.buffer.unread()[..length])
                     {
-                        self.connection.state.clients.cancel(number, key);
+                        self.connection.state.clients.cancel(target.connection, target.key);
                     }
                     return Err(Disconnect::ClientLeft);
                 }
-                Some((Opening::Encryption, length)) => {
+                Some((StartupRequest::Encryption, length)) => {
                     self.connection.consume(length);
                     self.connection.write(b"N").await?;
                 }
-                Some((Opening::Startup { minor }, length)) => {
+                Some((StartupRequest::Startup { minor }, length)) => {
                     self.connection.consume(length);
                     let mut out = Vec::new();
                     postgres::put_welcome(
@@ -93,13 +93,13 @@
             b'X' => return Err(Disconnect::ClientLeft),
             b'S' => {
                 self.skipping = false;
-                postgres::put_ready(&mut out);
+                postgres::put_ready_for_query(&mut out);
                 None
             }
             b'P' | b'B' | b'D' | b'E' | b'C' | b'F' => {
                 if !std::mem::replace(&mut self.skipping, true) {
                     let text = "only simple queries are spoken here";
-                    postgres::put_error(&mut out, "ERROR", "0A000", text, None);
+                    postgres::put_error(&mut out, &ErrorFields::error("0A000", text));
                 }
                 None
             }
@@ -129,9 +129,9 @@
         if text.iter().all(|b| b.is_ascii_whitespace() || *b == b';') {
             let state = self.connection.state.clone();
             self.connection.while_here(state.ready.raised()).await?;
-            postgres::put_empty(&mut out);
+            postgres::put_empty_query(&mut out);
         } else if let Some(tag) = admit::session_statement(&self.connection.state, &text) {
-            postgres::put_complete(&mut out, tag);
+            postgres::put_command_complete(&mut out, tag);
         } else {
             let asked = Asked {
                 text: &text,
@@ -191,11 +191,11 @@
                 }
                 Err(NotTaken::Rejected(rejected)) => {
                     self.connection.rejected(&rejected.text)?;
-                    postgres::put_error(&mut out, "ERROR", rejected.code, &rejected.text, None);
+                    postgres::put_error(&mut out, &ErrorFields::error(rejected.code, &rejected.text));
                 }
             }
         }
-        postgres::put_ready(&mut out);
+        postgres::put_ready_for_query(&mut out);
         self.connection.write(&out).await
     }
 }
@@ -210,21 +210,19 @@
         Reply::FailedBy(error) => out.extend(error),
         Reply::Cancelled => {
             let text = "cancelled by its client; nothing is known of its effect";
-            postgres::put_error(out, "ERROR", "57014", text, None);
+            postgres::put_error(out, &ErrorFields::error("57014", text));
         }
         Reply::Throttled(retry_after) => {
             let advice = retry_after.map(|after| after.as_micros().div_ceil(1_000).to_string());
-            postgres::put_error(
-                out,
-                "ERROR",
-                "53300",
-                "not now; trying again is harmless",
-                advice.as_deref(),
-            );
+            let error = ErrorFields {
+                detail: advice.as_deref(),
+                ..ErrorFields::error("53300", "not now; trying again is harmless")
+            };
+            postgres::put_error(out, &error);
         }
         Reply::Failed => {
             let text = "failed; nothing is known of its effect";
-            postgres::put_error(out, "ERROR", "40003", text, None);
+            postgres::put_error(out, &ErrorFields::error("40003", text));
         }
     }
 }
--- a/crates/comethitchd/src/service/watch.rs
+++ b/crates/comethitchd/src/service/watch.rs
@@ -9,8 +9,9 @@
 use crate::state::buffer::{Buffer, MemoryBudget};
 use crate::state::clock::after;
 use crate::state::router_state::RouterState;
-use crate::wire::discovery::{self, Entry, Piece, Pieces};
-use crate::wire::http::{self, Body};
+use crate::wire::discovery::{self, EndpointEntry};
+use crate::wire::http::{self, BodyDecoder};
+use crate::wire::json_stream::{JsonStream, JsonStreamItem};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::future::Future;
@@ -97,7 +98,7 @@
     let mut answer = Answer::of(address, &path, &state.memory).await?;
     while let Some(piece) = soon("it has fallen silent", SILENT, answer.piece()).await? {
         state.last_watch_event.set(state.clock.now());
-        if let Piece::Object(text) = piece {
+        if let JsonStreamItem::Object(text) = piece {
             let held = state.endpoints.borrow().since;
             take(state, &text, held)?;
         }
@@ -112,7 +113,7 @@
         let mut answer = Answer::of(address, "/api/targets", &state.memory).await?;
         let mut text = None;
         while let Some(piece) = answer.piece().await? {
-            if let Piece::Object(object) = piece {
+            if let JsonStreamItem::Object(object) = piece {
                 text = Some(object);
             }
         }
@@ -125,15 +126,15 @@
 /// Takes in an object of the list. `before` is the version held as it was asked for: one that is older than what
 /// another call has brought since then tells of the past.
 fn take(state: &Rc<RouterState>, text: &[u8], before: Option<u64>) -> Result<(), String> {
-    let listing = discovery::listing(text, &state.config.zones)?;
+    let listing = discovery::parse_endpoint_list(text, &state.config.zones).map_err(|e| e.to_string())?;
     let held = state.endpoints.borrow().since;
-    let outrun = held != before || !listing.whole;
+    let outrun = held != before || !listing.complete;
     if outrun && held.is_some_and(|held| listing.seq < held) {
         log::debug!("list {} is older than what is held, {held:?}", listing.seq);
         return Ok(());
     }
     for entry in &listing.entries {
-        let Entry { name, dial, endpoint } = entry;
+        let EndpointEntry { name, dial, endpoint } = entry;
         let primary = if endpoint.is_primary { ", primary" } else { "" };
         let (lifecycle, shard) = (endpoint.lifecycle, endpoint.shard);
         log::info!("list {}: {name} at {dial} is {lifecycle:?}{primary}, group {shard}", listing.seq);
@@ -147,8 +148,8 @@
 struct Answer {
     stream: Async<TcpStream>,
     buffer: Buffer,
-    body: Body,
-    pieces: Pieces,
+    body: BodyDecoder,
+    pieces: JsonStream,
 }
 
 impl Answer {
@@ -157,12 +158,12 @@
         let connect = async { Async::<TcpStream>::connect(address).await.map_err(|e| e.to_string()) };
         let stream = soon("no connection comes up", AT_ONCE, connect).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        let request = http::request(path, &address.to_string());
+        let request = http::get_request(path, &address.to_string());
         let mut buffer = Buffer::new(LARGEST_READ, room);
         let head = async {
             (&stream).write_all(&request).await.map_err(|e| e.to_string())?;
             loop {
-                if let Some(head) = http::head(buffer.unread()).map_err(|e| e.0)? {
+                if let Some(head) = http::parse_head(buffer.unread()).map_err(|e| e.0)? {
                     return Ok(head);
                 }
                 match buffer.fill(&stream).await.map_err(|e| e.to_string())? {
@@ -172,31 +173,36 @@
             }
         };
         // The whole head at once: one that comes byte by byte for ever is none.
-        let (status, body, length) = soon("its answer does not begin", AT_ONCE, head).await?;
+        let http::ResponseHead { status, body, length } =
+            soon("its answer does not begin", AT_ONCE, head).await?;
         if status != 200 {
             return Err(format!("it answers with status {status}"));
         }
         buffer.consume(length);
-        Ok(Answer { stream, buffer, body, pieces: Pieces::default() })
+        Ok(Answer { stream, buffer, body, pieces: JsonStream::default() })
     }
 
     /// The next object or empty line; none at the end of the answer.
-    async fn piece(&mut self) -> Result<Option<Piece>, String> {
+    async fn piece(&mut self) -> Result<Option<JsonStreamItem>, String> {
         loop {
-            if let Some(piece) = self.pieces.next()? {
+            if let Some(piece) = self.pieces.next_item().map_err(|e| e.to_string())? {
                 return Ok(Some(piece));
             }
-            if self.body.over() {
-                return if self.pieces.within() { Err("it ends within an object".into()) } else { Ok(None) };
+            if self.body.is_complete() {
+                return if self.pieces.in_object() {
+                    Err("it ends within an object".into())
+                } else {
+                    Ok(None)
+                };
             }
-            let taken = self.body.take(self.buffer.unread(), self.pieces.text()).map_err(|e| e.0)?;
+            let taken = self.body.decode(self.buffer.unread(), self.pieces.buffer_mut()).map_err(|e| e.0)?;
             self.buffer.consume(taken);
             if taken > 0 {
                 continue;
             }
             // A reset is an error here and no end.
             match self.buffer.fill(&self.stream).await.map_err(|e| e.to_string())? {
-                0 if self.body == Body::UntilClosed => self.body = Body::Length(0),
+                0 if self.body == BodyDecoder::UntilClosed => self.body = BodyDecoder::Length(0),
                 0 => return Err(CLOSED.into()),
                 _ => {}
             }
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,7 +1,7 @@
 //! Second stage: what a statement's comment says becomes what the module is told.
 
 use crate::state::router_state::RouterState;
-use crate::wire::statement::{self, Fields};
+use crate::wire::statement::{self, CommentFields};
 use comethitch_policy::Shard;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::StatementAdmission;
@@ -73,13 +73,13 @@
 }
 
 fn by_comment(state: &RouterState, asked: &Asked<'_>) -> Result<Admitted, Rejected> {
-    let comment = statement::comment(asked.text).map_err(|text| rejected("42601", text))?;
+    let comment = statement::parse_command(asked.text).map_err(|why| rejected("42601", why.to_string()))?;
     let group = group_named(state, comment.group)?;
     checked(state, comment.id, comment.wait_ms)?;
     Ok(Admitted {
         group,
         shard: comment.shard,
-        session: statement::session(asked.text),
+        session: statement::session_key(asked.text),
         after: comment.after_ms.map(Timestamp::from_millis),
         expiry: asked.arrived + Duration::from_millis(comment.wait_ms),
         name: comment.id.into(),
@@ -93,17 +93,17 @@
     state: &RouterState, desk: &mut StatementAdmission, asked: &Asked<'_>,
 ) -> Result<Admitted, NotTaken> {
     let Asked { text, arguments, .. } = *asked;
-    let fields = match statement::fields(text) {
+    let fields = match statement::parse_comment(text) {
         Ok(fields) => fields,
         // A statement that begins otherwise has no comment of this kind.
-        Err(_) if !text.trim_ascii_start().starts_with(b"/*") => Fields::default(),
-        Err(why) => return Err(rejected("42601", why).into()),
+        Err(_) if !text.trim_ascii_start().starts_with(b"/*") => CommentFields::default(),
+        Err(why) => return Err(rejected("42601", why.to_string()).into()),
     };
     let whole =
         fields.id.is_some() && fields.group.is_some() && fields.wait.is_some() && fields.shard.is_some();
     let wait_ms = match (desk.rules().commentless, &fields.wait) {
-        (_, Some((wait_ms, _))) if whole => *wait_ms,
-        (Some(commentless), wait) => wait.as_ref().map_or(commentless.wait_ms, |(wait_ms, _)| *wait_ms),
+        (_, Some(wait)) if whole => wait.ms,
+        (Some(commentless), wait) => wait.as_ref().map_or(commentless.wait_ms, |wait| wait.ms),
         (None, _) => {
             let why = "the statement's comment must hold id, c, d and cluster: the rules admit none without";
             return Err(rejected("42601", why).into());
@@ -124,11 +124,11 @@
     Ok(Admitted {
         group: passed.assigned.group,
         shard: passed.assigned.shard,
-        session: passed.assigned.session.unwrap_or_else(|| statement::session(text)),
+        session: passed.assigned.session.unwrap_or_else(|| statement::session_key(text)),
         after: fields.after_ms.map(Timestamp::from_millis),
         expiry: asked.arrived + Duration::from_millis(wait_ms),
         name,
-        wait_at: fields.wait.map(|(_, at)| at),
+        wait_at: fields.wait.map(|wait| wait.range),
         known: Some(passed.known),
     })
 }
--- a/crates/comethitchd/src/stages/learn.rs
+++ b/crates/comethitchd/src/stages/learn.rs
@@ -29,7 +29,7 @@
     let left = state.endpoints.borrow_mut().take(listing);
     left.iter().for_each(|host| state.pool.borrow_mut().close(*host));
     let endpoints = listing.entries.iter().map(|entry| entry.endpoint).collect();
-    let update = EndpointUpdate { complete: listing.whole, endpoints };
+    let update = EndpointUpdate { complete: listing.complete, endpoints };
     route::decide(state, |router, out| router.update_endpoints(&update, out));
 }
 
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -1,6 +1,6 @@
 //! The one place where the configuration is read, checked and given defaults.
 
-use crate::wire::discovery::{EndpointList, listing_of};
+use crate::wire::discovery::{EndpointList, endpoint_list_from_json};
 use comethitch_policy::Deployment;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::{Rules, Secret, StatementAdmission};
@@ -79,8 +79,8 @@
         let seed = all.text("seed")?;
         let zones = all.names("settings.dcs", None)?;
         let known = match all.at("known") {
-            Some(known) => listing_of(known, &zones).map_err(|e| format!("known.{e}"))?,
-            None => EndpointList { whole: true, ..EndpointList::default() },
+            Some(known) => endpoint_list_from_json(known, &zones).map_err(|e| format!("known.{e}"))?,
+            None => EndpointList { complete: true, ..EndpointList::default() },
         };
         let groups = all.names("settings.classes", Some("name"))?;
         if groups.is_empty() {
--- a/crates/comethitchd/src/state/endpoints.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -24,7 +24,7 @@
     pub fn take(&mut self, listing: &EndpointList) -> Vec<Host> {
         self.since = Some(listing.seq);
         let named = |host: &Host| listing.entries.iter().any(|entry| entry.endpoint.host == *host);
-        let mut left: Vec<Host> = match listing.whole {
+        let mut left: Vec<Host> = match listing.complete {
             true => self.hosts.keys().copied().filter(|host| !named(host)).collect(),
             false => Vec::new(),
         };
--- a/crates/comethitchd/src/wire/http.rs
+++ b/crates/comethitchd/src/wire/http.rs
@@ -1,116 +1,168 @@
-//! HTTP/1.1 as far as a watch needs it: a request, the head of an answer, and its chunked body.
+//! HTTP/1.1 as far as watching discovery needs it: a GET request, the head of a response, and its body, chunked or
+//! not.
 
-use crate::wire::Malformed;
+use crate::wire::MalformedMessage;
 
-const LARGEST_HEAD: usize = 16 * 1024;
-const LARGEST_SIZE_LINE: usize = 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
+const HEAD_END: &[u8] = b"\r\n\r\n";
+const LINE_END: &[u8] = b"\r\n";
 
-pub fn request(path: &str, host: &str) -> Vec<u8> {
+/// The bytes of a GET request for JSON.
+pub fn get_request(path: &str, host: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
 
-/// How the body of an answer is delimited.
+/// The head of a response.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Body {
-    Chunked(Chunk),
+pub struct ResponseHead {
+    /// The status code.
+    pub status: u16,
+    /// Decodes the body that follows.
+    pub body: BodyDecoder,
+    /// How many bytes the head takes.
+    pub length: usize,
+}
+
+/// Decodes the body of a response, by how it is delimited.
+#[derive(Debug, PartialEq, Eq)]
+pub enum BodyDecoder {
+    /// In chunks.
+    Chunked(ChunkPhase),
+    /// By its length, of which so many bytes are still to come.
     Length(u64),
+    /// By the end of the connection.
     UntilClosed,
 }
 
+/// What comes next in a chunked body.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Chunk {
+pub enum ChunkPhase {
+    /// The line with a chunk's size.
     Size,
+    /// So many bytes of a chunk.
     Data(u64),
     /// The line end behind a chunk's data.
     DataEnd,
+    /// A trailer field, or the empty line that ends the body.
     Trailer,
-    Over,
+    /// Nothing: the body is complete.
+    Complete,
 }
 
-/// The status of an answer, its body's form and the length of its head; nothing if it is not whole yet.
-pub fn head(bytes: &[u8]) -> Result<Option<(u16, Body, usize)>, Malformed> {
-    let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else {
-        return if bytes.len() > LARGEST_HEAD { Err(Malformed("the head has no end")) } else { Ok(None) };
+/// Parses the head of a response, or returns none if it is not complete yet.
+///
+/// # Errors
+/// If it is no HTTP/1 response, or too large.
+pub fn parse_head(bytes: &[u8]) -> Result<Option<ResponseHead>, MalformedMessage> {
+    let Some(end) = bytes.windows(HEAD_END.len()).position(|four| four == HEAD_END) else {
+        if bytes.len() > MAX_HEAD_BYTES {
+            return Err(MalformedMessage("the head has no end"));
+        }
+        return Ok(None);
     };
-    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed("the head is not UTF-8"))?;
+    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| MalformedMessage("the head is not UTF-8"))?;
     let mut lines = text.split("\r\n");
-    let first = lines.next().and_then(|line| line.strip_prefix("HTTP/1.")).and_then(|line| line.get(2..5));
-    let status = first.and_then(|code| code.parse().ok()).ok_or(Malformed("no HTTP/1 status line"))?;
-    let mut body = Body::UntilClosed;
-    for (name, value) in lines.filter_map(|line| line.split_once(':')) {
-        let value = value.trim();
-        if name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
-            body = Body::Chunked(Chunk::Size);
-        } else if name.eq_ignore_ascii_case("content-length") && body == Body::UntilClosed {
-            body = Body::Length(value.parse().map_err(|_| Malformed("content-length is no number"))?);
-        }
-    }
-    Ok(Some((status, body, end + 4)))
+    let status = lines.next().and_then(parse_status).ok_or(MalformedMessage("no HTTP/1 status line"))?;
+    let body = BodyDecoder::from_headers(lines)?;
+    Ok(Some(ResponseHead { status, body, length: end + HEAD_END.len() }))
 }
 
-/// Moves what `bytes` hold of the `left` bytes behind `out`, and tells how many that were.
-fn take_some(left: &mut u64, bytes: &[u8], out: &mut Vec<u8>) -> usize {
-    let now = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-    out.extend(&bytes[..now]);
-    *left -= now as u64;
-    now
+fn parse_status(line: &str) -> Option<u16> {
+    line.strip_prefix("HTTP/1.")?.get(2..5)?.parse().ok()
 }
 
-impl Body {
-    /// Moves what `bytes` hold of the body behind `out`, and tells how many of them are done with.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Malformed> {
+/// Moves up to `remaining` of the bytes to the end of `out`, and returns how many that were.
+fn copy_some(remaining: &mut u64, bytes: &[u8], out: &mut Vec<u8>) -> usize {
+    let length = bytes.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+    out.extend(&bytes[..length]);
+    *remaining -= length as u64;
+    length
+}
+
+impl BodyDecoder {
+    fn from_headers<'a>(lines: impl Iterator<Item = &'a str>) -> Result<BodyDecoder, MalformedMessage> {
+        let mut body = BodyDecoder::UntilClosed;
+        for (name, value) in lines.filter_map(|line| line.split_once(':')) {
+            let value = value.trim();
+            if name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
+                body = BodyDecoder::Chunked(ChunkPhase::Size);
+            } else if name.eq_ignore_ascii_case("content-length") && body == BodyDecoder::UntilClosed {
+                let length = value.parse().map_err(|_| MalformedMessage("content-length is no number"))?;
+                body = BodyDecoder::Length(length);
+            }
+        }
+        Ok(body)
+    }
+
+    /// Appends what `bytes` hold of the body to `out`, and returns how many of the bytes were consumed.
+    ///
+    /// # Errors
+    /// If the chunks are malformed.
+    pub fn decode(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, MalformedMessage> {
         match self {
-            Body::UntilClosed => {
+            BodyDecoder::UntilClosed => {
                 out.extend(bytes);
                 Ok(bytes.len())
             }
-            Body::Length(left) => Ok(take_some(left, bytes, out)),
-            Body::Chunked(chunk) => {
-                let mut done = 0;
-                while let Some(step) = chunk.step(&bytes[done..], out)? {
-                    done += step;
+            BodyDecoder::Length(remaining) => Ok(copy_some(remaining, bytes, out)),
+            BodyDecoder::Chunked(phase) => {
+                let mut consumed = 0;
+                while let Some(length) = phase.step(&bytes[consumed..], out)? {
+                    consumed += length;
                 }
-                Ok(done)
+                Ok(consumed)
             }
         }
     }
 
-    pub fn over(&self) -> bool {
-        matches!(self, Body::Length(0) | Body::Chunked(Chunk::Over))
+    /// Whether all of the body was decoded. One that is delimited by the end of the connection never is.
+    pub fn is_complete(&self) -> bool {
+        matches!(self, BodyDecoder::Length(0) | BodyDecoder::Chunked(ChunkPhase::Complete))
     }
 }
 
-impl Chunk {
-    /// One step on, if `bytes` hold enough for it.
-    fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, Malformed> {
-        if bytes.is_empty() || *self == Chunk::Over {
+impl ChunkPhase {
+    /// Goes one step on and returns how many bytes that took, or none if more bytes are needed.
+    fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, MalformedMessage> {
+        if bytes.is_empty() || *self == ChunkPhase::Complete {
             return Ok(None);
         }
-        if let Chunk::Data(left) = self {
-            let now = take_some(left, bytes, out);
-            if *left == 0 {
-                *self = Chunk::DataEnd;
+        if let ChunkPhase::Data(remaining) = self {
+            let length = copy_some(remaining, bytes, out);
+            if *remaining == 0 {
+                *self = ChunkPhase::DataEnd;
             }
-            return Ok(Some(now));
+            return Ok(Some(length));
         }
-        let Some(end) = bytes.windows(2).position(|two| two == b"\r\n") else {
-            let long = bytes.len() > LARGEST_SIZE_LINE;
-            return if long { Err(Malformed("a chunk's line has no end")) } else { Ok(None) };
-        };
-        *self = match self {
-            Chunk::Size => {
-                let text = std::str::from_utf8(&bytes[..end]).unwrap_or_default();
-                let size = text.split(';').next().unwrap_or_default().trim();
-                match u64::from_str_radix(size, 16).map_err(|_| Malformed("a chunk without a size"))? {
-                    0 => Chunk::Trailer,
-                    size => Chunk::Data(size),
-                }
+        let Some(end) = bytes.windows(LINE_END.len()).position(|two| two == LINE_END) else {
+            if bytes.len() > MAX_CHUNK_LINE_BYTES {
+                return Err(MalformedMessage("a chunk's line has no end"));
             }
-            Chunk::DataEnd if end > 0 => return Err(Malformed("a chunk longer than its size")),
-            Chunk::DataEnd => Chunk::Size,
-            _ if end == 0 => Chunk::Over,
-            _ => Chunk::Trailer,
+            return Ok(None);
         };
-        Ok(Some(end + 2))
+        *self = self.after_line(&bytes[..end])?;
+        Ok(Some(end + LINE_END.len()))
+    }
+
+    /// What comes behind a line.
+    fn after_line(&self, line: &[u8]) -> Result<ChunkPhase, MalformedMessage> {
+        match self {
+            ChunkPhase::Size => match parse_chunk_size(line)? {
+                0 => Ok(ChunkPhase::Trailer),
+                size => Ok(ChunkPhase::Data(size)),
+            },
+            ChunkPhase::DataEnd if !line.is_empty() => Err(MalformedMessage("a chunk longer than its size")),
+            ChunkPhase::DataEnd => Ok(ChunkPhase::Size),
+            _ if line.is_empty() => Ok(ChunkPhase::Complete),
+            _ => Ok(ChunkPhase::Trailer),
+        }
     }
 }
+
+/// The size of a chunk; extensions behind it are ignored.
+fn parse_chunk_size(line: &[u8]) -> Result<u64, MalformedMessage> {
+    let text = std::str::from_utf8(line).unwrap_or_default();
+    let size = text.split(';').next().unwrap_or_default().trim();
+    u64::from_str_radix(size, 16).map_err(|_| MalformedMessage("a chunk without a size"))
+}
--- a/crates/comethitchd/src/wire/statement.rs
+++ b/crates/comethitchd/src/wire/statement.rs
@@ -1,132 +1,250 @@
-//! The comment that a client's statement begins with.
+//! The comment that a client's statement begins with, and the forms of statement that hosts support.
+//!
+//! Admission (`stages::admit`) turns what is parsed here into a command.
 
 use std::ops::Range;
 
-const LONGEST_ID: usize = 64;
-/// The forms of statement that hosts take: `%` is a name, `$` a text, `#` a value in hexadecimal digits.
-const READ: &str = "SELECT % FROM % WHERE % = $";
-const WRITE: &str = "INSERT INTO % ( % , % ) VALUES ( $ , # ) RETURNING %";
+const MAX_ID_LENGTH: usize = 64;
 
-/// What the comment says; the statement itself is passed on as it came, but for the value of `d`.
+/// One part of a statement's form.
+enum Token {
+    Word(&'static str),
+    /// An identifier.
+    Name,
+    /// A quoted text.
+    Text,
+    /// A quoted value in hexadecimal digits.
+    HexText,
+}
+
+/// `SELECT name FROM name WHERE name = 'text'`
+const READ: [Token; 8] = [
+    Token::Word("SELECT"),
+    Token::Name,
+    Token::Word("FROM"),
+    Token::Name,
+    Token::Word("WHERE"),
+    Token::Name,
+    Token::Word("="),
+    Token::Text,
+];
+
+/// `INSERT INTO name (name, name) VALUES ('text', '\xhex') RETURNING name`
+const WRITE: [Token; 16] = [
+    Token::Word("INSERT"),
+    Token::Word("INTO"),
+    Token::Name,
+    Token::Word("("),
+    Token::Name,
+    Token::Word(","),
+    Token::Name,
+    Token::Word(")"),
+    Token::Word("VALUES"),
+    Token::Word("("),
+    Token::Text,
+    Token::Word(","),
+    Token::HexText,
+    Token::Word(")"),
+    Token::Word("RETURNING"),
+    Token::Name,
+];
+
+/// Why a statement's comment, or the statement behind it, can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CommentError {
+    /// The statement begins with something else than a comment.
+    #[error("the statement does not begin with its comment")]
+    NoComment,
+    /// The comment is not closed.
+    #[error("the statement's comment has no end")]
+    Unterminated,
+    /// The comment is no UTF-8 text.
+    #[error("the statement's comment is not UTF-8")]
+    NotUtf8,
+    /// A field that is needed is not there.
+    #[error("{0} is missing from the comment")]
+    MissingField(&'static str),
+    /// A field that must be a number is none.
+    #[error("{0} is no number in the comment")]
+    NotANumber(&'static str),
+    /// The shard's number doesn't fit in 16 bits.
+    #[error("cluster is too large in the comment")]
+    ShardTooLarge,
+    /// The id is too long or holds other characters than letters, digits and hyphens.
+    #[error("id is none in the comment")]
+    InvalidId,
+    /// The statement has none of the forms that hosts support.
+    #[error("the statement is none that hosts take")]
+    UnsupportedStatement,
+}
+
+/// What a complete comment says. The statement itself is forwarded as it came, but for the value of `d`.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Comment<'a> {
+pub struct CommandComment<'a> {
+    /// The command's id, `id`.
     pub id: &'a str,
+    /// The name of the command group, `c`.
     pub group: &'a str,
-    /// For how many milliseconds the client waits, and where that stands in the statement.
+    /// For how many milliseconds the client waits, `d`.
     pub wait_ms: u64,
+    /// Where the value of `d` stands in the statement.
     pub wait_at: Range<usize>,
+    /// The shard, `cluster`.
     pub shard: u16,
-    /// The commit that a session's read must see, in milliseconds of Unix time.
+    /// The commit that a session's read must see, in milliseconds of Unix time, `after`.
     pub after_ms: Option<u64>,
 }
 
-/// Reads `/* id=9b1f,c=basket,d=480,cluster=2 */ SELECT …`: the fields in any order, unknown ones let be, and
-/// behind them a statement of a form that hosts take.
+/// Parses a statement such as `/* id=9b1f,c=basket,d=480,cluster=2 */ SELECT …`: the fields in any order, unknown
+/// ones ignored, and behind them a statement of a form that hosts support.
 ///
 /// ```
-/// use comethitchd::wire::statement::comment;
+/// use comethitchd::wire::statement::parse_command;
 /// let text = b"/* d=480,id=9b1f,cluster=2,c=basket,x=1 */ SELECT data FROM facts WHERE code = 'k'";
-/// let comment = comment(text).unwrap();
+/// let comment = parse_command(text).unwrap();
 /// assert_eq!((comment.group, comment.shard, &text[comment.wait_at]), ("basket", 2, &b"480"[..]));
 /// ```
-pub fn comment(text: &[u8]) -> Result<Comment<'_>, String> {
-    let fields = fields(text)?;
-    let missing = |name: &str| format!("{name} is missing from the comment");
-    let id = fields.id.ok_or_else(|| missing("id"))?;
-    let (wait_ms, wait_at) = fields.wait.ok_or_else(|| missing("d"))?;
-    let group = fields.group.ok_or_else(|| missing("c"))?;
-    let shard = fields.shard.ok_or_else(|| missing("cluster"))?;
+///
+/// # Errors
+/// If a field is missing or wrong, or the statement has another form.
+pub fn parse_command(text: &[u8]) -> Result<CommandComment<'_>, CommentError> {
+    let fields = parse_comment(text)?;
+    let id = fields.id.ok_or(CommentError::MissingField("id"))?;
+    let wait = fields.wait.ok_or(CommentError::MissingField("d"))?;
+    let group = fields.group.ok_or(CommentError::MissingField("c"))?;
+    let shard = fields.shard.ok_or(CommentError::MissingField("cluster"))?;
     let statement = &text[fields.end..];
-    if !follows(statement, READ) && !follows(statement, WRITE) {
-        return Err("the statement is none that hosts take".into());
+    if !matches_form(statement, &READ) && !matches_form(statement, &WRITE) {
+        return Err(CommentError::UnsupportedStatement);
     }
-    Ok(Comment { id, group, wait_ms, wait_at, shard, after_ms: fields.after_ms })
+    Ok(CommandComment { id, group, wait_ms: wait.ms, wait_at: wait.range, shard, after_ms: fields.after_ms })
+}
+
+/// The field `d`: how long the client waits.
+#[derive(Debug, PartialEq, Eq)]
+pub struct WaitField {
+    /// In milliseconds.
+    pub ms: u64,
+    /// Where the value stands in the statement.
+    pub range: Range<usize>,
 }
 
-/// What a comment holds of the fields that are known, whatever statement follows.
+/// The known fields of a comment, whatever statement follows it.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Fields<'a> {
+pub struct CommentFields<'a> {
+    /// The command's id.
     pub id: Option<&'a str>,
+    /// The name of the command group.
     pub group: Option<&'a str>,
-    pub wait: Option<(u64, Range<usize>)>,
+    /// How long the client waits.
+    pub wait: Option<WaitField>,
+    /// The shard.
     pub shard: Option<u16>,
+    /// The commit that must be seen, in milliseconds of Unix time.
     pub after_ms: Option<u64>,
-    /// Where the comment ends.
+    /// Where the comment ends in the statement.
     pub end: usize,
 }
 
-/// Reads the comment that a statement begins with.
-pub fn fields(text: &[u8]) -> Result<Fields<'_>, String> {
+/// Parses the comment that a statement begins with.
+///
+/// # Errors
+/// If there is no comment, or one of its known fields is wrong.
+pub fn parse_comment(text: &[u8]) -> Result<CommentFields<'_>, CommentError> {
     let start = text.iter().position(|b| !b.is_ascii_whitespace()).unwrap_or(text.len());
-    let body = text[start..].strip_prefix(b"/*").ok_or("the statement does not begin with its comment")?;
-    let end = body.windows(2).position(|two| two == b"*/").ok_or("the statement's comment has no end")?;
-    let body = std::str::from_utf8(&body[..end]).map_err(|_| "the statement's comment is not UTF-8")?;
-    let mut fields = Fields::default();
-    let mut at = start + 2;
+    let body = text[start..].strip_prefix(b"/*").ok_or(CommentError::NoComment)?;
+    let length = body.windows(2).position(|two| two == b"*/").ok_or(CommentError::Unterminated)?;
+    let body = std::str::from_utf8(&body[..length]).map_err(|_| CommentError::NotUtf8)?;
+    let mut fields = CommentFields::default();
+    let mut at = start + "/*".len();
     for part in body.split(',') {
-        let lead = part.len() - part.trim_start().len();
+        fields.set(part, at)?;
+        at += part.len() + 1;
+    }
+    // The last part has no comma behind it.
+    fields.end = at - 1 + "*/".len();
+    fields.id = fields.id.filter(|id| !id.is_empty());
+    match fields.id {
+        Some(id) if !is_valid_id(id) => Err(CommentError::InvalidId),
+        _ => Ok(fields),
+    }
+}
+
+fn is_valid_id(id: &str) -> bool {
+    id.len() <= MAX_ID_LENGTH && id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
+}
+
+impl<'a> CommentFields<'a> {
+    /// Sets the field that `part`, a `name=value` at this place in the statement, gives.
+    fn set(&mut self, part: &'a str, at: usize) -> Result<(), CommentError> {
         let (name, value) = part.trim().split_once('=').unwrap_or_default();
-        let number = || value.parse::<u64>().map_err(|_| format!("{name} is no number in the comment"));
         match name {
-            "id" => fields.id = Some(value),
-            "c" => fields.group = Some(value),
+            "id" => self.id = Some(value),
+            "c" => self.group = Some(value),
             "d" => {
-                let from = at + lead + 2;
-                fields.wait = Some((number()?, from..from + value.len()));
+                let indent = part.len() - part.trim_start().len();
+                let from = at + indent + "d=".len();
+                let ms = parse_number("d", value)?;
+                self.wait = Some(WaitField { ms, range: from..from + value.len() });
             }
             "cluster" => {
-                let number = number()?;
-                fields.shard =
-                    Some(u16::try_from(number).map_err(|_| "cluster is too large in the comment")?);
+                let number = parse_number("cluster", value)?;
+                self.shard = Some(u16::try_from(number).map_err(|_| CommentError::ShardTooLarge)?);
             }
-            "after" => fields.after_ms = Some(number()?),
+            "after" => self.after_ms = Some(parse_number("after", value)?),
             _ => {}
         }
-        at += part.len() + 1;
-    }
-    fields.end = at + 1;
-    let is_id =
-        |id: &str| id.len() <= LONGEST_ID && id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-    fields.id = fields.id.filter(|id| !id.is_empty());
-    match fields.id {
-        Some(id) if !is_id(id) => Err("id is none in the comment".into()),
-        _ => Ok(fields),
+        Ok(())
     }
 }
 
-/// Whether a statement has this form, with any space between its parts.
-fn follows(text: &[u8], form: &str) -> bool {
-    let within = |text: &[u8], allowed: fn(&u8) -> bool| text.iter().take_while(|b| allowed(b)).count();
-    let quoted = |text: &[u8], open: &str, allowed: fn(&u8) -> bool| {
-        let inner = text.strip_prefix(open.as_bytes())?;
-        let length = within(inner, allowed);
-        (inner.get(length) == Some(&b'\'')).then_some(open.len() + length + 1)
-    };
-    let mut rest = text;
-    let fits = form.split(' ').all(|part| {
+fn parse_number(name: &'static str, value: &str) -> Result<u64, CommentError> {
+    value.parse().map_err(|_| CommentError::NotANumber(name))
+}
+
+/// Whether a statement has this form, with any space between its tokens.
+fn matches_form(statement: &[u8], form: &[Token]) -> bool {
+    let mut rest = statement;
+    for token in form {
         rest = rest.trim_ascii_start();
-        let length = match part {
-            "%" => Some(within(rest, |b| b.is_ascii_alphanumeric() || *b == b'_')),
-            "$" => quoted(rest, "'", |b| !b.is_ascii_control() && !b"'\\".contains(b)),
-            "#" => quoted(rest, "'\\x", u8::is_ascii_hexdigit),
-            word => rest.get(..word.len()).is_some_and(|r| r == word.as_bytes()).then_some(word.len()),
-        };
-        rest = &rest[length.unwrap_or(0)..];
-        length.is_some_and(|length| length > 0)
-    });
-    fits && rest.trim_ascii().is_empty()
-}
-
-/// The session that the first quoted key names, as a number; 0 without one.
-pub fn session(text: &[u8]) -> u64 {
-    let mut quoted = text.split(|b| *b == b'\'');
-    let (_, key) = (quoted.next(), quoted.next());
-    key.filter(|_| quoted.next().is_some()).map_or(0, |key| fnv1a(key).max(1))
-}
-
-/// The FNV-1a hash of 64 bits.
+        let Some(length) = token_length(rest, token).filter(|length| *length > 0) else { return false };
+        rest = &rest[length..];
+    }
+    rest.trim_ascii().is_empty()
+}
+
+/// How many bytes of the text the token takes, if it is there.
+fn token_length(text: &[u8], token: &Token) -> Option<usize> {
+    match token {
+        Token::Word(word) => text.starts_with(word.as_bytes()).then_some(word.len()),
+        Token::Name => Some(run_length(text, |b| b.is_ascii_alphanumeric() || *b == b'_')),
+        Token::Text => quoted_length(text, "'", |b| !b.is_ascii_control() && !b"'\\".contains(b)),
+        Token::HexText => quoted_length(text, "'\\x", u8::is_ascii_hexdigit),
+    }
+}
+
+fn run_length(text: &[u8], allowed: fn(&u8) -> bool) -> usize {
+    text.iter().take_while(|b| allowed(b)).count()
+}
+
+fn quoted_length(text: &[u8], open: &str, allowed: fn(&u8) -> bool) -> Option<usize> {
+    let inner = text.strip_prefix(open.as_bytes())?;
+    let length = run_length(inner, allowed);
+    (inner.get(length) == Some(&b'\'')).then_some(open.len() + length + 1)
+}
+
+/// The session that a statement belongs to: a hash of its first quoted text, or 0 without one.
+pub fn session_key(text: &[u8]) -> u64 {
+    let mut parts = text.split(|b| *b == b'\'');
+    let _before = parts.next();
+    let quoted = parts.next();
+    let is_closed = parts.next().is_some();
+    quoted.filter(|_| is_closed).map_or(0, |key| fnv1a(key).max(1))
+}
+
+/// The FNV-1a hash of 64 bits, <http://www.isthe.com/chongo/tech/comp/fnv/>.
 pub fn fnv1a(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0000_0100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -9,20 +9,22 @@
 use comethitchd::state::config::Config;
 use comethitchd::state::endpoints::EndpointDirectory;
 use comethitchd::state::host_connection::{Code, ConnectionEnd};
-use comethitchd::wire::http::{self, Body};
-use comethitchd::wire::postgres::{self, Answer, LARGEST_MESSAGE, Opening, host_message, message};
-use comethitchd::wire::{Malformed, discovery, host_report, statement};
+use comethitchd::wire::http::{self, BodyDecoder, ResponseHead};
+use comethitchd::wire::postgres::{
+    self, HostResponse, MAX_MESSAGE_BYTES, ResponseError, StartupRequest, message,
+};
+use comethitchd::wire::{MalformedMessage, discovery, host_report, statement};
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
 use support::*;
 
 /// Feeds an answer's bytes in pieces of this size, and tells whether it came to its end.
-fn answer_in(pieces: usize, bytes: &[u8]) -> Result<Answer, Malformed> {
-    let (mut answer, mut held) = (Answer::default(), Vec::new());
+fn answer_in(pieces: usize, bytes: &[u8]) -> Result<HostResponse, ResponseError> {
+    let (mut answer, mut held) = (HostResponse::default(), Vec::new());
     for piece in bytes.chunks(pieces) {
         held.extend(piece);
-        while let Some(next) = host_message(&held)? {
-            answer.take(&next)?;
+        while let Some(next) = answer.next_message(&held)? {
+            answer.accept(&next)?;
             let length = next.raw.len();
             held.drain(..length);
         }
@@ -36,9 +38,9 @@
     let bytes = [row(b"\x9f\x00\x03"), message_of_notice(), told, ready()].concat();
     for pieces in [1, 2, 3, 5, 7, bytes.len()] {
         let answer = answer_in(pieces, &bytes).expect("an answer");
-        assert!(answer.whole() && answer.ready() && answer.code.is_none());
-        assert_eq!(answer.value, row(b"\x9f\x00\x03"), "only the value itself is passed on");
-        let noted = host_report::noted(&answer);
+        assert!(answer.is_complete() && answer.is_ready() && answer.error_code.is_none());
+        assert_eq!(answer.rows, row(b"\x9f\x00\x03"), "only the value itself is passed on");
+        let noted = host_report::from_parameters(&answer.parameters);
         assert_eq!(
             (noted.role, noted.position),
             (Some(Role::Primary), Some(Timestamp::from_millis(1_767_225_600_123)))
@@ -57,13 +59,16 @@
     let twice = [row(b"x"), row(b"x"), ready()].concat();
     assert!(answer_in(1, &twice).is_err(), "two values for one query");
     let none = [support::message(b'C', b"INSERT 0 1\0"), ready()].concat();
-    assert!(!answer_in(1, &none).expect("an answer").whole(), "a command without its row");
+    assert!(!answer_in(1, &none).expect("an answer").is_complete(), "a command without its row");
     let late = [row(b"x"), error("XX000"), ready()].concat();
     let late = answer_in(1, &late).expect("an answer");
-    assert!(!late.whole() && late.code.as_deref() == Some("XX000"), "an error takes the value back");
+    assert!(
+        !late.is_complete() && late.error_code.as_deref() == Some("XX000"),
+        "an error takes the value back"
+    );
     assert!(answer_in(9, &support::message(b'R', &[0, 0, 0, 3])).is_err(), "a password is asked for");
-    let large = [&b"D"[..], &(LARGEST_MESSAGE as u32 + 1).to_be_bytes()].concat();
-    assert_eq!(message(&large).err(), Some(Malformed("a message has an impossible length")));
+    let large = [&b"D"[..], &(MAX_MESSAGE_BYTES as u32 + 1).to_be_bytes()].concat();
+    assert_eq!(message(&large).err(), Some(MalformedMessage("a message has an impossible length")));
     assert!(message(b"Q\0\0\0\x03").is_err(), "a length shorter than its own field");
     // Lengths that don't fit, at each level, are told by the first bytes that show it: no more need come.
     let whole = [row(b"abc"), ready()].concat();
@@ -97,26 +102,26 @@
 #[test]
 fn openings_are_told_apart() {
     let code = |code: u32| [8u32.to_be_bytes(), code.to_be_bytes()].concat();
-    assert_eq!(postgres::opening(&code(80_877_103)), Ok(Some((Opening::Encryption, 8))));
-    assert_eq!(postgres::opening(&code(80_877_104)), Ok(Some((Opening::Encryption, 8))));
-    assert_eq!(postgres::opening(&code(80_877_102)), Ok(Some((Opening::Cancel, 8))));
-    assert!(postgres::opening(&code(2 << 16)).is_err());
+    assert_eq!(postgres::startup_request(&code(80_877_103)), Ok(Some((StartupRequest::Encryption, 8))));
+    assert_eq!(postgres::startup_request(&code(80_877_104)), Ok(Some((StartupRequest::Encryption, 8))));
+    assert_eq!(postgres::startup_request(&code(80_877_102)), Ok(Some((StartupRequest::Cancel, 8))));
+    assert!(postgres::startup_request(&code(2 << 16)).is_err());
     let whole = startup();
-    let opened = Some((Opening::Startup { minor: 0 }, whole.len()));
+    let opened = Some((StartupRequest::Startup { minor: 0 }, whole.len()));
     for end in 0..whole.len() {
-        assert_eq!(postgres::opening(&whole[..end]), Ok(None));
+        assert_eq!(postgres::startup_request(&whole[..end]), Ok(None));
     }
-    assert_eq!(postgres::opening(&[&whole[..], b"Q"].concat()), Ok(opened));
+    assert_eq!(postgres::startup_request(&[&whole[..], b"Q"].concat()), Ok(opened));
 }
 
 #[test]
 fn comments_are_read_or_say_what_is_wrong() {
     let good = b"  /* x=1, after=17,cluster=65535,c=order,d=480,id=9b */ INSERT INTO f (code, data) VALUES('k', '\\x9f')RETURNING data";
-    let comment = statement::comment(good).expect("a comment");
+    let comment = statement::parse_command(good).expect("a comment");
     assert_eq!((comment.group, comment.shard, comment.after_ms), ("order", 65_535, Some(17)));
     assert_eq!(&good[comment.wait_at], b"480");
-    assert_eq!(statement::session(good), statement::session(b"SELECT 'k'"));
-    assert_eq!(statement::session(b"SELECT 'k"), 0, "a quote without an end names nothing");
+    assert_eq!(statement::session_key(good), statement::session_key(b"SELECT 'k'"));
+    assert_eq!(statement::session_key(b"SELECT 'k"), 0, "a quote without an end names nothing");
     let ways = [
         "select data from facts where code = 'k'",
         "SELECT 1",
@@ -127,7 +132,7 @@
     ];
     for way in ways {
         let text = format!("/* id=1,c=a,d=5,cluster=2 */ {way}");
-        let message = statement::comment(text.as_bytes());
+        let message = statement::parse_command(text.as_bytes()).map_err(|why| why.to_string());
         assert_eq!(message, Err("the statement is none that hosts take".into()), "{way}");
     }
     let cases = [
@@ -143,7 +148,7 @@
         ("/* id=1,c=a,d=5,cluster=2,after=soon */", "after is no number"),
     ];
     for (text, wanted) in cases {
-        let message = statement::comment(text.as_bytes()).expect_err(wanted);
+        let message = statement::parse_command(text.as_bytes()).expect_err(wanted).to_string();
         assert!(message.contains(wanted), "{message}");
     }
 }
@@ -156,29 +161,31 @@
         for piece in bytes.chunks(pieces) {
             held.extend(piece);
             if body.is_none()
-                && let Some((status, form, length)) = http::head(&held).expect("a head")
+                && let Some(ResponseHead { status, body: form, length }) =
+                    http::parse_head(&held).expect("a head")
             {
                 assert_eq!(status, 200);
                 held.drain(..length);
                 body = Some(form);
             }
             if let Some(body) = &mut body {
-                let taken = body.take(&held, &mut out).expect("a body");
+                let taken = body.decode(&held, &mut out).expect("a body");
                 held.drain(..taken);
             }
         }
         assert_eq!(out, b"{\"a\nb\"}\n");
-        assert!(body.is_some_and(|body| body.over()) && held == b"rest");
+        assert!(body.is_some_and(|body| body.is_complete()) && held == b"rest");
     }
     assert_eq!(
-        http::head(b"HTTP/1.1 503 Off\r\nContent-Length: 2\r\n\r\n"),
-        Ok(Some((503, Body::Length(2), 39)))
+        http::parse_head(b"HTTP/1.1 503 Off\r\nContent-Length: 2\r\n\r\n"),
+        Ok(Some(ResponseHead { status: 503, body: BodyDecoder::Length(2), length: 39 }))
     );
-    assert!(http::head(b"SMTP ready\r\n\r\n").is_err());
-    assert!(http::head(&[b'a'; 20_000]).is_err(), "a head without end");
-    let chunked = || http::head(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("a head");
+    assert!(http::parse_head(b"SMTP ready\r\n\r\n").is_err());
+    assert!(http::parse_head(&[b'a'; 20_000]).is_err(), "a head without end");
+    let chunked =
+        || http::parse_head(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("a head");
     for wrong in [&b"zz\r\n"[..], b"1\r\nab\r\n", &[b'1'; 2_000]] {
-        assert!(chunked().expect("whole").1.take(wrong, &mut Vec::new()).is_err());
+        assert!(chunked().expect("whole").body.decode(wrong, &mut Vec::new()).is_err());
     }
 }
 
@@ -191,19 +198,26 @@
         if round % 2 == 0 {
             bytes = [b"D\0\0\0\x0c", &bytes[..]].concat();
         }
-        if let Ok(Some(found)) = host_message(&bytes) {
-            let mut answer = Answer::default();
+        let mut answer = HostResponse::default();
+        if let Ok(Some(found)) = answer.next_message(&bytes) {
             let described = &row(b"x")[..30];
-            answer.take(&message(described).expect("whole").expect("whole")).expect("in order");
-            let _ =
-                (answer.take(&found).is_ok(), answer.column().is_some(), postgres::query_text(found.body));
+            answer.accept(&message(described).expect("whole").expect("whole")).expect("in order");
+            let _ = (
+                answer.accept(&found).is_ok(),
+                answer.single_value().is_some(),
+                postgres::query_text(found.body),
+            );
         }
-        let _ = (postgres::opening(&bytes), statement::comment(&bytes), statement::session(&bytes));
-        let _ = (http::head(&bytes), discovery::listing(&bytes, &[]).is_ok());
-        let _ = host_report::reported(&String::from_utf8_lossy(&bytes));
+        let _ = (
+            postgres::startup_request(&bytes),
+            statement::parse_command(&bytes),
+            statement::session_key(&bytes),
+        );
+        let _ = (http::parse_head(&bytes), discovery::parse_endpoint_list(&bytes, &[]).is_ok());
+        let _ = host_report::parse_load_report(&String::from_utf8_lossy(&bytes));
     }
     for odd in ["x0=.5", "x0=1.x", "x0=99999999999999999999", "x0=-1", "=", "x0", "x0=1e9,x1=?"] {
-        assert_eq!(host_report::reported(odd), comethitch_policy::HostReport::default(), "{odd}");
+        assert_eq!(host_report::parse_load_report(odd), comethitch_policy::HostReport::default(), "{odd}");
     }
 }
 
@@ -258,13 +272,13 @@
     let mut host = entry("s-1", address, true, "draining");
     host["site"] = "south".into();
     host["born_ms"] = 1_767_225_600_123_u64.into();
-    let read = discovery::listing(list(host.clone()).as_bytes(), &zones).expect("a list");
+    let read = discovery::parse_endpoint_list(list(host.clone()).as_bytes(), &zones).expect("a list");
     let one = &read.entries[0];
-    assert_eq!((read.seq, read.whole, one.endpoint.zone, one.endpoint.is_primary), (4, false, 1, true));
+    assert_eq!((read.seq, read.complete, one.endpoint.zone, one.endpoint.is_primary), (4, false, 1, true));
     assert_eq!((one.endpoint.lifecycle, one.dial), (Lifecycle::Draining, address));
     assert_eq!(one.endpoint.started, Some(Timestamp::from_millis(1_767_225_600_123)));
-    assert_eq!(discovery::host("s-1"), one.endpoint.host);
-    assert_ne!(discovery::host("s-2"), one.endpoint.host);
+    assert_eq!(discovery::host_id("s-1"), one.endpoint.host);
+    assert_ne!(discovery::host_id("s-2"), one.endpoint.host);
     for (key, wrong) in [
         ("dial", json!("db.example")),
         ("health", json!("well")),
@@ -273,10 +287,11 @@
     ] {
         let mut wrong_host = host.clone();
         wrong_host[key] = wrong;
-        let message = discovery::listing(list(wrong_host).as_bytes(), &zones).expect_err(key);
+        let message =
+            discovery::parse_endpoint_list(list(wrong_host).as_bytes(), &zones).expect_err(key).to_string();
         assert!(message.starts_with(&format!("hosts.0.{key} ")), "{message}");
     }
-    assert!(discovery::listing(b"{\"seq\":1,", &zones).is_err());
+    assert!(discovery::parse_endpoint_list(b"{\"seq\":1,", &zones).is_err());
 }
 
 #[test]
@@ -289,12 +304,17 @@
         // Told of as gone, or missing from a whole list.
         let whole = round % 2 == 0;
         let told = json!({"seq": round, "whole": whole, "hosts": hosts[..if whole { 1 } else { 2 }]});
-        list.take(&discovery::listing_of(&told, &[]).expect("a list"));
-        list.tells(discovery::host(&new), Role::Replica);
-        assert!(list.is_at(discovery::host(&new), address) && !list.is_at(discovery::host(&old), address));
+        list.take(&discovery::endpoint_list_from_json(&told, &[]).expect("a list"));
+        list.tells(discovery::host_id(&new), Role::Replica);
+        assert!(
+            list.is_at(discovery::host_id(&new), address) && !list.is_at(discovery::host_id(&old), address)
+        );
     }
     assert!(list.len() < 64, "{} hosts are kept", list.len());
-    assert!(!list.tells(discovery::host("s-3"), Role::Primary), "nothing is noted of one that is forgotten");
+    assert!(
+        !list.tells(discovery::host_id("s-3"), Role::Primary),
+        "nothing is noted of one that is forgotten"
+    );
 }
 
 #[test]
