--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -81,7 +81,7 @@
 
 fn protocol(tds: &Option<PathBuf>, site: &Config) -> Result<Protocol, String> {
     match tds {
-        Some(path) => Protocol::tds(TdsSettings::load(path)?, site),
+        Some(path) => Protocol::tds(TdsSettings::load(path).map_err(|e| e.to_string())?, site),
         None if site.statements.as_ref().is_some_and(|rules| rules.dialect != Dialect::Postgres) => {
             Err("the rules for statements are not of the dialect postgres".into())
         }
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -1,6 +1,6 @@
 //! One dispatch, or one probe, on a connection to a host.
 
-use super::answer::{Answer, LARGEST_TOKEN};
+use super::response::{FirstRow, HostResponse, MAX_TOKEN_BYTES};
 use super::settings::TdsSettings;
 use crate::protocols::attempt;
 use crate::protocols::flow::{Flow, HELD_WHOLE};
@@ -40,11 +40,11 @@
     })
 }
 
-fn outcome(ended: Result<Answer, ConnectionEnd>) -> Outcome {
+fn outcome(ended: Result<HostResponse, ConnectionEnd>) -> Outcome {
     let (end, value) = match ended {
         Ok(answer) => match answer.error {
-            Some(code) => (ConnectionEnd::HostError(code), answer.value),
-            None => (ConnectionEnd::Whole, answer.value),
+            Some(code) => (ConnectionEnd::HostError(code), answer.tokens),
+            None => (ConnectionEnd::Whole, answer.tokens),
         },
         Err(end) => (end, Vec::new()),
     };
@@ -60,7 +60,7 @@
         Batch::put(&mut payload, &ways.probe.sql);
         let limit = held.config.deployment.connect_timeout;
         let ended = within(&held, &ways, host, (Kind::Batch, &payload), limit, || true, None).await;
-        let told = ended.as_ref().ok().and_then(|answer| answer.row.as_ref());
+        let told = ended.as_ref().ok().and_then(|answer| answer.first_row.as_ref());
         let told = told.map(|row| standing(row, &ways.probe.primary)).unwrap_or_default();
         let mut end = outcome(ended).end;
         if end == ConnectionEnd::Whole && told.role.is_none() {
@@ -78,13 +78,13 @@
 }
 
 /// What a probe's row says: the role, and the position in milliseconds.
-fn standing((role, position): &(Value, Value), primary: &str) -> HostReport {
-    let role = match role {
+fn standing(row: &FirstRow, primary: &str) -> HostReport {
+    let role = match &row.first {
         Value::Text(role) => Some(role.trim().eq_ignore_ascii_case(primary)),
         Value::Integer(role) => Some(role.to_string() == primary),
         _ => None,
     };
-    let position = match position {
+    let position = match &row.second {
         Value::Integer(ms) => u64::try_from(*ms).ok(),
         Value::Float(ms) => Some(*ms as u64),
         Value::Text(ms) => ms.trim().parse().ok(),
@@ -102,7 +102,7 @@
 async fn within(
     state: &RouterState, ways: &TdsSettings, host: Host, message: (Kind, &[u8]), time_out: Duration,
     may_go: impl Fn() -> bool, flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<HostResponse, ConnectionEnd> {
     let written = Cell::new(false);
     let exchange = exchange(state, ways, host, message, may_go, &written, flow);
     attempt::within(state, time_out, &written, flow, exchange).await
@@ -111,7 +111,7 @@
 async fn exchange(
     state: &RouterState, ways: &TdsSettings, host: Host, (kind, payload): (Kind, &[u8]),
     may_go: impl Fn() -> bool, written: &Cell<bool>, flow: Option<&Flow>,
-) -> Result<Answer, ConnectionEnd> {
+) -> Result<HostResponse, ConnectionEnd> {
     let connect = async |dial| connect(state, ways, dial).await;
     let wire = |connection: &HostConnection| {
         // What another's command left in the session is gone before this one runs.
@@ -123,12 +123,12 @@
     let mut connection = attempt::written(state, host, may_go, connect, wire).await?;
     written.set(true);
     connection.kept.used = true;
-    let (mut answer, mut held) = (Answer::new(), Reservation::new(&state.memory));
+    let (mut answer, mut held) = (HostResponse::new(), Reservation::new(&state.memory));
     let ended = loop {
         match read(&mut connection, &mut answer, &mut held, flow.is_some()).await {
             Ok(false) => {
                 if let Some(flow) = flow {
-                    flow.pass(std::mem::take(&mut answer.value)).await?;
+                    flow.pass(std::mem::take(&mut answer.tokens)).await?;
                 }
             }
             Ok(true) => break Ok(()),
@@ -136,11 +136,11 @@
         }
     };
     // An answer whose last token has come stands, whatever becomes of its connection.
-    if !answer.whole() || ended == Err(ConnectionEnd::TooLarge) {
+    if !answer.is_complete() || ended == Err(ConnectionEnd::TooLarge) {
         return Err(ended.err().unwrap_or(ConnectionEnd::Malformed));
     }
     if let Some(flow) = flow.filter(|flow| flow.begun()) {
-        flow.end(std::mem::take(&mut answer.value)).await?;
+        flow.end(std::mem::take(&mut answer.tokens)).await?;
     }
     let end = answer.error.clone().map(|code| ConnectionEnd::HostError(code).ending());
     if ended.is_ok() && !answer.in_transaction && end != Some(AttemptOutcome::ConnectionReset) {
@@ -151,19 +151,19 @@
 
 /// Reads up to the answer's end, or up to a pause once there is enough to be passed on; true at the end.
 async fn read(
-    connection: &mut HostConnection, answer: &mut Answer, held: &mut Reservation, pauses: bool,
+    connection: &mut HostConnection, answer: &mut HostResponse, held: &mut Reservation, pauses: bool,
 ) -> Result<bool, ConnectionEnd> {
     loop {
-        let taken = answer.take(connection.buffer.unread()).map_err(|_| ConnectionEnd::Malformed)?;
+        let taken = answer.accept(connection.buffer.unread()).map_err(|_| ConnectionEnd::Malformed)?;
         connection.buffer.consume(taken);
-        if answer.held() > HELD_WHOLE + LARGEST_TOKEN || !held.resize_to(answer.held()) {
+        if answer.held_bytes() > HELD_WHOLE + MAX_TOKEN_BYTES || !held.resize_to(answer.held_bytes()) {
             return Err(ConnectionEnd::TooLarge);
         }
-        if answer.over() {
+        if answer.is_ended() {
             return Ok(true);
         }
         // An error within the answer is known only once it is whole, up to here.
-        if pauses && answer.value.len() >= HELD_WHOLE {
+        if pauses && answer.tokens.len() >= HELD_WHOLE {
             return Ok(false);
         }
         match connection.buffer.fill(&connection.stream).await {
@@ -238,7 +238,7 @@
     login.put(&mut payload);
     put_message(&mut wire, Kind::Login, FIRST_SIZE, &payload);
     (&connection.stream).write_all(&wire).await.map_err(|_| ConnectionEnd::NeverUp)?;
-    let (mut answer, mut held) = (Answer::new(), Reservation::new(&state.memory));
+    let (mut answer, mut held) = (HostResponse::new(), Reservation::new(&state.memory));
     let ended = read(connection, &mut answer, &mut held, false).await;
     match answer.error.take() {
         // Of the errors at a login one tells more than that no connection came up.
@@ -246,8 +246,8 @@
             end if end.ending() == AttemptOutcome::Overloaded => Err(ConnectionEnd::NoSlot),
             _ => Err(ConnectionEnd::NeverUp),
         },
-        None if ended.is_ok() && answer.acknowledged => {
-            connection.kept.packet = answer.packet.unwrap_or(FIRST_SIZE).min(LARGEST_SIZE);
+        None if ended.is_ok() && answer.login_accepted => {
+            connection.kept.packet = answer.packet_size.unwrap_or(FIRST_SIZE).min(LARGEST_SIZE);
             Ok(())
         }
         None => Err(ConnectionEnd::NeverUp),
--- a/crates/comethitchd/src/protocols/tds/client.rs
+++ b/crates/comethitchd/src/protocols/tds/client.rs
@@ -1,7 +1,7 @@
 //! A client's connection, from its PRELOGIN to its end.
 
-use super::prepared::Prepared;
-use super::settings::{TRIED_AGAIN, TdsSettings};
+use super::prepared::PreparedStatements;
+use super::settings::{RETRIED_BY_DRIVERS, TdsSettings};
 use crate::protocols::client_connection::{ClientConnection, Disconnect};
 use crate::stages::admit::{self, Asked, NotTaken};
 use crate::stages::route;
@@ -43,7 +43,7 @@
     ways: Rc<TdsSettings>,
     /// The size of packets that was settled.
     packet: usize,
-    prepared: Prepared,
+    prepared: PreparedStatements,
 }
 
 /// What a message asks for.
@@ -80,7 +80,7 @@
     state: Rc<RouterState>, ways: Rc<TdsSettings>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
     let line = ClientConnection::new(state, stream, permit, LARGEST_SIZE + 1);
-    let prepared = Prepared::new(&line.state.memory);
+    let prepared = PreparedStatements::new(&line.state.memory);
     run(Client { connection: line, ways, packet: FIRST_SIZE, prepared })
 }
 
@@ -275,7 +275,7 @@
             }
             Procedure::Known(Known::Prepare) => {
                 let Some(text) = call.statement() else { return refused("sp_prepare without a statement") };
-                let Some(handle) = self.prepared.keep(text, call.declarations().unwrap_or_default()) else {
+                let Some(handle) = self.prepared.insert(text, call.declarations().unwrap_or_default()) else {
                     return refused("no room for one more prepared statement");
                 };
                 let mut tokens = Vec::new();
@@ -285,21 +285,21 @@
                 Ok(Request::Here(tokens))
             }
             Procedure::Known(Known::Execute) => {
-                let Some((text, declarations)) = handle().and_then(|handle| self.prepared.get(handle)) else {
+                let Some(prepared) = handle().and_then(|handle| self.prepared.get(handle)) else {
                     return refused("no statement of this handle is prepared");
                 };
-                Ok(executed(&call, &payload, text, declarations, Called::Yes))
+                Ok(executed(&call, &payload, &prepared.text, &prepared.declarations, Called::Yes))
             }
             Procedure::Known(Known::PrepareExecute) => {
                 let Some(text) = call.statement() else { return refused("sp_prepexec without a statement") };
                 let declarations = call.declarations().unwrap_or_default();
-                let Some(handle) = self.prepared.keep(text, declarations) else {
+                let Some(handle) = self.prepared.insert(text, declarations) else {
                     return refused("no room for one more prepared statement");
                 };
                 Ok(executed(&call, &payload, text, declarations, Called::Preparing(handle)))
             }
             Procedure::Known(Known::Unprepare) => {
-                if !handle().is_some_and(|handle| self.prepared.forget(handle)) {
+                if !handle().is_some_and(|handle| self.prepared.remove(handle)) {
                     return refused("no statement of this handle is prepared");
                 }
                 let mut tokens = Vec::new();
@@ -464,7 +464,7 @@
 
 /// Writes the one final answer.
 fn put_reply(
-    out: &mut Vec<u8>, reply: Reply, numbers: super::settings::Numbers, called: Called, repeatable: bool,
+    out: &mut Vec<u8>, reply: Reply, numbers: super::settings::ErrorNumbers, called: Called, repeatable: bool,
 ) {
     let fault = |out: &mut Vec<u8>, number, text: &str| {
         put_fault(out, number, 16, text);
@@ -504,7 +504,7 @@
     while let Ok((token, length)) = tokens.next(&answer[at..]) {
         at += length;
         match token {
-            Token::Error(message) if TRIED_AGAIN.contains(&message.number) => return Some(message),
+            Token::Error(message) if RETRIED_BY_DRIVERS.contains(&message.number) => return Some(message),
             _ => {}
         }
     }
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -1,9 +1,9 @@
 //! TDS 7.4, on both sides: batches and calls of `sp_executesql` and its kin.
 
-mod answer;
 mod backend;
 mod client;
 mod prepared;
+mod response;
 pub mod settings;
 
 use crate::state::client_registry::DescriptorPermit;
--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -1,57 +1,78 @@
-//! Statements that a client has prepared. They are kept here and not at hosts: each execution is a call of
-//! `sp_executesql`, which any host can take.
+//! The statements that a client has prepared. They are kept at the router and not at hosts: each execution becomes a
+//! call of `sp_executesql`, which any host can run.
 
 use crate::state::buffer::{MemoryBudget, Reservation};
 use std::collections::BTreeMap;
 
-/// The most bytes of all statements that a client may keep.
-const MOST_BYTES: usize = 256 * 1024;
-/// What one takes besides its texts.
-const EACH: usize = 128;
+/// The most bytes that the statements of one client may take.
+const MAX_CLIENT_BYTES: usize = 256 * 1024;
+/// What a statement takes besides its texts.
+const ENTRY_OVERHEAD_BYTES: usize = 128;
 
-pub struct Prepared {
-    /// Counted against the room that all connections share.
-    held: Reservation,
-    last: i32,
-    kept: BTreeMap<i32, (String, String)>,
+/// A prepared statement.
+pub struct PreparedStatement {
+    /// The statement's text.
+    pub text: String,
+    /// The declarations of its parameters, as `@name type, ...`.
+    pub declarations: String,
+}
+
+/// What a statement takes of its client's limit.
+fn entry_bytes(text: &str, declarations: &str) -> usize {
+    text.len() + declarations.len() + ENTRY_OVERHEAD_BYTES
+}
+
+/// The prepared statements of one client, by handle.
+pub struct PreparedStatements {
+    /// Counted against the memory that all connections share.
+    reservation: Reservation,
+    last_handle: i32,
+    by_handle: BTreeMap<i32, PreparedStatement>,
     bytes: usize,
 }
 
-impl Prepared {
-    pub fn new(room: &MemoryBudget) -> Prepared {
-        Prepared { held: Reservation::new(room), last: 0, kept: BTreeMap::new(), bytes: 0 }
+impl PreparedStatements {
+    /// No statements yet; those to come reserve memory from this budget.
+    pub fn new(memory: &MemoryBudget) -> PreparedStatements {
+        PreparedStatements {
+            reservation: Reservation::new(memory),
+            last_handle: 0,
+            by_handle: BTreeMap::new(),
+            bytes: 0,
+        }
     }
 
-    /// Keeps a statement and the declarations of its parameters; none where it has no room.
-    pub fn keep(&mut self, statement: &str, declarations: &str) -> Option<i32> {
-        let bytes = statement.len() + declarations.len() + EACH;
-        if self.bytes + bytes > MOST_BYTES || !self.held.resize_to(self.bytes + bytes) {
+    /// Keeps a statement and returns its handle, or none if there is no memory for it.
+    pub fn insert(&mut self, text: &str, declarations: &str) -> Option<i32> {
+        let bytes = self.bytes + entry_bytes(text, declarations);
+        if bytes > MAX_CLIENT_BYTES || !self.reservation.resize_to(bytes) {
             return None;
         }
-        self.bytes += bytes;
-        self.last = self.last.checked_add(1)?;
-        self.kept.insert(self.last, (statement.into(), declarations.into()));
-        Some(self.last)
+        self.bytes = bytes;
+        self.last_handle = self.last_handle.checked_add(1)?;
+        let statement = PreparedStatement { text: text.into(), declarations: declarations.into() };
+        self.by_handle.insert(self.last_handle, statement);
+        Some(self.last_handle)
     }
 
-    /// A statement and its declarations.
-    pub fn get(&self, handle: i64) -> Option<&(String, String)> {
-        self.kept.get(&i32::try_from(handle).ok()?)
+    /// The statement with this handle.
+    pub fn get(&self, handle: i64) -> Option<&PreparedStatement> {
+        self.by_handle.get(&i32::try_from(handle).ok()?)
     }
 
-    /// Forgets a statement; false if there is none.
-    pub fn forget(&mut self, handle: i64) -> bool {
-        let found = i32::try_from(handle).ok().and_then(|handle| self.kept.remove(&handle));
-        if let Some((statement, declarations)) = &found {
-            self.bytes -= statement.len() + declarations.len() + EACH;
-            self.held.resize_to(self.bytes);
-        }
-        found.is_some()
+    /// Removes a statement; false if there is none with this handle.
+    pub fn remove(&mut self, handle: i64) -> bool {
+        let removed = i32::try_from(handle).ok().and_then(|handle| self.by_handle.remove(&handle));
+        let Some(statement) = removed else { return false };
+        self.bytes -= entry_bytes(&statement.text, &statement.declarations);
+        self.reservation.resize_to(self.bytes);
+        true
     }
 
+    /// Removes all statements. Handles are not used again.
     pub fn clear(&mut self) {
-        self.kept.clear();
+        self.by_handle.clear();
         self.bytes = 0;
-        self.held.resize_to(0);
+        self.reservation.resize_to(0);
     }
 }
--- a/crates/comethitchd/src/protocols/tds/settings.rs
+++ b/crates/comethitchd/src/protocols/tds/settings.rs
@@ -1,8 +1,12 @@
-//! The operator's file for TDS: how hosts are logged in to and probed, and what clients are told.
+//! The operator's settings file for TDS: how the router logs in to hosts and checks their health, and which error
+//! numbers it answers with.
+//!
+//! The file's schema is published as `deploy/tds.schema.json`, and generated from the types here.
 
 use comethitch_tds::packet::{LARGEST_SIZE, LEAST_SIZE};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
+use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -16,41 +20,48 @@
     #[serde(default)]
     pub also_listen: Vec<String>,
     /// The largest packets that clients and hosts may settle on, in bytes.
-    #[serde(default = "packet_size")]
+    #[serde(default = "default_packet_size")]
     pub packet_size: usize,
-    pub hosts: LogIn,
-    pub probe: Probe,
+    /// How the router logs in to hosts.
+    pub hosts: HostLogin,
+    /// How the health of hosts is checked.
+    pub probe: HealthCheck,
+    /// The numbers of the errors that the router answers with.
     #[serde(default)]
-    pub numbers: Numbers,
+    pub numbers: ErrorNumbers,
 }
 
-fn packet_size() -> usize {
+fn default_packet_size() -> usize {
     8000
 }
 
-/// How the router logs in to hosts. Clients are let in whoever they are.
+/// How the router logs in to hosts. Clients are admitted whatever their name and password are.
 #[derive(Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct LogIn {
+// The published schema and the texts of errors keep the name.
+#[serde(deny_unknown_fields, rename = "LogIn")]
+pub struct HostLogin {
+    /// The name of the login.
     pub user: String,
     /// A file whose first line is the password; none for an empty one.
     pub password_file: Option<String>,
+    /// The database that statements run in.
     pub database: String,
     /// Read from its file at the start.
     #[serde(skip)]
     pub password: String,
 }
 
-impl std::fmt::Debug for LogIn {
+/// Leaves the password out.
+impl std::fmt::Debug for HostLogin {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "LogIn {{ user: {:?}, database: {:?} }}", self.user, self.database)
+        write!(f, "HostLogin {{ user: {:?}, database: {:?} }}", self.user, self.database)
     }
 }
 
-/// How a host is asked how it stands.
+/// The health check: a query that each host answers with its role and position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Probe {
+#[serde(deny_unknown_fields, rename = "Probe")]
+pub struct HealthCheck {
     /// A query of one row: the host's role, then its position, in milliseconds of Unix time, up to which all
     /// commits are applied there.
     pub sql: String,
@@ -60,75 +71,179 @@
 
 /// The numbers of errors that the router answers with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields, default)]
-pub struct Numbers {
-    /// Throttled: trying again is harmless. By itself one that drivers try again on.
+#[serde(deny_unknown_fields, default, rename = "Numbers")]
+pub struct ErrorNumbers {
+    /// Throttled: a retry is harmless. By default a number that drivers retry on.
     pub throttled: i32,
-    /// Failed, with nothing said of the effect: must be one that no driver tries again on.
+    /// Failed, and whether the statement ran is unknown: must be a number that no driver retries on.
     pub failed: i32,
-    /// A statement that becomes no command.
+    /// A statement that is rejected before it becomes a command.
     pub refused: i32,
 }
 
-impl Default for Numbers {
-    fn default() -> Numbers {
-        Numbers { throttled: 49_918, failed: 50_003, refused: 50_001 }
+impl Default for ErrorNumbers {
+    fn default() -> ErrorNumbers {
+        ErrorNumbers { throttled: 49_918, failed: 50_003, refused: 50_001 }
     }
 }
 
-/// Numbers on which common drivers try again by themselves: a failure that may have run must have none of them.
-pub const TRIED_AGAIN: [i32; 28] = [
+/// The error numbers that common drivers retry on by themselves. A failure of a statement that may have run must have
+/// none of them.
+pub const RETRIED_BY_DRIVERS: [i32; 28] = [
     20, 64, 121, 233, 615, 926, 997, 1204, 1205, 1222, 4060, 4221, 10_053, 10_054, 10_060, 10_922, 10_928,
     10_929, 10_936, 40_143, 40_197, 40_501, 40_540, 40_613, 42_108, 49_918, 49_919, 49_920,
 ];
 
+/// Why a settings file can't be used. The text names the key.
+#[derive(Debug, thiserror::Error)]
+pub enum TdsSettingsError {
+    /// The file can't be read.
+    #[error("{path} can't be read: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why not.
+        source: io::Error,
+    },
+    /// The file's content is wrong.
+    #[error("{path}: {source}")]
+    InFile {
+        /// The file.
+        path: String,
+        /// What is wrong with it.
+        source: Box<TdsSettingsError>,
+    },
+    /// A key is missing or unknown, or has a value of the wrong type.
+    #[error("{key}: {source}")]
+    InvalidJson {
+        /// The path of the key.
+        key: String,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// Something follows the JSON object.
+    #[error("behind the ways: {0}")]
+    TrailingText(#[source] serde_json::Error),
+    /// One of the further addresses can't be parsed.
+    #[error("also_listen.{index} must be an address with a port, not {text:?}")]
+    InvalidAddress {
+        /// Its position in the list.
+        index: usize,
+        /// What stands there.
+        text: String,
+    },
+    /// The size of packets is out of the protocol's range.
+    #[error("packet_size must be {LEAST_SIZE} to {LARGEST_SIZE}, not {0}")]
+    PacketSizeOutOfRange(usize),
+    /// The health check has no query.
+    #[error("probe.sql must be a query")]
+    EmptyHealthCheck,
+    /// An error number is zero or negative.
+    #[error("numbers.{key} must be above 0, not {number}")]
+    NumberNotPositive {
+        /// The key of the number.
+        key: &'static str,
+        /// The number.
+        number: i32,
+    },
+    /// Clients would send again what may have run.
+    #[error("numbers.{key} is {number}, on which clients try again")]
+    NumberIsRetried {
+        /// The key of the number.
+        key: &'static str,
+        /// The number.
+        number: i32,
+    },
+    /// The password's file can't be read.
+    #[error("hosts.password_file: {path}: {source}")]
+    PasswordFile {
+        /// The file.
+        path: String,
+        /// Why not.
+        source: io::Error,
+    },
+}
+
 impl TdsSettings {
-    pub fn load(path: &Path) -> Result<TdsSettings, String> {
-        let shown = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{shown} can't be read: {e}"))?;
-        TdsSettings::read(&text).map_err(|e| format!("{shown}: {e}"))
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    /// If the file can't be read, or [`TdsSettings::read`] fails.
+    pub fn load(path: &Path) -> Result<TdsSettings, TdsSettingsError> {
+        let shown = || path.display().to_string();
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| TdsSettingsError::Unreadable { path: shown(), source })?;
+        TdsSettings::read(&text)
+            .map_err(|source| TdsSettingsError::InFile { path: shown(), source: Box::new(source) })
     }
 
-    /// Reads and checks the file; an error names the key.
-    pub fn read(text: &str) -> Result<TdsSettings, String> {
-        let mut reader = serde_json::Deserializer::from_str(text);
-        let mut ways: TdsSettings = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
-        reader.end().map_err(|e| format!("behind the ways: {e}"))?;
-        ways.addresses()?;
-        if !(LEAST_SIZE..=LARGEST_SIZE).contains(&ways.packet_size) {
-            return Err(format!(
-                "packet_size must be {LEAST_SIZE} to {LARGEST_SIZE}, not {}",
-                ways.packet_size
-            ));
+    /// Parses and checks the text of a file, and reads the password from its own.
+    ///
+    /// # Errors
+    /// If a key is missing, unknown or out of its range, or the password's file can't be read.
+    pub fn read(text: &str) -> Result<TdsSettings, TdsSettingsError> {
+        let mut settings = TdsSettings::parse(text)?;
+        settings.addresses()?;
+        settings.check_packet_size()?;
+        if settings.probe.sql.trim().is_empty() {
+            return Err(TdsSettingsError::EmptyHealthCheck);
         }
-        if ways.probe.sql.trim().is_empty() {
-            return Err("probe.sql must be a query".into());
+        settings.numbers.check()?;
+        settings.hosts.read_password()?;
+        Ok(settings)
+    }
+
+    fn parse(text: &str) -> Result<TdsSettings, TdsSettingsError> {
+        let mut reader = serde_json::Deserializer::from_str(text);
+        let settings = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+            TdsSettingsError::InvalidJson { key: error.path().to_string(), source: error.into_inner() }
+        })?;
+        reader.end().map_err(TdsSettingsError::TrailingText)?;
+        Ok(settings)
+    }
+
+    fn check_packet_size(&self) -> Result<(), TdsSettingsError> {
+        if !(LEAST_SIZE..=LARGEST_SIZE).contains(&self.packet_size) {
+            return Err(TdsSettingsError::PacketSizeOutOfRange(self.packet_size));
         }
-        let Numbers { throttled, failed, refused } = ways.numbers;
-        for (key, number) in [("throttled", throttled), ("failed", failed), ("refused", refused)] {
+        Ok(())
+    }
+
+    /// The further addresses to listen at.
+    ///
+    /// # Errors
+    /// If one of them is no address with a port.
+    pub fn addresses(&self) -> Result<Vec<SocketAddr>, TdsSettingsError> {
+        let parse = |(index, text): (usize, &String)| {
+            text.parse().map_err(|_| TdsSettingsError::InvalidAddress { index, text: text.clone() })
+        };
+        self.also_listen.iter().enumerate().map(parse).collect()
+    }
+}
+
+impl ErrorNumbers {
+    fn check(&self) -> Result<(), TdsSettingsError> {
+        let all = [("throttled", self.throttled), ("failed", self.failed), ("refused", self.refused)];
+        for (key, number) in all {
             if number <= 0 {
-                return Err(format!("numbers.{key} must be above 0, not {number}"));
+                return Err(TdsSettingsError::NumberNotPositive { key, number });
             }
         }
-        for (key, number) in [("failed", failed), ("refused", refused)] {
-            if TRIED_AGAIN.contains(&number) || number == throttled {
-                return Err(format!("numbers.{key} is {number}, on which clients try again"));
+        for (key, number) in [("failed", self.failed), ("refused", self.refused)] {
+            if RETRIED_BY_DRIVERS.contains(&number) || number == self.throttled {
+                return Err(TdsSettingsError::NumberIsRetried { key, number });
             }
         }
-        if let Some(path) = &ways.hosts.password_file {
-            let text =
-                std::fs::read_to_string(path).map_err(|e| format!("hosts.password_file: {path}: {e}"))?;
-            ways.hosts.password = text.lines().next().unwrap_or_default().to_string();
-        }
-        Ok(ways)
+        Ok(())
     }
+}
 
-    /// The further addresses.
-    pub fn addresses(&self) -> Result<Vec<SocketAddr>, String> {
-        let address = |(i, text): (usize, &String)| {
-            text.parse().map_err(|_| format!("also_listen.{i} must be an address with a port, not {text:?}"))
-        };
-        self.also_listen.iter().enumerate().map(address).collect()
+impl HostLogin {
+    fn read_password(&mut self) -> Result<(), TdsSettingsError> {
+        let Some(path) = &self.password_file else { return Ok(()) };
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| TdsSettingsError::PasswordFile { path: path.clone(), source })?;
+        self.password = text.lines().next().unwrap_or_default().to_string();
+        Ok(())
     }
 }
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -59,7 +59,7 @@
             }
             Some(_) => {}
         }
-        let also_listen = ways.addresses()?;
+        let also_listen = ways.addresses().map_err(|e| e.to_string())?;
         let tds = Tds(Rc::new(ways));
         Ok(Protocol { front: Rc::new(tds.clone()), back: Box::new(tds), also_listen })
     }
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -379,7 +379,7 @@
     let with = |key: &str, value: Value| {
         let mut ways = sample.clone();
         *ways.pointer_mut(key).expect(key) = value;
-        TdsSettings::read(&ways.to_string()).expect_err(key)
+        TdsSettings::read(&ways.to_string()).expect_err(key).to_string()
     };
     for (key, value, told) in [
         ("/packet_size", json!(100), "packet_size must be 512 to 32767"),
