--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -1,7 +1,7 @@
 //! The statements that a client has prepared. They are kept at the router and not at hosts: each execution becomes a
 //! call of `sp_executesql`, which any host can run.
 
-use crate::state::buffer::{MemoryBudget, Reservation};
+use crate::state::memory_budget::{MemoryBudget, Reservation};
 use std::collections::BTreeMap;
 
 /// The most bytes that the statements of one client may take.
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -3,7 +3,7 @@
 //! Packets are taken apart into tokens, and the tokens that concern the session between router and host alone are left
 //! out of what the client gets.
 
-use crate::state::host_connection::Code;
+use crate::state::host_connection::HostErrorCode;
 use comethitch_tds::packet::{HEADER, Header, Kind, status};
 use comethitch_tds::token::{Change, Token, Tokens, code, done};
 use comethitch_tds::types::Value;
@@ -25,7 +25,7 @@
     /// Tokens as the client gets them.
     pub tokens: Vec<u8>,
     /// The first error.
-    pub error: Option<Code>,
+    pub error: Option<HostErrorCode>,
     /// The first two values of the first row, for health checks.
     pub first_row: Option<FirstRow>,
     /// The host has accepted a login.
@@ -146,7 +146,7 @@
         match token {
             Token::Error(message) if message.class > MAX_INFORMATION_CLASS => {
                 let first = !self.has_results;
-                let code = Code::Tds { number: message.number, class: message.class, first };
+                let code = HostErrorCode::Tds { number: message.number, class: message.class, first };
                 self.error.get_or_insert(code);
             }
             Token::LoginAck { .. } => self.login_accepted = true,
