--- a/crates/comethitchd/src/service/discovery_client.rs
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -3,8 +3,8 @@
 use crate::state::buffer::Buffer;
 use crate::state::clock::after;
 use crate::state::memory_budget::MemoryBudget;
-use crate::wire::discovery::{Piece, Pieces};
-use crate::wire::http::{self, Body};
+use crate::wire::http::{self, BodyDecoder, ResponseHead};
+use crate::wire::json_stream::{JsonStream, JsonStreamItem};
 use async_io::Async;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::error::Error;
@@ -62,8 +62,8 @@
 pub struct DiscoveryResponse {
     stream: Async<TcpStream>,
     buffer: Buffer,
-    body: Body,
-    pieces: Pieces,
+    body: BodyDecoder,
+    objects: JsonStream,
 }
 
 impl DiscoveryResponse {
@@ -78,19 +78,20 @@
         let connect = async { Ok(Async::<TcpStream>::connect(address).await?) };
         let stream = within(RESPONSE_TIMEOUT, DiscoveryError::ConnectTimeout, connect).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        let request = http::request(path, &address.to_string());
+        let request = http::get_request(path, &address.to_string());
         let mut buffer = Buffer::new(MAX_BUFFER_BYTES, budget);
         let head = async {
             (&stream).write_all(&request).await?;
             read_head(&stream, &mut buffer).await
         };
         // The timeout is for the whole head: one that comes byte by byte without end is none.
-        let (status, body, length) = within(RESPONSE_TIMEOUT, DiscoveryError::HeadTimeout, head).await?;
+        let ResponseHead { status, body, length } =
+            within(RESPONSE_TIMEOUT, DiscoveryError::HeadTimeout, head).await?;
         if status != STATUS_OK {
             return Err(DiscoveryError::Status(status));
         }
         buffer.consume(length);
-        Ok(DiscoveryResponse { stream, buffer, body, pieces: Pieces::default() })
+        Ok(DiscoveryResponse { stream, buffer, body, objects: JsonStream::default() })
     }
 
     /// The next object or empty line; none at the end of the response.
@@ -98,14 +99,14 @@
     /// # Errors
     ///
     /// If the connection fails, or the response is malformed or incomplete.
-    pub async fn next_piece(&mut self) -> Result<Option<Piece>, DiscoveryError> {
+    pub async fn next_item(&mut self) -> Result<Option<JsonStreamItem>, DiscoveryError> {
         loop {
-            let next = self.pieces.next().map_err(|error| DiscoveryError::Malformed(error.into()))?;
-            if let Some(piece) = next {
-                return Ok(Some(piece));
+            let next = self.objects.next_item().map_err(|error| DiscoveryError::Malformed(error.into()))?;
+            if let Some(item) = next {
+                return Ok(Some(item));
             }
-            if self.body.over() {
-                return if self.pieces.within() { Err(DiscoveryError::Incomplete) } else { Ok(None) };
+            if self.body.is_complete() {
+                return if self.objects.in_object() { Err(DiscoveryError::Incomplete) } else { Ok(None) };
             }
             if self.take_buffered()? == 0 {
                 self.read_more().await?;
@@ -113,11 +114,11 @@
         }
     }
 
-    /// Moves what the buffer holds of the body to the pieces; how many bytes that were.
+    /// Decodes what the buffer holds of the body; how many bytes that were.
     fn take_buffered(&mut self) -> Result<usize, DiscoveryError> {
         let taken = self
             .body
-            .take(self.buffer.unread(), self.pieces.text())
+            .decode(self.buffer.unread(), self.objects.buffer_mut())
             .map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
         self.buffer.consume(taken);
         Ok(taken)
@@ -128,21 +129,19 @@
         if self.buffer.fill(&self.stream).await? > 0 {
             return Ok(());
         }
-        if self.body != Body::UntilClosed {
+        if self.body != BodyDecoder::UntilClosed {
             return Err(DiscoveryError::Closed);
         }
-        self.body = Body::Length(0);
+        self.body = BodyDecoder::Length(0);
         Ok(())
     }
 }
 
-/// The status, the form of the body and the length of a response's head.
-async fn read_head(
-    stream: &Async<TcpStream>, buffer: &mut Buffer,
-) -> Result<(u16, Body, usize), DiscoveryError> {
+/// Reads the head of a response, and leaves it in the buffer.
+async fn read_head(stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<ResponseHead, DiscoveryError> {
     loop {
-        let head =
-            http::head(buffer.unread()).map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
+        let head = http::parse_head(buffer.unread())
+            .map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
         if let Some(head) = head {
             return Ok(head);
         }
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -9,7 +9,8 @@
 use crate::stages::updates;
 use crate::state::clock::after;
 use crate::state::router_state::RouterState;
-use crate::wire::discovery::{self, EndpointList, Piece};
+use crate::wire::discovery::{self, EndpointList};
+use crate::wire::json_stream::JsonStreamItem;
 use async_io::Timer;
 use futures_lite::FutureExt;
 use std::net::SocketAddr;
@@ -96,9 +97,9 @@
 async fn watch(state: &Rc<RouterState>, address: SocketAddr, since: u64) -> Result<(), DiscoveryError> {
     let path = format!("{LIST_PATH}?follow=1&since={since}");
     let mut response = DiscoveryResponse::request(address, &path, &state.memory).await?;
-    while let Some(piece) = within(WATCH_TIMEOUT, DiscoveryError::WatchSilent, response.next_piece()).await? {
+    while let Some(item) = within(WATCH_TIMEOUT, DiscoveryError::WatchSilent, response.next_item()).await? {
         state.discovery.record_watch_event(state.clock.now());
-        if let Piece::Object(text) = piece {
+        if let JsonStreamItem::Object(text) = item {
             let version = state.endpoints.borrow().version;
             apply(state, &text, version)?;
         }
@@ -112,8 +113,8 @@
     let fetch = async {
         let mut response = DiscoveryResponse::request(address, LIST_PATH, &state.memory).await?;
         let mut text = None;
-        while let Some(piece) = response.next_piece().await? {
-            if let Piece::Object(object) = piece {
+        while let Some(item) = response.next_item().await? {
+            if let JsonStreamItem::Object(object) = item {
                 text = Some(object);
             }
         }
@@ -126,10 +127,10 @@
 /// Applies a list or an update. `version_before` is the version held as it was requested: one that is older than what
 /// another response has brought since then is out of date.
 fn apply(state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>) -> Result<(), DiscoveryError> {
-    let list = discovery::listing(text, &state.config.zones)
+    let list = discovery::parse_endpoint_list(text, &state.config.zones)
         .map_err(|error| DiscoveryError::Malformed(error.into()))?;
     let version = state.endpoints.borrow().version;
-    let may_be_outdated = version != version_before || !list.whole;
+    let may_be_outdated = version != version_before || !list.complete;
     if may_be_outdated && version.is_some_and(|version| list.seq < version) {
         log::debug!("list {} is older than the one held, {version:?}", list.seq);
         return Ok(());
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -6,7 +6,7 @@
 
 pub use error::ConfigError;
 
-use crate::wire::discovery::{EndpointList, listing_of};
+use crate::wire::discovery::{EndpointList, endpoint_list_from_json};
 use comethitch_policy::Deployment;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::{Rules, Secret, StatementAdmission};
@@ -235,8 +235,10 @@
 
     fn known_hosts(&self, zones: &[String]) -> Result<EndpointList, ConfigError> {
         match self.keys.get("known") {
-            Some(known) => listing_of(known, zones).map_err(|error| ConfigError::KnownHosts(error.into())),
-            None => Ok(EndpointList { whole: true, ..EndpointList::default() }),
+            Some(known) => {
+                endpoint_list_from_json(known, zones).map_err(|error| ConfigError::KnownHosts(error.into()))
+            }
+            None => Ok(EndpointList { complete: true, ..EndpointList::default() }),
         }
     }
 
--- a/crates/comethitchd/src/state/endpoints.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -48,7 +48,7 @@
 
     /// The known hosts that a complete list no longer names.
     fn missing_from(&self, list: &EndpointList) -> Vec<Host> {
-        if !list.whole {
+        if !list.complete {
             return Vec::new();
         }
         let is_named = |host: &Host| list.entries.iter().any(|entry| entry.endpoint.host == *host);
