--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -124,7 +124,7 @@
 /// TDS if there are settings for it, or else PostgreSQL's protocol.
 fn choose_protocol(tds: Option<&Path>, config: &Config) -> Result<Protocol, ProtocolError> {
     if let Some(path) = tds {
-        let settings = TdsSettings::load(path).map_err(|error| ProtocolError::TdsSettings(error.into()))?;
+        let settings = TdsSettings::load(path)?;
         return Protocol::tds(settings, config);
     }
     if config.statements.as_ref().is_some_and(|rules| rules.dialect != Dialect::Postgres) {
--- a/crates/comethitchd/src/service/discovery_client.rs
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -3,11 +3,12 @@
 use crate::state::buffer::Buffer;
 use crate::state::clock::after;
 use crate::state::memory_budget::MemoryBudget;
+use crate::wire::MalformedMessage;
+use crate::wire::discovery::EndpointListError;
 use crate::wire::http::{self, BodyDecoder, ResponseHead};
-use crate::wire::json_stream::{JsonStream, JsonStreamItem};
+use crate::wire::json_stream::{JsonStream, JsonStreamError, JsonStreamItem};
 use async_io::Async;
 use futures_lite::{AsyncWriteExt, FutureExt};
-use std::error::Error;
 use std::future::Future;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -47,9 +48,15 @@
     /// The response has another status than 200.
     #[error("it answers with status {0}")]
     Status(u16),
-    /// The response is not HTTP, or does not hold endpoint lists.
-    #[error("{0}")]
-    Malformed(#[source] Box<dyn Error + Send + Sync>),
+    /// The response is not HTTP.
+    #[error(transparent)]
+    Http(#[from] MalformedMessage),
+    /// The response is no stream of JSON objects.
+    #[error(transparent)]
+    JsonStream(#[from] JsonStreamError),
+    /// An object of the response is no endpoint list.
+    #[error(transparent)]
+    List(#[from] EndpointListError),
     /// The response ends within a list.
     #[error("its response ends within a list")]
     Incomplete,
@@ -101,8 +108,7 @@
     /// If the connection fails, or the response is malformed or incomplete.
     pub async fn next_item(&mut self) -> Result<Option<JsonStreamItem>, DiscoveryError> {
         loop {
-            let next = self.objects.next_item().map_err(|error| DiscoveryError::Malformed(error.into()))?;
-            if let Some(item) = next {
+            if let Some(item) = self.objects.next_item()? {
                 return Ok(Some(item));
             }
             if self.body.is_complete() {
@@ -116,10 +122,7 @@
 
     /// Decodes what the buffer holds of the body; how many bytes that were.
     fn take_buffered(&mut self) -> Result<usize, DiscoveryError> {
-        let taken = self
-            .body
-            .decode(self.buffer.unread(), self.objects.buffer_mut())
-            .map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
+        let taken = self.body.decode(self.buffer.unread(), self.objects.buffer_mut())?;
         self.buffer.consume(taken);
         Ok(taken)
     }
@@ -140,9 +143,7 @@
 /// Reads the head of a response, and leaves it in the buffer.
 async fn read_head(stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<ResponseHead, DiscoveryError> {
     loop {
-        let head = http::parse_head(buffer.unread())
-            .map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
-        if let Some(head) = head {
+        if let Some(head) = http::parse_head(buffer.unread())? {
             return Ok(head);
         }
         if buffer.fill(stream).await? == 0 {
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -127,8 +127,7 @@
 /// Applies a list or an update. `version_before` is the version held as it was requested: one that is older than what
 /// another response has brought since then is out of date.
 fn apply(state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>) -> Result<(), DiscoveryError> {
-    let list = discovery::parse_endpoint_list(text, &state.config.zones)
-        .map_err(|error| DiscoveryError::Malformed(error.into()))?;
+    let list = discovery::parse_endpoint_list(text, &state.config.zones)?;
     let version = state.endpoints.borrow().version;
     let may_be_outdated = version != version_before || !list.complete;
     if may_be_outdated && version.is_some_and(|version| list.seq < version) {
--- a/crates/comethitchd/src/service/protocol.rs
+++ b/crates/comethitchd/src/service/protocol.rs
@@ -2,11 +2,10 @@
 
 use crate::protocols::postgres::Postgres;
 use crate::protocols::tds::Tds;
-use crate::protocols::tds::settings::TdsSettings;
+use crate::protocols::tds::settings::{TdsSettings, TdsSettingsError};
 use crate::state::config::Config;
 use crate::state::protocol::{BackendProtocol, ClientProtocol};
 use comethitch_statement::Dialect;
-use std::error::Error;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -23,8 +22,8 @@
         expected: &'static str,
     },
     /// The file of TDS settings can't be read, or has a fault.
-    #[error("{0}")]
-    TdsSettings(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    TdsSettings(#[from] TdsSettingsError),
 }
 
 /// The protocol spoken with clients and with hosts, and where else clients connect.
@@ -56,7 +55,7 @@
             }
             Some(_) => {}
         }
-        let also_listen = settings.addresses().map_err(|error| ProtocolError::TdsSettings(error.into()))?;
+        let also_listen = settings.addresses()?;
         let tds = Tds(Rc::new(settings));
         Ok(Protocol { client: Rc::new(tds.clone()), backend: Box::new(tds), also_listen })
     }
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,13 +1,12 @@
 //! Admission: makes a command of a statement, by its comment alone or, with rules for statements, also by its text.
 
 use crate::state::router_state::RouterState;
-use crate::wire::statement::{self, CommentFields};
+use crate::wire::statement::{self, CommentError, CommentFields};
 use comethitch_policy::Shard;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::StatementAdmission;
 use comethitch_statement::admission::{KnownShape, StatementHints, StatementRejection};
 use comethitch_statement::assign::{Arguments, Refusal};
-use std::error::Error;
 use std::ops::Range;
 use std::rc::Rc;
 
@@ -50,8 +49,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StatementError {
     /// The comment is missing or malformed, or what follows it is no statement that hosts take.
-    #[error("{0}")]
-    Comment(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    Comment(#[from] CommentError),
     /// The comment leaves out what the rules for statements do not supply.
     #[error("the statement's comment must hold id, c, d and cluster: the rules admit none without")]
     CommentIncomplete,
@@ -116,8 +115,7 @@
 fn admit_by_comment(
     state: &RouterState, request: &StatementRequest<'_>,
 ) -> Result<AdmittedCommand, StatementError> {
-    let comment =
-        statement::parse_command(request.text).map_err(|error| StatementError::Comment(error.into()))?;
+    let comment = statement::parse_command(request.text)?;
     let group = find_group(state, comment.group)?;
     check_id_and_timeout(state, comment.id, comment.wait_ms)?;
     Ok(AdmittedCommand {
@@ -168,7 +166,7 @@
     match statement::parse_comment(text) {
         Ok(fields) => Ok(fields),
         Err(_) if !text.trim_ascii_start().starts_with(b"/*") => Ok(CommentFields::default()),
-        Err(error) => Err(StatementError::Comment(error.into())),
+        Err(error) => Err(error.into()),
     }
 }
 
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -235,9 +235,7 @@
 
     fn known_hosts(&self, zones: &[String]) -> Result<EndpointList, ConfigError> {
         match self.keys.get("known") {
-            Some(known) => {
-                endpoint_list_from_json(known, zones).map_err(|error| ConfigError::KnownHosts(error.into()))
-            }
+            Some(known) => endpoint_list_from_json(known, zones).map_err(ConfigError::KnownHosts),
             None => Ok(EndpointList { complete: true, ..EndpointList::default() }),
         }
     }
--- a/crates/comethitchd/src/state/config/error.rs
+++ b/crates/comethitchd/src/state/config/error.rs
@@ -1,5 +1,6 @@
 //! The error of reading a configuration or the rules for statements.
 
+use crate::wire::discovery::EndpointListError;
 use std::error::Error;
 use std::io;
 use std::path::PathBuf;
@@ -72,7 +73,7 @@
     Settings(#[source] KeyError),
     /// The list of known hosts has a fault; the error begins with the key.
     #[error("known.{0}")]
-    KnownHosts(#[source] KeyError),
+    KnownHosts(#[source] EndpointListError),
     /// A key of the rules for statements has a value that can't be read.
     #[error("{key}: {source}")]
     RulesKey {
