--- a/crates/comethitchd/src/service/discovery_client.rs
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -3,11 +3,12 @@
 use crate::state::buffer::Buffer;
 use crate::state::clock::after;
 use crate::state::memory_budget::MemoryBudget;
-use crate::wire::discovery::{Piece, Pieces};
-use crate::wire::http::{self, Body};
+use crate::wire::MalformedMessage;
+use crate::wire::discovery::EndpointListError;
+use crate::wire::http::{self, BodyDecoder, ResponseHead};
+use crate::wire::json_stream::{JsonStream, JsonStreamError, JsonStreamItem};
 use async_io::Async;
 use futures_lite::{AsyncWriteExt, FutureExt};
-use std::error::Error;
 use std::future::Future;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -47,9 +48,15 @@
     /// The response has another status than 200.
     #[error("it answers with status {0}")]
     Status(u16),
-    /// The response is not HTTP, or does not hold endpoint lists.
-    #[error("{0}")]
-    Malformed(#[source] Box<dyn Error + Send + Sync>),
+    /// The response is not HTTP.
+    #[error(transparent)]
+    Http(#[from] MalformedMessage),
+    /// The response is no stream of JSON objects.
+    #[error(transparent)]
+    JsonStream(#[from] JsonStreamError),
+    /// An object of the response is no endpoint list.
+    #[error(transparent)]
+    List(#[from] EndpointListError),
     /// The response ends within a list.
     #[error("its response ends within a list")]
     Incomplete,
@@ -62,8 +69,8 @@
 pub struct DiscoveryResponse {
     stream: Async<TcpStream>,
     buffer: Buffer,
-    body: Body,
-    pieces: Pieces,
+    body: BodyDecoder,
+    objects: JsonStream,
 }
 
 impl DiscoveryResponse {
@@ -78,19 +85,20 @@
         let connect = async { Ok(Async::<TcpStream>::connect(address).await?) };
         let stream = within(RESPONSE_TIMEOUT, DiscoveryError::ConnectTimeout, connect).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        let request = http::request(path, &address.to_string());
+        let request = http::get_request(path, &address.to_string());
         let mut buffer = Buffer::new(MAX_BUFFER_BYTES, budget);
         let head = async {
             (&stream).write_all(&request).await?;
             read_head(&stream, &mut buffer).await
         };
         // The timeout is for the whole head: one that comes byte by byte without end is none.
-        let (status, body, length) = within(RESPONSE_TIMEOUT, DiscoveryError::HeadTimeout, head).await?;
+        let ResponseHead { status, body, length } =
+            within(RESPONSE_TIMEOUT, DiscoveryError::HeadTimeout, head).await?;
         if status != STATUS_OK {
             return Err(DiscoveryError::Status(status));
         }
         buffer.consume(length);
-        Ok(DiscoveryResponse { stream, buffer, body, pieces: Pieces::default() })
+        Ok(DiscoveryResponse { stream, buffer, body, objects: JsonStream::default() })
     }
 
     /// The next object or empty line; none at the end of the response.
@@ -98,14 +106,13 @@
     /// # Errors
     ///
     /// If the connection fails, or the response is malformed or incomplete.
-    pub async fn next_piece(&mut self) -> Result<Option<Piece>, DiscoveryError> {
+    pub async fn next_item(&mut self) -> Result<Option<JsonStreamItem>, DiscoveryError> {
         loop {
-            let next = self.pieces.next().map_err(|error| DiscoveryError::Malformed(error.into()))?;
-            if let Some(piece) = next {
-                return Ok(Some(piece));
+            if let Some(item) = self.objects.next_item()? {
+                return Ok(Some(item));
             }
-            if self.body.over() {
-                return if self.pieces.within() { Err(DiscoveryError::Incomplete) } else { Ok(None) };
+            if self.body.is_complete() {
+                return if self.objects.in_object() { Err(DiscoveryError::Incomplete) } else { Ok(None) };
             }
             if self.take_buffered()? == 0 {
                 self.read_more().await?;
@@ -113,12 +120,9 @@
         }
     }
 
-    /// Moves what the buffer holds of the body to the pieces; how many bytes that were.
+    /// Decodes what the buffer holds of the body; how many bytes that were.
     fn take_buffered(&mut self) -> Result<usize, DiscoveryError> {
-        let taken = self
-            .body
-            .take(self.buffer.unread(), self.pieces.text())
-            .map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
+        let taken = self.body.decode(self.buffer.unread(), self.objects.buffer_mut())?;
         self.buffer.consume(taken);
         Ok(taken)
     }
@@ -128,22 +132,18 @@
         if self.buffer.fill(&self.stream).await? > 0 {
             return Ok(());
         }
-        if self.body != Body::UntilClosed {
+        if self.body != BodyDecoder::UntilClosed {
             return Err(DiscoveryError::Closed);
         }
-        self.body = Body::Length(0);
+        self.body = BodyDecoder::Length(0);
         Ok(())
     }
 }
 
-/// The status, the form of the body and the length of a response's head.
-async fn read_head(
-    stream: &Async<TcpStream>, buffer: &mut Buffer,
-) -> Result<(u16, Body, usize), DiscoveryError> {
+/// Reads the head of a response, and leaves it in the buffer.
+async fn read_head(stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<ResponseHead, DiscoveryError> {
     loop {
-        let head =
-            http::head(buffer.unread()).map_err(|malformed| DiscoveryError::Malformed(malformed.0.into()))?;
-        if let Some(head) = head {
+        if let Some(head) = http::parse_head(buffer.unread())? {
             return Ok(head);
         }
         if buffer.fill(stream).await? == 0 {
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,13 +1,12 @@
 //! Admission: makes a command of a statement, by its comment alone or, with rules for statements, also by its text.
 
 use crate::state::router_state::RouterState;
-use crate::wire::statement::{self, Fields};
+use crate::wire::statement::{self, CommentError, CommentFields};
 use comethitch_policy::Shard;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::StatementAdmission;
 use comethitch_statement::admission::{KnownShape, StatementHints, StatementRejection};
 use comethitch_statement::assign::{Arguments, Refusal};
-use std::error::Error;
 use std::ops::Range;
 use std::rc::Rc;
 
@@ -50,8 +49,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StatementError {
     /// The comment is missing or malformed, or what follows it is no statement that hosts take.
-    #[error("{0}")]
-    Comment(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    Comment(#[from] CommentError),
     /// The comment leaves out what the rules for statements do not supply.
     #[error("the statement's comment must hold id, c, d and cluster: the rules admit none without")]
     CommentIncomplete,
@@ -116,13 +115,13 @@
 fn admit_by_comment(
     state: &RouterState, request: &StatementRequest<'_>,
 ) -> Result<AdmittedCommand, StatementError> {
-    let comment = statement::comment(request.text).map_err(|error| StatementError::Comment(error.into()))?;
+    let comment = statement::parse_command(request.text)?;
     let group = find_group(state, comment.group)?;
     check_id_and_timeout(state, comment.id, comment.wait_ms)?;
     Ok(AdmittedCommand {
         group,
         shard: comment.shard,
-        session: statement::session(request.text),
+        session: statement::session_key(request.text),
         after: comment.after_ms.map(Timestamp::from_millis),
         deadline: request.arrived + Duration::from_millis(comment.wait_ms),
         client_id: comment.id.into(),
@@ -153,27 +152,27 @@
     Ok(AdmittedCommand {
         group: passed.assigned.group,
         shard: passed.assigned.shard,
-        session: passed.assigned.session.unwrap_or_else(|| statement::session(text)),
+        session: passed.assigned.session.unwrap_or_else(|| statement::session_key(text)),
         after: fields.after_ms.map(Timestamp::from_millis),
         deadline: request.arrived + Duration::from_millis(timeout_ms),
         client_id,
-        timeout_range: fields.wait.map(|(_, range)| range),
+        timeout_range: fields.wait.map(|wait| wait.range),
         shape: Some(passed.known),
     })
 }
 
 /// The fields of the comment that the statement begins with; none if it begins otherwise.
-fn comment_fields(text: &[u8]) -> Result<Fields<'_>, StatementError> {
-    match statement::fields(text) {
+fn comment_fields(text: &[u8]) -> Result<CommentFields<'_>, StatementError> {
+    match statement::parse_comment(text) {
         Ok(fields) => Ok(fields),
-        Err(_) if !text.trim_ascii_start().starts_with(b"/*") => Ok(Fields::default()),
-        Err(error) => Err(StatementError::Comment(error.into())),
+        Err(_) if !text.trim_ascii_start().starts_with(b"/*") => Ok(CommentFields::default()),
+        Err(error) => Err(error.into()),
     }
 }
 
 /// The client's timeout in milliseconds: by its comment, or by the rules where these admit an incomplete comment.
-fn timeout_ms(admission: &StatementAdmission, fields: &Fields<'_>) -> Result<u64, StatementError> {
-    let given = fields.wait.as_ref().map(|(timeout_ms, _)| *timeout_ms);
+fn timeout_ms(admission: &StatementAdmission, fields: &CommentFields<'_>) -> Result<u64, StatementError> {
+    let given = fields.wait.as_ref().map(|wait| wait.ms);
     let complete = fields.id.is_some() && fields.group.is_some() && fields.shard.is_some();
     match (given, &admission.rules().commentless) {
         (Some(timeout_ms), _) if complete => Ok(timeout_ms),
--- a/crates/comethitchd/src/stages/updates.rs
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -27,7 +27,7 @@
     let removed_or_moved = state.endpoints.borrow_mut().apply(list);
     removed_or_moved.iter().for_each(|host| state.pool.borrow_mut().close_host(*host));
     let endpoints = list.entries.iter().map(|entry| entry.endpoint).collect();
-    let update = EndpointUpdate { complete: list.whole, endpoints };
+    let update = EndpointUpdate { complete: list.complete, endpoints };
     policy_driver::call(state, |router, actions| router.update_endpoints(&update, actions));
 }
 
