--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -45,8 +45,10 @@
     ListDefined,
     /// An attempt has ended.
     AttemptEnded,
-    /// An event that needs no decision.
-    Ignored,
+    /// The answer of a streamed command has begun. The policy needs no notice of it.
+    StreamOpened,
+    /// A message from another instance. The policy sends none and reads none.
+    MessageReceived,
 }
 
 impl EventCode {
@@ -56,8 +58,9 @@
             16 => Ok(EventCode::InstanceStopped),
             17 => Ok(EventCode::ClientDisconnected),
             18 => Ok(EventCode::EndpointsChanged),
-            19 | 21 => Ok(EventCode::Ignored),
+            19 => Ok(EventCode::StreamOpened),
             20 => Ok(EventCode::HealthChecked),
+            21 => Ok(EventCode::MessageReceived),
             22 => Ok(EventCode::CommandSubmitted),
             23 => Ok(EventCode::Ticked),
             24 => Ok(EventCode::InstanceStarted),
@@ -75,7 +78,9 @@
 
 /// An instance's seed and deployment.
 pub struct InstanceStart {
+    /// The seed of its random draws.
     pub seed: u64,
+    /// Its settings.
     pub deployment: Deployment,
 }
 
@@ -93,6 +98,7 @@
 
 /// An endpoint list and its number.
 pub struct ListDefinition<'a> {
+    /// The number.
     pub list: u32,
     /// Entries of [`ENTRY_SIZE`] bytes.
     pub entries: &'a [u8],
--- a/crates/comethitch-adapter/src/main.rs
+++ b/crates/comethitch-adapter/src/main.rs
@@ -12,7 +12,7 @@
 
 use error::{AdapterError, ShortFrame};
 use record::RecordReader;
-use session::{HEADER_SIZE, LENGTH, Session};
+use session::{HEADER_SIZE, LENGTH_OFFSET, Session};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
@@ -52,7 +52,7 @@
     if frame.len() < HEADER_SIZE {
         return Err(ShortFrame::Header { found: frame.len(), header: HEADER_SIZE }.into());
     }
-    let length = RecordReader(frame).u32(LENGTH).map_err(AdapterError::Header)? as usize;
+    let length = RecordReader(frame).u32(LENGTH_OFFSET).map_err(AdapterError::Header)? as usize;
     if length < HEADER_SIZE {
         return Err(ShortFrame::LengthField { length }.into());
     }
--- a/crates/comethitch-adapter/src/reply.rs
+++ b/crates/comethitch-adapter/src/reply.rs
@@ -53,7 +53,7 @@
         self
     }
 
-    /// Completes the header and the tail; returns the whole frame.
+    /// Completes the header and the tail; returns the frame.
     pub fn finish(&mut self) -> &[u8] {
         self.frame.extend_from_slice(&self.tail);
         let length = self.frame.len() as u32;
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -15,10 +15,12 @@
 
 /// The length of a batch's header: the number of records, the frame's length, and the time in microseconds.
 pub const HEADER_SIZE: usize = 16;
-/// The offsets of the header's fields.
-const COUNT: usize = 0;
-pub const LENGTH: usize = 4;
-const TIME: usize = 8;
+/// Where the number of records stands in the header.
+const COUNT_OFFSET: usize = 0;
+/// Where the frame's length stands.
+pub const LENGTH_OFFSET: usize = 4;
+/// Where the time stands.
+const TIME_OFFSET: usize = 8;
 
 /// Endpoint lists by number, as entries that are not decoded yet.
 type Lists = BTreeMap<u32, Vec<u8>>;
@@ -38,9 +40,9 @@
     /// A record that cannot be read. Nothing is replied then.
     pub fn reply_to(&mut self, frame: &[u8]) -> Result<&[u8], AdapterError> {
         let header = RecordReader(frame);
-        let count = header.u32(COUNT).map_err(AdapterError::Header)? as usize;
+        let count = header.u32(COUNT_OFFSET).map_err(AdapterError::Header)? as usize;
         let tail_start = tail_start(count, frame.len())?;
-        let time = header.u64(TIME).map_err(AdapterError::Header)?;
+        let time = header.u64(TIME_OFFSET).map_err(AdapterError::Header)?;
         self.reply.start(Timestamp::from_micros(time));
         let tail = RecordReader(&frame[tail_start..]);
         for (index, record) in frame[HEADER_SIZE..tail_start].chunks_exact(RECORD_SIZE).enumerate() {
@@ -117,7 +119,8 @@
             Ok(())
         }
         EventCode::AttemptEnded => attempt_ended(router, record, out),
-        EventCode::Ignored
+        EventCode::StreamOpened
+        | EventCode::MessageReceived
         | EventCode::InstanceStarted
         | EventCode::InstanceStopped
         | EventCode::ListDefined => Ok(()),
--- a/crates/comethitch-adapter/src/tests.rs
+++ b/crates/comethitch-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the wire: whole batches in, replies or errors out.
+//! Tests of the wire: complete batches in, replies or errors out.
 
 use crate::{read_frame, serve, session::Session};
 use std::io::Cursor;
