--- a/crates/comethitch-lab/src/fleet/attempts.rs
+++ b/crates/comethitch-lab/src/fleet/attempts.rs
@@ -68,7 +68,7 @@
         let load_before = self.hosts[host].peak_cold_load;
         let admission = self.hosts[host].arrive(job, &self.cold_start, self.now);
         if !crashed_before && self.hosts[host].crashed {
-            let description = format!("host {host} fell over at {:?}", self.now - START);
+            let description = format!("host {host} crashed at {:?}", self.now - START);
             self.ledger.record_violation(Rule::SlowStart, description);
         }
         self.ledger.cold_load_changed(host, load_before, self.hosts[host].peak_cold_load);
--- a/crates/comethitch-lab/src/fleet/faults.rs
+++ b/crates/comethitch-lab/src/fleet/faults.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// A host begins to drain, and a cold one joins in its place. It leaves after twice the drain grace.
+    /// A host begins to drain, and a new one joins in its place. It leaves after twice the drain grace.
     pub(super) fn replace_host(&mut self, host: usize) {
         self.hosts[host].draining = Some(self.now);
         let replacement = self.add_host(self.hosts[host].shard, false);
--- a/crates/comethitch-lab/src/fleet/mod.rs
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -1,13 +1,13 @@
 //! A fleet in simulated time: a discrete-event simulation of routers, hosts, clients and the network.
 //!
-//! [`play`] takes one event after the other from the [`events::EventQueue`]; [`Fleet::handle`] dispatches each to its
+//! [`play`] takes one event after the other from the `events::EventQueue`; `Fleet::handle` dispatches each to its
 //! handler. Handlers stand with what they concern:
 //!
-//! - [`clients`]: commands arrive, are retried and get their final answers;
-//! - [`routers`]: routers start, decide, and have their actions carried out;
-//! - [`attempts`]: attempts and health checks travel to hosts and back;
-//! - [`faults`]: faults begin, and hosts are replaced, promoted and removed;
-//! - [`baseline`]: host selection with perfect knowledge.
+//! - `clients`: commands arrive, are retried and get their final answers;
+//! - `routers`: routers start, decide, and have their actions carried out;
+//! - `attempts`: attempts and health checks travel to hosts and back;
+//! - `faults`: faults begin, and hosts are replaced, promoted and removed;
+//! - `baseline`: host selection with perfect knowledge.
 //!
 //! All random draws come from one generator, in the order of events: the same trial and seed give the same report.
 
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -224,7 +224,7 @@
     }
 }
 
-/// The end of an attempt that says nothing of its host, and leaves its command unfinished.
+/// The end of an attempt without a report of its host, and leaves its command unfinished.
 pub(super) fn attempt_end(attempt: u16, outcome: AttemptOutcome) -> AttemptEnd {
     AttemptEnd {
         attempt,
--- a/crates/comethitch-lab/src/ledger.rs
+++ b/crates/comethitch-lab/src/ledger.rs
@@ -5,17 +5,18 @@
 
 mod evenness;
 mod report;
+mod rule;
 
 use comethitch_policy::time::{Duration, Timestamp};
 use evenness::LoadByHost;
 use hdrhistogram::Histogram;
 pub use report::{Report, Second};
+pub use rule::Rule;
 use std::collections::BTreeMap;
-use std::fmt::{self, Display, Formatter};
 
 /// How many violations are written out; all are counted.
 const SHOWN_VIOLATIONS: usize = 20;
-/// The longest latency that is told apart, in microseconds.
+/// The longest latency that is distinguished from longer ones, in microseconds.
 const LONGEST_LATENCY_MICROS: u64 = 600_000_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
@@ -29,43 +30,10 @@
     Answered,
     /// Rejected; trying again is harmless.
     Throttled,
-    /// Failed, with nothing said of its effect.
+    /// Failed; it may have had an effect or not.
     Failed,
 }
 
-/// What the ledger checks. Its name begins the text of each violation.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
-    /// Each command gets one final answer, in time, and no attempt after it.
-    OneFinalAnswer,
-    /// A write that may have run is neither sent again nor throttled.
-    NoDuplicateWrite,
-    /// Nothing is sent to a draining host past the grace.
-    Drain,
-    /// No warming host is overloaded.
-    SlowStart,
-    /// No read is answered from data past the staleness bound.
-    Staleness,
-    /// Every process starts.
-    ProcessStart,
-    /// No router process ends by itself.
-    ProcessCrash,
-}
-
-impl Display for Rule {
-    fn fmt(&self, f: &mut Formatter) -> fmt::Result {
-        f.write_str(match self {
-            Rule::OneFinalAnswer => "lost",
-            Rule::NoDuplicateWrite => "twice",
-            Rule::Drain => "drains",
-            Rule::SlowStart => "cold",
-            Rule::Staleness => "stale",
-            Rule::ProcessStart => "start",
-            Rule::ProcessCrash => "crash",
-        })
-    }
-}
-
 /// What a client wants, over all its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
@@ -227,7 +195,7 @@
         let after_answer = record.answer.as_ref().is_some_and(|answer| exact || at > answer.at + self.slack);
         let duplicate_write = record.write && record.may_have_run();
         if after_answer {
-            let description = format!("command {command} was sent on at {at:?}, after its final answer");
+            let description = format!("command {command} was sent at {at:?}, after its final answer");
             self.record_violation(Rule::OneFinalAnswer, description);
         }
         if duplicate_write {
@@ -309,7 +277,7 @@
         self.loads.add(second, host, 1.0 / f64::from(cores));
     }
 
-    /// Ends the trial and adds it up; `usable` says whether a host was usable throughout a second.
+    /// Ends the trial and adds it up; `usable` returns whether a host was usable throughout a second.
     pub fn close(mut self, end: Timestamp, usable: &dyn Fn(u64, usize) -> bool) -> Report {
         self.check_all_answered(end);
         let evenness = self.loads.summary(usable);
--- a/crates/comethitch-lab/src/ledger/report.rs
+++ b/crates/comethitch-lab/src/ledger/report.rs
@@ -1,4 +1,4 @@
-//! What a trial came to: figures over the whole trial and by second, as CSV and as a table.
+//! What a trial came to: figures over all of the trial and by second, as CSV and as a table.
 
 use std::fmt::{self, Display, Formatter};
 
--- /dev/null
+++ b/crates/comethitch-lab/src/ledger/rule.rs
@@ -0,0 +1,36 @@
+//! The rules that a trial is checked against.
+
+use std::fmt::{self, Display, Formatter};
+
+/// What the ledger checks. Its name begins the text of each violation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Rule {
+    /// Each command gets one final answer, in time, and no attempt after it.
+    OneFinalAnswer,
+    /// A write that may have run is neither sent again nor throttled.
+    NoDuplicateWrite,
+    /// Nothing is sent to a draining host past the grace.
+    Drain,
+    /// No warming host is overloaded.
+    SlowStart,
+    /// No read is answered from data past the staleness bound.
+    Staleness,
+    /// Every process starts.
+    ProcessStart,
+    /// No router process ends by itself.
+    ProcessCrash,
+}
+
+impl Display for Rule {
+    fn fmt(&self, f: &mut Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Rule::OneFinalAnswer => "lost",
+            Rule::NoDuplicateWrite => "twice",
+            Rule::Drain => "drains",
+            Rule::SlowStart => "cold",
+            Rule::Staleness => "stale",
+            Rule::ProcessStart => "start",
+            Rule::ProcessCrash => "crash",
+        })
+    }
+}
--- a/crates/comethitch-lab/src/links.rs
+++ b/crates/comethitch-lab/src/links.rs
@@ -1,6 +1,6 @@
 //! Network faults on the links between routers and hosts: cut, delayed or reset, in either direction.
 //!
-//! Without clock or sockets: the fleet of real processes asks [`Links::fate`] about each message.
+//! Without clock or sockets: the fleet of real processes calls [`Links::fate`] for each message.
 
 use crate::trial::{Direction, LinkFault};
 use comethitch_policy::time::Duration;
--- a/crates/comethitch-lab/src/live/discovery.rs
+++ b/crates/comethitch-lab/src/live/discovery.rs
@@ -1,7 +1,7 @@
 //! Service discovery on loopback: the endpoint list over HTTP, and its updates, to each router a little later than they
 //! happen.
 
-use super::network::{Purpose, address, dialling_router, listen, now, sleep};
+use super::network::{Listener, Purpose, address, dialling_router, listen, now, sleep};
 use super::state::{LiveFleet, SharedFleet};
 use crate::error::PlayError;
 use crate::hosts::SimulatedHost;
@@ -64,7 +64,7 @@
 
 /// Serves the endpoint list; returns its port, which is the same on each router's own address.
 pub(super) fn start(fleet: &SharedFleet) -> Result<u16, PlayError> {
-    let (listener, port) = listen()?;
+    let Listener { listener, port } = listen()?;
     let served = fleet.clone();
     fleet.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
--- a/crates/comethitch-lab/src/live/faults.rs
+++ b/crates/comethitch-lab/src/live/faults.rs
@@ -134,7 +134,7 @@
     direction: Direction,
 }
 
-/// Drains a host, starts a cold one in its place, and removes it after twice the drain grace.
+/// Drains a host, starts a new one in its place, and removes it after twice the drain grace.
 async fn replace_host(fleet: SharedFleet, host: usize) {
     let shard = fleet.hosts.borrow()[host].shard;
     fleet.hosts.borrow_mut()[host].draining = Some(now());
--- a/crates/comethitch-lab/src/live/hosts.rs
+++ b/crates/comethitch-lab/src/live/hosts.rs
@@ -1,6 +1,8 @@
 //! Database hosts on loopback: the simulated hosts behind sockets that speak PostgreSQL's protocol.
 
-use super::network::{Message, Purpose, address, dialling_router, listen, message_type, now, read_message};
+use super::network::{
+    Listener, Message, Purpose, address, dialling_router, listen, message_type, now, read_message,
+};
 use super::state::{JobId, LiveFleet, SharedFleet};
 use crate::error::PlayError;
 use crate::hosts::{Admission, Job, SimulatedHost, StartedJob};
@@ -28,15 +30,16 @@
 /// What precedes a command's number in its statement, and the number's hexadecimal digits.
 const NUMBER_KEY: &str = "id=";
 const NUMBER_DIGITS: usize = 16;
-/// The lengths of a startup message that are read, in bytes, its length field counted in.
-const STARTUP_LENGTHS: (usize, usize) = (4, 10_000);
+/// The length of a startup message's length field, which counts itself, and the longest message that is read, in bytes.
+const LENGTH_FIELD: usize = 4;
+const LONGEST_STARTUP: usize = 10_000;
 /// The status of a connection outside of any transaction.
 const IDLE_STATUS: &[u8] = b"I";
 const AUTHENTICATION_OK: &[u8] = &[0; 4];
 
 /// Adds a host, serves it, and returns its index.
 pub(super) fn start(fleet: &SharedFleet, shard: Shard, primary: bool) -> Result<usize, PlayError> {
-    let (listener, port) = listen()?;
+    let Listener { listener, port } = listen()?;
     let index = fleet.hosts.borrow().len();
     let cores = fleet.trial.cores[index % fleet.trial.cores.len()];
     let host = Host { address: address(0, Purpose::Hosts).octets(), port };
@@ -112,10 +115,10 @@
 
     /// Reads the startup message and accepts it. `false` if the connection ends instead.
     async fn start_session(&mut self) -> io::Result<bool> {
-        let (least, most) = STARTUP_LENGTHS;
-        let mut length = [0; 4];
+        let mut length = [0; LENGTH_FIELD];
         self.stream.read_exact(&mut length).await?;
-        let body_length = (u32::from_be_bytes(length) as usize).clamp(least, most) - least;
+        let body_length =
+            (u32::from_be_bytes(length) as usize).clamp(LENGTH_FIELD, LONGEST_STARTUP) - LENGTH_FIELD;
         self.stream.read_exact(&mut vec![0; body_length]).await?;
         if !self.transmit(Destination::Host).await {
             return Ok(false);
@@ -216,7 +219,7 @@
         let admission = simulated.arrive(job, &self.fleet.trial.cold_start(), now());
         let mut ledger = self.fleet.ledger.borrow_mut();
         if !crashed_before && simulated.crashed {
-            ledger.record_violation(Rule::SlowStart, format!("host {host} fell over in second {second}"));
+            ledger.record_violation(Rule::SlowStart, format!("host {host} crashed in second {second}"));
         }
         ledger.cold_load_changed(host, load_before, simulated.peak_cold_load);
         admission
--- a/crates/comethitch-lab/src/live/mod.rs
+++ b/crates/comethitch-lab/src/live/mod.rs
@@ -1,9 +1,9 @@
 //! A fleet of real processes of `comethitchd` on loopback, in real time.
 //!
-//! Everything outside the routers is played here, in one thread: database hosts ([`hosts`], with the same model as in
-//! simulated time), service discovery ([`discovery`]), clients ([`clients`]), and the links between them. The router
-//! processes are started, stopped and killed by [`processes`]. A router reaches hosts over loopback addresses of its
-//! own ([`network`]), so that a connection tells whose link it is; [`crate::links`] decides the fate of each message on
+//! Everything outside the routers is played here, in one thread: database hosts (`hosts`, with the same model as in
+//! simulated time), service discovery (`discovery`), clients (`clients`), and the links between them. The router
+//! processes are started, stopped and killed by `processes`. A router reaches hosts over loopback addresses of its
+//! own (`network`), so that a connection identifies its router; [`crate::links`] decides the fate of each message on
 //! it. What is seen is recorded in the same [`crate::ledger::Ledger`] as in simulated time.
 //!
 //! Bounds: 300 routers, 10 minutes, and the file descriptors that the system allows. Router processes end with the
--- a/crates/comethitch-lab/src/live/network.rs
+++ b/crates/comethitch-lab/src/live/network.rs
@@ -85,12 +85,18 @@
     }
 }
 
-/// A listener on all loopback addresses and no others, and its port.
-pub(super) fn listen() -> Result<(Async<TcpListener>, u16), PlayError> {
+/// A listener and its port.
+pub(super) struct Listener {
+    pub listener: Async<TcpListener>,
+    pub port: u16,
+}
+
+/// Listens on all loopback addresses and no others, at a port that is free.
+pub(super) fn listen() -> Result<Listener, PlayError> {
     bind().map_err(PlayError::Listen)
 }
 
-fn bind() -> io::Result<(Async<TcpListener>, u16)> {
+fn bind() -> io::Result<Listener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     // Where the system does not allow it, the check of each connection's address is enough.
     let _ = socket.bind_device(Some(b"lo"));
@@ -98,7 +104,7 @@
     socket.listen(BACKLOG)?;
     let listener = TcpListener::from(socket);
     let port = listener.local_addr()?.port();
-    Ok((Async::new(listener)?, port))
+    Ok(Listener { listener: Async::new(listener)?, port })
 }
 
 /// Reads the next message.
--- a/crates/comethitch-lab/src/live/play.rs
+++ b/crates/comethitch-lab/src/live/play.rs
@@ -60,7 +60,8 @@
 async fn run(
     trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
 ) -> Result<Report, PlayError> {
-    let (fleet, rates_per_core) = LiveFleet::new(trial, processes, executor)?;
+    let fleet = LiveFleet::new(trial, processes, executor);
+    let rates_per_core = trial.arrival_rates(&mut fleet.rng.borrow_mut(), 1.0)?;
     start_hosts(&fleet)?;
     let discovery_port = discovery::start(&fleet)?;
     fleet.processes.borrow_mut().discovery_port = discovery_port;
@@ -91,7 +92,7 @@
         }
     }
     if fleet.trial.all_cold {
-        // Before the routers: their first endpoint list says so.
+        // Before the routers: their first endpoint list has it.
         fleet.hosts.borrow_mut().iter_mut().for_each(|host| host.started = Some(now()));
     }
     Ok(())
--- a/crates/comethitch-lab/src/live/processes.rs
+++ b/crates/comethitch-lab/src/live/processes.rs
@@ -23,7 +23,7 @@
 const SAMPLE: &str = include_str!("../../../../deploy/configuration.json");
 /// The environment variable that names a router's configuration file.
 const CONFIGURATION_VARIABLE: &str = "RELAY_CONFIG";
-/// How often a router that starts is asked whether it is ready.
+/// How often a router that starts is polled until it is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// PostgreSQL's protocol version 3.0.
 const PROTOCOL_VERSION: u32 = 3 << 16;
@@ -228,7 +228,7 @@
     configuration
 }
 
-/// Sets what the trial says of the fleet, and then the settings that the trial replaces.
+/// Sets what the trial defines, and then the settings that the trial replaces.
 fn apply_settings(settings: &mut Value, trial: &Trial) {
     let micros = |ms: u64| Value::from(ms * 1000);
     settings["siblings"] = trial.routers.into();
--- a/crates/comethitch-lab/src/live/state.rs
+++ b/crates/comethitch-lab/src/live/state.rs
@@ -5,7 +5,7 @@
 use crate::hosts::{Job, SimulatedHost, StartedJob};
 use crate::ledger::{Ledger, Rule};
 use crate::links::{Destination, Fate, Links};
-use crate::trial::{Trial, TrialError};
+use crate::trial::Trial;
 use crate::usable::UsableReplicas;
 use async_executor::LocalExecutor;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -60,13 +60,11 @@
 pub(super) type SharedFleet = Rc<LiveFleet>;
 
 impl LiveFleet {
-    /// A fleet without hosts and running routers, and the rates of the routers' clients for each core of the replicas.
+    /// A fleet without hosts and running routers.
     pub fn new(
         trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
-    ) -> Result<(SharedFleet, Vec<f64>), TrialError> {
-        let mut rng = ChaCha8Rng::seed_from_u64(trial.seed);
-        let rates_per_core = trial.arrival_rates(&mut rng, 1.0)?;
-        let fleet = Rc::new(LiveFleet {
+    ) -> SharedFleet {
+        Rc::new(LiveFleet {
             trial: trial.clone(),
             executor,
             start: Cell::new(now()),
@@ -76,7 +74,7 @@
             open_connections: RefCell::default(),
             links: RefCell::default(),
             processes,
-            rng: RefCell::new(rng),
+            rng: RefCell::new(ChaCha8Rng::seed_from_u64(trial.seed)),
             fault_rng: RefCell::new(ChaCha8Rng::seed_from_u64(trial.seed ^ FAULT_SEED)),
             job_waiters: RefCell::default(),
             last_job: Cell::new(0),
@@ -84,8 +82,7 @@
             endpoints_version: Cell::new(1),
             usable: RefCell::default(),
             clients_send: Cell::new(true),
-        });
-        Ok((fleet, rates_per_core))
+        })
     }
 
     /// Runs a task beside all others.
--- a/crates/comethitch-lab/src/main.rs
+++ b/crates/comethitch-lab/src/main.rs
@@ -1,6 +1,8 @@
 //! `comethitch-lab`: plays trials of fleets, in simulated time or with real processes, and prints what they came to.
 
-use argh::FromArgs;
+mod arguments;
+
+use arguments::{Arguments, Compare, LiveRun, Run, Sizes, Subcommand};
 use comethitch_lab::chart::{self, ChartError, Labels};
 use comethitch_lab::compare::{Row, compare};
 use comethitch_lab::error::PlayError;
@@ -9,7 +11,7 @@
 use comethitch_lab::live;
 use comethitch_lab::trial::{Routing, Trial, TrialError};
 use std::io;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::ExitCode;
 use thiserror::Error;
 
@@ -25,95 +27,6 @@
 /// How near the share answered in time must come to what it was before a fault.
 const RECOVERY_TOLERANCE: f64 = 0.02;
 
-/// Plays fleets of routers in simulated time and tells how evenly hosts were loaded, and whether every rule held.
-#[derive(FromArgs)]
-struct Arguments {
-    #[argh(subcommand)]
-    subcommand: Subcommand,
-}
-
-#[derive(FromArgs)]
-#[argh(subcommand)]
-enum Subcommand {
-    Run(Run),
-    Sizes(Sizes),
-    Live(LiveRun),
-    Compare(Compare),
-    Schema(Schema),
-}
-
-/// Plays one trial, beside the baseline with perfect knowledge; ends with 1 if a rule was broken.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "run")]
-struct Run {
-    /// the trial's file
-    #[argh(positional)]
-    file: String,
-    /// another seed than the file's
-    #[argh(option)]
-    seed: Option<u64>,
-}
-
-/// Plays one trial with real processes, in real time; ends with 1 if a rule was broken.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "live")]
-struct LiveRun {
-    /// the trial's file
-    #[argh(positional)]
-    file: String,
-    /// another seed than the file's
-    #[argh(option)]
-    seed: Option<u64>,
-    /// the router's program; without it, the one beside this
-    #[argh(option)]
-    daemon: Option<PathBuf>,
-    /// where to write what each second came to, as CSV
-    #[argh(option)]
-    seconds: Option<PathBuf>,
-    /// where to draw it, as SVG
-    #[argh(option)]
-    chart: Option<PathBuf>,
-    /// a folder in which to keep the routers' files and logs
-    #[argh(option)]
-    logs: Option<PathBuf>,
-}
-
-/// Plays two trials over the same seeds, in simulated time or with real processes, and tells by how much the second
-/// differs from the first, with the standard error over the pairs.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "compare")]
-struct Compare {
-    /// the first trial's file
-    #[argh(positional)]
-    one: String,
-    /// the second's
-    #[argh(positional)]
-    other: String,
-    /// seeds, parted by commas
-    #[argh(option, default = "String::from(\"1,2,3,4\")")]
-    seeds: String,
-    /// play with real processes of this program instead
-    #[argh(option)]
-    daemon: Option<PathBuf>,
-}
-
-/// Plays one trial with 30, 100, 300 and 1,000 routers under the same load: a table as CSV.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "sizes")]
-struct Sizes {
-    /// the trial's file
-    #[argh(positional)]
-    file: String,
-    /// where to draw the hosts' evenness by the number of routers, as SVG
-    #[argh(option)]
-    chart: Option<PathBuf>,
-}
-
-/// Prints the schema of a trial's file.
-#[derive(FromArgs)]
-#[argh(subcommand, name = "schema")]
-struct Schema {}
-
 /// Why a subcommand could not be carried out.
 #[derive(Debug, Error)]
 enum CommandError {
--- a/crates/comethitch-lab/tests/fleet.rs
+++ b/crates/comethitch-lab/tests/fleet.rs
@@ -8,22 +8,22 @@
     Trial { routers: 20, groups: 2, replicas: 11, seconds: 12, cores: vec![2, 2, 3], ..Trial::default() }
 }
 
-fn perfect(trial: &Trial) -> Report {
+fn play_baseline(trial: &Trial) -> Report {
     play(&Trial { routing: Routing::Perfect, ..trial.clone() }).expect("a trial")
 }
 
-fn kept(trial: &Trial) -> Report {
+fn play_without_violations(trial: &Trial) -> Report {
     let report = play(trial).expect("a trial");
     assert_eq!(report.broken, Vec::<String>::new(), "seed {}", trial.seed);
     report
 }
 
 #[test]
-fn hosts_are_loaded_nearly_as_evenly_as_by_perfect_knowledge_and_few_probes_do() {
+fn hosts_are_loaded_nearly_as_evenly_as_by_perfect_knowledge_with_few_health_checks() {
     for seed in [1, 2] {
         // Each router sees some five commands a second of a group.
         let trial = Trial { seed, routers: 60, load: 0.4, ..small() };
-        let (report, ideal) = (kept(&trial), perfect(&trial));
+        let (report, ideal) = (play_without_violations(&trial), play_baseline(&trial));
         assert!(report.variation < ideal.variation * 1.6, "{report}\nwith perfect knowledge\n{ideal}");
         assert!(report.in_time > 0.99 && report.idle <= 2 && report.probes < 0.7, "{report}");
     }
@@ -35,58 +35,58 @@
         let release = FaultKind::Release { part: 0.5, over_ms: 4000 };
         let herd = FaultKind::Herd { part: 0.7, back_ms: 500 };
         let faults = vec![Fault { at_ms: 3000, kind: release }, Fault { at_ms: 5000, kind: herd }];
-        let report = kept(&Trial { seed, faults, load: 0.4, ..small() });
+        let report = play_without_violations(&Trial { seed, faults, load: 0.4, ..small() });
         assert!(report.in_time > 0.9, "seed {seed}: {report}");
     }
 }
 
 #[test]
-fn all_hosts_cold_are_not_pushed_over_by_all_routers_together() {
+fn warming_hosts_are_not_overloaded_by_all_routers_together() {
     let trial = Trial { all_cold: true, load: 0.5, ..small() };
-    let report = kept(&trial);
-    assert!(report.in_time > 0.75, "what hosts have shown to bear is sent: {report}");
-    // The trial is sharp: without budgets for cold hosts the same load does push them over.
-    assert!(perfect(&trial).breaks > 0);
+    let report = play_without_violations(&trial);
+    assert!(report.in_time > 0.75, "hosts are sent what they have proved able to serve: {report}");
+    // The trial is sharp: without budgets for warming hosts the same load does crash them.
+    assert!(play_baseline(&trial).breaks > 0);
 }
 
 #[test]
-fn what_three_hundred_routers_send_a_cold_host_is_no_more_than_chance_allows() {
+fn what_three_hundred_routers_send_a_warming_host_is_no_more_than_chance_allows() {
     let trial = Trial { routers: 300, all_cold: true, load: 0.6, fall_multiple: 1.3, seconds: 6, ..small() };
     for seed in 1..=3 {
-        let report = kept(&Trial { seed, ..trial.clone() });
+        let report = play_without_violations(&Trial { seed, ..trial.clone() });
         assert!(report.cold_most > 0.0 && report.cold_most <= 1.0, "seed {seed}: {report}");
     }
-    // Where nobody budgets hosts fall over, which here they do at N itself: the measure's own fault is planted in its
+    // Without budgets hosts crash, which here they do at N itself: violations of the measure are planted in its
     // own tests.
-    let planted = perfect(&trial);
-    assert!(planted.broken.iter().any(|what| what.starts_with("cold")), "{planted}");
+    let planted = play_baseline(&trial);
+    assert!(planted.broken.iter().any(|violation| violation.starts_with("cold")), "{planted}");
 }
 
 #[test]
-fn a_router_that_sees_many_times_what_others_do_crowds_no_host() {
+fn a_router_with_many_times_the_traffic_of_others_overloads_no_host() {
     let trial = Trial { skew: 1.6, ..small() };
-    let report = kept(&trial);
+    let report = play_without_violations(&trial);
     assert!(report.in_time > 0.98 && report.greatest < 3.0, "{report}");
 }
 
 #[test]
 fn replicas_past_the_bound_answer_no_read() {
     let trial = Trial { lag_ms: 4000, load: 0.2, seconds: 6, ..small() };
-    kept(&trial);
-    // The trial is sharp: whoever does not ask how old the data are reads stale ones.
-    let blind = perfect(&trial);
-    assert!(blind.broken.iter().any(|what| what.starts_with("stale")), "{blind}");
+    play_without_violations(&trial);
+    // The trial is sharp: whoever ignores staleness reads stale data.
+    let blind = play_baseline(&trial);
+    assert!(blind.broken.iter().any(|violation| violation.starts_with("stale")), "{blind}");
 }
 
 #[test]
-fn half_of_the_replicas_past_the_bound_send_no_herd_to_the_others() {
+fn half_of_the_replicas_past_the_staleness_bound_cause_no_overload_of_the_others() {
     let stall = Fault { at_ms: 2000, kind: FaultKind::Stall { part: 0.5, for_ms: 6000 } };
     for seed in [1, 2] {
         let trial = Trial { seed, routers: 150, replicas: 23, load: 0.55, faults: vec![stall], ..small() };
-        // With a first room of 32 targets, as it was once, it is 0.96.
-        let report = kept(&trial);
+        // With an initial capacity of 32 latency objectives, as it was once, it is 0.96.
+        let report = play_without_violations(&trial);
         assert!(report.in_time > 0.97, "{report}");
-        let blind = perfect(&trial);
-        assert!(blind.broken.iter().any(|what| what.starts_with("stale")), "{blind}");
+        let blind = play_baseline(&trial);
+        assert!(blind.broken.iter().any(|violation| violation.starts_with("stale")), "{blind}");
     }
 }
