--- a/crates/comethitch-statement/benches/statements.rs
+++ b/crates/comethitch-statement/benches/statements.rs
@@ -16,7 +16,7 @@
         let mut lexer = Lexer::new(Dialect::Postgres);
         let mut cache = Cache::new(4 << 20);
         lexer.read(text.as_bytes());
-        cache.put(secret.key(lexer.shape()), classifier.classify(&lexer), 500, 1);
+        cache.insert(secret.key(lexer.shape()), classifier.classify(&lexer), 500, 1);
         group.bench_function(BenchmarkId::new("hit", name), |bench| {
             bench.iter(|| {
                 lexer.read(black_box(text.as_bytes()));
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -5,7 +5,7 @@
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
-use comethitch_statement::admission::{Path, StatementAdmission, StatementHints};
+use comethitch_statement::admission::{StatementAdmission, StatementHints, VerdictSource};
 use comethitch_statement::cache::Cache;
 use comethitch_statement::{Rules, Secret, ShapeKey};
 use hdrhistogram::Histogram;
@@ -37,7 +37,7 @@
     fn ask(&mut self, key: ShapeKey, client: u64) -> bool {
         let hit = self.0.get(key, client).is_some();
         if !hit {
-            self.0.put(key, (), VALUE, client);
+            self.0.insert(key, (), VALUE, client);
         }
         hit
     }
@@ -180,8 +180,9 @@
         (0..200).map(|nth| format!("SELECT a{nth} FROM facts WHERE code = 'k'")).collect();
     let ask = |desk: &mut StatementAdmission, text: &str, client: u64| {
         let before = Instant::now();
-        let path =
-            desk.admit(text.as_bytes(), StatementHints::default(), client, &clock).map(|passed| passed.path);
+        let path = desk
+            .admit(text.as_bytes(), StatementHints::default(), client, &clock)
+            .map(|passed| passed.source);
         (before.elapsed(), path)
     };
     let mut first = desk(false);
@@ -204,11 +205,11 @@
         let text = format!("SELECT c{nth}, d{} FROM t{} WHERE e{nth} = {nth} ORDER BY f", nth / 3, nth % 977);
         let (took, path) = ask(&mut desk, &text, 1);
         flooding.record(took.as_nanos() as u64).expect("in range");
-        beyond += usize::from(path == Ok(Path::Beyond));
+        beyond += usize::from(path == Ok(VerdictSource::BudgetExceeded));
         if nth % 5 == 0 {
             let (took, path) = ask(&mut desk, &usual[nth / 5 % usual.len()], 2);
             beside.record(took.as_nanos() as u64).expect("in range");
-            hit += usize::from(path == Ok(Path::Hit));
+            hit += usize::from(path == Ok(VerdictSource::CacheHit));
             asked += 1;
         }
     }
--- a/crates/comethitch-statement/src/admission.rs
+++ b/crates/comethitch-statement/src/admission.rs
@@ -1,5 +1,7 @@
-//! Where a statement is looked at before it becomes a command: read, looked up or parsed as far as the budget
-//! goes, and assigned.
+//! Admission of a statement before it becomes a command: its text is read, its verdict looked up in the cache or
+//! worked out as far as the parsing budget goes, and the statement is assigned or rejected.
+//!
+//! This module puts the others together: [`Lexer`], [`Classifier`], [`Cache`], [`Budget`] and [`Assigner`].
 //!
 //! ```
 //! use comethitch_policy::time::Timestamp;
@@ -17,28 +19,38 @@
 //! #     rules.cold_from=1\nrules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
 //! # let groups = comethitch_policy::Deployment::read(settings).unwrap().groups;
 //! let names = ["read".to_string(), "write".to_string()];
-//! let mut desk = StatementAdmission::new(rules, &groups, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
+//! let mut admission = StatementAdmission::new(rules, &groups, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
 //! let clock = || Timestamp::ZERO;
-//! let mut group = |text: &str| desk.admit(text.as_bytes(), StatementHints::default(), 1, &clock).unwrap().assigned.group;
+//! let mut group = |text: &str| {
+//!     let admitted = admission.admit(text.as_bytes(), StatementHints::default(), 1, &clock);
+//!     admitted.unwrap().assigned.group
+//! };
 //! assert_eq!(group("SELECT data FROM facts"), 0);
 //! assert_eq!(group("SELECT cobrar(3)"), 1);
 //! ```
 
-use crate::assign::{Arguments, Assigned, Assignment, InText, Refusal, Values};
-use crate::budget::{Budget, Grant, Parts};
-use crate::cache::{Cache, Counts};
-use crate::cost::{Cost, Pace};
-use crate::rules::{Beyond, Rules};
+pub use crate::hints::StatementHints;
+
+use crate::assign::{Arguments, Assigner, Assignment, AssignmentError, PlaceholderValues, StatementValues};
+use crate::budget::{Budget, BudgetShares, Reservation};
+use crate::cache::{Cache, CacheCounts};
+use crate::cost::{Cost, LookupTime};
+use crate::rules::{BudgetExceeded, Rules};
+use crate::rules_error::RulesError;
 use crate::verdict::allocated;
 use crate::{Classifier, Effect, Lexer, Secret, ShapeKey, Verdict};
+use comethitch_policy::CommandGroup;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{CommandGroup, Shard};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// The largest cache that rules may ask for.
+const MAX_CACHE_KIB: usize = 1 << 20;
+
 /// What is known of a shape: its verdict, and what its statements have cost.
 #[derive(Debug)]
 pub struct KnownShape {
+    /// What its statements may do, touch and cost.
     pub verdict: Verdict,
     cost: RefCell<Cost>,
 }
@@ -48,220 +60,291 @@
         Rc::new(KnownShape { verdict, cost: RefCell::default() })
     }
 
-    fn bytes(&self) -> usize {
+    /// The bytes that it takes, the reference counts and what the allocator adds included.
+    fn memory_bytes(&self) -> usize {
         allocated(size_of::<KnownShape>() + 2 * size_of::<usize>()) - size_of::<Verdict>()
             + self.verdict.bytes()
     }
 }
 
-/// What a statement's comment tells of it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StatementHints {
-    /// The command group, by its place in the deployment.
-    pub group: Option<usize>,
-    pub shard: Option<Shard>,
-}
-
-/// How a statement's verdict was come by.
+/// Where a statement's verdict came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
-    Hit,
+pub enum VerdictSource {
+    /// The cache.
+    CacheHit,
+    /// The parser.
     Parsed,
-    /// Its text can be read in several ways: it was not parsed.
-    Doubtful,
-    /// The budget for parsing was spent: it goes by the cautious verdict.
-    Beyond,
+    /// Its text is ambiguous: it was not parsed.
+    Ambiguous,
+    /// The parsing budget was exceeded: it was not parsed.
+    BudgetExceeded,
 }
 
-/// A statement that has passed.
+/// A statement whose verdict is known.
 #[derive(Clone, Debug)]
-pub struct Passed {
-    pub assigned: Assigned,
+pub struct JudgedStatement {
+    /// What is known of its shape.
     pub known: Rc<KnownShape>,
+    /// The key of its shape.
     pub key: ShapeKey,
-    pub path: Path,
+    /// Where the verdict came from.
+    pub source: VerdictSource,
 }
 
-/// Why a statement has not passed.
+/// A statement that may become a command.
+#[derive(Clone, Debug)]
+pub struct AdmittedStatement {
+    /// Where it goes.
+    pub assigned: Assignment,
+    /// What is known of its shape.
+    pub known: Rc<KnownShape>,
+    /// The key of its shape.
+    pub key: ShapeKey,
+    /// Where the verdict came from.
+    pub source: VerdictSource,
+}
+
+/// Why a statement was not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementRejection {
-    Refused(Refusal),
-    /// The budget for parsing was spent; trying again is harmless.
+    /// It can't become a command, now or later.
+    Refused(AssignmentError),
+    /// The parsing budget was exceeded: nothing has run, and a retry is harmless.
     Throttled,
 }
 
-/// What was done since it was last told.
+/// Counts of what was done with statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Done {
-    /// By effect, in the order of [`Effect`].
+pub struct AdmissionCounts {
+    /// Statements by effect, in the order of [`StatementAdmission::EFFECTS`].
     pub effects: [u64; 5],
+    /// Statements of shapes in the cache.
     pub hits: u64,
+    /// Statements that were parsed.
     pub parsed: u64,
+    /// Statements that servers may read in several ways.
     pub doubtful: u64,
-    /// The budget of a client was spent, and that of all.
+    /// Statements past the budget of their client.
     pub beyond_client: u64,
+    /// Statements past the budget of all clients.
     pub beyond_all: u64,
+    /// Statements that could not become a command.
     pub refused: u64,
+    /// Statements raised above the command group of their comment.
     pub raised: u64,
 }
 
+/// Admits statements by the operator's rules.
 pub struct StatementAdmission {
     rules: Rules,
-    assignment: Assignment,
+    assigner: Assigner,
     lexer: Lexer,
     secret: Secret,
     cache: Cache<Rc<KnownShape>>,
     budget: Budget,
-    pace: Cell<Pace>,
-    done: Done,
+    lookup_time: Cell<LookupTime>,
+    counts: AdmissionCounts,
 }
 
 impl StatementAdmission {
-    /// Checks the rules against the deployment's command groups; an error names the key.
+    /// All effects, in the order of [`AdmissionCounts::effects`].
+    pub const EFFECTS: [Effect; 5] =
+        [Effect::Read, Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write];
+
+    /// Checks the rules against the deployment's command groups and their names.
+    ///
+    /// # Errors
+    ///
+    /// The first fault in the rules.
     pub fn new(
         rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret, now: Timestamp,
-    ) -> Result<StatementAdmission, String> {
-        let parts = Parts { all: rules.parsing.core_part, client: rules.parsing.client_part };
-        for (key, part) in [("core_part", parts.all), ("client_part", parts.client)] {
-            if !(part > 0.0 && part <= 1.0) {
-                return Err(format!("parsing.{key} must be above 0 and at most 1, not {part}"));
-            }
-        }
-        let least = Cache::<Rc<KnownShape>>::LEAST >> 10;
-        if rules.cache.kib < least || rules.cache.kib > 1 << 20 {
-            return Err(format!("cache.kib must be {least} to {}, not {}", 1 << 20, rules.cache.kib));
-        }
+    ) -> Result<StatementAdmission, RulesError> {
+        let shares = checked_shares(&rules)?;
+        let cache_bytes = checked_cache_bytes(&rules)?;
         Ok(StatementAdmission {
-            assignment: Assignment::new(&rules, groups, names)?,
+            assigner: Assigner::new(&rules, groups, names)?,
             lexer: Lexer::new(rules.dialect),
             secret,
-            cache: Cache::new(rules.cache.kib << 10),
-            budget: Budget::new(parts, now),
-            pace: Cell::default(),
-            done: Done::default(),
+            cache: Cache::new(cache_bytes),
+            budget: Budget::new(shares, now),
+            lookup_time: Cell::default(),
+            counts: AdmissionCounts::default(),
             rules,
         })
     }
 
-    /// A desk without a budget, for tools: whatever comes is parsed.
+    /// The same without a parsing budget, for tools: whatever comes is parsed.
+    ///
+    /// # Errors
+    ///
+    /// The first fault in the rules.
     pub fn unlimited(
         rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret,
-    ) -> Result<StatementAdmission, String> {
-        let mut desk = StatementAdmission::new(rules, groups, names, secret, Timestamp::ZERO)?;
-        desk.budget = Budget::new(Parts { all: f64::MAX.sqrt(), client: 1.0 }, Timestamp::ZERO);
-        Ok(desk)
+    ) -> Result<StatementAdmission, RulesError> {
+        let mut admission = StatementAdmission::new(rules, groups, names, secret, Timestamp::ZERO)?;
+        // Far more than any parse takes, and small enough to be multiplied.
+        let shares = BudgetShares { total: f64::MAX.sqrt(), client: 1.0 };
+        admission.budget = Budget::new(shares, Timestamp::ZERO);
+        Ok(admission)
     }
 
+    /// The rules that it follows.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// The bytes that the shapes known hold.
+    /// The bytes that the cache of shapes takes.
     pub fn held(&self) -> usize {
-        self.cache.held()
+        self.cache.memory_bytes()
     }
 
     /// The cache's counts since the start.
-    pub fn cached(&self) -> Counts {
+    pub fn cached(&self) -> CacheCounts {
         self.cache.counts()
     }
 
-    /// What was done since the last call.
-    pub fn done(&mut self) -> Done {
-        std::mem::take(&mut self.done)
+    /// The counts since the last call.
+    pub fn done(&mut self) -> AdmissionCounts {
+        std::mem::take(&mut self.counts)
     }
 
-    /// Looks a statement up, or parses it as far as the client's budget goes; none where it is spent and the
-    /// rules throttle. `clock` is asked only where something is parsed.
-    pub fn look(
+    /// Looks a statement's verdict up, or parses it as far as the client's budget goes; none where that is exceeded
+    /// and the rules throttle. `clock` is read only where something is parsed.
+    pub fn judge(
         &mut self, text: &[u8], client: u64, clock: &dyn Fn() -> Timestamp,
-    ) -> Option<(Rc<KnownShape>, ShapeKey, Path)> {
+    ) -> Option<JudgedStatement> {
         self.lexer.read(text);
         let key = self.secret.key(self.lexer.shape());
-        let classifier = Classifier::new(self.rules.dialect, &self.rules.catalogue);
-        let (known, path) = if self.lexer.ambiguity().is_some() {
-            self.done.doubtful += 1;
-            (KnownShape::new(classifier.classify(&self.lexer)), Path::Doubtful)
-        } else if let Some(known) = self.cache.get(key, client) {
-            self.done.hits += 1;
-            (known.clone(), Path::Hit)
-        } else {
-            let (tokens, began) = (self.lexer.tokens().len(), clock());
-            match self.budget.ask(client, tokens, began) {
-                Grant::Granted(taken) => {
-                    // A copy, once all that the parser held is free: what is kept long must not stand scattered
-                    // among what is not.
-                    let known = KnownShape::new(classifier.classify(&self.lexer).clone());
-                    self.budget.settle(client, tokens, taken, clock() - began);
-                    self.cache.put(key, known.clone(), known.bytes(), client);
-                    self.done.parsed += 1;
-                    (known, Path::Parsed)
-                }
-                spent => {
-                    match spent {
-                        Grant::AllSpent => self.done.beyond_all += 1,
-                        _ => self.done.beyond_client += 1,
-                    }
-                    if self.rules.parsing.beyond == Beyond::Throttle {
-                        return None;
-                    }
-                    let verdict =
-                        classifier.classify_unparsed(&self.lexer, "the budget for parsing is spent");
-                    (KnownShape::new(verdict), Path::Beyond)
-                }
+        let (known, source) = self.known_shape(key, client, clock)?;
+        self.counts.effects[known.verdict.effect as usize] += 1;
+        Some(JudgedStatement { known, key, source })
+    }
+
+    fn known_shape(
+        &mut self, key: ShapeKey, client: u64, clock: &dyn Fn() -> Timestamp,
+    ) -> Option<(Rc<KnownShape>, VerdictSource)> {
+        if self.lexer.ambiguity().is_some() {
+            self.counts.doubtful += 1;
+            return Some((KnownShape::new(self.classify()), VerdictSource::Ambiguous));
+        }
+        if let Some(known) = self.cache.get(key, client) {
+            self.counts.hits += 1;
+            return Some((known.clone(), VerdictSource::CacheHit));
+        }
+        let began = clock();
+        match self.budget.reserve(client, self.lexer.tokens().len(), began) {
+            Reservation::Reserved(reserved) => {
+                let known = self.parse(client, reserved, began, clock);
+                self.cache.insert(key, known.clone(), known.memory_bytes(), client);
+                self.counts.parsed += 1;
+                return Some((known, VerdictSource::Parsed));
             }
-        };
-        self.done.effects[known.verdict.effect as usize] += 1;
-        Some((known, key, path))
+            Reservation::TotalExceeded => self.counts.beyond_all += 1,
+            Reservation::ClientExceeded => self.counts.beyond_client += 1,
+        }
+        if self.rules.parsing.beyond == BudgetExceeded::Throttle {
+            return None;
+        }
+        let verdict = self.classifier().classify_unparsed(&self.lexer, "the budget for parsing is spent");
+        Some((KnownShape::new(verdict), VerdictSource::BudgetExceeded))
+    }
+
+    fn parse(
+        &mut self, client: u64, reserved: Duration, began: Timestamp, clock: &dyn Fn() -> Timestamp,
+    ) -> Rc<KnownShape> {
+        // A copy, once all memory of the parser is free: what is kept long must not stand scattered among what is
+        // not.
+        let known = KnownShape::new(self.classify().clone());
+        let took = clock() - began;
+        self.budget.correct(client, self.lexer.tokens().len(), reserved, took);
+        known
+    }
+
+    fn classifier(&self) -> Classifier<'_> {
+        Classifier::new(self.rules.dialect, &self.rules.catalogue)
+    }
+
+    fn classify(&self) -> Verdict {
+        self.classifier().classify(&self.lexer)
     }
 
-    /// Judges a statement, and says where it goes.
+    /// Judges a statement, and decides where it goes.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not admitted.
     pub fn admit(
-        &mut self, text: &[u8], told: StatementHints, client: u64, clock: &dyn Fn() -> Timestamp,
-    ) -> Result<Passed, StatementRejection> {
-        self.admit_with(text, &[], told, client, clock)
+        &mut self, text: &[u8], hints: StatementHints, client: u64, clock: &dyn Fn() -> Timestamp,
+    ) -> Result<AdmittedStatement, StatementRejection> {
+        self.admit_with(text, &[], hints, client, clock)
     }
 
     /// The same for a statement whose parameters' values came beside it.
+    ///
+    /// # Errors
+    ///
+    /// Why it is not admitted.
     pub fn admit_with(
-        &mut self, text: &[u8], arguments: &Arguments, told: StatementHints, client: u64,
+        &mut self, text: &[u8], arguments: &Arguments, hints: StatementHints, client: u64,
         clock: &dyn Fn() -> Timestamp,
-    ) -> Result<Passed, StatementRejection> {
-        let looked = self.look(text, client, clock).ok_or(StatementRejection::Throttled)?;
-        let (known, key, path) = looked;
-        let passed = self.place(known, key, path, told, text, arguments);
-        match &passed {
-            Ok(passed) => self.done.raised += u64::from(passed.assigned.raised),
-            Err(_) => self.done.refused += 1,
+    ) -> Result<AdmittedStatement, StatementRejection> {
+        let judged = self.judge(text, client, clock).ok_or(StatementRejection::Throttled)?;
+        let source = judged.source;
+        let admitted = self.assign(judged, hints, text, arguments);
+        match &admitted {
+            Ok(admitted) => self.counts.raised += u64::from(admitted.assigned.raised),
+            Err(_) => self.counts.refused += 1,
         }
-        passed.map_err(|refusal| match refusal {
-            // A later try may find the budget filled.
-            Refusal::NotParsed { .. } if path == Path::Beyond => StatementRejection::Throttled,
-            refusal => StatementRejection::Refused(refusal),
+        admitted.map_err(|error| match error {
+            // A retry may find the budget refilled.
+            AssignmentError::NotParsed { .. } if source == VerdictSource::BudgetExceeded => {
+                StatementRejection::Throttled
+            }
+            error => StatementRejection::Refused(error),
         })
     }
 
-    /// Says where a statement goes that was looked at last.
-    pub fn place(
-        &self, known: Rc<KnownShape>, key: ShapeKey, path: Path, told: StatementHints, text: &[u8],
-        arguments: &Arguments,
-    ) -> Result<Passed, Refusal> {
-        let values: &dyn Values = &InText { lexer: &self.lexer, text, arguments };
-        let guess = known.verdict.features.guess();
-        let band = known.cost.borrow_mut().band(self.assignment.bounds(), self.pace.get(), guess);
-        let assigned = self.assignment.assign(&known.verdict, band, (told.group, told.shard), values)?;
-        Ok(Passed { assigned, known, key, path })
+    /// Decides where the statement goes that was judged last.
+    ///
+    /// # Errors
+    ///
+    /// Why it can't become a command.
+    pub fn assign(
+        &self, judged: JudgedStatement, hints: StatementHints, text: &[u8], arguments: &Arguments,
+    ) -> Result<AdmittedStatement, AssignmentError> {
+        let JudgedStatement { known, key, source } = judged;
+        let values: &dyn PlaceholderValues = &StatementValues { lexer: &self.lexer, text, arguments };
+        let lookups = known.verdict.features.guess();
+        let bounds = self.assigner.cost_bounds();
+        let band = known.cost.borrow_mut().band(bounds, self.lookup_time.get(), lookups);
+        let assigned = self.assigner.assign(&known.verdict, band, hints, values)?;
+        Ok(AdmittedStatement { assigned, known, key, source })
     }
 
-    /// A host has answered a statement of this shape after so long.
+    /// Records how long a host took to answer a statement of this shape.
     pub fn learn(&self, known: &KnownShape, took: Duration) {
-        known.cost.borrow_mut().learn(took);
-        let mut pace = self.pace.get();
-        pace.learn(known.verdict.features.guess(), took);
-        self.pace.set(pace);
+        known.cost.borrow_mut().record(took);
+        let mut lookup_time = self.lookup_time.get();
+        lookup_time.record(known.verdict.features.guess(), took);
+        self.lookup_time.set(lookup_time);
     }
+}
 
-    /// The name of an effect by its place in [`Done::effects`].
-    pub const EFFECTS: [Effect; 5] =
-        [Effect::Read, Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write];
+fn checked_shares(rules: &Rules) -> Result<BudgetShares, RulesError> {
+    let shares = BudgetShares { total: rules.parsing.core_part, client: rules.parsing.client_part };
+    for (key, share) in [("core_part", shares.total), ("client_part", shares.client)] {
+        if !(share > 0.0 && share <= 1.0) {
+            return Err(RulesError::Share { key, share });
+        }
+    }
+    Ok(shares)
+}
+
+fn checked_cache_bytes(rules: &Rules) -> Result<usize, RulesError> {
+    let kib = rules.cache.kib;
+    let least = Cache::<Rc<KnownShape>>::MIN_BYTES >> 10;
+    if kib < least || kib > MAX_CACHE_KIB {
+        return Err(RulesError::CacheSize { least, most: MAX_CACHE_KIB, kib });
+    }
+    Ok(kib << 10)
 }
--- /dev/null
+++ b/crates/comethitch-statement/src/assign/group_rules.rs
@@ -0,0 +1,106 @@
+//! From effects, tables and costs to command groups.
+
+use super::allowed_effects::AllowedEffects;
+use crate::rules::GroupRule;
+use crate::rules_error::{GroupRuleError, RulesError};
+use crate::{Effect, Verdict};
+use comethitch_policy::time::Duration;
+
+/// The most bounds between bands of cost.
+const MAX_COST_BOUNDS: usize = 64;
+/// A bound of cost is below this, in milliseconds.
+const MAX_COST_BOUND_MS: f64 = 1e9;
+
+/// The rules for command groups, checked against those of a deployment.
+#[derive(Clone, Debug)]
+pub(super) struct GroupRules {
+    rules: Vec<CheckedRule>,
+    /// The bounds between bands of cost, in rising order.
+    cost_bounds: Vec<Duration>,
+}
+
+#[derive(Clone, Debug)]
+struct CheckedRule {
+    group: usize,
+    effects: Vec<Effect>,
+    tables: Option<Vec<String>>,
+    from: Option<Duration>,
+    below: Option<Duration>,
+}
+
+impl GroupRules {
+    /// Checks rules; `names` and `allowed` are those of the deployment's command groups, in its order.
+    pub fn new(
+        rules: &[GroupRule], names: &[String], allowed: &[AllowedEffects],
+    ) -> Result<GroupRules, RulesError> {
+        let check = |(index, rule)| {
+            check_rule(rule, names, allowed).map_err(|source| RulesError::Group { index, source })
+        };
+        let rules = rules.iter().enumerate().map(check).collect::<Result<Vec<_>, _>>()?;
+        if rules.is_empty() {
+            return Err(RulesError::NoGroups);
+        }
+        let bounds = rules.iter().flat_map(|rule| rule.from.into_iter().chain(rule.below));
+        let mut cost_bounds: Vec<Duration> = bounds.collect();
+        cost_bounds.sort_unstable();
+        cost_bounds.dedup();
+        if cost_bounds.len() > MAX_COST_BOUNDS {
+            return Err(RulesError::TooManyCostBounds { most: MAX_COST_BOUNDS });
+        }
+        Ok(GroupRules { rules, cost_bounds })
+    }
+
+    /// The bounds between bands of cost, in rising order.
+    pub fn cost_bounds(&self) -> &[Duration] {
+        &self.cost_bounds
+    }
+
+    /// The command group of the first rule that fits a statement.
+    pub fn group(&self, verdict: &Verdict, band: u8) -> Option<usize> {
+        self.rules.iter().find(|rule| self.fits(rule, verdict, band)).map(|rule| rule.group)
+    }
+
+    fn fits(&self, rule: &CheckedRule, verdict: &Verdict, band: u8) -> bool {
+        // A statement that was not parsed may use any table.
+        let uses = |table: &String| verdict.uses.iter().any(|table_use| *table_use.table == **table);
+        let tables = rule.tables.as_ref();
+        rule.effects.contains(&verdict.effect)
+            && tables.is_none_or(|tables| !verdict.parsed || tables.iter().any(uses))
+            && rule.from.is_none_or(|from| !self.is_below(band, from))
+            && rule.below.is_none_or(|below| self.is_below(band, below))
+    }
+
+    fn is_below(&self, band: u8, bound: Duration) -> bool {
+        let at = self.cost_bounds.iter().position(|known| *known == bound);
+        at.is_some_and(|at| usize::from(band) <= at)
+    }
+}
+
+fn check_rule(
+    rule: &GroupRule, names: &[String], allowed: &[AllowedEffects],
+) -> Result<CheckedRule, GroupRuleError> {
+    let group = names.iter().position(|name| *name == rule.group);
+    let group = group.ok_or_else(|| GroupRuleError::UnknownGroup { name: rule.group.clone() })?;
+    if rule.effects.is_empty() {
+        return Err(GroupRuleError::NoEffects);
+    }
+    if let Some(effect) = rule.effects.iter().find(|effect| !allowed[group].allows(**effect)) {
+        return Err(GroupRuleError::EffectNotAllowed { effect: *effect, group: rule.group.clone() });
+    }
+    let from = cost_bound("from_ms", rule.from_ms)?;
+    let below = cost_bound("below_ms", rule.below_ms)?;
+    if let (Some(from), Some(below)) = (from, below)
+        && from >= below
+    {
+        return Err(GroupRuleError::NoCostBetweenBounds);
+    }
+    Ok(CheckedRule { group, effects: rule.effects.clone(), tables: rule.tables.clone(), from, below })
+}
+
+fn cost_bound(key: &'static str, milliseconds: Option<f64>) -> Result<Option<Duration>, GroupRuleError> {
+    match milliseconds {
+        Some(ms) if ms > 0.0 && ms < MAX_COST_BOUND_MS => Ok(Some(Duration::from_micros((ms * 1e3) as u64))),
+        Some(milliseconds) => Err(GroupRuleError::CostBound { key, milliseconds }),
+        None => Ok(None),
+    }
+}
--- /dev/null
+++ b/crates/comethitch-statement/src/assign/keys.rs
@@ -0,0 +1,121 @@
+//! From the values of a table's key to groups of hosts.
+
+use super::values::PlaceholderValues;
+use crate::rules::{Bound, KeyRange, KeyRule, Placement};
+use crate::rules_error::{KeyRuleError, RulesError};
+use crate::verdict::{ColumnValues, TableUse};
+use comethitch_policy::Shard;
+
+/// Where the values of one key lie.
+pub(super) struct KeyLocation {
+    /// The groups of hosts, each once, in order.
+    pub shards: Vec<Shard>,
+    /// A hash of each value, never 0.
+    pub hashes: Vec<u64>,
+}
+
+/// Checks that each table has one key, and that every value of a key has a group of hosts.
+pub(super) fn check(rules: &[KeyRule]) -> Result<(), RulesError> {
+    for (index, rule) in rules.iter().enumerate() {
+        check_rule(rule).map_err(|source| RulesError::Key { index, source })?;
+        let mut tables_before = rules[..index].iter().flat_map(|rule| &rule.tables);
+        if let Some(table) = tables_before.find(|table| rule.tables.contains(table)) {
+            let source = KeyRuleError::TableTwice { table: table.clone() };
+            return Err(RulesError::Key { index, source });
+        }
+    }
+    Ok(())
+}
+
+fn check_rule(rule: &KeyRule) -> Result<(), KeyRuleError> {
+    if rule.tables.is_empty() {
+        return Err(KeyRuleError::NoTables);
+    }
+    match &rule.spread {
+        Placement::Hash(shards) if shards.is_empty() => Err(KeyRuleError::NoShards),
+        Placement::Hash(_) => Ok(()),
+        Placement::Range(ranges) => check_ranges(ranges),
+    }
+}
+
+fn check_ranges(ranges: &[KeyRange]) -> Result<(), KeyRuleError> {
+    let (last, others) = ranges.split_last().ok_or(KeyRuleError::NoRanges)?;
+    if last.below.is_some() {
+        return Err(KeyRuleError::LastRangeBounded);
+    }
+    if let Some(index) = others.iter().position(|range| range.below.is_none()) {
+        return Err(KeyRuleError::BoundMissing { index });
+    }
+    match others.windows(2).position(|pair| !is_rising(&pair[0], &pair[1])) {
+        Some(before) => Err(KeyRuleError::BoundNotRising { index: before + 1 }),
+        None => Ok(()),
+    }
+}
+
+fn is_rising(before: &KeyRange, after: &KeyRange) -> bool {
+    match (&before.below, &after.below) {
+        (Some(Bound::Number(before)), Some(Bound::Number(after))) => before < after,
+        (Some(Bound::Text(before)), Some(Bound::Text(after))) => before < after,
+        _ => false,
+    }
+}
+
+/// Where a use's key lies; none if the use has no key, or one whose value is not known.
+pub(super) fn locate(
+    rule: &KeyRule, table_use: &TableUse, values: &dyn PlaceholderValues,
+) -> Option<KeyLocation> {
+    let mut narrowest: Option<KeyLocation> = None;
+    for key in table_use.keys.iter().filter(|key| *key.column == *rule.column) {
+        let location = locate_values(&rule.spread, key, values)?;
+        // Of two conditions on one column, both hold: the narrower one says more.
+        if narrowest.as_ref().is_none_or(|narrowest| location.shards.len() < narrowest.shards.len()) {
+            narrowest = Some(location);
+        }
+    }
+    narrowest
+}
+
+fn locate_values(
+    placement: &Placement, key: &ColumnValues, values: &dyn PlaceholderValues,
+) -> Option<KeyLocation> {
+    let mut location = KeyLocation { shards: Vec::new(), hashes: Vec::new() };
+    for placeholder in &key.placeholders {
+        for value in values.values(*placeholder)? {
+            location.shards.push(shard_of(placement, &value)?);
+            location.hashes.push(fnv1a(&value).max(1));
+        }
+    }
+    location.shards.sort_unstable();
+    location.shards.dedup();
+    Some(location)
+}
+
+fn shard_of(placement: &Placement, key: &[u8]) -> Option<Shard> {
+    match placement {
+        Placement::Hash(shards) => Some(shards[(fnv1a(key) % shards.len() as u64) as usize]),
+        Placement::Range(ranges) => {
+            for range in ranges {
+                let is_below = match &range.below {
+                    Some(Bound::Number(bound)) => number(key)? < *bound,
+                    Some(Bound::Text(bound)) => key < bound.as_bytes(),
+                    None => true,
+                };
+                if is_below {
+                    return Some(range.hosts);
+                }
+            }
+            None
+        }
+    }
+}
+
+fn number(key: &[u8]) -> Option<i64> {
+    std::str::from_utf8(key).ok()?.trim().parse().ok()
+}
+
+/// The FNV-1a hash of 64 bits: public, so that whoever places rows can compute the same.
+pub fn fnv1a(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
+}
--- /dev/null
+++ b/crates/comethitch-statement/src/assign/values.rs
@@ -0,0 +1,72 @@
+//! The values that stand for a shape's placeholders in one statement.
+
+use crate::lexer::{Lexer, Literal, LiteralForm};
+
+/// Gives the values that stand for a placeholder.
+pub trait PlaceholderValues {
+    /// The values as texts, or none if one of them is not known.
+    fn values(&self, placeholder: u32) -> Option<Vec<Vec<u8>>>;
+}
+
+/// Values of parameters that came beside a text, by the parameters' names without a sign, in lower case. What is
+/// not known, as a null or a date, has none.
+pub type Arguments = [(String, Option<Vec<u8>>)];
+
+/// The values that stand in a statement's own text, and beside it.
+pub struct StatementValues<'a> {
+    /// The lexer that has read the text.
+    pub lexer: &'a Lexer,
+    /// The statement's text.
+    pub text: &'a [u8],
+    /// The values beside it.
+    pub arguments: &'a Arguments,
+}
+
+impl PlaceholderValues for StatementValues<'_> {
+    fn values(&self, placeholder: u32) -> Option<Vec<Vec<u8>>> {
+        let literals = self.lexer.literals().iter().filter(|literal| literal.placeholder == placeholder);
+        let values: Option<Vec<Vec<u8>>> = literals.map(|literal| self.value(literal)).collect();
+        values.filter(|values| !values.is_empty())
+    }
+}
+
+impl StatementValues<'_> {
+    fn value(&self, literal: &Literal) -> Option<Vec<u8>> {
+        let text = self.text.get(literal.at.start as usize..literal.at.end as usize)?;
+        match literal.form {
+            LiteralForm::Number => self.plain_number(text, literal.at.start as usize),
+            LiteralForm::Text => unquoted(text),
+            LiteralForm::Parameter => self.argument(text),
+            LiteralForm::Special => None,
+        }
+    }
+
+    /// One number has many notations; only the plainest, without a sign, is taken for a key.
+    fn plain_number(&self, text: &[u8], start: usize) -> Option<Vec<u8>> {
+        let before = self.text[..start].trim_ascii_end().last();
+        let is_signed = matches!(before, Some(b'-' | b'+'));
+        let is_plain = text.iter().all(u8::is_ascii_digit) && (text.len() == 1 || text[0] != b'0');
+        (is_plain && !is_signed).then(|| text.to_vec())
+    }
+
+    fn argument(&self, parameter: &[u8]) -> Option<Vec<u8>> {
+        let name = std::str::from_utf8(parameter).ok()?.trim_start_matches(['@', '$']).to_lowercase();
+        let (_, value) = self.arguments.iter().find(|(known, _)| *known == name)?;
+        value.clone()
+    }
+}
+
+/// The value of a string between single quotes, where a doubled quote stands for one.
+fn unquoted(text: &[u8]) -> Option<Vec<u8>> {
+    let opening = text.iter().position(|byte| *byte == b'\'')?;
+    let inner = text[opening + 1..].strip_suffix(b"'")?;
+    let mut value = Vec::with_capacity(inner.len());
+    let mut bytes = inner.iter();
+    while let Some(byte) = bytes.next() {
+        value.push(*byte);
+        if *byte == b'\'' {
+            bytes.next();
+        }
+    }
+    Some(value)
+}
--- a/crates/comethitch-statement/src/budget.rs
+++ b/crates/comethitch-statement/src/budget.rs
@@ -1,123 +1,143 @@
-//! How much may be spent on parsing statements that are not known yet.
+//! How much CPU time may go into parsing statements whose shape is not known yet: token buckets, one for all clients
+//! and one for each.
 //!
-//! All clients together have a part of one core's time, and each of them a part of that. What a parse will take
-//! is guessed from the number of tokens, by what the last ones took, and settled once it is known. What is not
+//! All clients together have a share of one core's time, and each of them a share of that. What a parse will take
+//! is estimated from the number of tokens, by what the last ones took, and corrected once it is known. What is not
 //! used is saved up for a second at most.
 
 use comethitch_policy::time::{Duration, Timestamp};
 
-/// Saved up at most: what is allowed in this span.
-const SAVED: Duration = Duration::from_secs(1);
-/// Clients are told apart by so many numbers; two that share one share its part.
-const CLIENTS: usize = 256;
+/// A bucket holds what is allowed in this span at most.
+const BURST: Duration = Duration::from_secs(1);
+/// Clients are hashed into so many buckets; two that meet in one share it.
+const CLIENT_BUCKETS: usize = 256;
+/// The bits of a hash that choose among [`CLIENT_BUCKETS`].
+const CLIENT_HASH_SHIFT: u32 = u64::BITS - CLIENT_BUCKETS.ilog2();
 /// What a token is taken to cost before any was measured, in microseconds: on the safe side.
-const FIRST_PACE: f64 = 2.0;
-/// The part that each measured parse has in the pace.
-const NEWEST_PART: f64 = 1.0 / 16.0;
+const INITIAL_TOKEN_COST: f64 = 2.0;
+/// The weight of each measured parse in the moving average.
+const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
+/// A measured parse counts as at most this many times the average, and at least its reciprocal.
+const OUTLIER_FACTOR: f64 = 4.0;
+/// The average never falls below this, in microseconds.
+const MIN_TOKEN_COST: f64 = 1e-3;
 /// A parse costs as much as this many tokens besides.
-const BASE: usize = 8;
+const BASE_TOKENS: usize = 8;
 
-/// The parts of one core's time.
+/// Shares of one core's time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Parts {
+pub struct BudgetShares {
     /// Of one core, for all parsing.
-    pub all: f64,
+    pub total: f64,
     /// Of that, for one client.
     pub client: f64,
 }
 
-impl Default for Parts {
-    fn default() -> Parts {
-        Parts { all: 1.0 / 16.0, client: 1.0 / 4.0 }
+impl Default for BudgetShares {
+    fn default() -> BudgetShares {
+        BudgetShares { total: 1.0 / 16.0, client: 1.0 / 4.0 }
     }
 }
 
 /// Whether a statement may be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grant {
-    /// It may, and this was taken for it.
-    Granted(Duration),
-    /// This client has spent its part.
-    ClientSpent,
-    /// All clients together have spent theirs.
-    AllSpent,
+pub enum Reservation {
+    /// It may, and this estimate was taken from the budget.
+    Reserved(Duration),
+    /// This client has exceeded its share.
+    ClientExceeded,
+    /// All clients together have exceeded the budget.
+    TotalExceeded,
 }
 
 #[derive(Clone, Copy)]
-struct Account {
-    /// In microseconds; below nothing after a parse that took longer than guessed.
-    saved: f64,
-    filled: Timestamp,
+struct TokenBucket {
+    /// In microseconds; negative after a parse that took longer than estimated.
+    available: f64,
+    refilled: Timestamp,
 }
 
-impl Account {
-    fn fill(&mut self, part: f64, now: Timestamp) {
-        let most = part * SAVED.as_micros() as f64;
-        self.saved = (self.saved + part * (now - self.filled).as_micros() as f64).min(most);
-        self.filled = now;
+impl TokenBucket {
+    fn full(share: f64, now: Timestamp) -> TokenBucket {
+        TokenBucket { available: capacity(share), refilled: now }
     }
+
+    fn refill(&mut self, share: f64, now: Timestamp) {
+        let earned = share * (now - self.refilled).as_micros() as f64;
+        self.available = (self.available + earned).min(capacity(share));
+        self.refilled = now;
+    }
+}
+
+fn capacity(share: f64) -> f64 {
+    share * BURST.as_micros() as f64
 }
 
+/// The budget of all clients, and each client's part of it.
 pub struct Budget {
-    parts: Parts,
-    all: Account,
-    clients: Box<[Account]>,
-    /// Microseconds for a token.
-    pace: f64,
+    shares: BudgetShares,
+    total: TokenBucket,
+    clients: Box<[TokenBucket]>,
+    /// The average cost of a token, in microseconds.
+    token_cost: f64,
 }
 
 impl Budget {
-    pub fn new(parts: Parts, now: Timestamp) -> Budget {
-        let full = |part: f64| Account { saved: part * SAVED.as_micros() as f64, filled: now };
+    /// A budget with full buckets.
+    pub fn new(shares: BudgetShares, now: Timestamp) -> Budget {
+        let client = TokenBucket::full(shares.total * shares.client, now);
         Budget {
-            parts,
-            all: full(parts.all),
-            clients: vec![full(parts.all * parts.client); CLIENTS].into_boxed_slice(),
-            pace: FIRST_PACE,
+            shares,
+            total: TokenBucket::full(shares.total, now),
+            clients: vec![client; CLIENT_BUCKETS].into_boxed_slice(),
+            token_cost: INITIAL_TOKEN_COST,
         }
     }
 
-    fn client(client: u64) -> usize {
-        (client.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 56) as usize
+    /// The bucket of a client, by Fibonacci hashing.
+    fn bucket(client: u64) -> usize {
+        (client.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> CLIENT_HASH_SHIFT) as usize
     }
 
-    /// Asks for leave to parse a statement of so many tokens. It is given as long as anything is saved, so that a
-    /// long statement is not kept out for ever; what it takes beyond that is owed.
+    /// Reserves what parsing a statement of so many tokens is estimated to take. It is granted as long as anything
+    /// is available, so that a long statement is not kept out for ever; what it takes beyond that is owed.
     ///
     /// ```
     /// use comethitch_policy::time::{Duration, Timestamp};
-    /// use comethitch_statement::budget::{Budget, Grant, Parts};
-    /// let mut budget = Budget::new(Parts { all: 0.01, client: 0.5 }, Timestamp::ZERO);
+    /// use comethitch_statement::budget::{Budget, BudgetShares, Reservation};
+    /// let mut budget = Budget::new(BudgetShares { total: 0.01, client: 0.5 }, Timestamp::ZERO);
     /// // 10 ms a second for all, 5 ms for one client.
-    /// let granted = (0..1_000).filter(|_| matches!(budget.ask(7, 42, Timestamp::ZERO), Grant::Granted(_))).count();
-    /// assert_eq!(granted, 50, "of 100 µs each");
-    /// assert!(matches!(budget.ask(8, 42, Timestamp::ZERO), Grant::Granted(_)), "another client has its own part");
+    /// let mut is_reserved = |client| matches!(budget.reserve(client, 42, Timestamp::ZERO), Reservation::Reserved(_));
+    /// assert_eq!((0..1_000).filter(|_| is_reserved(7)).count(), 50, "of 100 µs each");
+    /// assert!(is_reserved(8), "another client has its own share");
     /// ```
-    pub fn ask(&mut self, client: u64, tokens: usize, now: Timestamp) -> Grant {
-        let Parts { all, client: part } = self.parts;
-        let own = &mut self.clients[Self::client(client)];
-        self.all.fill(all, now);
-        own.fill(all * part, now);
-        if self.all.saved <= 0.0 {
-            return Grant::AllSpent;
+    pub fn reserve(&mut self, client: u64, tokens: usize, now: Timestamp) -> Reservation {
+        let BudgetShares { total, client: share } = self.shares;
+        let own = &mut self.clients[Self::bucket(client)];
+        self.total.refill(total, now);
+        own.refill(total * share, now);
+        if self.total.available <= 0.0 {
+            return Reservation::TotalExceeded;
         }
-        if own.saved <= 0.0 {
-            return Grant::ClientSpent;
+        if own.available <= 0.0 {
+            return Reservation::ClientExceeded;
         }
-        let cost = self.pace * (tokens + BASE) as f64;
-        self.all.saved -= cost;
-        own.saved -= cost;
-        Grant::Granted(Duration::from_micros(cost as u64))
+        let cost = self.token_cost * (tokens + BASE_TOKENS) as f64;
+        self.total.available -= cost;
+        own.available -= cost;
+        Reservation::Reserved(Duration::from_micros(cost as u64))
     }
 
-    /// Settles what a parse took instead of what was taken for it.
-    pub fn settle(&mut self, client: u64, tokens: usize, taken: Duration, took: Duration) {
-        let more = took.as_micros() as f64 - taken.as_micros() as f64;
-        self.all.saved -= more;
-        self.clients[Self::client(client)].saved -= more;
-        let pace = took.as_micros() as f64 / (tokens + BASE) as f64;
-        // No single parse, as one that was interrupted, moves the pace far.
-        let pace = pace.clamp(self.pace / 4.0, self.pace * 4.0).max(1e-3);
-        self.pace += (pace - self.pace) * NEWEST_PART;
+    /// Replaces what was reserved for a parse by what it took.
+    pub fn correct(&mut self, client: u64, tokens: usize, reserved: Duration, took: Duration) {
+        let more = took.as_micros() as f64 - reserved.as_micros() as f64;
+        self.total.available -= more;
+        self.clients[Self::bucket(client)].available -= more;
+        let measured = took.as_micros() as f64 / (tokens + BASE_TOKENS) as f64;
+        // No single parse, as one that was interrupted, moves the average far.
+        let measured = measured
+            .clamp(self.token_cost / OUTLIER_FACTOR, self.token_cost * OUTLIER_FACTOR)
+            .max(MIN_TOKEN_COST);
+        self.token_cost += (measured - self.token_cost) * AVERAGE_WEIGHT;
     }
 }
--- a/crates/comethitch-statement/src/catalogue.rs
+++ b/crates/comethitch-statement/src/catalogue.rs
@@ -13,7 +13,7 @@
 /// What a function, table or view does when it is used in a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-#[schemars(rename = "Does")]
+#[serde(rename = "Does")]
 pub enum SideEffect {
     /// It changes nothing.
     Read,
--- a/crates/comethitch-statement/src/cost.rs
+++ b/crates/comethitch-statement/src/cost.rs
@@ -1,44 +1,49 @@
 //! What the statements of a shape cost, learned from how long hosts took to answer them.
 //!
-//! Answer times are kept in a coarse histogram, halved when it is full, so that what was long ago fades. The
-//! cost is the time in which three of four answers come. Until enough are in, it is guessed from the shape's
-//! features, by the pace that all shapes have shown.
+//! Answer times are kept in a coarse histogram, halved when it is full, so that old ones fade. The cost is the 75th
+//! percentile. Until enough are in, it is estimated from the shape's features, by the lookup time that all shapes
+//! have shown.
 
 use comethitch_policy::time::Duration;
 
 /// Bins by powers of two, from 64 µs on: the last holds all above two seconds.
 const BINS: usize = 16;
-const FIRST_BIN: u64 = 64;
+/// The upper bound of the first bin, in microseconds.
+const FIRST_BIN_MICROS: u64 = 64;
 /// A histogram of so many answers is halved.
 const FULL: u16 = 256;
-/// With fewer answers the guess counts.
-const ENOUGH: u16 = 8;
-/// A shape moves to a band only once its cost is past the bound by this factor.
-const SURELY: f64 = 1.25;
-/// The part that each answer has in the pace of all.
-const NEWEST_PART: f64 = 1.0 / 64.0;
+/// With fewer answers the estimate counts.
+const MIN_ANSWERS: u16 = 8;
+/// Hysteresis: a shape moves to a band only once its cost is past the bound by this factor.
+const HYSTERESIS: f64 = 1.25;
+/// The weight of each answer in the moving average of the lookup time.
+const AVERAGE_WEIGHT: f64 = 1.0 / 64.0;
+/// An answer counts as at most this many times the average, and at least its reciprocal.
+const OUTLIER_FACTOR: f64 = 8.0;
 /// What a lookup by key is taken to cost before any answer has come.
-const FIRST_PACE: Duration = Duration::from_millis(1);
+const INITIAL_LOOKUP_TIME: Duration = Duration::from_millis(1);
 
-/// How long a lookup by key takes, as all answers have shown.
+/// How long a lookup by key takes, as all answers have shown: a moving average in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace(f64);
+pub struct LookupTime(f64);
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace(FIRST_PACE.as_micros() as f64)
+impl Default for LookupTime {
+    fn default() -> LookupTime {
+        LookupTime(INITIAL_LOOKUP_TIME.as_micros() as f64)
     }
 }
 
-impl Pace {
-    /// An answer to a statement that was guessed to cost so many lookups.
-    pub fn learn(&mut self, guess: f64, took: Duration) {
-        let shown = (took.as_micros() as f64 / guess.max(1.0)).clamp(self.0 / 8.0, self.0 * 8.0).max(1.0);
-        self.0 += (shown - self.0) * NEWEST_PART;
+impl LookupTime {
+    /// Records an answer to a statement that was estimated to cost so many lookups.
+    pub fn record(&mut self, lookups: f64, took: Duration) {
+        let shown = took.as_micros() as f64 / lookups.max(1.0);
+        let shown = shown.clamp(self.0 / OUTLIER_FACTOR, self.0 * OUTLIER_FACTOR).max(1.0);
+        self.0 += (shown - self.0) * AVERAGE_WEIGHT;
     }
 
-    pub fn cost(&self, guess: f64) -> Duration {
-        Duration::from_micros((self.0 * guess) as u64)
+    /// How long so many lookups take.
+    pub fn estimate(&self, lookups: f64) -> Duration {
+        Duration::from_micros((self.0 * lookups) as u64)
     }
 }
 
@@ -52,9 +57,10 @@
 }
 
 impl Cost {
-    pub fn learn(&mut self, took: Duration) {
-        let bin =
-            (took.as_micros() / FIRST_BIN).checked_ilog2().map_or(0, |log| log as usize + 1).min(BINS - 1);
+    /// Records how long an answer took.
+    pub fn record(&mut self, took: Duration) {
+        let above = (took.as_micros() / FIRST_BIN_MICROS).checked_ilog2();
+        let bin = above.map_or(0, |log| log as usize + 1).min(BINS - 1);
         self.bins[bin] += 1;
         self.total += 1;
         if self.total >= FULL {
@@ -63,9 +69,9 @@
         }
     }
 
-    /// The time in which three of four answers come: the middle of its bin. None until enough have come.
+    /// The 75th percentile of the answer times: the middle of its bin. None until enough answers have come.
     pub fn learned(&self) -> Option<Duration> {
-        if self.total < ENOUGH {
+        if self.total < MIN_ANSWERS {
             return None;
         }
         let wanted = u32::from(self.total) * 3;
@@ -74,34 +80,41 @@
             sum += u32::from(*bin) * 4;
             sum >= wanted
         })?;
-        let from = if bin == 0 { 0 } else { FIRST_BIN << (bin - 1) };
-        Some(Duration::from_micros((from + (FIRST_BIN << bin)) / 2))
+        let lower = if bin == 0 { 0 } else { FIRST_BIN_MICROS << (bin - 1) };
+        let upper = FIRST_BIN_MICROS << bin;
+        Some(Duration::from_micros((lower + upper) / 2))
     }
 
     /// The band among these bounds, in rising order, that it belongs to: 0 below the first. It stays in the band
-    /// that it is in until its cost is surely beyond it.
+    /// that it is in until its cost is past the bound by a quarter. `lookups` is the estimate that counts until
+    /// enough answers have come.
     ///
     /// ```
     /// use comethitch_policy::time::Duration;
-    /// use comethitch_statement::cost::{Cost, Pace};
+    /// use comethitch_statement::cost::{Cost, LookupTime};
     /// let (mut cost, bounds) = (Cost::default(), [Duration::from_millis(50)]);
-    /// assert_eq!(cost.band(&bounds, Pace::default(), 1.0), 0, "guessed");
-    /// (0..20).for_each(|_| cost.learn(Duration::from_millis(100)));
-    /// assert_eq!(cost.band(&bounds, Pace::default(), 1.0), 1);
+    /// assert_eq!(cost.band(&bounds, LookupTime::default(), 1.0), 0, "estimated");
+    /// (0..20).for_each(|_| cost.record(Duration::from_millis(100)));
+    /// assert_eq!(cost.band(&bounds, LookupTime::default(), 1.0), 1);
     /// ```
-    pub fn band(&mut self, bounds: &[Duration], pace: Pace, guess: f64) -> u8 {
+    pub fn band(&mut self, bounds: &[Duration], lookup_time: LookupTime, lookups: f64) -> u8 {
         let learned = self.learned();
-        let cost = learned.unwrap_or_else(|| pace.cost(guess)).as_micros() as f64;
-        let of = |cost: f64| bounds.iter().take_while(|bound| cost >= bound.as_micros() as f64).count() as u8;
+        let cost = learned.unwrap_or_else(|| lookup_time.estimate(lookups)).as_micros() as f64;
         let band = match self.band {
             Some(band) if band <= bounds.len() as u8 => {
-                let (up, down) = (of(cost / SURELY), of(cost * SURELY));
+                let up = band_of(bounds, cost / HYSTERESIS);
+                let down = band_of(bounds, cost * HYSTERESIS);
                 band.clamp(up.min(down), up.max(down))
             }
-            _ => of(cost),
+            _ => band_of(bounds, cost),
         };
-        // A guess is not held to: the first answers may place the shape anew.
+        // An estimate is not held to: the first answers may place the shape anew.
         self.band = learned.map(|_| band);
         band
     }
 }
+
+/// The number of bounds that a cost in microseconds reaches.
+fn band_of(bounds: &[Duration], cost: f64) -> u8 {
+    bounds.iter().take_while(|bound| cost >= bound.as_micros() as f64).count() as u8
+}
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -29,10 +29,12 @@
 pub mod catalogue;
 pub mod classify;
 pub mod cost;
+pub mod frequency_sketch;
+mod hints;
 pub mod lexer;
 pub mod rules;
+mod rules_error;
 pub mod shape;
-pub mod sketch;
 pub mod verdict;
 
 pub use admission::StatementAdmission;
@@ -40,6 +42,7 @@
 pub use classify::Classifier;
 pub use lexer::Lexer;
 pub use rules::Rules;
+pub use rules_error::{GroupRuleError, KeyRuleError, RulesError};
 pub use shape::{Secret, ShapeKey};
 pub use verdict::{Effect, Features, Verdict};
 
--- a/crates/comethitch-statement/src/rules.rs
+++ b/crates/comethitch-statement/src/rules.rs
@@ -1,5 +1,6 @@
 //! The operator's file: how statements become commands. Read as JSON; its schema lies under `deploy/`.
 
+use crate::budget::BudgetShares;
 use crate::{Catalogue, Dialect, Effect};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -69,23 +70,25 @@
     /// The tables, by name as statements call them.
     pub tables: Vec<String>,
     pub column: String,
-    pub spread: Spread,
+    pub spread: Placement,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Spread {
+#[serde(rename = "Spread")]
+pub enum Placement {
     /// By the 64-bit FNV-1a hash of the key's text, modulo the number of groups of hosts: that many of them, in
     /// this order.
     Hash(Vec<u16>),
     /// By the key's place among bounds.
-    Range(Vec<Stretch>),
+    Range(Vec<KeyRange>),
 }
 
 /// Keys below a bound, and not below the one before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Stretch {
+#[serde(rename = "Stretch", expecting = "struct Stretch")]
+pub struct KeyRange {
     /// Keys below this; the last stretch has none, and takes all others. A number compares as a number, a text
     /// byte by byte.
     pub below: Option<Bound>,
@@ -122,12 +125,13 @@
     /// The part of that for one client.
     pub client_part: f64,
     /// What becomes of statements past it.
-    pub beyond: Beyond,
+    pub beyond: BudgetExceeded,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Beyond {
+#[serde(rename = "Beyond")]
+pub enum BudgetExceeded {
     /// They count as unknown: to the primary, and never repeated.
     Cautious,
     /// They are throttled: nothing has run, and trying again is harmless.
@@ -136,7 +140,7 @@
 
 impl Default for Parsing {
     fn default() -> Parsing {
-        let crate::budget::Parts { all, client } = crate::budget::Parts::default();
-        Parsing { core_part: all, client_part: client, beyond: Beyond::Cautious }
+        let shares = BudgetShares::default();
+        Parsing { core_part: shares.total, client_part: shares.client, beyond: BudgetExceeded::Cautious }
     }
 }
--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -15,6 +15,8 @@
     Session,
     /// Its text does not tell.
     Unknown,
+    // It changes data, or may.
+    #[expect(missing_docs, reason = "a description would change the form of the rules' schema")]
     Write,
 }
 
@@ -29,6 +31,7 @@
         matches!(self, Effect::Read | Effect::LockingRead)
     }
 
+    /// Its name in rules, logs and verdicts.
     pub fn name(self) -> &'static str {
         match self {
             Effect::Read => "read",
@@ -40,22 +43,34 @@
     }
 }
 
-/// What makes a statement dear, as far as its text tells; counts stop at 255.
+/// What makes a statement costly, as far as its text tells; counts stop at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Features {
+    /// Uses of tables.
     pub tables: u8,
+    /// Joins, those by a comma included.
     pub joins: u8,
+    /// Queries within others.
     pub subqueries: u8,
+    /// UNION, INTERSECT and EXCEPT.
     pub set_operations: u8,
+    /// Different functions called.
     pub functions: u8,
+    /// Calls of aggregates.
     pub aggregates: u8,
+    /// Calls with an OVER clause.
     pub windows: u8,
     /// Tables whose rows are all looked at: no column is compared with a value.
     pub scans: u8,
+    /// It has a GROUP BY clause.
     pub grouped: bool,
+    /// It has an ORDER BY clause.
     pub ordered: bool,
+    /// It has DISTINCT.
     pub distinct: bool,
+    /// It has LIMIT, FETCH or TOP.
     pub limited: bool,
+    /// It has a recursive CTE.
     pub recursive: bool,
 }
 
@@ -90,7 +105,9 @@
 /// One use of a table, and the columns that it compares with values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TableUse {
+    /// The table, with its schema as written.
     pub table: Box<str>,
+    /// The columns.
     pub keys: Vec<ColumnValues>,
 }
 
@@ -106,12 +123,15 @@
 /// What a shape's statements may do, touch and cost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
+    /// What its statements may do.
     pub effect: Effect,
     /// Why it is no plain read; empty for one.
     pub why: Box<str>,
+    /// Each use of a table, in order of appearance; a CTE is none.
     pub uses: Vec<TableUse>,
     /// The functions that it calls, with their schemas as written.
     pub functions: Vec<Box<str>>,
+    /// What makes it costly.
     pub features: Features,
     /// Whether it was parsed whole: without that no table is known for certain.
     pub parsed: bool,
--- a/crates/comethitch-statement/tests/memory.rs
+++ b/crates/comethitch-statement/tests/memory.rs
@@ -2,10 +2,10 @@
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::ShapeKey;
-use comethitch_statement::budget::{Budget, Grant, Parts};
+use comethitch_statement::budget::{Budget, BudgetShares, Reservation};
 use comethitch_statement::cache::Cache;
-use comethitch_statement::cost::{Cost, Pace};
-use comethitch_statement::sketch::Sketch;
+use comethitch_statement::cost::{Cost, LookupTime};
+use comethitch_statement::frequency_sketch::FrequencySketch;
 
 /// A key as a hash would give it.
 fn key(number: u64) -> ShapeKey {
@@ -24,7 +24,7 @@
 fn ask(cache: &mut Cache<u64>, number: u64, client: u64) -> bool {
     let hit = cache.get(key(number), client).copied();
     if hit.is_none() {
-        cache.put(key(number), number, VALUE, client);
+        cache.insert(key(number), number, VALUE, client);
     }
     assert!(hit.is_none_or(|value| value == number), "another's value");
     hit.is_some()
@@ -43,7 +43,7 @@
         ask(&mut cache, number, 1);
         // What is in use is asked for once in five thousand.
         missed += usize::from(number % 10 == 0 && !ask(&mut cache, number / 10 % 500, 1));
-        assert!(cache.held() <= BOUND, "{} bytes", cache.held());
+        assert!(cache.memory_bytes() <= BOUND, "{} bytes", cache.memory_bytes());
     }
     assert!(missed <= 10, "{missed} of 19000 asks missed");
     let kept = (0..500).filter(|number| cache.get(key(*number), 1).is_some()).count();
@@ -104,9 +104,9 @@
         let (number, client, bytes) = (draw(6_000), draw(90), draw(20_000) as usize);
         match cache.get(key(number), client) {
             Some(value) => assert_eq!(*value, number),
-            None => cache.put(key(number), number, bytes, client),
+            None => cache.insert(key(number), number, bytes, client),
         }
-        assert!(cache.held() <= BOUND);
+        assert!(cache.memory_bytes() <= BOUND);
     }
     assert!(cache.len() > 50, "{} are held", cache.len());
     cache.clear();
@@ -119,31 +119,31 @@
 
 #[test]
 fn the_sketch_counts_not_too_low_and_forgets() {
-    let mut sketch = Sketch::new(1_000);
+    let mut sketch = FrequencySketch::new(1_000);
     for number in 0..500 {
-        (0..number % 12).for_each(|_| sketch.count(key(number)));
+        (0..number % 12).for_each(|_| sketch.increment(key(number)));
     }
-    let low = (0..500).filter(|number| u64::from(sketch.often(key(*number))) < number % 12).count();
-    let exact = (0..500).filter(|number| u64::from(sketch.often(key(*number))) == number % 12).count();
+    let low = (0..500).filter(|number| u64::from(sketch.estimate(key(*number))) < number % 12).count();
+    let exact = (0..500).filter(|number| u64::from(sketch.estimate(key(*number))) == number % 12).count();
     assert_eq!(low, 0);
     assert!(exact > 450, "{exact} of 500 are exact");
-    let before = sketch.often(key(11));
-    (0..10_000).for_each(|number| sketch.count(key(50_000 + number)));
-    assert!(sketch.often(key(11)) <= before / 2 + 1, "{before} has become {}", sketch.often(key(11)));
+    let before = sketch.estimate(key(11));
+    (0..10_000).for_each(|number| sketch.increment(key(50_000 + number)));
+    assert!(sketch.estimate(key(11)) <= before / 2 + 1, "{before} has become {}", sketch.estimate(key(11)));
 }
 
 #[test]
 fn a_client_that_spends_its_budget_leaves_others_theirs() {
-    let (parts, second) = (Parts { all: 0.1, client: 0.25 }, Duration::from_secs(1));
-    let mut budget = Budget::new(parts, Timestamp::ZERO);
+    let (shares, second) = (BudgetShares { total: 0.1, client: 0.25 }, Duration::from_secs(1));
+    let mut budget = Budget::new(shares, Timestamp::ZERO);
     let mut now = Timestamp::ZERO;
     let (mut flood, mut steady, mut refused) = (0_u64, 0_u64, 0);
     // For ten seconds one client asks without end, another a hundred times a second; a parse takes 100 µs.
     for step in 0..100_000_u64 {
         now = now + Duration::from_micros(100);
-        let mut ask = |client: u64| match budget.ask(client, 42, now) {
-            Grant::Granted(taken) => {
-                budget.settle(client, 42, taken, Duration::from_micros(100));
+        let mut ask = |client: u64| match budget.reserve(client, 42, now) {
+            Reservation::Reserved(reserved) => {
+                budget.correct(client, 42, reserved, Duration::from_micros(100));
                 true
             }
             _ => false,
@@ -154,23 +154,23 @@
         }
     }
     assert_eq!((refused, steady), (0, 100_000));
-    let most = (second.as_micros() as f64 * 11.0 * parts.all * parts.client) as u64;
+    let most = (second.as_micros() as f64 * 11.0 * shares.total * shares.client) as u64;
     assert!(flood <= most + 200, "the flood had {flood} µs of {most}");
     assert!(flood >= most * 9 / 10, "and what is its own: {flood} µs");
 }
 
 #[test]
 fn many_clients_together_stay_within_the_budget_of_all() {
-    let mut budget = Budget::new(Parts { all: 0.05, client: 0.5 }, Timestamp::ZERO);
+    let mut budget = Budget::new(BudgetShares { total: 0.05, client: 0.5 }, Timestamp::ZERO);
     let (mut spent, mut seen) = (0, false);
     for step in 0..200_000_u64 {
         let now = Timestamp::from_micros(step * 20);
-        match budget.ask(step % 97, 42, now) {
-            Grant::Granted(taken) => {
-                budget.settle(step % 97, 42, taken, Duration::from_micros(100));
+        match budget.reserve(step % 97, 42, now) {
+            Reservation::Reserved(reserved) => {
+                budget.correct(step % 97, 42, reserved, Duration::from_micros(100));
                 spent += 100;
             }
-            grant => seen |= grant == Grant::AllSpent,
+            refused => seen |= refused == Reservation::TotalExceeded,
         }
     }
     // Four seconds, and what was saved up at first.
@@ -180,18 +180,18 @@
 
 #[test]
 fn a_shape_that_turns_out_heavy_moves_and_does_not_flap() {
-    let (bounds, pace) = ([Duration::from_millis(20)], Pace::default());
+    let (bounds, lookup_time) = ([Duration::from_millis(20)], LookupTime::default());
     let mut cost = Cost::default();
-    (0..50).for_each(|_| cost.learn(Duration::from_micros(1_500)));
-    assert_eq!(cost.band(&bounds, pace, 1.0), 0);
-    (0..400).for_each(|_| cost.learn(Duration::from_millis(300)));
-    assert_eq!(cost.band(&bounds, pace, 1.0), 1, "what was long ago fades");
+    (0..50).for_each(|_| cost.record(Duration::from_micros(1_500)));
+    assert_eq!(cost.band(&bounds, lookup_time, 1.0), 0);
+    (0..400).for_each(|_| cost.record(Duration::from_millis(300)));
+    assert_eq!(cost.band(&bounds, lookup_time, 1.0), 1, "what was long ago fades");
     // Answers about the bound, in turns: it changes its band once at the most.
     let mut changes = 0;
     let mut band = 1;
     for round in 0..2_000_u64 {
-        cost.learn(Duration::from_micros(if round / 40 % 2 == 0 { 18_500 } else { 21_500 }));
-        let now = cost.band(&bounds, pace, 1.0);
+        cost.record(Duration::from_micros(if round / 40 % 2 == 0 { 18_500 } else { 21_500 }));
+        let now = cost.band(&bounds, lookup_time, 1.0);
         changes += u32::from(now != band);
         band = now;
     }
@@ -200,11 +200,11 @@
 
 #[test]
 fn the_pace_of_all_makes_the_first_guess() {
-    let mut pace = Pace::default();
-    (0..1_000).for_each(|_| pace.learn(4.0, Duration::from_millis(40)));
-    let guessed = pace.cost(2.0);
+    let mut lookup_time = LookupTime::default();
+    (0..1_000).for_each(|_| lookup_time.record(4.0, Duration::from_millis(40)));
+    let guessed = lookup_time.estimate(2.0);
     assert!((18_000..=22_000).contains(&guessed.as_micros()), "{guessed:?}");
     // One answer that took for ever moves it little.
-    pace.learn(1.0, Duration::from_secs(60));
-    assert!(pace.cost(2.0).as_micros() < 25_000, "{:?}", pace.cost(2.0));
+    lookup_time.record(1.0, Duration::from_secs(60));
+    assert!(lookup_time.estimate(2.0).as_micros() < 25_000, "{:?}", lookup_time.estimate(2.0));
 }
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -2,9 +2,11 @@
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
-use comethitch_statement::admission::{Passed, Path, StatementAdmission, StatementHints, StatementRejection};
-use comethitch_statement::assign::{Refusal, fnv1a};
-use comethitch_statement::{Rules, Secret};
+use comethitch_statement::admission::{
+    AdmittedStatement, StatementAdmission, StatementHints, StatementRejection, VerdictSource,
+};
+use comethitch_statement::assign::{AssignmentError, fnv1a};
+use comethitch_statement::{Rules, RulesError, Secret};
 use serde_json::{Value, json};
 
 fn groups() -> (Vec<CommandGroup>, Vec<String>) {
@@ -49,7 +51,7 @@
     })
 }
 
-fn desk(rules: &Value) -> Result<StatementAdmission, String> {
+fn desk(rules: &Value) -> Result<StatementAdmission, RulesError> {
     let rules: Rules = serde_json::from_value(rules.clone()).expect("rules");
     let (groups, names) = groups();
     StatementAdmission::new(rules, &groups, &names, Secret([3; 16]), Timestamp::ZERO)
@@ -57,7 +59,7 @@
 
 fn admit(
     desk: &mut StatementAdmission, text: &str, group: Option<&str>,
-) -> Result<Passed, StatementRejection> {
+) -> Result<AdmittedStatement, StatementRejection> {
     let group = group.map(|group| groups().1.iter().position(|name| name == group).expect("a group"));
     desk.admit(text.as_bytes(), StatementHints { group, shard: None }, 1, &|| Timestamp::ZERO)
 }
@@ -141,7 +143,7 @@
         let passed = admit(&mut desk, text, Some(group));
         match passed {
             Ok(passed) => assert!(passes && !passed.assigned.raised, "{text} as {group}"),
-            Err(StatementRejection::Refused(Refusal::Disagrees { .. })) => {
+            Err(StatementRejection::Refused(AssignmentError::Disagrees { .. })) => {
                 assert!(!passes, "{text} as {group}")
             }
             Err(other) => panic!("{text} as {group}: {other:?}"),
@@ -158,7 +160,7 @@
     (0..30).for_each(|_| desk.learn(&passed.known, Duration::from_millis(400)));
     let other =
         admit(&mut desk, "select * from SERIES where titulo like 'another%'", None).expect("it passes");
-    assert_eq!((groups().1[other.assigned.group].as_str(), other.path), ("heavy", Path::Hit));
+    assert_eq!((groups().1[other.assigned.group].as_str(), other.source), ("heavy", VerdictSource::CacheHit));
 }
 
 #[test]
@@ -182,7 +184,7 @@
         match (beyond, desk.admit(b"SELECT last FROM series", told(Some(9)), 1, &clock)) {
             ("cautious", Ok(passed)) => {
                 let group = &groups().1[passed.assigned.group];
-                assert_eq!((group.as_str(), passed.path), ("write", Path::Beyond));
+                assert_eq!((group.as_str(), passed.source), ("write", VerdictSource::BudgetExceeded));
                 // Without a parse its key is not known, and a later try may be parsed.
                 let turned = desk.admit(b"SELECT last FROM series", told(None), 1, &clock);
                 assert_eq!(turned.err(), Some(StatementRejection::Throttled));
@@ -191,7 +193,7 @@
             (beyond, other) => panic!("{beyond}: {other:?}"),
         }
         let hit = admit(&mut desk, known, None).expect("what is known costs nothing");
-        assert_eq!(hit.path, Path::Hit);
+        assert_eq!(hit.source, VerdictSource::CacheHit);
     }
 }
 
@@ -200,7 +202,7 @@
     let with = |change: &dyn Fn(&mut Value)| {
         let mut rules = rules();
         change(&mut rules);
-        desk(&rules).err().unwrap_or_default()
+        desk(&rules).err().map(|error| error.to_string()).unwrap_or_default()
     };
     let group = |effects: Value, name: &str| json!({"group": name, "effects": effects});
     type Change<'a> = &'a dyn Fn(&mut Value);
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -151,12 +151,12 @@
         Err(why) => return Line::Error { error: format!("no statement: {why}") },
     };
     let text = asked.sql.as_bytes();
-    let Some((known, key, path)) = desk.look(text, 0, &|| Timestamp::ZERO) else {
+    let Some(found) = desk.judge(text, 0, &|| Timestamp::ZERO) else {
         return Line::Error { error: "the budget for parsing is spent".into() };
     };
-    let placed = desk
-        .place(known.clone(), key, path, StatementHints::default(), text, &[])
-        .map_err(StatementRejection::Refused);
+    let (known, key) = (found.known.clone(), found.key);
+    let placed =
+        desk.assign(found, StatementHints::default(), text, &[]).map_err(StatementRejection::Refused);
     let verdict = &known.verdict;
     let (group, hosts, why) = match placed {
         Ok(passed) if ruled => {
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -133,6 +133,7 @@
     /// The same by other rules, for the command groups of this site.
     pub fn admission_by(&self, rules: Rules, now: Timestamp) -> Result<StatementAdmission, String> {
         StatementAdmission::new(rules, &self.deployment.groups, &self.groups, secret(), now)
+            .map_err(|error| error.to_string())
     }
 }
 
