--- a/crates/comethitch-statement/src/catalogue.rs
+++ b/crates/comethitch-statement/src/catalogue.rs
@@ -12,8 +12,7 @@
 
 /// What a function, table or view does when it is used in a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
-#[serde(rename = "Does")]
+#[serde(rename = "Does", rename_all = "snake_case")]
 pub enum SideEffect {
     /// It changes nothing.
     Read,
@@ -34,12 +33,12 @@
     }
 }
 
-/// What the operator tells of names of their own.
+/// What the operator says about names of their own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Catalogue {
-    /// Functions, by name as statements call them: `"tienda.precio": "read"`. What is told here comes before
-    /// the list of functions known of the dialect.
+    /// Functions, by name as statements call them: `"tienda.precio": "read"`. What is said here
+    /// comes before the list of functions known of the dialect.
     pub functions: BTreeMap<String, SideEffect>,
     /// Tables and views, by name as statements call them; a view that calls a writing function is "write".
     pub tables: BTreeMap<String, SideEffect>,
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -1,12 +1,13 @@
-//! What a statement may do, told from its text.
+//! Classifies SQL statements by their text: what a statement may do, its shape, its cost, and the command group and
+//! group of hosts that it belongs to.
 //!
-//! A statement goes through [`lexer`], which gives its *shape* in one pass; the shape's [`Verdict`] is looked up
-//! in a [`cache`] or worked out by [`classify`]: its effect, the tables and functions that it names, and what
-//! makes it dear. [`assign`] turns a verdict into what the decision module is told. Nothing here reads a file, a
-//! socket or a clock, and nothing chooses a host.
+//! [`lexer`] reduces a statement to its *shape* in one pass; the shape's [`Verdict`] is looked up in a [`cache`] or
+//! worked out by [`classify`]: its effect, the tables and functions that it names, and what makes it costly.
+//! [`assign`] turns a verdict into what the decision module needs, by the operator's [`rules`]. [`admission`] puts
+//! these together. Nothing here reads a file, a socket or a clock, and nothing chooses a host.
 //!
-//! It does not know what stands behind names: a view that calls a writing function, or a trigger, is told in a
-//! [`catalogue`]. What it can't tell for certain is never a read.
+//! What stands behind a name, as a view that calls a writing function, or a trigger, must be listed in a
+//! [`catalogue`]. What can't be told for certain is never a read.
 //!
 //! ```
 //! use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer};
@@ -22,6 +23,8 @@
 //! assert_eq!(effect("SELECT tienda.lower(code) FROM facts"), Effect::Write);
 //! ```
 
+#![warn(missing_docs)]
+
 pub mod admission;
 pub mod assign;
 pub mod budget;
--- a/crates/comethitch-statement/src/rules.rs
+++ b/crates/comethitch-statement/src/rules.rs
@@ -1,11 +1,14 @@
-//! The operator's file: how statements become commands. Read as JSON; its schema lies under `deploy/`.
+//! The operator's rules: how statements become commands. Read from JSON; the schema is
+//! `deploy/statements.schema.json`, whose descriptions are the comments here.
+//!
+//! Some types keep a former name for serde (`rename`, `expecting`): the schema and error messages use it.
 
 use crate::budget::BudgetShares;
 use crate::{Catalogue, Dialect, Effect};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The whole file.
+/// The rules by which statements are assigned to command groups and groups of hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
@@ -14,48 +17,53 @@
     /// What becomes of a statement whose comment names a command group that may do less than its text does.
     pub disagreement: Disagreement,
     /// How statements without a comment, or whose comment leaves something out, are admitted. Without this they
-    /// are refused.
+    /// are rejected.
     pub commentless: Option<Commentless>,
-    /// From effects, tables and costs to command groups; the first one that fits holds.
+    /// From effects, tables and costs to command groups; the first rule that fits counts.
     pub groups: Vec<GroupRule>,
     /// From keys to groups of hosts. Without any, a comment must name the group of hosts, or `elsewhere` does.
     #[serde(default)]
     pub keys: Vec<KeyRule>,
     /// The group of hosts of statements that name no table with a key.
     pub elsewhere: Option<u16>,
+    /// Names that the router can't know: functions, tables, types and operators.
     #[serde(default)]
     pub catalogue: Catalogue,
+    /// The size of the cache of verdicts.
     #[serde(default)]
     pub cache: CacheSize,
+    /// The budget for parsing.
     #[serde(default)]
     pub parsing: Parsing,
 }
 
+/// What becomes of a statement whose comment names a command group that may do less than its text does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Disagreement {
-    /// The statement is refused, with an error that says why.
+    /// The statement is rejected, with an error that says why.
     Refuse,
     /// It goes by the command group that the rules name.
     Raise,
 }
 
+/// Defaults for what a statement's comment leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Commentless {
-    /// How many milliseconds a client waits that does not tell.
+    /// How many milliseconds a client waits that does not say so.
     pub wait_ms: u64,
 }
 
-/// Statements that fit all that is given belong to the command group.
+/// Statements that fit all conditions belong to the command group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct GroupRule {
     /// The command group, by its name in `settings.classes`.
     pub group: String,
-    /// Any of these effects.
+    /// The statement has one of these effects.
     pub effects: Vec<Effect>,
-    /// Any of these tables is used; without this, whatever tables are.
+    /// It uses one of these tables; without this, any tables.
     pub tables: Option<Vec<String>>,
     /// It costs so many milliseconds at least.
     pub from_ms: Option<f64>,
@@ -63,50 +71,55 @@
     pub below_ms: Option<f64>,
 }
 
-/// A table's rows lie in groups of hosts by one of its columns.
+/// Tables whose rows are placed in groups of hosts by one of their columns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KeyRule {
     /// The tables, by name as statements call them.
     pub tables: Vec<String>,
+    /// The column that holds the key.
     pub column: String,
+    /// How keys are placed.
     pub spread: Placement,
 }
 
+/// How keys are placed in groups of hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
-#[serde(rename = "Spread")]
+#[serde(rename = "Spread", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Placement {
     /// By the 64-bit FNV-1a hash of the key's text, modulo the number of groups of hosts: that many of them, in
     /// this order.
     Hash(Vec<u16>),
-    /// By the key's place among bounds.
+    /// By ranges of keys, in rising order.
     Range(Vec<KeyRange>),
 }
 
 /// Keys below a bound, and not below the one before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-#[serde(rename = "Stretch", expecting = "struct Stretch")]
+#[serde(rename = "Stretch", expecting = "struct Stretch", deny_unknown_fields)]
 pub struct KeyRange {
-    /// Keys below this; the last stretch has none, and takes all others. A number compares as a number, a text
+    /// Keys below this; the last range has none, and takes all others. A number compares as a number, a text
     /// byte by byte.
     pub below: Option<Bound>,
     /// The group of hosts.
     pub hosts: u16,
 }
 
+/// The bound of a range of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 pub enum Bound {
+    /// Compared as a number.
     Number(i64),
+    /// Compared byte by byte.
     Text(String),
 }
 
+/// The size of the cache of verdicts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CacheSize {
-    /// What is kept of shapes holds no more than this.
+    /// The cache takes no more memory than this, in KiB.
     pub kib: usize,
 }
 
@@ -116,7 +129,7 @@
     }
 }
 
-/// How much is spent on statements of shapes that are not known yet.
+/// The budget for parsing statements of shapes that are not known yet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Parsing {
@@ -124,17 +137,17 @@
     pub core_part: f64,
     /// The part of that for one client.
     pub client_part: f64,
-    /// What becomes of statements past it.
+    /// What becomes of statements past the budget.
     pub beyond: BudgetExceeded,
 }
 
+/// What becomes of statements past the budget for parsing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
-#[serde(rename = "Beyond")]
+#[serde(rename = "Beyond", rename_all = "snake_case")]
 pub enum BudgetExceeded {
-    /// They count as unknown: to the primary, and never repeated.
+    /// They count as unknown: to the primary, and never retried.
     Cautious,
-    /// They are throttled: nothing has run, and trying again is harmless.
+    /// They are throttled: nothing has run, and a retry is harmless.
     Throttle,
 }
 
