--- a/crates/comethitch-statement/src/admission.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -29,111 +29,30 @@
 //! assert_eq!(group("SELECT cobrar(3)"), 1);
 //! ```
 
+mod counts;
+mod known_shape;
+mod outcome;
+
 pub use crate::hints::StatementHints;
+pub use counts::AdmissionCounts;
+pub use known_shape::KnownShape;
+pub use outcome::{AdmittedStatement, JudgedStatement, StatementRejection, VerdictSource};
 
-use crate::assign::{Arguments, Assigner, Assignment, AssignmentError, PlaceholderValues, StatementValues};
+use crate::assign::{Arguments, Assigner, AssignmentError, PlaceholderValues, StatementValues};
 use crate::budget::{Budget, BudgetShares, Reservation};
 use crate::cache::{Cache, CacheCounts};
-use crate::cost::{Cost, LookupTime};
+use crate::cost::LookupTime;
 use crate::rules::{BudgetExceeded, Rules};
 use crate::rules_error::RulesError;
-use crate::verdict::allocated;
 use crate::{Classifier, Effect, Lexer, Secret, ShapeKey, Verdict};
 use comethitch_policy::CommandGroup;
 use comethitch_policy::time::{Duration, Timestamp};
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::rc::Rc;
 
 /// The largest cache that rules may ask for.
 const MAX_CACHE_KIB: usize = 1 << 20;
 
-/// What is known of a shape: its verdict, and what its statements have cost.
-#[derive(Debug)]
-pub struct KnownShape {
-    /// What its statements may do, touch and cost.
-    pub verdict: Verdict,
-    cost: RefCell<Cost>,
-}
-
-impl KnownShape {
-    fn new(verdict: Verdict) -> Rc<KnownShape> {
-        Rc::new(KnownShape { verdict, cost: RefCell::default() })
-    }
-
-    /// The bytes that it takes, the reference counts and what the allocator adds included.
-    fn memory_bytes(&self) -> usize {
-        allocated(size_of::<KnownShape>() + 2 * size_of::<usize>()) - size_of::<Verdict>()
-            + self.verdict.bytes()
-    }
-}
-
-/// Where a statement's verdict came from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VerdictSource {
-    /// The cache.
-    CacheHit,
-    /// The parser.
-    Parsed,
-    /// Its text is ambiguous: it was not parsed.
-    Ambiguous,
-    /// The parsing budget was exceeded: it was not parsed.
-    BudgetExceeded,
-}
-
-/// A statement whose verdict is known.
-#[derive(Clone, Debug)]
-pub struct JudgedStatement {
-    /// What is known of its shape.
-    pub known: Rc<KnownShape>,
-    /// The key of its shape.
-    pub key: ShapeKey,
-    /// Where the verdict came from.
-    pub source: VerdictSource,
-}
-
-/// A statement that may become a command.
-#[derive(Clone, Debug)]
-pub struct AdmittedStatement {
-    /// Where it goes.
-    pub assigned: Assignment,
-    /// What is known of its shape.
-    pub known: Rc<KnownShape>,
-    /// The key of its shape.
-    pub key: ShapeKey,
-    /// Where the verdict came from.
-    pub source: VerdictSource,
-}
-
-/// Why a statement was not admitted.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StatementRejection {
-    /// It can't become a command, now or later.
-    Refused(AssignmentError),
-    /// The parsing budget was exceeded: nothing has run, and a retry is harmless.
-    Throttled,
-}
-
-/// Counts of what was done with statements.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AdmissionCounts {
-    /// Statements by effect, in the order of [`StatementAdmission::EFFECTS`].
-    pub effects: [u64; 5],
-    /// Statements of shapes in the cache.
-    pub hits: u64,
-    /// Statements that were parsed.
-    pub parsed: u64,
-    /// Statements that servers may read in several ways.
-    pub doubtful: u64,
-    /// Statements past the budget of their client.
-    pub beyond_client: u64,
-    /// Statements past the budget of all clients.
-    pub beyond_all: u64,
-    /// Statements that could not become a command.
-    pub refused: u64,
-    /// Statements raised above the command group of their comment.
-    pub raised: u64,
-}
-
 /// Admits statements by the operator's rules.
 pub struct StatementAdmission {
     rules: Rules,
--- a/crates/comethitch-statement/src/classify/mod.rs
+++ b/crates/comethitch-statement/src/classify/mod.rs
@@ -11,6 +11,7 @@
 mod session_settings;
 mod table_uses;
 mod token_scan;
+mod tokens;
 mod visitor;
 
 pub use parse::{MAX_PARSED_DEPTH, MAX_PARSED_TOKENS};
@@ -21,7 +22,8 @@
 use crate::{Dialect, Effect, Verdict};
 use findings::Findings;
 use sqlparser::ast::Visit;
-use token_scan::{scan_tokens, word};
+use token_scan::scan_tokens;
+use tokens::word;
 use visitor::StatementVisitor;
 
 /// Judges shapes of one dialect by the lists of known names and a catalogue.
--- a/crates/comethitch-statement/src/classify/parse.rs
+++ b/crates/comethitch-statement/src/classify/parse.rs
@@ -3,7 +3,7 @@
 //! Each placeholder is written as its own number, counted from 1, so that the literals of the syntax tree tell
 //! which placeholder they are. Clauses that the parser lacks are written as equivalent ones.
 
-use super::token_scan::token_bytes;
+use super::tokens::token_bytes;
 use crate::Dialect;
 use crate::lexer::{Lexer, TokenKind};
 use sqlparser::ast::Statement;
--- a/crates/comethitch-statement/src/classify/token_scan.rs
+++ b/crates/comethitch-statement/src/classify/token_scan.rs
@@ -4,6 +4,7 @@
 //! for an alias. A statement is a read only where the tree and its tokens agree.
 
 use super::findings::Findings;
+use super::tokens::{token_bytes, word};
 use crate::catalogue::{self, KnownNames};
 use crate::lexer::{Lexer, Token, TokenKind};
 use crate::{Dialect, Effect};
@@ -75,12 +76,6 @@
     }
 }
 
-/// A word's text; empty for any other token.
-pub(super) fn word(lexer: &Lexer, token: Token) -> &str {
-    let is_word = token.kind == TokenKind::Word;
-    std::str::from_utf8(lexer.bytes(token)).ok().filter(|_| is_word).unwrap_or_default()
-}
-
 /// A token as a name, without its quotes.
 fn name(lexer: &Lexer, token: Token) -> String {
     let text = String::from_utf8_lossy(lexer.bytes(token));
@@ -89,8 +84,3 @@
         _ => text.into_owned(),
     }
 }
-
-/// The bytes of the token at a place; empty past the end.
-pub(super) fn token_bytes(lexer: &Lexer, at: usize) -> &[u8] {
-    lexer.tokens().get(at).map_or(&b""[..], |token| lexer.bytes(*token))
-}
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -32,6 +32,7 @@
 pub mod catalogue;
 pub mod classify;
 pub mod cost;
+mod dialect;
 pub mod frequency_sketch;
 mod hints;
 pub mod lexer;
@@ -43,21 +44,9 @@
 pub use admission::StatementAdmission;
 pub use catalogue::Catalogue;
 pub use classify::Classifier;
+pub use dialect::Dialect;
 pub use lexer::Lexer;
 pub use rules::Rules;
 pub use rules_error::{GroupRuleError, KeyRuleError, RulesError};
 pub use shape::{Secret, ShapeKey};
 pub use verdict::{Effect, Features, Verdict};
-
-use schemars::JsonSchema;
-use serde::{Deserialize, Serialize};
-
-/// The language that statements are written in.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Dialect {
-    /// PostgreSQL's, with standard_conforming_strings on.
-    Postgres,
-    /// T-SQL, with quoted identifiers on.
-    Tsql,
-}
--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -3,7 +3,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What a statement may do, from the mildest to the one that is trusted least.
+/// What a statement may do, from the least restricted effect to the most restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -26,7 +26,7 @@
         self == Effect::Read
     }
 
-    /// Whether running it a second time does no harm.
+    /// Whether executing it a second time does no harm.
     pub fn may_repeat(self) -> bool {
         matches!(self, Effect::Read | Effect::LockingRead)
     }
@@ -155,7 +155,7 @@
 
     /// The names of the tables, each once, in order.
     pub fn tables(&self) -> Vec<&str> {
-        let mut tables: Vec<&str> = self.uses.iter().map(|a_use| &*a_use.table).collect();
+        let mut tables: Vec<&str> = self.uses.iter().map(|table_use| &*table_use.table).collect();
         tables.sort_unstable();
         tables.dedup();
         tables
@@ -167,15 +167,15 @@
         let key = |key: &ColumnValues| {
             text(&key.column) + allocated(key.placeholders.capacity() * size_of::<u32>())
         };
-        let a_use = |a_use: &TableUse| {
-            text(&a_use.table)
-                + allocated(a_use.keys.capacity() * size_of::<ColumnValues>())
-                + a_use.keys.iter().map(key).sum::<usize>()
+        let table_use = |table_use: &TableUse| {
+            text(&table_use.table)
+                + allocated(table_use.keys.capacity() * size_of::<ColumnValues>())
+                + table_use.keys.iter().map(key).sum::<usize>()
         };
         size_of::<Verdict>()
             + text(&self.why)
             + allocated(self.uses.capacity() * size_of::<TableUse>())
-            + self.uses.iter().map(a_use).sum::<usize>()
+            + self.uses.iter().map(table_use).sum::<usize>()
             + allocated(self.functions.capacity() * size_of::<Box<str>>())
             + self.functions.iter().map(|name| text(name)).sum::<usize>()
     }
