--- a/crates/comethitch-statement/benches/statements.rs
+++ b/crates/comethitch-statement/benches/statements.rs
@@ -1,4 +1,4 @@
-//! What a statement costs on each way through the desk.
+//! The time that a statement takes: on a hit, on a miss and past the parsing budget, and to read by its length.
 
 use comethitch_statement::{Catalogue, Classifier, Dialect, Lexer, Secret, cache::Cache};
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
@@ -6,13 +6,15 @@
 
 /// A hundred bytes of an ordinary statement.
 const ORDINARY: &str = "SELECT f.data, c.titulo FROM facts f JOIN capitulos c ON c.id = f.id WHERE f.code = '7f3a9c21' AND c.n > 3";
-const MARKED: &str = "SELECT data FROM facts WHERE code = '7f3a9c21e0b4d655'";
+/// A lookup by key.
+const LOOKUP: &str = "SELECT data FROM facts WHERE code = '7f3a9c21e0b4d655'";
 
-fn ways(criterion: &mut Criterion) {
-    let (secret, catalogue) = (Secret([9; 16]), Catalogue::default());
+fn admission_paths(criterion: &mut Criterion) {
+    let secret = Secret([9; 16]);
+    let catalogue = Catalogue::default();
     let classifier = Classifier::new(Dialect::Postgres, &catalogue);
     let mut group = criterion.benchmark_group("ways");
-    for (name, text) in [("100 bytes", ORDINARY), ("54 bytes", MARKED)] {
+    for (name, text) in [("100 bytes", ORDINARY), ("54 bytes", LOOKUP)] {
         let mut lexer = Lexer::new(Dialect::Postgres);
         let mut cache = Cache::new(4 << 20);
         lexer.read(text.as_bytes());
@@ -54,5 +56,5 @@
     group.finish();
 }
 
-criterion_group!(benches, ways, lengths);
+criterion_group!(benches, admission_paths, lengths);
 criterion_main!(benches);
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -18,23 +18,25 @@
 /// What a verdict holds, on the average of the corpus.
 const VALUE: usize = 400;
 const BOUND: usize = 1 << 20;
-const ASKED: usize = 400_000;
+const LOOKUPS: usize = 400_000;
 
-/// One ask: a shape, and the client that asks.
-type Ask = (u64, u64);
+/// One look-up: a shape, and the client that asks for it.
+type Lookup = (u64, u64);
 
 fn key(number: u64) -> ShapeKey {
     Secret([5; 16]).key(&number.to_le_bytes())
 }
 
-trait Kept {
-    fn ask(&mut self, key: ShapeKey, client: u64) -> bool;
+/// A cache under test.
+trait ShapeCache {
+    /// Looks a shape up, and inserts it on a miss; true on a hit.
+    fn look_up(&mut self, key: ShapeKey, client: u64) -> bool;
 }
 
 struct Ours(Cache<()>);
 
-impl Kept for Ours {
-    fn ask(&mut self, key: ShapeKey, client: u64) -> bool {
+impl ShapeCache for Ours {
+    fn look_up(&mut self, key: ShapeKey, client: u64) -> bool {
         let hit = self.0.get(key, client).is_some();
         if !hit {
             self.0.insert(key, (), VALUE, client);
@@ -51,8 +53,8 @@
     tick: u64,
 }
 
-impl Kept for PlainLru {
-    fn ask(&mut self, key: ShapeKey, _: u64) -> bool {
+impl ShapeCache for PlainLru {
+    fn look_up(&mut self, key: ShapeKey, _: u64) -> bool {
         self.tick += 1;
         let before = self.used.insert(key, self.tick);
         before.map(|tick| self.order.remove(&tick));
@@ -68,8 +70,8 @@
 
 struct Library(quick_cache::unsync::Cache<ShapeKey, ()>);
 
-impl Kept for Library {
-    fn ask(&mut self, key: ShapeKey, _: u64) -> bool {
+impl ShapeCache for Library {
+    fn look_up(&mut self, key: ShapeKey, _: u64) -> bool {
         let hit = self.0.get(&key).is_some();
         if !hit {
             self.0.insert(key, ());
@@ -78,12 +80,13 @@
     }
 }
 
-/// The part of the asks of one client that hit, once a quarter of all is through.
-fn hits(kept: &mut dyn Kept, asks: &[Ask], of: u64) -> f64 {
-    let (mut hits, mut all) = (0, 0);
-    for (nth, (shape, client)) in asks.iter().enumerate() {
-        let hit = kept.ask(key(*shape), *client);
-        if nth > asks.len() / 4 && *client == of {
+/// The hit rate of one client, once a quarter of all look-ups is through.
+fn hits(cache: &mut dyn ShapeCache, lookups: &[Lookup], of: u64) -> f64 {
+    let mut hits = 0;
+    let mut all = 0;
+    for (nth, (shape, client)) in lookups.iter().enumerate() {
+        let hit = cache.look_up(key(*shape), *client);
+        if nth > lookups.len() / 4 && *client == of {
             hits += usize::from(hit);
             all += 1;
         }
@@ -91,25 +94,25 @@
     hits as f64 / all as f64
 }
 
-fn traffic() -> Vec<(&'static str, Vec<Ask>)> {
+fn traffic() -> Vec<(&'static str, Vec<Lookup>)> {
     let mut random = SmallRng::seed_from_u64(11);
     let zipf = Zipf::new(20_000.0, 0.9).expect("a distribution");
     let draw = |random: &mut SmallRng| zipf.sample(random) as u64;
-    let steady = (0..ASKED).map(|_| (draw(&mut random), 1)).collect();
-    let shifting = (0..ASKED as u64).map(|nth| (draw(&mut random) + nth / 40_000 * 500_000, 1)).collect();
-    let looping = (0..ASKED as u64).map(|nth| (nth % 4_000, 1)).collect();
-    let unique = (0..ASKED as u64)
+    let steady = (0..LOOKUPS).map(|_| (draw(&mut random), 1)).collect();
+    let shifting = (0..LOOKUPS as u64).map(|nth| (draw(&mut random) + nth / 40_000 * 500_000, 1)).collect();
+    let looping = (0..LOOKUPS as u64).map(|nth| (nth % 4_000, 1)).collect();
+    let unique = (0..LOOKUPS as u64)
         .map(|nth| if nth % 2 == 0 { (draw(&mut random), 1) } else { (10_000_000 + nth, 1) })
         .collect();
     let mut repeated = Vec::new();
-    while repeated.len() < ASKED {
+    while repeated.len() < LOOKUPS {
         repeated.push((draw(&mut random), 1));
         // The other client asks for each of its shapes five times in a row, and for none of them again.
         let shape = 20_000_000 + repeated.len() as u64;
         repeated.extend([(shape, 2); 5]);
     }
     let mut both = Vec::new();
-    while both.len() < ASKED {
+    while both.len() < LOOKUPS {
         both.push((draw(&mut random) % 1_000, 1));
         both.extend((0..4).map(|_| (30_000_000 + random.random_range(0..3_000), 2)));
     }
@@ -125,14 +128,14 @@
 
 fn caches() {
     println!("| traffic, hits of client 1 | ours | plain LRU | quick_cache |\n| --- | --- | --- | --- |");
-    for (name, asks) in traffic() {
+    for (name, lookups) in traffic() {
         let mut own = Ours(Cache::new(BOUND));
-        let ours = hits(&mut own, &asks, 1);
+        let ours = hits(&mut own, &lookups, 1);
         // The others get as many entries as ours has in its bytes, whatever their own bookkeeping takes.
         let most = own.0.len();
-        let (used, order) = (HashMap::new(), BTreeMap::new());
-        let plain = hits(&mut PlainLru { most, used, order, tick: 0 }, &asks, 1);
-        let library = hits(&mut Library(quick_cache::unsync::Cache::new(most)), &asks, 1);
+        let mut plain_lru = PlainLru { most, used: HashMap::new(), order: BTreeMap::new(), tick: 0 };
+        let plain = hits(&mut plain_lru, &lookups, 1);
+        let library = hits(&mut Library(quick_cache::unsync::Cache::new(most)), &lookups, 1);
         println!("| {name} | {ours:.3} | {plain:.3} | {library:.3} |");
     }
 }
@@ -143,7 +146,7 @@
     pages.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
 
-fn desk(limited: bool) -> StatementAdmission {
+fn admission(limited: bool) -> StatementAdmission {
     let rules: Rules = serde_json::from_str(
         r#"{"dialect": "postgres", "disagreement": "refuse", "elsewhere": 0, "groups": [
             {"group": "read", "effects": ["read"]},
@@ -164,74 +167,130 @@
         group(Idempotency::NonIdempotent, Consistency::Write),
     ];
     let names = ["read".into(), "write".into()];
-    match limited {
-        true => {
-            StatementAdmission::new(rules, &groups, &names, Secret([5; 16]), Timestamp::ZERO).expect("rules")
+    let secret = Secret([5; 16]);
+    let admission = if limited {
+        StatementAdmission::new(rules, &groups, &names, secret, Timestamp::ZERO)
+    } else {
+        StatementAdmission::unlimited(rules, &groups, &names, secret)
+    };
+    admission.expect("rules")
+}
+
+/// Measures one admission under look-ups of two clients.
+struct FloodRun<'a> {
+    admission: StatementAdmission,
+    began: Instant,
+    /// The statements of the second client.
+    usual: &'a [String],
+    /// The second client's times before the flood, and beside it; and those of the flood, in nanoseconds.
+    alone: Histogram<u64>,
+    beside: Histogram<u64>,
+    flooding: Histogram<u64>,
+    beyond_budget: usize,
+    hits: usize,
+    lookups: usize,
+}
+
+const FLOODING_CLIENT: u64 = 1;
+const STEADY_CLIENT: u64 = 2;
+const STEADY_LOOKUPS: usize = 200_000;
+const FLOOD_LOOKUPS: usize = 1_000_000;
+/// One look-up of the steady client comes with so many of the flood.
+const FLOOD_PER_STEADY: usize = 5;
+
+impl<'a> FloodRun<'a> {
+    fn new(limited: bool, usual: &'a [String]) -> FloodRun<'a> {
+        let histogram = || Histogram::new(3).expect("a histogram");
+        FloodRun {
+            admission: admission(limited),
+            began: Instant::now(),
+            usual,
+            alone: histogram(),
+            beside: histogram(),
+            flooding: histogram(),
+            beyond_budget: 0,
+            hits: 0,
+            lookups: 0,
         }
-        false => StatementAdmission::unlimited(rules, &groups, &names, Secret([5; 16])).expect("rules"),
     }
-}
 
-fn flood(limited: bool) {
-    let began = Instant::now();
-    let clock = || Timestamp::from_micros(began.elapsed().as_micros() as u64);
-    // All that is built once, as the lists of functions, is there before the first look.
-    let usual: Vec<String> =
-        (0..200).map(|nth| format!("SELECT a{nth} FROM facts WHERE code = 'k'")).collect();
-    let ask = |desk: &mut StatementAdmission, text: &str, client: u64| {
+    /// Admits a statement; returns how long it took, in nanoseconds, and where its verdict came from.
+    fn admit(&mut self, text: &str, client: u64) -> (u64, Option<VerdictSource>) {
+        let began = self.began;
+        let clock = || Timestamp::from_micros(began.elapsed().as_micros() as u64);
         let before = Instant::now();
-        let path = desk
-            .admit(text.as_bytes(), StatementHints::default(), client, &clock)
-            .map(|passed| passed.source);
-        (before.elapsed(), path)
-    };
-    let mut first = desk(false);
-    usual.iter().for_each(|text| assert!(ask(&mut first, text, 2).1.is_ok()));
-    drop(first);
-    let before = resident();
-    let mut desk = desk(limited);
-    for _ in 0..3 {
-        usual.iter().for_each(|text| assert!(ask(&mut desk, text, 2).1.is_ok()));
+        let admitted = self.admission.admit(text.as_bytes(), StatementHints::default(), client, &clock);
+        (before.elapsed().as_nanos() as u64, admitted.ok().map(|admitted| admitted.source))
     }
-    let mut alone = Histogram::<u64>::new(3).expect("a histogram");
-    let mut beside = Histogram::<u64>::new(3).expect("a histogram");
-    let mut flooding = Histogram::<u64>::new(3).expect("a histogram");
-    for nth in 0..200_000 {
-        let (took, _) = ask(&mut desk, &usual[nth % usual.len()], 2);
-        alone.record(took.as_nanos() as u64).expect("in range");
+
+    fn admit_usual(&mut self, nth: usize) -> (u64, Option<VerdictSource>) {
+        let usual = self.usual;
+        self.admit(&usual[nth % usual.len()], STEADY_CLIENT)
     }
-    let (mut hit, mut asked, mut beyond) = (0, 0, 0);
-    for nth in 0..1_000_000_usize {
-        let text = format!("SELECT c{nth}, d{} FROM t{} WHERE e{nth} = {nth} ORDER BY f", nth / 3, nth % 977);
-        let (took, path) = ask(&mut desk, &text, 1);
-        flooding.record(took.as_nanos() as u64).expect("in range");
-        beyond += usize::from(path == Ok(VerdictSource::BudgetExceeded));
-        if nth % 5 == 0 {
-            let (took, path) = ask(&mut desk, &usual[nth / 5 % usual.len()], 2);
-            beside.record(took.as_nanos() as u64).expect("in range");
-            hit += usize::from(path == Ok(VerdictSource::CacheHit));
-            asked += 1;
+
+    fn warm_up(&mut self, rounds: usize) {
+        for nth in 0..rounds * self.usual.len() {
+            assert!(self.admit_usual(nth).1.is_some());
         }
     }
-    let grown = resident().saturating_sub(before);
-    let budget = if limited { "by the budget" } else { "all parsed" };
-    println!("\n| a million distinct shapes, {budget} | |\n| --- | --- |");
-    println!("| the cache's bound | {} KiB |", desk.rules().cache.kib);
-    println!("| held by its own count | {} KiB |", desk.held() >> 10);
-    println!("| resident, grown from before the cache was made | {} KiB |", grown >> 10);
-    println!("| parsed, and beyond the budget | {}, {beyond} |", 1_000_000 - beyond);
-    println!("| the second client's hits | {hit} of {asked} |");
-    let at = |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
-    for (name, histogram) in [
-        ("second client alone", &alone),
-        ("second client beside the flood", &beside),
-        ("the flood itself", &flooding),
-    ] {
-        let (half, most) = (at(histogram, 0.5), at(histogram, 0.999));
-        println!("| {name}: median, 99.9th percentile | {half:.2} µs, {most:.2} µs |");
+
+    fn steady(&mut self) {
+        for nth in 0..STEADY_LOOKUPS {
+            let (nanos, _) = self.admit_usual(nth);
+            self.alone.record(nanos).expect("in range");
+        }
+    }
+
+    fn flood(&mut self) {
+        for nth in 0..FLOOD_LOOKUPS {
+            let text =
+                format!("SELECT c{nth}, d{} FROM t{} WHERE e{nth} = {nth} ORDER BY f", nth / 3, nth % 977);
+            let (nanos, source) = self.admit(&text, FLOODING_CLIENT);
+            self.flooding.record(nanos).expect("in range");
+            self.beyond_budget += usize::from(source == Some(VerdictSource::BudgetExceeded));
+            if nth % FLOOD_PER_STEADY == 0 {
+                let (nanos, source) = self.admit_usual(nth / FLOOD_PER_STEADY);
+                self.beside.record(nanos).expect("in range");
+                self.hits += usize::from(source == Some(VerdictSource::CacheHit));
+                self.lookups += 1;
+            }
+        }
+    }
+
+    fn print(&self, budget: &str, grown: usize) {
+        println!("\n| a million distinct shapes, {budget} | |\n| --- | --- |");
+        println!("| the cache's bound | {} KiB |", self.admission.rules().cache.kib);
+        println!("| held by its own count | {} KiB |", self.admission.held() >> 10);
+        println!("| resident, grown from before the cache was made | {} KiB |", grown >> 10);
+        let parsed = FLOOD_LOOKUPS - self.beyond_budget;
+        println!("| parsed, and beyond the budget | {parsed}, {} |", self.beyond_budget);
+        println!("| the second client's hits | {} of {} |", self.hits, self.lookups);
+        for (name, histogram) in [
+            ("second client alone", &self.alone),
+            ("second client beside the flood", &self.beside),
+            ("the flood itself", &self.flooding),
+        ] {
+            let micros = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
+            let (median, high) = (micros(0.5), micros(0.999));
+            println!("| {name}: median, 99.9th percentile | {median:.2} µs, {high:.2} µs |");
+        }
     }
 }
 
+fn flood(limited: bool) {
+    let usual: Vec<String> =
+        (0..200).map(|nth| format!("SELECT a{nth} FROM facts WHERE code = 'k'")).collect();
+    // All that is built once, as the lists of functions, is there before memory is measured.
+    FloodRun::new(false, &usual).warm_up(1);
+    let before = resident();
+    let mut run = FloodRun::new(limited, &usual);
+    run.warm_up(3);
+    run.steady();
+    run.flood();
+    let grown = resident().saturating_sub(before);
+    run.print(if limited { "by the budget" } else { "all parsed" }, grown);
+}
+
 fn main() {
     match std::env::args().nth(1).as_deref() {
         Some("flood") => flood(true),
--- a/crates/comethitch-statement/tests/memory.rs
+++ b/crates/comethitch-statement/tests/memory.rs
@@ -1,4 +1,4 @@
-//! The cache of shapes, the sketch, the budget and the learned costs, each under what it is for.
+//! The cache of shapes, the frequency sketch, the parsing budget and the learned costs, each under its own kind of load.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::ShapeKey;
@@ -20,8 +20,8 @@
 const BOUND: usize = 1 << 20;
 const VALUE: usize = 240;
 
-/// Asks for a shape, and puts it in if it is not there; true if it was.
-fn ask(cache: &mut Cache<u64>, number: u64, client: u64) -> bool {
+/// Looks a shape up, and inserts it if it is not there; true if it was.
+fn look_up(cache: &mut Cache<u64>, number: u64, client: u64) -> bool {
     let hit = cache.get(key(number), client).copied();
     if hit.is_none() {
         cache.insert(key(number), number, VALUE, client);
@@ -31,21 +31,21 @@
 }
 
 #[test]
-fn one_pass_of_unique_shapes_pushes_out_nothing_in_use() {
+fn a_scan_of_unique_shapes_evicts_nothing_in_use() {
     let mut cache = Cache::new(BOUND);
     (0..3).for_each(|_| {
         (0..500).for_each(|number| {
-            ask(&mut cache, number, 1);
+            look_up(&mut cache, number, 1);
         })
     });
     let mut missed = 0;
     for number in 10_000..200_000 {
-        ask(&mut cache, number, 1);
+        look_up(&mut cache, number, 1);
         // What is in use is asked for once in five thousand.
-        missed += usize::from(number % 10 == 0 && !ask(&mut cache, number / 10 % 500, 1));
+        missed += usize::from(number % 10 == 0 && !look_up(&mut cache, number / 10 % 500, 1));
         assert!(cache.memory_bytes() <= BOUND, "{} bytes", cache.memory_bytes());
     }
-    assert!(missed <= 10, "{missed} of 19000 asks missed");
+    assert!(missed <= 10, "{missed} of 19000 look-ups missed");
     let kept = (0..500).filter(|number| cache.get(key(*number), 1).is_some()).count();
     assert!(kept >= 490, "{kept} of 500 are left");
 }
@@ -55,14 +55,14 @@
     let mut cache = Cache::new(BOUND);
     (0..3).for_each(|_| {
         (0..300).for_each(|number| {
-            ask(&mut cache, number, 1);
+            look_up(&mut cache, number, 1);
         })
     });
     // Each shape of the flood comes again and again, so that how often it is asked for does not tell it apart.
     for round in 0..50 {
         for number in 0..2_000 {
             for _ in 0..6 {
-                ask(&mut cache, 10_000 + round * 2_000 + number, 2);
+                look_up(&mut cache, 10_000 + round * 2_000 + number, 2);
             }
         }
     }
@@ -72,7 +72,7 @@
     let mut alone = Cache::new(BOUND);
     (0..4).for_each(|_| {
         (0..1_200).for_each(|number| {
-            ask(&mut alone, number, 3);
+            look_up(&mut alone, number, 3);
         })
     });
     let kept = (0..1_200).filter(|number| alone.get(key(*number), 3).is_some()).count();
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn what_is_asked_for_now_takes_the_place_of_what_was_long_ago() {
+fn entries_in_use_replace_those_used_long_ago() {
     let mut cache = Cache::new(BOUND);
     (0..20).for_each(|_| {
         (0..1_400).for_each(|number| {
-            ask(&mut cache, number, 1);
+            look_up(&mut cache, number, 1);
         })
     });
-    let hits = (0..60).map(|_| (5_000..6_400).filter(|number| ask(&mut cache, *number, 1)).count());
+    let hits = (0..60).map(|_| (5_000..6_400).filter(|number| look_up(&mut cache, *number, 1)).count());
     let hits: Vec<usize> = hits.collect();
     assert!(hits[59] > 1_200, "{hits:?}");
 }
@@ -112,13 +112,13 @@
     cache.clear();
     assert_eq!(cache.get(key(1), 1), None);
     (0..2_000).for_each(|number| {
-        ask(&mut cache, number, 1);
+        look_up(&mut cache, number, 1);
     });
     assert!(cache.len() > 1_000, "{} are held after a new start", cache.len());
 }
 
 #[test]
-fn the_sketch_counts_not_too_low_and_forgets() {
+fn the_sketch_never_undercounts_and_ages() {
     let mut sketch = FrequencySketch::new(1_000);
     for number in 0..500 {
         (0..number % 12).for_each(|_| sketch.increment(key(number)));
@@ -133,24 +133,27 @@
 }
 
 #[test]
-fn a_client_that_spends_its_budget_leaves_others_theirs() {
-    let (shares, second) = (BudgetShares { total: 0.1, client: 0.25 }, Duration::from_secs(1));
+fn a_client_that_exceeds_its_budget_leaves_others_theirs() {
+    let shares = BudgetShares { total: 0.1, client: 0.25 };
+    let second = Duration::from_secs(1);
     let mut budget = Budget::new(shares, Timestamp::ZERO);
     let mut now = Timestamp::ZERO;
-    let (mut flood, mut steady, mut refused) = (0_u64, 0_u64, 0);
+    let mut flood = 0_u64;
+    let mut steady = 0_u64;
+    let mut refused = 0;
     // For ten seconds one client asks without end, another a hundred times a second; a parse takes 100 µs.
     for step in 0..100_000_u64 {
         now = now + Duration::from_micros(100);
-        let mut ask = |client: u64| match budget.reserve(client, 42, now) {
+        let mut is_reserved = |client: u64| match budget.reserve(client, 42, now) {
             Reservation::Reserved(reserved) => {
                 budget.correct(client, 42, reserved, Duration::from_micros(100));
                 true
             }
             _ => false,
         };
-        flood += u64::from(ask(1)) * 100;
+        flood += u64::from(is_reserved(1)) * 100;
         if step % 100 == 0 {
-            if ask(2) { steady += 100 } else { refused += 1 }
+            if is_reserved(2) { steady += 100 } else { refused += 1 }
         }
     }
     assert_eq!((refused, steady), (0, 100_000));
@@ -162,7 +165,8 @@
 #[test]
 fn many_clients_together_stay_within_the_budget_of_all() {
     let mut budget = Budget::new(BudgetShares { total: 0.05, client: 0.5 }, Timestamp::ZERO);
-    let (mut spent, mut seen) = (0, false);
+    let mut spent = 0;
+    let mut exceeded = false;
     for step in 0..200_000_u64 {
         let now = Timestamp::from_micros(step * 20);
         match budget.reserve(step % 97, 42, now) {
@@ -170,17 +174,18 @@
                 budget.correct(step % 97, 42, reserved, Duration::from_micros(100));
                 spent += 100;
             }
-            refused => seen |= refused == Reservation::TotalExceeded,
+            refused => exceeded |= refused == Reservation::TotalExceeded,
         }
     }
     // Four seconds, and what was saved up at first.
-    assert!(seen && spent <= 250_200, "{spent} µs");
+    assert!(exceeded && spent <= 250_200, "{spent} µs");
     assert!(spent >= 225_000, "{spent} µs");
 }
 
 #[test]
-fn a_shape_that_turns_out_heavy_moves_and_does_not_flap() {
-    let (bounds, lookup_time) = ([Duration::from_millis(20)], LookupTime::default());
+fn a_shape_that_proves_costly_changes_its_band_without_flapping() {
+    let bounds = [Duration::from_millis(20)];
+    let lookup_time = LookupTime::default();
     let mut cost = Cost::default();
     (0..50).for_each(|_| cost.record(Duration::from_micros(1_500)));
     assert_eq!(cost.band(&bounds, lookup_time, 1.0), 0);
@@ -199,11 +204,11 @@
 }
 
 #[test]
-fn the_pace_of_all_makes_the_first_guess() {
+fn the_average_lookup_time_makes_the_first_estimate() {
     let mut lookup_time = LookupTime::default();
     (0..1_000).for_each(|_| lookup_time.record(4.0, Duration::from_millis(40)));
-    let guessed = lookup_time.estimate(2.0);
-    assert!((18_000..=22_000).contains(&guessed.as_micros()), "{guessed:?}");
+    let estimated = lookup_time.estimate(2.0);
+    assert!((18_000..=22_000).contains(&estimated.as_micros()), "{estimated:?}");
     // One answer that took for ever moves it little.
     lookup_time.record(1.0, Duration::from_secs(60));
     assert!(lookup_time.estimate(2.0).as_micros() < 25_000, "{:?}", lookup_time.estimate(2.0));
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Where statements go by the operator's rules, and which rules are turned down.
+//! Where statements go by the operator's rules, and which rules are rejected.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
@@ -51,22 +51,22 @@
     })
 }
 
-fn desk(rules: &Value) -> Result<StatementAdmission, RulesError> {
+fn admission(rules: &Value) -> Result<StatementAdmission, RulesError> {
     let rules: Rules = serde_json::from_value(rules.clone()).expect("rules");
     let (groups, names) = groups();
     StatementAdmission::new(rules, &groups, &names, Secret([3; 16]), Timestamp::ZERO)
 }
 
 fn admit(
-    desk: &mut StatementAdmission, text: &str, group: Option<&str>,
+    admission: &mut StatementAdmission, text: &str, group: Option<&str>,
 ) -> Result<AdmittedStatement, StatementRejection> {
     let group = group.map(|group| groups().1.iter().position(|name| name == group).expect("a group"));
-    desk.admit(text.as_bytes(), StatementHints { group, shard: None }, 1, &|| Timestamp::ZERO)
+    admission.admit(text.as_bytes(), StatementHints { group, shard: None }, 1, &|| Timestamp::ZERO)
 }
 
 #[test]
 fn statements_go_where_the_rules_say() {
-    let mut desk = desk(&rules()).expect("rules");
+    let mut admission = admission(&rules()).expect("rules");
     let hashed = |key: &str| [4, 5, 6][(fnv1a(key.as_bytes()) % 3) as usize];
     for (text, group, hosts) in [
         ("SELECT data FROM facts WHERE code = 'k1'", "read", hashed("k1")),
@@ -79,7 +79,7 @@
         ("UPDATE saldos SET n = 1 WHERE lector = 'ana'", "write", 1),
         ("SELECT CAST(a AS precio) FROM series", "write", 9),
     ] {
-        let passed = admit(&mut desk, text, None).expect(text);
+        let passed = admit(&mut admission, text, None).expect(text);
         assert_eq!(
             (groups().1[passed.assigned.group].as_str(), passed.assigned.shard),
             (group, hosts),
@@ -90,8 +90,8 @@
 
 #[test]
 fn the_key_names_the_session_whatever_literal_comes_first() {
-    let mut desk = desk(&rules()).expect("rules");
-    let mut session = |text: &str| admit(&mut desk, text, None).expect(text).assigned.session;
+    let mut admission = admission(&rules()).expect("rules");
+    let mut session = |text: &str| admit(&mut admission, text, None).expect(text).assigned.session;
     let ana = Some(fnv1a(b"ana"));
     assert_eq!(session("UPDATE saldos SET nota = 'x' WHERE lector = 'ana'"), ana);
     assert_eq!(session("SELECT n FROM saldos WHERE nota <> 'y' AND lector = 'ana'"), ana);
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn what_would_touch_two_groups_of_hosts_or_names_none_is_refused_with_its_reason() {
-    let mut desk = desk(&rules()).expect("rules");
+fn a_statement_for_two_groups_of_hosts_or_none_is_rejected_with_its_reason() {
+    let mut admission = admission(&rules()).expect("rules");
     let two =
         ["a", "b", "c", "d", "e", "f"].iter().map(|key| format!("'{key}'")).collect::<Vec<_>>().join(", ");
     for (text, wanted) in [
@@ -119,7 +119,7 @@
         ("BEGIN".into(), "transactions"),
         ("SHOW work_mem".into(), "no rule"),
     ] {
-        let Err(StatementRejection::Refused(refusal)) = admit(&mut desk, &text, None) else {
+        let Err(StatementRejection::Refused(refusal)) = admit(&mut admission, &text, None) else {
             panic!("{text} has passed")
         };
         assert!(refusal.to_string().contains(wanted), "{text}: {refusal}");
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_comment_may_be_stricter_than_the_text_and_never_milder() {
-    let mut desk = desk(&rules()).expect("rules");
+    let mut admission = admission(&rules()).expect("rules");
     for (text, group, passes) in [
         ("SELECT 1", "read", true),
         ("SELECT 1", "write", true),
@@ -140,7 +140,7 @@
         ("SELECT CAST(a AS precio) FROM series", "write", true),
         ("DELETE FROM series", "fresh", false),
     ] {
-        let passed = admit(&mut desk, text, Some(group));
+        let passed = admit(&mut admission, text, Some(group));
         match passed {
             Ok(passed) => assert!(passes && !passed.assigned.raised, "{text} as {group}"),
             Err(StatementRejection::Refused(AssignmentError::Disagrees { .. })) => {
@@ -152,57 +152,57 @@
 }
 
 #[test]
-fn a_shape_that_turns_out_heavy_moves_to_the_heavy_group() {
-    let mut desk = desk(&rules()).expect("rules");
+fn a_shape_that_proves_costly_moves_to_the_heavy_group() {
+    let mut admission = admission(&rules()).expect("rules");
     let text = "SELECT * FROM series WHERE titulo LIKE 'x%'";
-    let passed = admit(&mut desk, text, None).expect("it passes");
+    let passed = admit(&mut admission, text, None).expect("it passes");
     assert_eq!(groups().1[passed.assigned.group], "read");
-    (0..30).for_each(|_| desk.learn(&passed.known, Duration::from_millis(400)));
+    (0..30).for_each(|_| admission.learn(&passed.known, Duration::from_millis(400)));
     let other =
-        admit(&mut desk, "select * from SERIES where titulo like 'another%'", None).expect("it passes");
+        admit(&mut admission, "select * from SERIES where titulo like 'another%'", None).expect("it passes");
     assert_eq!((groups().1[other.assigned.group].as_str(), other.source), ("heavy", VerdictSource::CacheHit));
 }
 
 #[test]
-fn past_the_budget_a_statement_is_taken_for_unknown_or_throttled() {
+fn past_the_budget_a_statement_is_unknown_or_throttled() {
     for beyond in ["cautious", "throttle"] {
         let mut with_budget = rules();
         with_budget["parsing"] = json!({"core_part": 0.001, "client_part": 0.5, "beyond": beyond});
-        let mut desk = desk(&with_budget).expect("rules");
+        let mut admission = admission(&with_budget).expect("rules");
         let known = "SELECT 1 FROM series WHERE a = 1";
-        admit(&mut desk, known, None).expect("it passes");
+        admit(&mut admission, known, None).expect("it passes");
         // Each look at the clock is 50 µs after the one before.
         let ticks = std::cell::Cell::new(0);
         let clock = || {
             ticks.set(ticks.get() + 50);
             Timestamp::from_micros(ticks.get())
         };
-        let told = |shard| StatementHints { group: None, shard };
+        let hints = |shard| StatementHints { group: None, shard };
         for nth in 0..500 {
-            let _ = desk.admit(format!("SELECT c{nth} FROM series").as_bytes(), told(None), 1, &clock);
+            let _ = admission.admit(format!("SELECT c{nth} FROM series").as_bytes(), hints(None), 1, &clock);
         }
-        match (beyond, desk.admit(b"SELECT last FROM series", told(Some(9)), 1, &clock)) {
+        match (beyond, admission.admit(b"SELECT last FROM series", hints(Some(9)), 1, &clock)) {
             ("cautious", Ok(passed)) => {
                 let group = &groups().1[passed.assigned.group];
                 assert_eq!((group.as_str(), passed.source), ("write", VerdictSource::BudgetExceeded));
-                // Without a parse its key is not known, and a later try may be parsed.
-                let turned = desk.admit(b"SELECT last FROM series", told(None), 1, &clock);
-                assert_eq!(turned.err(), Some(StatementRejection::Throttled));
+                // Without a parse its key is not known, and a retry may be parsed.
+                let retried = admission.admit(b"SELECT last FROM series", hints(None), 1, &clock);
+                assert_eq!(retried.err(), Some(StatementRejection::Throttled));
             }
             ("throttle", Err(StatementRejection::Throttled)) => {}
             (beyond, other) => panic!("{beyond}: {other:?}"),
         }
-        let hit = admit(&mut desk, known, None).expect("what is known costs nothing");
+        let hit = admit(&mut admission, known, None).expect("what is known costs nothing");
         assert_eq!(hit.source, VerdictSource::CacheHit);
     }
 }
 
 #[test]
-fn faulty_rules_are_turned_down_with_the_key() {
+fn faulty_rules_are_rejected_with_the_key() {
     let with = |change: &dyn Fn(&mut Value)| {
         let mut rules = rules();
         change(&mut rules);
-        desk(&rules).err().map(|error| error.to_string()).unwrap_or_default()
+        admission(&rules).err().map(|error| error.to_string()).unwrap_or_default()
     };
     let group = |effects: Value, name: &str| json!({"group": name, "effects": effects});
     type Change<'a> = &'a dyn Fn(&mut Value);
@@ -232,7 +232,7 @@
         ("parsing.core_part", &|r| r["parsing"] = json!({"core_part": 0.0})),
     ];
     for (fault, change) in faults {
-        let told = with(change);
-        assert!(told.contains(fault), "{fault}: {told:?}");
+        let error = with(change);
+        assert!(error.contains(fault), "{fault}: {error:?}");
     }
 }
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -61,7 +61,7 @@
     let text = "INSERT INTO t (a, b) VALUES (1, 'x'), (2, 'y') ON CONFLICT (a) DO UPDATE SET b = 'z'";
     let mut lexer = Lexer::new(Dialect::Postgres);
     lexer.read(text.as_bytes());
-    let told: Vec<(u32, LiteralForm, &str)> = lexer
+    let found: Vec<(u32, LiteralForm, &str)> = lexer
         .literals()
         .iter()
         .map(|literal| {
@@ -75,26 +75,26 @@
         (1, LiteralForm::Text, "'y'"),
         (2, LiteralForm::Text, "'z'"),
     ];
-    assert_eq!(told, wanted);
+    assert_eq!(found, wanted);
     let placeholders = lexer.tokens().iter().filter(|token| token.kind == TokenKind::Placeholder).count();
     assert_eq!(placeholders, 3);
 }
 
 #[test]
 fn tables_and_the_values_that_their_columns_are_compared_with() {
-    let told = |text: &str| -> Vec<String> {
+    let uses_of = |text: &str| -> Vec<String> {
         let found = verdict(Dialect::Postgres, text.as_bytes());
         assert!(found.parsed, "{text}: {}", found.why);
-        let mut told: Vec<String> = found
+        let mut uses: Vec<String> = found
             .uses
             .iter()
-            .map(|a_use| {
-                let keys = a_use.keys.iter().map(|key| format!("{}={:?}", key.column, key.placeholders));
-                format!("{}({})", a_use.table, keys.collect::<Vec<_>>().join(" "))
+            .map(|table_use| {
+                let keys = table_use.keys.iter().map(|key| format!("{}={:?}", key.column, key.placeholders));
+                format!("{}({})", table_use.table, keys.collect::<Vec<_>>().join(" "))
             })
             .collect();
-        told.sort();
-        told
+        uses.sort();
+        uses
     };
     let cases: [(&str, &[&str]); 19] = [
         ("SELECT x FROM t WHERE a = 5 AND b > 6", &["t(a=[0])"]),
@@ -120,7 +120,7 @@
         ("INSERT INTO t (b, a) VALUES (1, 2), (3, 4)", &["t(b=[0] a=[1])"]),
     ];
     for (text, wanted) in cases {
-        assert_eq!(told(text), wanted, "{text}");
+        assert_eq!(uses_of(text), wanted, "{text}");
     }
 }
 
@@ -132,7 +132,7 @@
     let rows = text.lines().map(|line| serde_json::from_str::<Value>(line).expect(line));
     let texts = rows.map(|row| row["sql"].as_str().expect("sql").to_string());
     let mut lexer = Lexer::new(dialect);
-    // Two literals in a row may become one, and what is doubtful may become clear.
+    // Two literals in a row may become one, and what is ambiguous may become clear.
     texts
         .filter(|text| {
             lexer.read(text.as_bytes());
@@ -216,7 +216,7 @@
     }
 
     #[test]
-    fn what_is_read_in_one_piece_stays_no_read_with_a_write_behind_it(
+    fn a_read_with_a_write_behind_it_is_no_read(
         parts in prop::collection::vec(prop::sample::select(vec![
             "SELECT", "1", "a", "FROM", "t", "WHERE", "(", ")", "'", "\"", "--", "/*", "*/", "$$", "$a$", "\\", ",", ";",
             "=", "IN", "AS", "E'", "[", "]", "\n", " ", "UNION", "CASE", "END", "b.c", "::int", "@x", "N'", "WITH", "*",
