--- a/crates/comethitch-statement/src/assign/error.rs
+++ b/crates/comethitch-statement/src/assign/error.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a statement can't become a command, as its client is told them.
+//! Reasons for which a statement can't become a command, as they are reported to its client.
 
 use crate::Effect;
 use comethitch_policy::Shard;
--- a/crates/comethitch-statement/src/assign/mod.rs
+++ b/crates/comethitch-statement/src/assign/mod.rs
@@ -50,7 +50,7 @@
     pub raised: bool,
 }
 
-/// What a statement's keys tell.
+/// What a statement's keys determine.
 #[derive(Default)]
 struct KeyFindings {
     /// The group of hosts in which all keys lie.
--- a/crates/comethitch-statement/src/cache/entries.rs
+++ b/crates/comethitch-statement/src/cache/entries.rs
@@ -9,7 +9,7 @@
 pub(super) const NONE: u32 = u32::MAX;
 /// Clients are hashed to so many owners; two that meet share one's part.
 pub(super) const OWNERS: usize = 64;
-/// The owner of what several clients asked for.
+/// The owner of entries that several clients use.
 pub(super) const SHARED: u8 = OWNERS as u8;
 
 /// The parts of a segmented LRU, with the window before them.
@@ -17,9 +17,9 @@
 pub(super) enum Segment {
     /// New entries.
     Window,
-    /// Entries not asked for since they left the window.
+    /// Entries not used since they left the window.
     Probation,
-    /// Entries asked for again.
+    /// Entries used again.
     Protected,
 }
 
--- a/crates/comethitch-statement/src/cache/mod.rs
+++ b/crates/comethitch-statement/src/cache/mod.rs
@@ -1,11 +1,11 @@
 //! A cache of values by shape, bounded in bytes: W-TinyLFU over a segmented LRU, with a share for each client.
 //!
-//! A new entry stands in a small window first. As it leaves the window it must have been asked for more often
+//! A new entry stands in a small window first. As it leaves the window it must have been looked up more often
 //! lately than the entry whose place it would take ([`crate::frequency_sketch`]), so that shapes that come once
-//! evict nothing that is in use. Entries asked for again are protected from those that were not.
+//! evict nothing that is in use. Entries used again are protected from those that were not.
 //!
 //! While the cache is full, a client that holds more than its even share takes the place of its own entries alone,
-//! however often it asks; an entry that a second client asks for belongs to no one.
+//! however often it looks them up; an entry that a second client uses belongs to no one.
 
 mod entries;
 
@@ -17,14 +17,14 @@
 
 /// The part of the bytes that new entries have before they compete: one in so many.
 const WINDOW_PART: usize = 8;
-/// The part of the rest that is kept for entries asked for again.
+/// The part of the rest that is reserved for entries used again.
 const PROTECTED_PART: Fraction = Fraction { numerator: 4, denominator: 5 };
 /// Slots are allocated for so many entries as the bound holds of this many bytes.
 const MIN_ENTRY_BYTES: usize = 384;
 /// The part of the bytes beside the bookkeeping that values may count: small pieces that come and go among what a
 /// parser takes and gives back leave gaps, which were measured at half of what the pieces hold.
 const COUNTED_PART: Fraction = Fraction { numerator: 2, denominator: 3 };
-/// An entry of more than one in so many parts of the cache is not kept.
+/// An entry of more than one in so many parts of the cache is not cached.
 const LARGEST_PART: usize = 64;
 /// The bits of a hash that choose among [`OWNERS`].
 const OWNER_HASH_SHIFT: u32 = u64::BITS - OWNERS.ilog2();
@@ -147,7 +147,7 @@
         self.counts
     }
 
-    /// Forgets all entries, but not how often they were asked for.
+    /// Forgets all entries, but not how often they were looked up.
     pub fn clear(&mut self) {
         self.index.clear();
         self.entries.clear();
@@ -158,7 +158,7 @@
         (client.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> OWNER_HASH_SHIFT) as u8
     }
 
-    /// The value of a shape, asked for by a client.
+    /// Looks the value of a shape up for a client.
     pub fn get(&mut self, key: ShapeKey, client: u64) -> Option<&V> {
         self.sketch.increment(key);
         let Some(slot) = self.index.get(&key).copied() else {
@@ -174,7 +174,7 @@
         self.entries.get(slot).value.as_ref()
     }
 
-    /// Moves an entry that is asked for to the front of its lists, out of probation into the protected segment.
+    /// Moves an entry that is used to the front of its lists, out of probation into the protected segment.
     fn promote(&mut self, slot: u32) {
         if self.entries.get(slot).segment == Segment::Window {
             self.entries.move_to_segment(slot, Segment::Window);
@@ -222,7 +222,7 @@
         self.entries.segment(Segment::Probation).bytes + self.entries.segment(Segment::Protected).bytes
     }
 
-    /// Moves an entry out of the window: into the rest of the cache if it was asked for more often than those it
+    /// Moves an entry out of the window: into the rest of the cache if it was looked up more often than those it
     /// evicts, or out of the cache.
     fn leave_window(&mut self, slot: u32) {
         let candidate = self.entries.get(slot);
--- a/crates/comethitch-statement/src/classify/mod.rs
+++ b/crates/comethitch-statement/src/classify/mod.rs
@@ -1,8 +1,7 @@
 //! From a shape to its verdict.
 //!
 //! [`Classifier`] parses the shape (`parse`), walks its syntax tree (`visitor`) and looks through its tokens
-//! besides (`token_scan`); `findings` gathers what both find. Whatever can't be told for certain is never a
-//! read.
+//! besides (`token_scan`); `findings` gathers what both find. Whatever is uncertain is never a read.
 
 mod findings;
 mod from_clause;
@@ -60,7 +59,7 @@
         findings.into_verdict()
     }
 
-    /// The verdict where the parser fails: the tokens may still tell that it writes.
+    /// The verdict where the parser fails: the tokens may still show that it writes.
     fn classify_unparsable(&self, lexer: &Lexer) -> Verdict {
         let unparsed = self.classify_unparsed(lexer, "it can't be parsed");
         let mut findings = Findings::new(self.dialect, self.catalogue);
--- a/crates/comethitch-statement/src/classify/table_uses.rs
+++ b/crates/comethitch-statement/src/classify/table_uses.rs
@@ -29,7 +29,7 @@
 
 struct Cte {
     name: String,
-    /// Tells the CTE's query when the visitor comes to it.
+    /// Identifies the CTE's query when the visitor comes to it.
     query: *const Query,
 }
 
@@ -172,7 +172,7 @@
         self.record_keys(clause);
     }
 
-    /// Rows that are not matched may lie anywhere: the condition of a MERGE tells no key.
+    /// Rows that are not matched may lie anywhere: the condition of a MERGE gives no key.
     fn merge(&mut self, merge: &Merge) {
         let mut clause = FromClause::default();
         self.table_factor(&merge.table, &mut clause);
--- a/crates/comethitch-statement/src/lexer/quoted.rs
+++ b/crates/comethitch-statement/src/lexer/quoted.rs
@@ -11,7 +11,7 @@
     pub start: usize,
     /// Where its opening quote stands.
     pub quote: usize,
-    /// Its notation, as the prefix tells.
+    /// Its notation, by its prefix.
     pub form: LiteralForm,
     /// Whether backslashes escape in it whatever the server's settings are.
     pub escapes: bool,
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -7,7 +7,7 @@
 //! these together. Nothing here reads a file, a socket or a clock, and nothing chooses a host.
 //!
 //! What stands behind a name, as a view that calls a writing function, or a trigger, must be listed in a
-//! [`catalogue`]. What can't be told for certain is never a read.
+//! [`catalogue`]. What is uncertain is never a read.
 //!
 //! ```
 //! use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer};
--- a/crates/comethitch-statement/src/rules_error.rs
+++ b/crates/comethitch-statement/src/rules_error.rs
@@ -26,7 +26,7 @@
     /// There is no rule for any command group.
     #[error("groups must hold a rule")]
     NoGroups,
-    /// More costs are told apart than the bands that are counted.
+    /// The rules name more different bounds of cost than there may be.
     #[error("groups must not hold more than {most} bounds of cost")]
     TooManyCostBounds {
         /// The most that there may be.
--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// What makes a statement costly, as far as its text tells; counts stop at 255.
+/// What makes a statement costly, as far as its text shows; counts stop at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Features {
     /// Uses of tables.
--- a/crates/comethitch-statement/tests/corpus.rs
+++ b/crates/comethitch-statement/tests/corpus.rs
@@ -1,9 +1,12 @@
 //! Statements with the verdict that each must get. A row's effect is what the router may make of it: for one
-//! that writes, `unknown` would be as safe, and is told apart all the same.
+//! that writes, `unknown` would be as safe, and is distinguished all the same.
+
+mod support;
 
 use comethitch_statement::lexer::MAX_STATEMENT_BYTES;
-use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer, Verdict};
+use comethitch_statement::{Dialect, Effect};
 use serde::Deserialize;
+use support::{corpus_lines, verdict};
 
 #[derive(Deserialize)]
 struct Row {
@@ -12,22 +15,14 @@
 }
 
 fn corpus(dialect: Dialect) -> Vec<Row> {
-    let text = match dialect {
-        Dialect::Postgres => include_str!("corpus/postgres.jsonl"),
-        Dialect::Tsql => include_str!("corpus/tsql.jsonl"),
-    };
-    text.lines().map(|line| serde_json::from_str(line).expect(line)).collect()
-}
-
-fn verdict(dialect: Dialect, text: &[u8]) -> Verdict {
-    let (mut lexer, catalogue) = (Lexer::new(dialect), Catalogue::default());
-    lexer.read(text);
-    Classifier::new(dialect, &catalogue).classify(&lexer)
+    corpus_lines(dialect).map(|line| serde_json::from_str(line).expect(line)).collect()
 }
 
 #[test]
 fn each_statement_gets_its_verdict() {
-    let (mut wrong, mut rows, mut reads) = (Vec::new(), 0, 0);
+    let mut wrong = Vec::new();
+    let mut rows = 0;
+    let mut reads = 0;
     for dialect in [Dialect::Postgres, Dialect::Tsql] {
         for row in corpus(dialect) {
             let found = verdict(dialect, row.sql.as_bytes());
--- a/crates/comethitch-statement/tests/memory.rs
+++ b/crates/comethitch-statement/tests/memory.rs
@@ -30,18 +30,23 @@
     hit.is_some()
 }
 
+/// A client looks so many shapes up in turn, several times.
+fn warm_up(cache: &mut Cache<u64>, rounds: usize, shapes: u64, client: u64) {
+    for _ in 0..rounds {
+        for number in 0..shapes {
+            look_up(cache, number, client);
+        }
+    }
+}
+
 #[test]
 fn a_scan_of_unique_shapes_evicts_nothing_in_use() {
     let mut cache = Cache::new(BOUND);
-    (0..3).for_each(|_| {
-        (0..500).for_each(|number| {
-            look_up(&mut cache, number, 1);
-        })
-    });
+    warm_up(&mut cache, 3, 500, 1);
     let mut missed = 0;
     for number in 10_000..200_000 {
         look_up(&mut cache, number, 1);
-        // What is in use is asked for once in five thousand.
+        // A shape in use is looked up once in five thousand.
         missed += usize::from(number % 10 == 0 && !look_up(&mut cache, number / 10 % 500, 1));
         assert!(cache.memory_bytes() <= BOUND, "{} bytes", cache.memory_bytes());
     }
@@ -53,12 +58,8 @@
 #[test]
 fn a_clients_flood_costs_another_none_of_its_hits() {
     let mut cache = Cache::new(BOUND);
-    (0..3).for_each(|_| {
-        (0..300).for_each(|number| {
-            look_up(&mut cache, number, 1);
-        })
-    });
-    // Each shape of the flood comes again and again, so that how often it is asked for does not tell it apart.
+    warm_up(&mut cache, 3, 300, 1);
+    // Each shape of the flood comes again and again, so that its frequency does not give it away.
     for round in 0..50 {
         for number in 0..2_000 {
             for _ in 0..6 {
@@ -70,11 +71,7 @@
     assert!(kept >= 290, "{kept} of 300 are left");
     // Alone, a client may use the whole cache.
     let mut alone = Cache::new(BOUND);
-    (0..4).for_each(|_| {
-        (0..1_200).for_each(|number| {
-            look_up(&mut alone, number, 3);
-        })
-    });
+    warm_up(&mut alone, 4, 1_200, 3);
     let kept = (0..1_200).filter(|number| alone.get(key(*number), 3).is_some()).count();
     assert!(kept >= 1_150, "{kept} of 1200 are there");
 }
@@ -82,11 +79,7 @@
 #[test]
 fn entries_in_use_replace_those_used_long_ago() {
     let mut cache = Cache::new(BOUND);
-    (0..20).for_each(|_| {
-        (0..1_400).for_each(|number| {
-            look_up(&mut cache, number, 1);
-        })
-    });
+    warm_up(&mut cache, 20, 1_400, 1);
     let hits = (0..60).map(|_| (5_000..6_400).filter(|number| look_up(&mut cache, *number, 1)).count());
     let hits: Vec<usize> = hits.collect();
     assert!(hits[59] > 1_200, "{hits:?}");
@@ -101,7 +94,9 @@
         (seed >> 33) % below
     };
     for _ in 0..200_000 {
-        let (number, client, bytes) = (draw(6_000), draw(90), draw(20_000) as usize);
+        let number = draw(6_000);
+        let client = draw(90);
+        let bytes = draw(20_000) as usize;
         match cache.get(key(number), client) {
             Some(value) => assert_eq!(*value, number),
             None => cache.insert(key(number), number, bytes, client),
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -1,9 +1,12 @@
 //! What makes two statements one shape, and that no text is too strange to be read.
 
+mod support;
+
 use comethitch_statement::lexer::{LiteralForm, TokenKind};
-use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer, Verdict};
+use comethitch_statement::{Dialect, Effect, Lexer};
 use proptest::prelude::*;
 use serde_json::Value;
+use support::{corpus_lines, verdict};
 
 fn shape(dialect: Dialect, text: &str) -> Vec<u8> {
     let mut lexer = Lexer::new(dialect);
@@ -11,12 +14,6 @@
     lexer.shape().to_vec()
 }
 
-fn verdict(dialect: Dialect, text: &[u8]) -> Verdict {
-    let (mut lexer, catalogue) = (Lexer::new(dialect), Catalogue::default());
-    lexer.read(text);
-    Classifier::new(dialect, &catalogue).classify(&lexer)
-}
-
 #[test]
 fn statements_that_differ_in_literals_case_and_space_alone_share_a_shape() {
     let alike = [
@@ -124,12 +121,9 @@
     }
 }
 
-fn corpus(dialect: Dialect) -> Vec<String> {
-    let text = match dialect {
-        Dialect::Postgres => include_str!("corpus/postgres.jsonl"),
-        Dialect::Tsql => include_str!("corpus/tsql.jsonl"),
-    };
-    let rows = text.lines().map(|line| serde_json::from_str::<Value>(line).expect(line));
+/// The texts of the corpus that can be written anew.
+fn plain_texts(dialect: Dialect) -> Vec<String> {
+    let rows = corpus_lines(dialect).map(|line| serde_json::from_str::<Value>(line).expect(line));
     let texts = rows.map(|row| row["sql"].as_str().expect("sql").to_string());
     let mut lexer = Lexer::new(dialect);
     // Two literals in a row may become one, and what is ambiguous may become clear.
@@ -201,7 +195,7 @@
         drawn in prop::collection::vec(any::<(u8, u64, u8)>(), 1..40),
     ) {
         let dialect = if tsql { Dialect::Tsql } else { Dialect::Postgres };
-        let texts = corpus(dialect);
+        let texts = plain_texts(dialect);
         let text = &texts[pick.index(texts.len())];
         let anew = written_anew(dialect, text, &drawn);
         prop_assert_eq!(shape(dialect, text), shape(dialect, &anew), "{} as {}", anew, text);
--- /dev/null
+++ b/crates/comethitch-statement/tests/support/mod.rs
@@ -0,0 +1,20 @@
+//! Shared by the tests: the corpus, and a statement's verdict without a catalogue.
+
+use comethitch_statement::{Catalogue, Classifier, Dialect, Lexer, Verdict};
+
+/// The rows of a dialect's corpus, each a JSON object with the statement and its effect.
+pub fn corpus_lines(dialect: Dialect) -> impl Iterator<Item = &'static str> {
+    let text = match dialect {
+        Dialect::Postgres => include_str!("../corpus/postgres.jsonl"),
+        Dialect::Tsql => include_str!("../corpus/tsql.jsonl"),
+    };
+    text.lines()
+}
+
+/// The verdict without a catalogue.
+pub fn verdict(dialect: Dialect, text: &[u8]) -> Verdict {
+    let mut lexer = Lexer::new(dialect);
+    let catalogue = Catalogue::default();
+    lexer.read(text);
+    Classifier::new(dialect, &catalogue).classify(&lexer)
+}
