--- a/crates/comethitch-adapter/src/error.rs
+++ b/crates/comethitch-adapter/src/error.rs
@@ -1,6 +1,6 @@
 //! The errors of reading batches and writing replies.
 
-use std::error::Error as StdError;
+use comethitch_policy::DeploymentError;
 use std::io;
 use thiserror::Error;
 
@@ -95,7 +95,7 @@
     DeploymentNotUtf8,
     /// A deployment that the policy refuses.
     #[error(transparent)]
-    Deployment(Box<dyn StdError + Send + Sync>),
+    Deployment(#[from] DeploymentError),
     /// An endpoint list that no record defined.
     #[error("list {0} was never given")]
     UnknownList(u32),
--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -91,7 +91,7 @@
         const DEPLOYMENT: usize = 11;
         let text = tail.part_named_by(record, DEPLOYMENT, 1)?;
         let text = std::str::from_utf8(text).map_err(|_| RecordError::DeploymentNotUtf8)?;
-        let deployment = Deployment::read(text).map_err(|error| RecordError::Deployment(error.into()))?;
+        let deployment = Deployment::read(text)?;
         Ok(InstanceStart { seed: record.u64(SEED)?, deployment })
     }
 }
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -6,8 +6,8 @@
 mod faults;
 
 use crate::hosts::ColdStart;
-use comethitch_policy::Deployment;
 use comethitch_policy::time::Duration;
+use comethitch_policy::{Deployment, DeploymentError};
 pub use faults::{Direction, Fault, FaultKind, LinkFault};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -15,7 +15,6 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
-use std::error::Error as StdError;
 use thiserror::Error;
 
 /// The longest that a trial, or a fault of it, may take, in milliseconds.
@@ -47,7 +46,7 @@
     Skew,
     /// The routers' settings are refused.
     #[error(transparent)]
-    Deployment(Box<dyn StdError + Send + Sync>),
+    Deployment(#[from] DeploymentError),
 }
 
 /// Who selects hosts for commands.
@@ -263,6 +262,6 @@
              classes.1.target_us={target_ms}000\nclasses.1.deadline_us={timeout_ms}000\nclasses.1.value=2\n",
             self.drain_grace_ms, self.cold_from, self.warm_within_ms, self.fall_multiple, self.fall_ms,
         );
-        Deployment::read(&text).map_err(|error| TrialError::Deployment(error.into()))
+        Ok(Deployment::read(&text)?)
     }
 }
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -1,12 +1,13 @@
-//! What a statement may do, told from its text.
+//! Classifies SQL statements by their text: what a statement may do, its shape, its cost, and the command group and
+//! group of hosts that it belongs to.
 //!
-//! A statement goes through [`lexer`], which gives its *shape* in one pass; the shape's [`Verdict`] is looked up
-//! in a [`cache`] or worked out by [`classify`]: its effect, the tables and functions that it names, and what
-//! makes it dear. [`assign`] turns a verdict into what the decision module is told. Nothing here reads a file, a
-//! socket or a clock, and nothing chooses a host.
+//! [`lexer`] reduces a statement to its *shape* in one pass; the shape's [`Verdict`] is looked up in a [`cache`] or
+//! worked out by [`classify`]: its effect, the tables and functions that it names, and what makes it costly.
+//! [`assign`] turns a verdict into what the decision module needs, by the operator's [`rules`]. [`admission`] puts
+//! these together. Nothing here reads a file, a socket or a clock, and nothing chooses a host.
 //!
-//! It does not know what stands behind names: a view that calls a writing function, or a trigger, is told in a
-//! [`catalogue`]. What it can't tell for certain is never a read.
+//! What stands behind a name, as a view that calls a writing function, or a trigger, must be listed in a
+//! [`catalogue`]. What is uncertain is never a read.
 //!
 //! ```
 //! use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer};
@@ -22,6 +23,8 @@
 //! assert_eq!(effect("SELECT tienda.lower(code) FROM facts"), Effect::Write);
 //! ```
 
+#![warn(missing_docs)]
+
 pub mod admission;
 pub mod assign;
 pub mod budget;
@@ -29,29 +32,21 @@
 pub mod catalogue;
 pub mod classify;
 pub mod cost;
+mod dialect;
+pub mod frequency_sketch;
+mod hints;
 pub mod lexer;
 pub mod rules;
+mod rules_error;
 pub mod shape;
-pub mod sketch;
 pub mod verdict;
 
 pub use admission::StatementAdmission;
 pub use catalogue::Catalogue;
 pub use classify::Classifier;
+pub use dialect::Dialect;
 pub use lexer::Lexer;
 pub use rules::Rules;
+pub use rules_error::{GroupRuleError, KeyRuleError, RulesError};
 pub use shape::{Secret, ShapeKey};
 pub use verdict::{Effect, Features, Verdict};
-
-use schemars::JsonSchema;
-use serde::{Deserialize, Serialize};
-
-/// The language that statements are written in.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "lowercase")]
-pub enum Dialect {
-    /// PostgreSQL's, with standard_conforming_strings on.
-    Postgres,
-    /// T-SQL, with quoted identifiers on.
-    Tsql,
-}
--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -3,7 +3,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What a statement may do, from the mildest to the one that is trusted least.
+/// What a statement may do, from the least restricted effect to the most restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
@@ -15,6 +15,8 @@
     Session,
     /// Its text does not tell.
     Unknown,
+    // It changes data, or may.
+    #[expect(missing_docs, reason = "a description would change the form of the rules' schema")]
     Write,
 }
 
@@ -24,11 +26,12 @@
         self == Effect::Read
     }
 
-    /// Whether running it a second time does no harm.
+    /// Whether executing it a second time does no harm.
     pub fn may_repeat(self) -> bool {
         matches!(self, Effect::Read | Effect::LockingRead)
     }
 
+    /// Its name in rules, logs and verdicts.
     pub fn name(self) -> &'static str {
         match self {
             Effect::Read => "read",
@@ -40,22 +43,34 @@
     }
 }
 
-/// What makes a statement dear, as far as its text tells; counts stop at 255.
+/// What makes a statement costly, as far as its text shows; counts stop at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Features {
+    /// Uses of tables.
     pub tables: u8,
+    /// Joins, those by a comma included.
     pub joins: u8,
+    /// Queries within others.
     pub subqueries: u8,
+    /// UNION, INTERSECT and EXCEPT.
     pub set_operations: u8,
+    /// Different functions called.
     pub functions: u8,
+    /// Calls of aggregates.
     pub aggregates: u8,
+    /// Calls with an OVER clause.
     pub windows: u8,
     /// Tables whose rows are all looked at: no column is compared with a value.
     pub scans: u8,
+    /// It has a GROUP BY clause.
     pub grouped: bool,
+    /// It has an ORDER BY clause.
     pub ordered: bool,
+    /// It has DISTINCT.
     pub distinct: bool,
+    /// It has LIMIT, FETCH or TOP.
     pub limited: bool,
+    /// It has a recursive CTE.
     pub recursive: bool,
 }
 
@@ -90,7 +105,9 @@
 /// One use of a table, and the columns that it compares with values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TableUse {
+    /// The table, with its schema as written.
     pub table: Box<str>,
+    /// The columns.
     pub keys: Vec<ColumnValues>,
 }
 
@@ -106,12 +123,15 @@
 /// What a shape's statements may do, touch and cost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
+    /// What its statements may do.
     pub effect: Effect,
     /// Why it is no plain read; empty for one.
     pub why: Box<str>,
+    /// Each use of a table, in order of appearance; a CTE is none.
     pub uses: Vec<TableUse>,
     /// The functions that it calls, with their schemas as written.
     pub functions: Vec<Box<str>>,
+    /// What makes it costly.
     pub features: Features,
     /// Whether it was parsed whole: without that no table is known for certain.
     pub parsed: bool,
@@ -135,7 +155,7 @@
 
     /// The names of the tables, each once, in order.
     pub fn tables(&self) -> Vec<&str> {
-        let mut tables: Vec<&str> = self.uses.iter().map(|a_use| &*a_use.table).collect();
+        let mut tables: Vec<&str> = self.uses.iter().map(|table_use| &*table_use.table).collect();
         tables.sort_unstable();
         tables.dedup();
         tables
@@ -147,15 +167,15 @@
         let key = |key: &ColumnValues| {
             text(&key.column) + allocated(key.placeholders.capacity() * size_of::<u32>())
         };
-        let a_use = |a_use: &TableUse| {
-            text(&a_use.table)
-                + allocated(a_use.keys.capacity() * size_of::<ColumnValues>())
-                + a_use.keys.iter().map(key).sum::<usize>()
+        let table_use = |table_use: &TableUse| {
+            text(&table_use.table)
+                + allocated(table_use.keys.capacity() * size_of::<ColumnValues>())
+                + table_use.keys.iter().map(key).sum::<usize>()
         };
         size_of::<Verdict>()
             + text(&self.why)
             + allocated(self.uses.capacity() * size_of::<TableUse>())
-            + self.uses.iter().map(a_use).sum::<usize>()
+            + self.uses.iter().map(table_use).sum::<usize>()
             + allocated(self.functions.capacity() * size_of::<Box<str>>())
             + self.functions.iter().map(|name| text(name)).sum::<usize>()
     }
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -5,11 +5,11 @@
 use argh::FromArgs;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_statement::RulesError;
 use comethitch_statement::admission::{StatementAdmission, StatementHints, StatementRejection};
 use comethitch_statement::rules::{CacheSize, Disagreement, GroupRule, Parsing};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
 use serde::{Deserialize, Serialize};
-use std::error::Error;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::path::PathBuf;
 
@@ -47,7 +47,7 @@
         /// Where the rules are from.
         rules: String,
         /// What is wrong; it begins with the key.
-        source: Box<dyn Error + Send + Sync>,
+        source: RulesError,
     },
     /// Standard input or output fails.
     #[error("statements can't be read or verdicts written: {0}")]
@@ -187,12 +187,14 @@
             Err(error) => return OutputLine::Error { error: format!("no statement: {error}") },
         };
         let text = input.sql.as_bytes();
-        let Some((known, key, path)) = self.admission.look(text, ORIGIN, &|| Timestamp::ZERO) else {
+        let Some(judged) = self.admission.judge(text, ORIGIN, &|| Timestamp::ZERO) else {
             return OutputLine::Error { error: "the budget for parsing is spent".into() };
         };
+        let known = judged.known.clone();
+        let key = judged.key;
         let placed = self
             .admission
-            .place(known.clone(), key, path, StatementHints::default(), text, &[])
+            .assign(judged, StatementHints::default(), text, &[])
             .map_err(StatementRejection::Refused);
         let verdict = &known.verdict;
         let (group, hosts, why) = match placed {
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -6,7 +6,7 @@
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::StatementAdmission;
 use comethitch_statement::admission::{KnownShape, StatementHints, StatementRejection};
-use comethitch_statement::assign::{Arguments, Refusal};
+use comethitch_statement::assign::{Arguments, AssignmentError};
 use std::ops::Range;
 use std::rc::Rc;
 
@@ -74,7 +74,7 @@
     },
     /// The rules for statements refuse it.
     #[error("{0}")]
-    Refused(Refusal),
+    Refused(AssignmentError),
 }
 
 impl StatementError {
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -159,7 +159,7 @@
     /// If the rules do not fit the command groups.
     pub fn admission_by(&self, rules: Rules, now: Timestamp) -> Result<StatementAdmission, ConfigError> {
         StatementAdmission::new(rules, &self.deployment.groups, &self.groups, random_secret(), now)
-            .map_err(|error| ConfigError::Rules(error.into()))
+            .map_err(ConfigError::Rules)
     }
 }
 
@@ -227,8 +227,7 @@
 
     fn deployment(&self) -> Result<Deployment, ConfigError> {
         let settings = self.keys.required("settings")?;
-        let deployment = Deployment::read(&json::settings_lines(settings))
-            .map_err(|error| ConfigError::Settings(error.into()))?;
+        let deployment = Deployment::read(&json::settings_lines(settings)).map_err(ConfigError::Settings)?;
         check_ranges(&deployment)?;
         Ok(deployment)
     }
--- a/crates/comethitchd/src/state/config/error.rs
+++ b/crates/comethitchd/src/state/config/error.rs
@@ -1,13 +1,11 @@
 //! The error of reading a configuration or the rules for statements.
 
 use crate::wire::discovery::EndpointListError;
-use std::error::Error;
+use comethitch_policy::DeploymentError;
+use comethitch_statement::RulesError;
 use std::io;
 use std::path::PathBuf;
 
-/// An error of another package that names the faulty key.
-type KeyError = Box<dyn Error + Send + Sync>;
-
 /// What is wrong with a configuration or with the rules for statements.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -70,7 +68,7 @@
     NoCommandGroups,
     /// The policy does not accept its settings; the error begins with the key.
     #[error("settings.{0}")]
-    Settings(#[source] KeyError),
+    Settings(#[source] DeploymentError),
     /// The list of known hosts has a fault; the error begins with the key.
     #[error("known.{0}")]
     KnownHosts(#[source] EndpointListError),
@@ -87,7 +85,7 @@
     AfterRules(#[source] serde_json::Error),
     /// The rules for statements do not fit the command groups; the error begins with the key.
     #[error("{0}")]
-    Rules(#[source] KeyError),
+    Rules(#[source] RulesError),
     /// The cache of statement shapes takes too much of the memory limit.
     #[error("cache.kib is more than a quarter of {memory_mb} MB, the limit")]
     CacheTooLarge {
