--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -117,7 +117,7 @@
             None => groups_of(&rules),
         };
         let admission = StatementAdmission::unlimited(rules, &groups, &group_names, random_secret())
-            .map_err(|error| ClassifyError::Rules { rules: self.rules_name(), source: error.into() })?;
+            .map_err(|error| ClassifyError::Rules { rules: self.rules_name(), source: error })?;
         Ok(LineClassifier { admission, group_names, has_rules })
     }
 
