--- a/crates/comethitchd/src/protocols/client_connection.rs
+++ b/crates/comethitchd/src/protocols/client_connection.rs
@@ -1,6 +1,7 @@
-//! A client's connection, whatever is spoken on it: reading while nothing is in hand, waiting while something is,
-//! and how it ends.
+//! A client's connection, whatever protocol is spoken on it: waiting for its requests, noticing that it disconnects
+//! while a command is in progress, admission of its statements, and closing it.
 
+use crate::stages::admit::{AdmissionError, AdmittedCommand, StatementError, StatementRequest, admit};
 use crate::state::arrivals::Arrivals;
 use crate::state::buffer::Buffer;
 use crate::state::client_registry::ConnectionPhase;
@@ -11,288 +12,391 @@
 use crate::wire::MalformedMessage;
 use async_io::{Async, Timer};
 use comethitch_policy::time::Timestamp;
+use comethitch_statement::assign::Arguments;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::future::Future;
 use std::io::{self, Read};
 use std::net::{IpAddr, Shutdown, TcpStream};
+use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Once this much of further commands has come in, no more is read before the answer in hand.
-const FURTHER: usize = 8 * 1024;
-/// While nothing is read, whether the client has gone is looked at this often: what begins a tenth of a second after it
-/// went is too late.
-const LOOK: Duration = Duration::from_millis(25);
-/// What comes behind the last answer on a connection that ends here is read out for this long: closed over unread
-/// bytes it would be reset, and what the client has not read yet lost.
+/// Once this much of further requests is buffered, no more is read while a command is in progress.
+const MAX_PIPELINED_BYTES: usize = 8 * 1024;
+/// While nothing is read, whether the client has disconnected is looked at this often. An attempt that begins a tenth
+/// of a second after the client went is too late.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// What a client still sends behind the last answer of its connection is read and discarded for this long. Closed with
+/// bytes unread, the connection would be reset, and what the client has not read yet lost.
 const LINGER: Duration = Duration::from_millis(60);
-/// A client that has sent this many statements in a row that are no commands is not listened to any more.
-const MOST_REJECTED: u32 = 8;
-
+/// A client that has sent this many invalid statements in a row is disconnected.
+const MAX_REJECTED_IN_ROW: u32 = 8;
+/// A client's connection.
 pub struct ClientConnection {
+    /// The router.
     pub state: Rc<RouterState>,
-    pub stream: Async<TcpStream>,
+    /// What was received and not consumed.
     pub buffer: Buffer,
+    /// The connection's number in the registry of clients.
     pub number: u32,
-    /// The client's machine, as a number: its connections share what it may cost.
-    pub origin: u64,
-    pub notice: Rc<ConnectionSignal>,
-    /// When the last byte came that was taken out of the buffer.
-    pub arrived: Timestamp,
+    /// Asks this connection to close, or cancels its command.
+    pub signal: Rc<ConnectionSignal>,
+    stream: Async<TcpStream>,
+    /// A number for the client's machine, whose connections share one budget for parsing.
+    origin: u64,
+    /// When the last byte arrived that was consumed.
+    arrived: Timestamp,
     arrivals: Arrivals,
     _permit: DescriptorPermit,
-    /// A command was answered here, so that the connection may be closed between two.
-    pub served: bool,
-    /// Statements in a row that were no commands.
-    rejected: u32,
-    /// It was asked to close before the bytes read last: what comes now crosses the close.
-    last_read: bool,
+    /// A command was answered here, so that the connection may be closed while it is idle.
+    has_been_answered: bool,
+    /// Invalid statements since the last command that was answered.
+    rejected_in_row: u32,
+    /// The connection was asked to close before the last bytes were read: they cross the close.
+    closing_at_last_read: bool,
 }
 
-/// Why a client's connection ends here.
+/// Why a client's connection ends.
+#[derive(Debug, thiserror::Error)]
 pub enum Disconnect {
-    ClientLeft,
+    /// The client has closed the connection, or is to be treated as if it had.
+    #[error("the client has disconnected")]
+    ClientGone,
+    /// The router closes the connection while nothing is owed to the client.
+    #[error("closed between two commands")]
     Closing,
-    Lost(&'static str),
-    Io(io::Error),
+    /// The client has broken the protocol.
+    #[error("{0}")]
+    ProtocolViolation(&'static str),
+    /// The connection or its buffer failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
 }
 
 impl From<MalformedMessage> for Disconnect {
     fn from(malformed: MalformedMessage) -> Disconnect {
-        Disconnect::Lost(malformed.0)
+        Disconnect::ProtocolViolation(malformed.0)
     }
 }
 
-impl From<io::Error> for Disconnect {
-    fn from(error: io::Error) -> Disconnect {
-        Disconnect::Io(error)
-    }
+/// The error that a client is told before its connection is closed. Each protocol has its own codes for them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ClosingError {
+    /// The client has broken the protocol.
+    #[error("{0}")]
+    ProtocolViolation(&'static str),
+    /// There is no memory for what the client sends.
+    #[error("no room for this now")]
+    OutOfMemory,
+}
+
+/// What became of a statement that a client wants run.
+pub enum Admission {
+    /// It is a command, to be submitted to the policy.
+    Admitted(AdmittedCommand),
+    /// It must be answered as throttled.
+    Throttled,
+    /// It must be answered with this error.
+    Invalid(StatementError),
 }
 
 impl ClientConnection {
-    /// Enters a client at once: a connection that is unknown yet holds a descriptor all the same.
+    /// Registers a client at once: it holds a descriptor although it has sent nothing yet.
     pub fn new(
-        state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, largest: usize,
+        state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, max_buffer_bytes: usize,
     ) -> ClientConnection {
         let _ = stream.get_ref().set_nodelay(true);
         let arrived = state.now();
-        let (number, notice) = state.clients.register(arrived);
-        let buffer = Buffer::new(largest, &state.memory);
-        let origin = stream.get_ref().peer_addr().map_or(0, |address| match address.ip() {
-            IpAddr::V4(ip) => u64::from(ip.to_bits()),
-            // An IPv6 network of 64 bits is one client's.
-            IpAddr::V6(ip) => (ip.to_bits() >> 64) as u64,
-        });
+        let (number, signal) = state.clients.register(arrived);
+        let buffer = Buffer::new(max_buffer_bytes, &state.memory);
+        let origin = origin_of(&stream);
         ClientConnection {
             state,
-            stream,
             buffer,
             number,
+            signal,
+            stream,
             origin,
-            notice,
             arrived,
             arrivals: Arrivals::default(),
             _permit: permit,
-            served: false,
-            rejected: 0,
-            last_read: false,
+            has_been_answered: false,
+            rejected_in_row: 0,
+            closing_at_last_read: false,
         }
     }
 
-    /// A command was answered.
-    pub fn answered(&mut self) {
-        (self.served, self.rejected) = (true, 0);
+    /// Records that a command was answered.
+    pub fn record_answer(&mut self) {
+        self.has_been_answered = true;
+        self.rejected_in_row = 0;
     }
 
-    /// A statement was no command; an error once it is one too many.
-    pub fn rejected(&mut self, why: &str) -> Result<(), Disconnect> {
+    /// Records an invalid statement.
+    ///
+    /// # Errors
+    /// If there were too many in a row.
+    pub fn record_rejection(&mut self, reason: &str) -> Result<(), Disconnect> {
         self.state.metrics.invalid_requests.increment();
-        log::debug!("client {}: {why}", self.number);
-        self.rejected += 1;
-        match self.rejected >= MOST_REJECTED {
-            true => Err(Disconnect::Lost("too many statements that are no commands")),
-            false => Ok(()),
+        log::debug!("client {}: {reason}", self.number);
+        self.rejected_in_row += 1;
+        if self.rejected_in_row >= MAX_REJECTED_IN_ROW {
+            return Err(Disconnect::ProtocolViolation("too many statements that are no commands"));
         }
+        Ok(())
     }
 
-    /// Ends a client's connection: `told` writes what is said where something was wrong, by code and reason.
-    pub async fn end(mut self, stop: Disconnect, told: impl Fn(&'static str, &'static str) -> Vec<u8>) {
-        match stop {
-            Disconnect::Lost(why) => {
-                self.state.metrics.invalid_requests.increment();
-                self.dismiss(told("08P01", why), why).await;
+    /// Admits the statement that was consumed last, and counts and logs it if it is throttled.
+    ///
+    /// # Errors
+    /// If the client has disconnected: nothing may begin for it any more.
+    pub fn admit(&self, text: &[u8], arguments: &Arguments) -> Result<Admission, Disconnect> {
+        let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
+        let admitted = match admit(&self.state, &request) {
+            Ok(admitted) => admitted,
+            Err(AdmissionError::Invalid(error)) => return Ok(Admission::Invalid(error)),
+            Err(AdmissionError::Throttled) => {
+                self.state.metrics.throttled.increment();
+                self.state.log_rejection("", "statement_budget");
+                return Ok(Admission::Throttled);
             }
-            Disconnect::Io(error) if error.kind() == io::ErrorKind::OutOfMemory => {
-                self.state.metrics.throttled_at_limit.increment();
-                let why = "no room for this now";
-                self.dismiss(told("53300", why), why).await;
-            }
-            Disconnect::Io(error) => log::debug!("client {}: {error}", self.number),
-            // All is answered. What comes now the client sends again: it sees the end first.
-            Disconnect::Closing => self.dismiss(Vec::new(), "closed between two commands").await,
-            Disconnect::ClientLeft => {}
+        };
+        // A hard limit, which the policy has no say in.
+        if self.state.at_command_limit() {
+            self.state.metrics.throttled_at_limit.increment();
+            self.state.log_rejection(&admitted.client_id, "at_limit");
+            return Ok(Admission::Throttled);
         }
-        self.state.clients.unregister(self.number);
+        if self.has_disconnected() {
+            return Err(Disconnect::ClientGone);
+        }
+        Ok(Admission::Admitted(admitted))
+    }
+
+    /// Records that a command of this client is in progress.
+    pub fn set_busy(&self) {
+        self.set_phase(ConnectionPhase::Busy);
+    }
+
+    fn set_phase(&self, phase: ConnectionPhase) {
+        self.state.clients.set_phase(self.number, phase, self.state.clock.now());
     }
 
-    /// Reads more, while nothing of this client is in hand. How long that may take is looked after by the
-    /// sweep of all clients, so that a command costs no timer here.
-    pub async fn more(&mut self) -> Result<(), Disconnect> {
-        self.more_of(true).await
+    /// Waits for more bytes between two messages or within one, while no command is in progress. How long that may take
+    /// is limited by the registry of clients, so that a command needs no timer here.
+    ///
+    /// # Errors
+    /// If the connection ends before more bytes come.
+    pub async fn wait_for_input(&mut self) -> Result<(), Disconnect> {
+        self.wait_for_more(true).await
     }
 
-    /// The same, where `between` tells that nothing of a message was taken out of the buffer.
-    pub async fn more_of(&mut self, between: bool) -> Result<(), Disconnect> {
-        let (empty, clients) = (between && self.buffer.unread().is_empty(), &self.state.clients);
-        let at_rest = empty && self.served;
-        clients.set_phase(
-            self.number,
-            if at_rest { ConnectionPhase::Idle } else { ConnectionPhase::Reading },
-            self.state.clock.now(),
-        );
-        let (stream, notice) = (&self.stream, &self.notice);
-        // A client that sends on and on is not waited for: what crosses the close it sends again.
-        if at_rest && self.last_read {
+    /// Like [`ClientConnection::wait_for_input`], where `between_messages` says whether no part of a message was
+    /// consumed from the buffer yet.
+    ///
+    /// # Errors
+    /// If the connection ends before more bytes come.
+    pub async fn wait_for_more(&mut self, between_messages: bool) -> Result<(), Disconnect> {
+        let nothing_begun = between_messages && self.buffer.unread().is_empty();
+        let is_idle = nothing_begun && self.has_been_answered;
+        self.set_phase(if is_idle { ConnectionPhase::Idle } else { ConnectionPhase::Reading });
+        // A client that keeps sending is not waited for: it sends again what crosses the close.
+        if is_idle && self.closing_at_last_read {
             return Err(Disconnect::Closing);
         }
-        let fill = async { Ok(self.buffer.fill(stream).await?) };
-        let close = async {
-            notice.wait_for_close(if at_rest { CloseRequest::WhenIdle } else { CloseRequest::Now }).await;
-            Err(Disconnect::Closing)
-        };
-        let read = match fill.or(close).await {
-            Err(Disconnect::Closing) if !empty => {
-                return Err(Disconnect::Lost("the rest of a message did not come"));
+        let close_request = if is_idle { CloseRequest::WhenIdle } else { CloseRequest::Now };
+        let length = match self.fill_unless_closed(close_request).await {
+            Err(Disconnect::Closing) if !nothing_begun => {
+                return Err(Disconnect::ProtocolViolation("the rest of a message did not come"));
             }
             // Something came at the last moment.
-            Err(Disconnect::Closing) if self.has_come() => self.buffer.fill(&self.stream).await?,
-            read => read?,
+            Err(Disconnect::Closing) if self.has_waiting_input() => self.buffer.fill(&self.stream).await?,
+            filled => filled?,
         };
-        if read == 0 {
-            return Err(Disconnect::ClientLeft);
+        if length == 0 {
+            return Err(Disconnect::ClientGone);
         }
-        self.has_read(read);
+        self.record_read(length);
         Ok(())
     }
 
-    /// Takes bytes out of the buffer: what they say came in with the last of them.
+    /// Reads once, unless the connection is asked to close before that.
+    async fn fill_unless_closed(&mut self, close_request: CloseRequest) -> Result<usize, Disconnect> {
+        let stream = &self.stream;
+        let signal = &self.signal;
+        let fill = async { Ok(self.buffer.fill(stream).await?) };
+        let close = async {
+            signal.wait_for_close(close_request).await;
+            Err(Disconnect::Closing)
+        };
+        fill.or(close).await
+    }
+
+    /// Consumes bytes of the buffer: the request that they are part of arrived with the last of them.
     pub fn consume(&mut self, length: usize) {
         self.buffer.consume(length);
         self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
     }
 
-    /// So many bytes were read just now.
-    fn has_read(&mut self, length: usize) {
+    fn record_read(&mut self, length: usize) {
         self.arrivals.read(length, self.state.arrival_time());
-        self.last_read = self.notice.close_requested() != CloseRequest::Never;
+        self.closing_at_last_read = self.signal.close_requested() != CloseRequest::Never;
     }
 
-    /// Ends a connection: tells the client why, if there is anything to tell, and ends the sending. What it still sends
-    /// is dropped for a while, and none of it carried out: closed with bytes unread, the connection would be reset, and
-    /// the client might never read its error, or its last answer.
-    async fn dismiss(&mut self, out: Vec<u8>, why: &'static str) {
-        log::debug!("client {}: {why}", self.number);
-        self.state.clients.set_phase(self.number, ConnectionPhase::Closing, self.state.clock.now());
-        let notice = self.notice.clone();
-        let told = async {
-            self.write(&out).await.ok()?;
-            self.stream.get_ref().shutdown(Shutdown::Write).ok()?;
-            self.consume(self.buffer.unread().len());
-            loop {
-                self.stream.readable().await.ok()?;
-                match self.stream.get_ref().read(&mut self.state.discard_buffer.borrow_mut()) {
-                    Ok(length) if length > 0 => {}
-                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                    _ => return None,
-                }
-            }
-        };
-        told.or(async {
-            notice.wait_for_close(CloseRequest::Now).await;
-            after(LINGER, None::<()>).await
-        })
-        .await;
-    }
-
-    /// Whether bytes have come that are not read yet.
-    fn has_come(&self) -> bool {
+    /// Whether bytes wait in the system to be read.
+    fn has_waiting_input(&self) -> bool {
         self.stream.get_ref().peek(&mut [0]).is_ok_and(|length| length > 0)
     }
 
-    /// Whether the client has gone: it closed its connection or its sending, or the connection was reset, also behind
-    /// bytes that are not read yet. Nothing is begun for it any more.
-    pub fn has_left(&self) -> bool {
+    /// Whether the client has closed its connection or its sending half, or the connection was reset; also behind bytes
+    /// that are not read yet.
+    pub fn has_disconnected(&self) -> bool {
         match self.stream.get_ref().peek(&mut [0]) {
             Ok(0) => true,
             Err(error) => error.kind() != io::ErrorKind::WouldBlock,
-            // Behind what is unread only the system sees the end.
-            Ok(_) => {
-                let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-                let mut asked = [PollFd::new(&self.stream, gone)];
-                let found = poll(&mut asked, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
-                found.is_ok_and(|number| number > 0) && asked[0].revents().intersects(gone)
-            }
+            // Behind bytes that are not read only the system sees the end.
+            Ok(_) => self.is_hung_up(),
         }
     }
 
-    /// Waits until the client has gone, and reads nothing; what it sends meanwhile is timed all the same.
-    async fn leaves(&mut self) {
-        while !self.has_left() {
-            self.time_waiting();
-            Timer::after(LOOK).await;
+    fn is_hung_up(&self) -> bool {
+        let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        let mut polled = [PollFd::new(&self.stream, hang_up)];
+        let ready = poll(&mut polled, Some(&Timespec { tv_sec: 0, tv_nsec: 0 }));
+        ready.is_ok_and(|number| number > 0) && polled[0].revents().intersects(hang_up)
+    }
+
+    /// Waits until the client has disconnected, and reads nothing; what it sends meanwhile is timed all the same.
+    async fn wait_for_disconnect(&mut self) {
+        while !self.has_disconnected() {
+            self.record_waiting_input();
+            Timer::after(DISCONNECT_POLL_INTERVAL).await;
         }
     }
 
-    /// Records the bytes that wait in the system to be read: they have come by now.
-    fn time_waiting(&mut self) {
+    /// Records the bytes that wait in the system to be read: they have arrived by now.
+    fn record_waiting_input(&mut self) {
         let waiting = self.stream.get_ref().peek(&mut self.state.discard_buffer.borrow_mut());
         self.arrivals.waiting(waiting.unwrap_or(0), self.state.arrival_time());
     }
 
-    /// Waits for something, and notices if the client goes away before it.
-    pub async fn while_here<T>(&mut self, event: impl Future<Output = T>) -> Result<T, Disconnect> {
-        // Without interruptions something comes, or the client leaves.
-        self.unless(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Disconnect::ClientLeft)
+    /// Waits for an event.
+    ///
+    /// # Errors
+    /// [`Disconnect::ClientGone`] if the client disconnects before it.
+    pub async fn wait_while_connected<T>(&mut self, event: impl Future<Output = T>) -> Result<T, Disconnect> {
+        // Without interruptions the event comes, or the client disconnects.
+        self.wait_until_interrupted(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Disconnect::ClientGone)
     }
 
-    /// The same, up to what the client sends meanwhile is an interruption, if it can send any; then nothing has come.
-    pub async fn unless<T>(
-        &mut self, event: impl Future<Output = T>, interrupts: Option<impl Fn(&[u8]) -> bool>,
+    /// Waits for an event, or returns none once what the client sends meanwhile is an interruption. Without a test for
+    /// interruptions it can send none.
+    ///
+    /// # Errors
+    /// [`Disconnect::ClientGone`] if the client disconnects before either.
+    pub async fn wait_until_interrupted<T>(
+        &mut self, event: impl Future<Output = T>, is_interruption: Option<impl Fn(&[u8]) -> bool>,
     ) -> Result<Option<T>, Disconnect> {
-        let mut event = std::pin::pin!(event);
-        let mut no_room = false;
+        let mut event = pin!(event);
+        let mut out_of_memory = false;
         loop {
-            // Enough has come; or a router that stops answers what it has read, and reads no more commands.
-            let enough =
-                no_room || self.buffer.unread().len() >= FURTHER || self.last_read && interrupts.is_none();
-            let come = async { Ok(event.as_mut().await) };
-            let read = async {
-                if enough {
-                    self.leaves().await;
-                    return Err(Ok(0));
-                }
-                Err(self.buffer.fill(&self.stream).await)
-            };
-            match come.or(read).await {
-                Ok(come) => return Ok(Some(come)),
+            // A router that stops answers what it has read, and reads no more commands.
+            let no_more_commands = self.closing_at_last_read && is_interruption.is_none();
+            let is_full = self.buffer.unread().len() >= MAX_PIPELINED_BYTES;
+            let may_read = !out_of_memory && !is_full && !no_more_commands;
+            let event_came = async { Ok(event.as_mut().await) };
+            let input_came = async { Err(self.read_or_wait_for_disconnect(may_read).await) };
+            match event_came.or(input_came).await {
+                Ok(value) => return Ok(Some(value)),
                 Err(Ok(length)) if length > 0 => {
-                    self.has_read(length);
-                    if interrupts.as_ref().is_some_and(|interrupts| interrupts(self.buffer.unread())) {
+                    self.record_read(length);
+                    if is_interruption.as_ref().is_some_and(|test| test(self.buffer.unread())) {
                         return Ok(None);
                     }
                 }
-                // No room to read what comes next is no reason to give up what is in hand.
-                Err(Err(error)) if error.kind() == io::ErrorKind::OutOfMemory => no_room = true,
-                Err(_) => return Err(Disconnect::ClientLeft),
+                // That there is no memory to read what comes next is no reason to give up the command in progress.
+                Err(Err(error)) if error.kind() == io::ErrorKind::OutOfMemory => out_of_memory = true,
+                Err(_) => return Err(Disconnect::ClientGone),
             }
         }
     }
 
-    /// Writes within the longest time that a client waits.
+    /// Reads once, or waits without reading; 0 once the client has disconnected.
+    async fn read_or_wait_for_disconnect(&mut self, may_read: bool) -> io::Result<usize> {
+        if !may_read {
+            self.wait_for_disconnect().await;
+            return Ok(0);
+        }
+        self.buffer.fill(&self.stream).await
+    }
+
+    /// Writes all of the bytes, within the longest time that any client waits.
+    ///
+    /// # Errors
+    /// If the connection breaks, or the time runs out.
     pub async fn write(&self, bytes: &[u8]) -> Result<(), Disconnect> {
         let mut stream = &self.stream;
-        let late = Err(io::ErrorKind::TimedOut.into());
-        Ok(stream.write_all(bytes).or(after(self.state.longest_timeout.to_std(), late)).await?)
+        let timed_out = Err(io::ErrorKind::TimedOut.into());
+        let limit = self.state.longest_timeout.to_std();
+        Ok(stream.write_all(bytes).or(after(limit, timed_out)).await?)
     }
+
+    /// Ends the connection. `encode` gives the protocol's message for an error that the client is told.
+    pub async fn close(mut self, disconnect: Disconnect, encode: impl Fn(ClosingError) -> Vec<u8>) {
+        match disconnect {
+            Disconnect::ProtocolViolation(message) => {
+                self.state.metrics.invalid_requests.increment();
+                let error = ClosingError::ProtocolViolation(message);
+                self.close_gracefully(encode(error), &error.to_string()).await;
+            }
+            Disconnect::Io(error) if error.kind() == io::ErrorKind::OutOfMemory => {
+                self.state.metrics.throttled_at_limit.increment();
+                let error = ClosingError::OutOfMemory;
+                self.close_gracefully(encode(error), &error.to_string()).await;
+            }
+            Disconnect::Io(error) => log::debug!("client {}: {error}", self.number),
+            // All is answered. The client sees the end of the stream, and sends again what comes now.
+            Disconnect::Closing => self.close_gracefully(Vec::new(), "closed between two commands").await,
+            Disconnect::ClientGone => {}
+        }
+        self.state.clients.unregister(self.number);
+    }
+
+    /// Sends the last bytes, if there are any, and shuts the sending half down. What the client still sends is discarded
+    /// for a while and none of it carried out: closed with bytes unread, the connection would be reset, and the client
+    /// might never read its error, or its last answer.
+    async fn close_gracefully(&mut self, last_bytes: Vec<u8>, reason: &str) {
+        log::debug!("client {}: {reason}", self.number);
+        self.set_phase(ConnectionPhase::Closing);
+        let signal = self.signal.clone();
+        let linger = async {
+            signal.wait_for_close(CloseRequest::Now).await;
+            after(LINGER, None::<()>).await
+        };
+        self.send_and_discard(&last_bytes).or(linger).await;
+    }
+
+    /// Sends the last bytes, and discards input up to the end of the stream; none then, or if the connection breaks.
+    async fn send_and_discard(&mut self, last_bytes: &[u8]) -> Option<()> {
+        self.write(last_bytes).await.ok()?;
+        self.stream.get_ref().shutdown(Shutdown::Write).ok()?;
+        self.consume(self.buffer.unread().len());
+        loop {
+            self.stream.readable().await.ok()?;
+            match self.stream.get_ref().read(&mut self.state.discard_buffer.borrow_mut()) {
+                Ok(length) if length > 0 => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                _ => return None,
+            }
+        }
+    }
+}
+
+/// A number for the client's machine. An IPv6 network of 64 bits is taken for one client's.
+fn origin_of(stream: &Async<TcpStream>) -> u64 {
+    stream.get_ref().peer_addr().map_or(0, |address| match address.ip() {
+        IpAddr::V4(ip) => u64::from(ip.to_bits()),
+        IpAddr::V6(ip) => (ip.to_bits() >> 64) as u64,
+    })
 }
--- /dev/null
+++ b/crates/comethitchd/src/protocols/connect.rs
@@ -0,0 +1,67 @@
+//! Opens connections to hosts.
+
+use crate::state::buffer::Buffer;
+use crate::state::clock::after;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::host_connection::{ConnectionError, HostConnection, SessionState};
+use crate::state::router_state::RouterState;
+use async_io::{Async, Timer};
+use futures_lite::FutureExt;
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+/// While no descriptor is free, a connection waits this long before it looks again.
+const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// What a protocol needs of a new connection.
+pub struct ConnectionOptions {
+    /// The most bytes that the connection's buffer may hold.
+    pub max_buffer_bytes: usize,
+    /// The state of a session on which nothing was sent yet.
+    pub session: SessionState,
+}
+
+/// Connects to a host and has the protocol's handshake carried out, all within the configured time. What breaks until
+/// then is known never to have run.
+///
+/// # Errors
+/// [`ConnectionError::NotSent`] if no descriptor became free, the handshake's error, or else
+/// [`ConnectionError::ConnectFailed`].
+pub async fn connect(
+    state: &RouterState, address: SocketAddr, options: ConnectionOptions,
+    handshake: impl AsyncFnOnce(&mut HostConnection) -> Result<(), ConnectionError>,
+) -> Result<HostConnection, ConnectionError> {
+    let limit = state.config.deployment.connect_timeout.to_std();
+    let permit = acquire_descriptor(state).await?;
+    let open = async {
+        let stream =
+            Async::<TcpStream>::connect(address).await.map_err(|_| ConnectionError::ConnectFailed)?;
+        state.metrics.connections_opened.increment();
+        let _ = stream.get_ref().set_nodelay(true);
+        let mut connection = HostConnection {
+            stream,
+            buffer: Buffer::new(options.max_buffer_bytes, &state.memory),
+            address,
+            idle_since: state.clock.now(),
+            session: options.session,
+            permit,
+        };
+        handshake(&mut connection).await?;
+        Ok(connection)
+    };
+    open.or(after(limit, Err(ConnectionError::ConnectFailed))).await
+}
+
+/// Waits for a free descriptor, no longer than a connection may take to open.
+async fn acquire_descriptor(state: &RouterState) -> Result<DescriptorPermit, ConnectionError> {
+    let permit = async {
+        loop {
+            if let Some(permit) = state.acquire_host_descriptor() {
+                return Ok(permit);
+            }
+            Timer::after(DESCRIPTOR_POLL_INTERVAL).await;
+        }
+    };
+    let limit = state.config.deployment.connect_timeout.to_std();
+    permit.or(after(limit, Err(ConnectionError::NotSent))).await
+}
--- /dev/null
+++ b/crates/comethitchd/src/protocols/exchange.rs
@@ -0,0 +1,195 @@
+//! One request to a host and its response: takes a connection from the pool or opens one, sends the request, reads the
+//! response within its timeout, and returns the connection to the pool.
+//!
+//! What the bytes mean is the protocol's: it encodes the request, and implements [`Response`].
+
+use crate::protocols::attempt::Attempt;
+use crate::protocols::streamed_answer::StreamedAnswer;
+use crate::state::buffer::Buffer;
+use crate::state::host_connection::{ConnectionError, HostConnection};
+use crate::state::router_state::RouterState;
+use async_io::Timer;
+use comethitch_policy::Host;
+use comethitch_policy::time::Duration;
+use futures_lite::{AsyncWriteExt, FutureExt};
+use std::cell::Cell;
+use std::future::Future;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+
+/// One request and its response, of an attempt or a health check.
+pub struct Exchange<'a> {
+    /// The router.
+    pub state: &'a RouterState,
+    host: Host,
+    timeout: Duration,
+    /// None for a health check.
+    attempt: Option<&'a Attempt>,
+    /// All of the request was written.
+    sent: Cell<bool>,
+}
+
+impl<'a> Exchange<'a> {
+    /// The exchange of an attempt, within the attempt's timeout.
+    pub fn for_attempt(attempt: &'a Attempt) -> Exchange<'a> {
+        Exchange {
+            state: &attempt.state,
+            host: attempt.host,
+            timeout: attempt.timeout,
+            attempt: Some(attempt),
+            sent: Cell::new(false),
+        }
+    }
+
+    /// The exchange of a health check, which may take no longer than opening a connection.
+    pub fn for_health_check(state: &'a RouterState, host: Host) -> Exchange<'a> {
+        let timeout = state.config.deployment.connect_timeout;
+        Exchange { state, host, timeout, attempt: None, sent: Cell::new(false) }
+    }
+
+    /// Where a large answer goes while it still comes. The answer to a health check is never streamed.
+    pub fn streamed_answer(&self) -> Option<&'a StreamedAnswer> {
+        self.attempt.map(|attempt| &attempt.streamed_answer)
+    }
+
+    /// Runs the exchange within its timeout. An answer that is being streamed may take longer, as long as it makes
+    /// progress.
+    ///
+    /// # Errors
+    /// The exchange's own, or one that says whether the request was sent before the time ran out.
+    pub async fn within_timeout<T>(
+        &self, exchange: impl Future<Output = Result<T, ConnectionError>>,
+    ) -> Result<T, ConnectionError> {
+        let timeout = async {
+            Timer::after(self.timeout.to_std()).await;
+            if let Some(streamed) = self.streamed_answer() {
+                streamed.wait_until_stalled(self.state.longest_timeout.to_std()).await;
+            }
+            if self.sent.get() {
+                return Err(ConnectionError::TimedOut);
+            }
+            Err(ConnectionError::BrokenBeforeSend)
+        };
+        exchange.or(timeout).await
+    }
+
+    /// Sends the request that `encode` gives for a connection, an idle one or one that `connect` opens, and returns the
+    /// connection.
+    ///
+    /// # Errors
+    /// If the request could not be sent, or the policy no longer wants it sent once a connection was there.
+    pub async fn send(
+        &self, connect: impl AsyncFn(SocketAddr) -> Result<HostConnection, ConnectionError>,
+        encode: impl Fn(&HostConnection) -> Vec<u8>,
+    ) -> Result<HostConnection, ConnectionError> {
+        let address = self.state.endpoints.borrow().address(self.host).ok_or(ConnectionError::NotSent)?;
+        loop {
+            let idle = self.state.pool.borrow_mut().take(self.host, address, self.state.clock.now());
+            let is_new = idle.is_none();
+            let connection = match idle {
+                Some(idle) => idle,
+                None => connect(address).await.inspect_err(|error| self.record_connect_error(error))?,
+            };
+            if !self.may_still_send() {
+                self.release(connection);
+                return Err(ConnectionError::NotSent);
+            }
+            let request = encode(&connection);
+            match (&connection.stream).write_all(&request).await {
+                Ok(()) => {
+                    self.sent.set(true);
+                    return Ok(connection);
+                }
+                // The host had closed an idle connection: nothing of this has run, another one will do.
+                Err(_) if !is_new => {}
+                Err(_) => return Err(ConnectionError::BrokenBeforeSend),
+            }
+        }
+    }
+
+    fn may_still_send(&self) -> bool {
+        self.attempt.is_none_or(Attempt::may_still_send)
+    }
+
+    fn record_connect_error(&self, error: &ConnectionError) {
+        if *error == ConnectionError::NoConnectionSlot {
+            self.state.pool.borrow_mut().record_no_slot(self.state.clock.now());
+        }
+    }
+
+    /// Returns a connection to the pool, if the host is still listed at its address and nothing is left to read.
+    pub fn release(&self, connection: HostConnection) {
+        let is_listed = self.state.endpoints.borrow().is_listed_at(self.host, connection.address);
+        if is_listed && connection.buffer.unread().is_empty() {
+            self.state.pool.borrow_mut().put(self.host, connection, self.state.clock.now());
+        }
+    }
+}
+
+/// How far a response has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ResponseProgress {
+    /// More bytes must be received.
+    NeedsMore,
+    /// There is enough for a part to be sent to the client.
+    PartReady,
+    /// The host has ended the response.
+    Ended,
+}
+
+/// A host's response as a protocol reads it.
+pub trait Response {
+    /// Consumes what the buffer holds of the response, up to its end or, if it is streamed, up to a part.
+    ///
+    /// # Errors
+    /// If the host breaks the protocol, or the response is too large.
+    fn read_buffered(
+        &mut self, buffer: &mut Buffer, is_streamed: bool,
+    ) -> Result<ResponseProgress, ConnectionError>;
+
+    /// Takes out what has come and may go to the client.
+    fn take_part(&mut self) -> Vec<u8>;
+}
+
+/// How the reading of a response ended, while it is still wanted.
+pub type ResponseEnd = Result<(), ConnectionError>;
+
+/// Reads a response to its end, and streams its parts to the client where it has one.
+///
+/// # Errors
+/// If the client does not want the answer any more. That the host fails is no error here but the returned end: what
+/// has come of the response may count.
+pub async fn read_response(
+    connection: &mut HostConnection, response: &mut impl Response, streamed: Option<&StreamedAnswer>,
+) -> Result<ResponseEnd, ConnectionError> {
+    loop {
+        let progress = match response.read_buffered(&mut connection.buffer, streamed.is_some()) {
+            Ok(progress) => progress,
+            Err(error) => return Ok(Err(error)),
+        };
+        match progress {
+            ResponseProgress::Ended => return Ok(Ok(())),
+            ResponseProgress::PartReady => {
+                let part = response.take_part();
+                if let Some(streamed) = streamed {
+                    streamed.send_part(part).await?;
+                }
+            }
+            ResponseProgress::NeedsMore => {
+                if let Err(error) = receive(connection).await {
+                    return Ok(Err(error));
+                }
+            }
+        }
+    }
+}
+
+/// Receives more bytes into the connection's buffer.
+async fn receive(connection: &mut HostConnection) -> Result<(), ConnectionError> {
+    match connection.buffer.fill(&connection.stream).await {
+        Ok(1..) => Ok(()),
+        // That the router is out of memory is not the host's fault.
+        Err(error) if error.kind() == ErrorKind::OutOfMemory => Err(ConnectionError::TooLarge),
+        Ok(0) | Err(_) => Err(ConnectionError::BrokenAfterSend),
+    }
+}
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -1,12 +1,14 @@
-//! First stage: a client's connection, from its startup message to its end.
+//! A PostgreSQL client's session, from its startup message to its end.
+//!
+//! Only simple queries are supported; messages of the extended query protocol are answered with an error.
 
-use crate::protocols::client_connection::{ClientConnection, Disconnect};
-use crate::stages::admit::{AdmissionError, StatementRequest};
-use crate::stages::{admit, policy_driver};
-use crate::state::client_registry::ConnectionPhase;
+use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
+use crate::stages::admit::{AdmittedCommand, session_statement};
+use crate::stages::policy_driver;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::pending_commands::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
+use crate::wire::postgres::message_type::frontend;
 use crate::wire::postgres::{self, ErrorFields, MAX_MESSAGE_BYTES, StartupRequest};
 use async_channel::Receiver;
 use async_io::Async;
@@ -15,107 +17,218 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-struct Client {
+/// The answer to a request for encryption: it is not supported.
+const ENCRYPTION_DECLINED: &[u8] = b"N";
+
+/// The SQLSTATEs that clients are answered with.
+mod sqlstate {
+    /// protocol_violation.
+    pub const PROTOCOL_VIOLATION: &str = "08P01";
+    /// feature_not_supported.
+    pub const NOT_SUPPORTED: &str = "0A000";
+    /// statement_completion_unknown: the command has failed, and may have run.
+    pub const FAILED: &str = "40003";
+    /// too_many_connections: throttled, nothing has run.
+    pub const THROTTLED: &str = "53300";
+    /// query_canceled.
+    pub const CANCELLED: &str = "57014";
+}
+
+struct Session {
     connection: ClientConnection,
-    /// A message that is not spoken here was met: all is skipped up to the next Sync.
-    skipping: bool,
+    /// A message that is not supported came: all messages up to the next Sync are skipped.
+    skips_to_sync: bool,
 }
 
-/// Serves a client.
+/// Serves a client. It is registered by this call, before the first poll.
 pub fn serve(
     state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
-    let line = ClientConnection::new(state, stream, permit, MAX_MESSAGE_BYTES + 1);
-    run(Client { connection: line, skipping: false })
+    let connection = ClientConnection::new(state, stream, permit, MAX_MESSAGE_BYTES + 1);
+    run(Session { connection, skips_to_sync: false })
 }
 
-async fn run(mut client: Client) {
-    let stop = match client.open().await {
-        Ok(()) => client.converse().await,
-        Err(stop) => stop,
+async fn run(mut session: Session) {
+    let disconnect = match session.start().await {
+        Ok(()) => session.converse().await,
+        Err(disconnect) => disconnect,
     };
-    let told = |code, why| {
-        let mut out = Vec::new();
-        postgres::put_error(&mut out, &ErrorFields::fatal(code, why));
-        out
+    session.connection.close(disconnect, encode_closing_error).await;
+}
+
+fn encode_closing_error(error: ClosingError) -> Vec<u8> {
+    let code = match error {
+        ClosingError::ProtocolViolation(_) => sqlstate::PROTOCOL_VIOLATION,
+        ClosingError::OutOfMemory => sqlstate::THROTTLED,
     };
-    client.connection.end(stop, told).await;
+    let mut out = Vec::new();
+    postgres::put_error(&mut out, &ErrorFields::fatal(code, &error.to_string()));
+    out
 }
 
-impl Client {
-    async fn open(&mut self) -> Result<(), Disconnect> {
+impl Session {
+    /// Carries out the startup, or a request to cancel another session's command.
+    async fn start(&mut self) -> Result<(), Disconnect> {
         loop {
-            match postgres::startup_request(self.connection.buffer.unread())? {
-                None => self.connection.more().await?,
-                Some((StartupRequest::Cancel, length)) => {
-                    // As the protocol has it, whoever asks learns nothing of what comes of it.
-                    if let Some(target) = postgres::cancel_target(&self.connection.buffer.unread()[..length])
-                    {
-                        self.connection.state.clients.cancel_command(target.connection, target.key);
-                    }
-                    return Err(Disconnect::ClientLeft);
+            let unread = self.connection.buffer.unread();
+            let Some((request, length)) = postgres::startup_request(unread)? else {
+                self.connection.wait_for_input().await?;
+                continue;
+            };
+            match request {
+                StartupRequest::Cancel => {
+                    self.cancel_command(length);
+                    return Err(Disconnect::ClientGone);
                 }
-                Some((StartupRequest::Encryption, length)) => {
+                StartupRequest::Encryption => {
                     self.connection.consume(length);
-                    self.connection.write(b"N").await?;
+                    self.connection.write(ENCRYPTION_DECLINED).await?;
                 }
-                Some((StartupRequest::Startup { minor }, length)) => {
+                StartupRequest::Startup { minor } => {
                     self.connection.consume(length);
-                    let mut out = Vec::new();
-                    postgres::put_welcome(
-                        &mut out,
-                        minor,
-                        self.connection.number,
-                        self.connection.notice.cancel_key,
-                    );
-                    return self.connection.write(&out).await;
+                    return self.welcome(minor).await;
                 }
             }
         }
     }
 
+    /// Cancels another session's command. By the protocol, whoever requests it is not told of the result.
+    fn cancel_command(&self, length: usize) {
+        let request = &self.connection.buffer.unread()[..length];
+        if let Some(target) = postgres::cancel_target(request) {
+            self.connection.state.clients.cancel_command(target.connection, target.key);
+        }
+    }
+
+    async fn welcome(&self, minor_version: u16) -> Result<(), Disconnect> {
+        let mut out = Vec::new();
+        let cancel_key = self.connection.signal.cancel_key;
+        postgres::put_welcome(&mut out, minor_version, self.connection.number, cancel_key);
+        self.connection.write(&out).await
+    }
+
     async fn converse(&mut self) -> Disconnect {
         loop {
-            if let Err(stop) = self.message().await {
-                return stop;
+            if let Err(disconnect) = self.handle_message().await {
+                return disconnect;
             }
         }
     }
 
-    async fn message(&mut self) -> Result<(), Disconnect> {
+    /// Handles the next message, or waits for more of it.
+    async fn handle_message(&mut self) -> Result<(), Disconnect> {
         let Some(message) = postgres::message(self.connection.buffer.unread())? else {
-            return self.connection.more().await;
+            return self.connection.wait_for_input().await;
         };
         let length = message.raw.len();
+        let kind = message.kind;
+        if kind == frontend::QUERY {
+            let text = postgres::query_text(message.body)?.to_vec();
+            self.connection.consume(length);
+            if self.skips_to_sync {
+                return Ok(());
+            }
+            return self.query(text).await;
+        }
+        let reply = self.reply_to(kind)?;
+        self.connection.consume(length);
+        if reply.is_empty() {
+            return Ok(());
+        }
+        self.connection.write(&reply).await
+    }
+
+    /// The reply to a message that is no query, empty if there is none.
+    fn reply_to(&mut self, kind: u8) -> Result<Vec<u8>, Disconnect> {
         let mut out = Vec::new();
-        let query = match message.kind {
-            b'Q' => Some(postgres::query_text(message.body)?.to_vec()),
-            b'X' => return Err(Disconnect::ClientLeft),
-            b'S' => {
-                self.skipping = false;
+        match kind {
+            frontend::TERMINATE => return Err(Disconnect::ClientGone),
+            frontend::SYNC => {
+                self.skips_to_sync = false;
                 postgres::put_ready_for_query(&mut out);
-                None
             }
-            b'P' | b'B' | b'D' | b'E' | b'C' | b'F' => {
-                if !std::mem::replace(&mut self.skipping, true) {
+            frontend::PARSE
+            | frontend::BIND
+            | frontend::DESCRIBE
+            | frontend::EXECUTE
+            | frontend::CLOSE
+            | frontend::FUNCTION_CALL => {
+                // One error for all messages up to the next Sync.
+                if !self.skips_to_sync {
                     let text = "only simple queries are spoken here";
-                    postgres::put_error(&mut out, &ErrorFields::error("0A000", text));
+                    postgres::put_error(&mut out, &ErrorFields::error(sqlstate::NOT_SUPPORTED, text));
                 }
-                None
+                self.skips_to_sync = true;
             }
-            b'H' | b'd' | b'c' | b'f' => None,
-            _ => return Err(Disconnect::Lost("a message of unknown type")),
+            frontend::FLUSH | frontend::COPY_DATA | frontend::COPY_DONE | frontend::COPY_FAIL => {}
+            _ => return Err(Disconnect::ProtocolViolation("a message of unknown type")),
+        }
+        Ok(out)
+    }
+
+    /// Answers a query.
+    async fn query(&mut self, text: Vec<u8>) -> Result<(), Disconnect> {
+        let mut out = Vec::new();
+        if is_empty_query(&text) {
+            let state = self.connection.state.clone();
+            self.connection.wait_while_connected(state.ready.wait()).await?;
+            postgres::put_empty_query(&mut out);
+        } else if let Some(tag) = session_statement(&self.connection.state, &text) {
+            postgres::put_command_complete(&mut out, tag);
+        } else {
+            self.run_statement(text, &mut out).await?;
+        }
+        postgres::put_ready_for_query(&mut out);
+        self.connection.write(&out).await
+    }
+
+    /// Runs a statement as a command, if it is admitted, and writes its answer to `out`.
+    async fn run_statement(&mut self, text: Vec<u8>, out: &mut Vec<u8>) -> Result<(), Disconnect> {
+        match self.connection.admit(&text, &[])? {
+            Admission::Admitted(command) => self.run_command(command, text, out).await?,
+            Admission::Throttled => put_reply(out, Reply::Throttled(None)),
+            Admission::Invalid(error) => {
+                let text = error.to_string();
+                self.connection.record_rejection(&text)?;
+                postgres::put_error(out, &ErrorFields::error(error.sqlstate(), &text));
+            }
+        }
+        Ok(())
+    }
+
+    async fn run_command(
+        &mut self, command: AdmittedCommand, text: Vec<u8>, out: &mut Vec<u8>,
+    ) -> Result<(), Disconnect> {
+        self.connection.set_busy();
+        let signal = self.connection.signal.clone();
+        signal.reset_cancel();
+        let state = self.connection.state.clone();
+        let (id, reply) = policy_driver::submit(&state, command, text, frontend::QUERY);
+        let cancelled = async {
+            signal.wait_for_cancel().await;
+            Ok(Reply::Cancelled)
         };
-        self.connection.consume(length);
-        match query.filter(|_| !self.skipping) {
-            Some(text) => self.query(text, out).await,
-            None if out.is_empty() => Ok(()),
-            None => self.connection.write(&out).await,
+        match self.connection.wait_while_connected(reply.recv().or(cancelled)).await {
+            Ok(Ok(Reply::Streaming(first, parts))) => self.stream_value(&first, &parts).await?,
+            Ok(Ok(reply)) => {
+                if matches!(reply, Reply::Cancelled) {
+                    policy_driver::client_disconnected(&state, id);
+                }
+                put_reply(out, reply);
+            }
+            _ => {
+                policy_driver::client_disconnected(&state, id);
+                return Err(Disconnect::ClientGone);
+            }
         }
+        self.connection.record_answer();
+        Ok(())
     }
 
-    /// Passes the parts of a large value on; without an end the connection's own tells that it is not whole.
-    async fn pass_on(&self, parts: &Receiver<ValuePart>) -> Result<(), Disconnect> {
+    /// Forwards a large value part by part. If its end does not come, closing the connection tells the client that the
+    /// value is not complete.
+    async fn stream_value(&self, first: &[u8], parts: &Receiver<ValuePart>) -> Result<(), Disconnect> {
+        self.connection.write(first).await?;
         while let Ok(part) = parts.recv().await {
             match part {
                 ValuePart::Bytes(bytes) => self.connection.write(&bytes).await?,
@@ -124,106 +237,33 @@
         }
         Err(Disconnect::Closing)
     }
+}
 
-    async fn query(&mut self, text: Vec<u8>, mut out: Vec<u8>) -> Result<(), Disconnect> {
-        if text.iter().all(|b| b.is_ascii_whitespace() || *b == b';') {
-            let state = self.connection.state.clone();
-            self.connection.while_here(state.ready.wait()).await?;
-            postgres::put_empty_query(&mut out);
-        } else if let Some(tag) = admit::session_statement(&self.connection.state, &text) {
-            postgres::put_command_complete(&mut out, tag);
-        } else {
-            let asked = StatementRequest {
-                text: &text,
-                arguments: &[],
-                arrived: self.connection.arrived,
-                origin: self.connection.origin,
-            };
-            match admit::admit(&self.connection.state, &asked) {
-                // A hard limit: no decision is asked for.
-                Ok(admitted) if self.connection.state.at_command_limit() => {
-                    self.connection.state.metrics.throttled_at_limit.increment();
-                    self.connection.state.log_rejection(&admitted.client_id, "at_limit");
-                    put_reply(&mut out, Reply::Throttled(None));
-                }
-                // It went while its statement waited to be read: nothing begins for it.
-                Ok(_) if self.connection.has_left() => return Err(Disconnect::ClientLeft),
-                Ok(admitted) => {
-                    self.connection.state.clients.set_phase(
-                        self.connection.number,
-                        ConnectionPhase::Busy,
-                        self.connection.state.clock.now(),
-                    );
-                    let notice = self.connection.notice.clone();
-                    notice.reset_cancel();
-                    let (id, reply) = policy_driver::submit(&self.connection.state, admitted, text, b'Q');
-                    let cancelled = async {
-                        notice.wait_for_cancel().await;
-                        Ok(Reply::Cancelled)
-                    };
-                    match self.connection.while_here(reply.recv().or(cancelled)).await {
-                        Ok(Ok(Reply::Cancelled)) => {
-                            policy_driver::client_disconnected(&self.connection.state, id);
-                            put_reply(&mut out, Reply::Cancelled);
-                            self.connection.answered();
-                        }
-                        Ok(Ok(Reply::Streaming(first, parts))) => {
-                            out.extend(first);
-                            self.connection.write(&out).await?;
-                            out.clear();
-                            self.pass_on(&parts).await?;
-                            self.connection.answered();
-                        }
-                        Ok(Ok(reply)) => {
-                            put_reply(&mut out, reply);
-                            self.connection.answered();
-                        }
-                        _ => {
-                            policy_driver::client_disconnected(&self.connection.state, id);
-                            return Err(Disconnect::ClientLeft);
-                        }
-                    }
-                }
-                Err(AdmissionError::Throttled) => {
-                    self.connection.state.metrics.throttled.increment();
-                    self.connection.state.log_rejection("", "statement_budget");
-                    put_reply(&mut out, Reply::Throttled(None));
-                }
-                Err(AdmissionError::Invalid(error)) => {
-                    let text = error.to_string();
-                    self.connection.rejected(&text)?;
-                    postgres::put_error(&mut out, &ErrorFields::error(error.sqlstate(), &text));
-                }
-            }
-        }
-        postgres::put_ready_for_query(&mut out);
-        self.connection.write(&out).await
-    }
+fn is_empty_query(text: &[u8]) -> bool {
+    text.iter().all(|b| b.is_ascii_whitespace() || *b == b';')
 }
 
-/// The answer as the client reads it, short of ReadyForQuery.
+/// Writes a command's answer, short of ReadyForQuery.
 fn put_reply(out: &mut Vec<u8>, reply: Reply) {
     match reply {
         Reply::Value(value) if out.is_empty() => *out = value,
         Reply::Value(value) => out.extend(value),
-        // Passed on part by part before it comes here.
+        // Its parts are forwarded before it comes here.
         Reply::Streaming(first, _) => out.extend(first),
         Reply::FailedWithHostError(error) => out.extend(error),
         Reply::Cancelled => {
             let text = "cancelled by its client; nothing is known of its effect";
-            postgres::put_error(out, &ErrorFields::error("57014", text));
+            postgres::put_error(out, &ErrorFields::error(sqlstate::CANCELLED, text));
         }
         Reply::Throttled(retry_after) => {
-            let advice = retry_after.map(|after| after.as_micros().div_ceil(1_000).to_string());
-            let error = ErrorFields {
-                detail: advice.as_deref(),
-                ..ErrorFields::error("53300", "not now; trying again is harmless")
-            };
-            postgres::put_error(out, &error);
+            let retry_after_ms = retry_after.map(|after| after.as_micros().div_ceil(1_000).to_string());
+            let text = "not now; trying again is harmless";
+            let error = ErrorFields::error(sqlstate::THROTTLED, text);
+            postgres::put_error(out, &ErrorFields { detail: retry_after_ms.as_deref(), ..error });
         }
         Reply::Failed => {
             let text = "failed; nothing is known of its effect";
-            postgres::put_error(out, &ErrorFields::error("40003", text));
+            postgres::put_error(out, &ErrorFields::error(sqlstate::FAILED, text));
         }
     }
 }
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -25,12 +25,12 @@
 
 impl BackendProtocol for Postgres {
     fn send_attempt(
-        &self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
+        &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
     ) -> Option<u16> {
-        backend::start(state, id, host, time_out)
+        backend::start_attempt(state, id, host, timeout)
     }
 
     fn check_health(&self, state: &Rc<RouterState>, host: Host) {
-        backend::probe(state, host);
+        backend::start_health_check(state, host);
     }
 }
--- /dev/null
+++ b/crates/comethitchd/src/protocols/streamed_answer.rs
@@ -0,0 +1,101 @@
+//! Streaming of large answers: past a threshold, the parts of an answer go to the client while the rest still comes
+//! from the host, each once the part before it is written. Memory stays bounded however large the answer is and however
+//! slow its client.
+//!
+//! The first part is the command's final answer: the policy is told that the command was answered, and no other attempt
+//! is sent for it. If the host fails midway, the client's connection is closed.
+
+use crate::stages::{policy_driver, reply};
+use crate::state::host_connection::ConnectionError;
+use crate::state::pending_commands::{Reply, ValuePart};
+use crate::state::router_state::RouterState;
+use async_channel::{Sender, bounded};
+use async_io::Timer;
+use comethitch_policy::CommandId;
+use comethitch_policy::time::Timestamp;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// An answer of fewer bytes is not streamed: until it is complete, another host may still answer in its place.
+pub const STREAMING_THRESHOLD_BYTES: usize = 256 * 1024;
+
+/// The answer to one attempt, streamed if it becomes large.
+pub struct StreamedAnswer {
+    state: Rc<RouterState>,
+    command: CommandId,
+    attempt: u16,
+    /// Where further parts go, once the first one is sent.
+    parts: RefCell<Option<Sender<ValuePart>>>,
+    last_progress: Cell<Timestamp>,
+}
+
+impl StreamedAnswer {
+    /// The answer to this attempt, of which nothing is sent yet.
+    pub fn new(state: &Rc<RouterState>, command: CommandId, attempt: u16) -> StreamedAnswer {
+        StreamedAnswer {
+            state: state.clone(),
+            command,
+            attempt,
+            parts: RefCell::default(),
+            last_progress: Cell::new(state.clock.now()),
+        }
+    }
+
+    /// Whether the first part was sent.
+    pub fn has_started(&self) -> bool {
+        self.parts.borrow().is_some()
+    }
+
+    /// Sends a part to the client, once the part before it is written.
+    ///
+    /// # Errors
+    /// [`ConnectionError::Cancelled`] if the command has another answer or no client any more.
+    pub async fn send_part(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
+        let parts = self.parts.borrow().clone();
+        match parts {
+            Some(parts) => send(&parts, ValuePart::Bytes(bytes)).await?,
+            None => self.start(bytes)?,
+        }
+        self.last_progress.set(self.state.clock.now());
+        Ok(())
+    }
+
+    fn start(&self, first_part: Vec<u8>) -> Result<(), ConnectionError> {
+        let (sender, receiver) = bounded(1);
+        if !reply::answer(&self.state, self.command, Reply::Streaming(first_part, receiver)) {
+            return Err(ConnectionError::Cancelled);
+        }
+        *self.parts.borrow_mut() = Some(sender);
+        policy_driver::answer_started(&self.state, self.command, self.attempt);
+        Ok(())
+    }
+
+    /// Sends the last part.
+    ///
+    /// # Errors
+    /// [`ConnectionError::Cancelled`] if the command has another answer or no client any more.
+    pub async fn finish(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
+        self.send_part(bytes).await?;
+        let parts = self.parts.borrow().clone();
+        match parts {
+            Some(parts) => send(&parts, ValuePart::End).await,
+            None => Ok(()),
+        }
+    }
+
+    /// Waits until no part was sent for this long; returns at once if the answer is not being streamed.
+    pub async fn wait_until_stalled(&self, patience: Duration) {
+        while self.has_started() {
+            let before = self.last_progress.get();
+            Timer::after(patience).await;
+            if self.last_progress.get() == before {
+                break;
+            }
+        }
+    }
+}
+
+async fn send(parts: &Sender<ValuePart>, part: ValuePart) -> Result<(), ConnectionError> {
+    parts.send(part).await.map_err(|_| ConnectionError::Cancelled)
+}
--- /dev/null
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -0,0 +1,93 @@
+//! Opens a client's session: PRELOGIN, then LOGIN7. Clients are admitted whatever their name and password are.
+
+use super::reply::{SERVER_NAME, change, class, encode_packets, put_failure};
+use super::{ClientMessage, Session, request};
+use crate::protocols::client_connection::Disconnect;
+use comethitch_tds::login::{Encryption, LARGEST_LOGIN, Login, Prelogin, VERSION};
+use comethitch_tds::packet::{FIRST_SIZE, Kind, LEAST_SIZE};
+use comethitch_tds::token::code;
+use comethitch_tds::write::{put_change, put_change_bytes, put_done, put_login_ack};
+
+/// The version of the server that clients are told.
+const SERVER_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
+/// The collation that clients are told: Latin, case-insensitive.
+const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
+const LANGUAGE: &str = "us_english";
+/// The database that a session is in before its login.
+const INITIAL_DATABASE: &str = "master";
+/// The number of the error "login failed".
+const LOGIN_FAILED: i32 = 18_456;
+
+impl Session {
+    /// Carries the login out, up to the point from which commands may come.
+    pub(super) async fn log_in(&mut self) -> Result<(), Disconnect> {
+        self.answer_prelogin().await?;
+        let login = self.read_login().await?;
+        if login.integrated {
+            return self.reject_login().await;
+        }
+        // Until an endpoint list is held, no command could be served.
+        let state = self.connection.state.clone();
+        self.connection.wait_while_connected(state.ready.wait()).await?;
+        let packet_size = self.negotiate_packet_size(&login);
+        let tokens = self.login_answer(&login, packet_size);
+        self.connection.write(&encode_packets(FIRST_SIZE, &tokens)).await?;
+        self.packet_size = packet_size;
+        Ok(())
+    }
+
+    async fn answer_prelogin(&mut self) -> Result<(), Disconnect> {
+        let payload = self.read_login_message(Kind::Prelogin, "a connection begins with a PRELOGIN").await?;
+        Prelogin::read(&payload).map_err(request::protocol_violation)?;
+        let answer =
+            Prelogin { version: SERVER_VERSION, encryption: Encryption::NotSupported, ..Prelogin::default() };
+        let mut payload = Vec::new();
+        answer.put(&mut payload);
+        self.connection.write(&encode_packets(FIRST_SIZE, &payload)).await
+    }
+
+    async fn read_login(&mut self) -> Result<Login, Disconnect> {
+        let payload = self.read_login_message(Kind::Login, "a PRELOGIN is followed by a LOGIN7").await?;
+        Login::read(&payload).map_err(request::protocol_violation)
+    }
+
+    /// Reads a message that must be of this kind, or else the client has broken the protocol in this way.
+    async fn read_login_message(
+        &mut self, expected: Kind, violation: &'static str,
+    ) -> Result<Vec<u8>, Disconnect> {
+        let ClientMessage { kind, payload, .. } = self.read_message(LARGEST_LOGIN).await?;
+        if kind != expected {
+            return Err(Disconnect::ProtocolViolation(violation));
+        }
+        Ok(payload)
+    }
+
+    async fn reject_login(&mut self) -> Result<(), Disconnect> {
+        let text = "only logins by name and password are spoken here";
+        let mut tokens = Vec::new();
+        put_failure(&mut tokens, LOGIN_FAILED, class::LOGIN_FAILED, text, code::DONE);
+        self.connection.write(&encode_packets(FIRST_SIZE, &tokens)).await?;
+        Err(Disconnect::Closing)
+    }
+
+    /// The packet size that the client asks for, within the protocol's and the operator's limits.
+    fn negotiate_packet_size(&self, login: &Login) -> usize {
+        match usize::try_from(login.packet_size).unwrap_or(FIRST_SIZE) {
+            0 => FIRST_SIZE,
+            requested => requested.clamp(LEAST_SIZE, self.settings.packet_size),
+        }
+    }
+
+    fn login_answer(&self, login: &Login, packet_size: usize) -> Vec<u8> {
+        let default_database = &self.settings.hosts.database;
+        let database = if login.database.is_empty() { default_database } else { &login.database };
+        let mut tokens = Vec::new();
+        put_change(&mut tokens, change::DATABASE, database, INITIAL_DATABASE);
+        put_change_bytes(&mut tokens, change::COLLATION, &COLLATION, &[]);
+        put_change(&mut tokens, change::LANGUAGE, LANGUAGE, "");
+        put_login_ack(&mut tokens, VERSION, SERVER_NAME);
+        put_change(&mut tokens, change::PACKET_SIZE, &packet_size.to_string(), &FIRST_SIZE.to_string());
+        put_done(&mut tokens, code::DONE, 0, 0);
+        tokens
+    }
+}
--- /dev/null
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -0,0 +1,260 @@
+//! A TDS client's session, from its PRELOGIN to its end: reads messages, runs commands, and writes answers.
+//!
+//! [`login`] opens the session, [`request`] tells what a message asks for, and [`reply`] encodes answers.
+
+mod login;
+mod reply;
+mod request;
+
+use super::prepared::PreparedStatements;
+use super::settings::TdsSettings;
+use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
+use crate::stages::admit::AdmittedCommand;
+use crate::stages::policy_driver;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::memory_budget::Reservation;
+use crate::state::pending_commands::{Reply, ValuePart};
+use crate::state::router_state::RouterState;
+use async_channel::Receiver;
+use async_io::Async;
+use comethitch_tds::packet::{Assembly, FIRST_SIZE, HEADER, Kind, LARGEST_SIZE, put_parts, status};
+use comethitch_tds::token::code;
+use comethitch_tds::write::put_change_bytes;
+use reply::{DONE_TOKEN_BYTES, ReplyEncoder, ReplyFraming, change, class};
+use request::{Request, Statement};
+use std::future::Future;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+/// The largest batch or call that is accepted.
+const MAX_REQUEST_BYTES: usize = 512 * 1024;
+/// The bits of a message's status that ask for the session to be reset.
+const RESET_BITS: u8 = status::RESET | status::RESET_KEEPING_TRANSACTION;
+
+struct Session {
+    connection: ClientConnection,
+    settings: Rc<TdsSettings>,
+    /// The negotiated packet size in bytes.
+    packet_size: usize,
+    prepared: PreparedStatements,
+}
+
+/// A message as a client sent it.
+struct ClientMessage {
+    kind: Kind,
+    /// The status of its first packet, and whether any packet says that the client gave the message up.
+    status: u8,
+    payload: Vec<u8>,
+}
+
+/// How a command ended for its client.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum CommandEnd {
+    /// Its answer stands in the tokens to be written.
+    Answered,
+    /// The client cancelled it by an attention.
+    Cancelled,
+}
+
+/// Serves a client. It is registered by this call, before the first poll.
+pub fn serve(
+    state: Rc<RouterState>, settings: Rc<TdsSettings>, stream: Async<TcpStream>, permit: DescriptorPermit,
+) -> impl Future<Output = ()> {
+    let connection = ClientConnection::new(state, stream, permit, LARGEST_SIZE + 1);
+    let prepared = PreparedStatements::new(&connection.state.memory);
+    run(Session { connection, settings, packet_size: FIRST_SIZE, prepared })
+}
+
+async fn run(mut session: Session) {
+    let disconnect = match session.log_in().await {
+        Ok(()) => session.converse().await,
+        Err(disconnect) => disconnect,
+    };
+    let packet_size = session.packet_size;
+    let numbers = session.settings.numbers;
+    let encode_error = |error: ClosingError| {
+        let number = match error {
+            ClosingError::ProtocolViolation(_) => numbers.refused,
+            ClosingError::OutOfMemory => numbers.throttled,
+        };
+        let mut tokens = Vec::new();
+        reply::put_failure(&mut tokens, number, class::FATAL, &error.to_string(), code::DONE);
+        reply::encode_packets(packet_size, &tokens)
+    };
+    session.connection.close(disconnect, encode_error).await;
+}
+
+impl Session {
+    /// Reads the next message to its end.
+    async fn read_message(&mut self, max_bytes: usize) -> Result<ClientMessage, Disconnect> {
+        let mut message = Assembly::new(max_bytes);
+        let mut reservation = Reservation::new(&self.connection.state.memory);
+        loop {
+            let consumed =
+                message.take(self.connection.buffer.unread()).map_err(request::protocol_violation)?;
+            self.connection.consume(consumed);
+            if !reservation.resize_to(message.payload().len()) {
+                return Err(Disconnect::Io(std::io::ErrorKind::OutOfMemory.into()));
+            }
+            if message.over() {
+                break;
+            }
+            // Between two messages the connection is idle, within one it is not.
+            self.connection.wait_for_more(message.is_empty()).await?;
+        }
+        let kind = message.kind().unwrap_or(Kind::Batch);
+        let status = message.status();
+        Ok(ClientMessage { kind, status, payload: message.finish() })
+    }
+
+    async fn write_tokens(&self, tokens: &[u8]) -> Result<(), Disconnect> {
+        self.connection.write(&reply::encode_packets(self.packet_size, tokens)).await
+    }
+
+    async fn converse(&mut self) -> Disconnect {
+        loop {
+            if let Err(disconnect) = self.handle_message().await {
+                return disconnect;
+            }
+        }
+    }
+
+    /// Reads and answers the next message.
+    async fn handle_message(&mut self) -> Result<(), Disconnect> {
+        let message = self.read_message(MAX_REQUEST_BYTES).await?;
+        let resets_session = message.status & RESET_BITS != 0;
+        if resets_session {
+            self.prepared.clear();
+        }
+        // The client gave the message up while it sent it: nothing of it runs.
+        if message.status & status::IGNORE != 0 {
+            return Ok(());
+        }
+        // An attention here has crossed the answer: nothing is left to cancel.
+        if message.kind == Kind::Attention {
+            return self.acknowledge_attention().await;
+        }
+        let request = request::parse(message.kind, message.payload, &mut self.prepared)?;
+        let mut tokens = Vec::new();
+        if resets_session {
+            put_change_bytes(&mut tokens, change::SESSION_RESET, &[], &[]);
+        }
+        match self.answer(request, &mut tokens).await? {
+            CommandEnd::Answered => self.write_tokens(&tokens).await,
+            CommandEnd::Cancelled => self.acknowledge_attention().await,
+        }
+    }
+
+    /// Carries a request out, and writes its answer to `tokens`.
+    async fn answer(&mut self, request: Request, tokens: &mut Vec<u8>) -> Result<CommandEnd, Disconnect> {
+        match request {
+            Request::AnsweredLocally(answer) => tokens.extend(answer),
+            Request::Rejected { reason, framing } => self.reject(tokens, &reason, framing)?,
+            Request::Run(statement) => return self.run_statement(statement, tokens).await,
+        }
+        Ok(CommandEnd::Answered)
+    }
+
+    /// Tells the client that its command is cancelled.
+    async fn acknowledge_attention(&mut self) -> Result<(), Disconnect> {
+        let mut tokens = Vec::new();
+        reply::put_attention_acknowledgement(&mut tokens);
+        self.write_tokens(&tokens).await
+    }
+
+    fn reject(
+        &mut self, tokens: &mut Vec<u8>, reason: &str, framing: ReplyFraming,
+    ) -> Result<(), Disconnect> {
+        let number = self.settings.numbers.refused;
+        reply::put_failure(tokens, number, class::ERROR, reason, framing.done_code());
+        self.connection.record_rejection(reason)
+    }
+
+    /// Runs a statement as a command, if it is admitted, and writes its answer to `tokens`.
+    async fn run_statement(
+        &mut self, statement: Statement, tokens: &mut Vec<u8>,
+    ) -> Result<CommandEnd, Disconnect> {
+        let framing = statement.framing;
+        match self.connection.admit(statement.text.as_bytes(), &statement.arguments)? {
+            Admission::Admitted(command) => return self.run_command(command, statement, tokens).await,
+            Admission::Throttled => {
+                let encoder = self.reply_encoder(framing, true);
+                encoder.put(tokens, Reply::Throttled(None));
+            }
+            Admission::Invalid(error) => self.reject(tokens, &error.to_string(), framing)?,
+        }
+        Ok(CommandEnd::Answered)
+    }
+
+    fn reply_encoder(&self, framing: ReplyFraming, is_idempotent: bool) -> ReplyEncoder {
+        ReplyEncoder { numbers: self.settings.numbers, framing, is_idempotent }
+    }
+
+    async fn run_command(
+        &mut self, command: AdmittedCommand, statement: Statement, tokens: &mut Vec<u8>,
+    ) -> Result<CommandEnd, Disconnect> {
+        let state = self.connection.state.clone();
+        let framing = statement.framing;
+        let shape = command.shape.as_ref();
+        let is_idempotent = shape.is_some_and(|shape| shape.verdict.effect.may_repeat());
+        self.connection.set_busy();
+        let (id, reply) = policy_driver::submit(&state, command, statement.payload, statement.kind.code());
+        let is_attention = |unread: &[u8]| unread.first() == Some(&Kind::Attention.code());
+        let waited = self.connection.wait_until_interrupted(reply.recv(), Some(is_attention)).await;
+        let end = match waited {
+            Ok(Some(Ok(Reply::Streaming(first, parts)))) => {
+                self.stream_value(tokens, first, &parts, framing).await?;
+                CommandEnd::Answered
+            }
+            Ok(Some(Ok(reply))) => {
+                self.reply_encoder(framing, is_idempotent).put(tokens, reply);
+                CommandEnd::Answered
+            }
+            Ok(None) => {
+                policy_driver::client_disconnected(&state, id);
+                // The attention is consumed here; its acknowledgement is the one answer.
+                self.read_message(HEADER).await?;
+                CommandEnd::Cancelled
+            }
+            _ => {
+                policy_driver::client_disconnected(&state, id);
+                return Err(Disconnect::ClientGone);
+            }
+        };
+        self.connection.record_answer();
+        Ok(end)
+    }
+
+    /// Forwards a large value part by part, all but its last token, which is left in `tokens`: a handle may have to come
+    /// before it. If its end does not come, closing the connection tells the client that the value is not complete.
+    async fn stream_value(
+        &mut self, tokens: &mut Vec<u8>, first: Vec<u8>, parts: &Receiver<ValuePart>, framing: ReplyFraming,
+    ) -> Result<(), Disconnect> {
+        tokens.extend(first);
+        loop {
+            self.write_all_but_last_token(tokens).await?;
+            match parts.recv().await {
+                Ok(ValuePart::Bytes(bytes)) => tokens.extend(bytes),
+                Ok(ValuePart::End) => break,
+                Err(_) => return Err(Disconnect::Closing),
+            }
+        }
+        if let ReplyFraming::CallReturningHandle(handle) = framing {
+            let end = std::mem::take(tokens);
+            reply::put_with_handle(tokens, &end, handle);
+        }
+        Ok(())
+    }
+
+    /// Writes all tokens but as many bytes as the last one takes, without ending the message.
+    async fn write_all_but_last_token(&mut self, tokens: &mut Vec<u8>) -> Result<(), Disconnect> {
+        if tokens.len() <= DONE_TOKEN_BYTES {
+            return Ok(());
+        }
+        let rest = tokens.split_off(tokens.len() - DONE_TOKEN_BYTES);
+        let mut packets = reply::packet_buffer(tokens.len());
+        put_parts(&mut packets, Kind::Answer, self.packet_size, tokens, 0, false);
+        *tokens = rest;
+        self.connection.write(&packets).await
+    }
+}
--- /dev/null
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -0,0 +1,165 @@
+//! Encodes answers to clients as tokens and packets.
+
+use crate::protocols::tds::settings::{ErrorNumbers, RETRIED_BY_DRIVERS};
+use crate::state::pending_commands::Reply;
+use comethitch_tds::packet::{HEADER, Kind, put_message};
+use comethitch_tds::token::{Message, Token, Tokens, code, done};
+use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
+
+/// The name that clients are told as the server's.
+pub const SERVER_NAME: &str = "comethitch";
+/// The length of a DONE token, with which every answer ends.
+pub const DONE_TOKEN_BYTES: usize = 13;
+/// The name of the output parameter for a prepared statement's handle.
+const HANDLE_PARAMETER: &str = "@handle";
+/// The state that errors are told with.
+const ERROR_STATE: u8 = 1;
+
+/// The severity classes of errors.
+pub mod class {
+    /// A login failed.
+    pub const LOGIN_FAILED: u8 = 14;
+    /// A statement failed.
+    pub const ERROR: u8 = 16;
+    /// The connection ends.
+    pub const FATAL: u8 = 20;
+}
+
+/// The types of ENVCHANGE tokens.
+pub mod change {
+    /// The session's database.
+    pub const DATABASE: u8 = 1;
+    /// The session's language.
+    pub const LANGUAGE: u8 = 2;
+    /// The packet size.
+    pub const PACKET_SIZE: u8 = 4;
+    /// The collation.
+    pub const COLLATION: u8 = 7;
+    /// The session was reset.
+    pub const SESSION_RESET: u8 = 18;
+}
+
+/// How the answer to a request is framed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplyFraming {
+    /// As a batch's.
+    Batch,
+    /// As a call's.
+    Call,
+    /// As a call's that also returns the handle of the statement that it prepared.
+    CallReturningHandle(i32),
+}
+
+impl ReplyFraming {
+    /// The code of the token that the answer ends with.
+    pub fn done_code(self) -> u8 {
+        if self == ReplyFraming::Batch { code::DONE } else { code::DONE_PROCEDURE }
+    }
+}
+
+/// An empty buffer for the packets of so many bytes of tokens.
+pub fn packet_buffer(token_bytes: usize) -> Vec<u8> {
+    Vec::with_capacity(token_bytes + token_bytes / 64 + HEADER)
+}
+
+/// Encodes a message of these tokens.
+pub fn encode_packets(packet_size: usize, tokens: &[u8]) -> Vec<u8> {
+    let mut packets = packet_buffer(tokens.len());
+    put_message(&mut packets, Kind::Answer, packet_size, tokens);
+    packets
+}
+
+/// Writes an error, and the token that ends the answer with it.
+pub fn put_failure(tokens: &mut Vec<u8>, number: i32, class: u8, text: &str, done_code: u8) {
+    put_error(tokens, &Message { number, state: ERROR_STATE, class, text: text.into() }, SERVER_NAME);
+    put_done(tokens, done_code, done::ERROR, 0);
+}
+
+/// Writes the acknowledgement of an attention.
+pub fn put_attention_acknowledgement(tokens: &mut Vec<u8>) {
+    put_done(tokens, code::DONE, done::ATTENTION, 0);
+}
+
+/// Writes the output parameter for the handle of a prepared statement.
+pub fn put_handle(tokens: &mut Vec<u8>, handle: i32) {
+    put_return_value(tokens, 0, HANDLE_PARAMETER, handle);
+}
+
+/// Writes an answer with the handle of the statement that was prepared with it, before its last token.
+pub fn put_with_handle(tokens: &mut Vec<u8>, answer: &[u8], handle: i32) {
+    let (before, last) = answer.split_at(answer.len().saturating_sub(DONE_TOKEN_BYTES));
+    tokens.extend(before);
+    put_handle(tokens, handle);
+    tokens.extend(last);
+}
+
+/// Encodes the final answer to a command.
+pub struct ReplyEncoder {
+    /// The numbers of the router's own errors.
+    pub numbers: ErrorNumbers,
+    /// How the answer is framed.
+    pub framing: ReplyFraming,
+    /// A repetition of the statement is harmless, so that drivers may retry it.
+    pub is_idempotent: bool,
+}
+
+impl ReplyEncoder {
+    /// Writes the answer.
+    pub fn put(&self, tokens: &mut Vec<u8>, reply: Reply) {
+        match reply {
+            // Its parts are forwarded before it comes here.
+            Reply::Streaming(first, _) => tokens.extend(first),
+            Reply::Value(value) => self.put_value(tokens, value),
+            Reply::Throttled(None) => {
+                self.put_error(tokens, self.numbers.throttled, "not now; trying again is harmless");
+            }
+            Reply::Throttled(Some(after)) => {
+                let after_ms = after.as_micros().div_ceil(1_000);
+                let text = format!("not now; trying again after {after_ms} ms is harmless");
+                self.put_error(tokens, self.numbers.throttled, &text);
+            }
+            // A TDS client cancels by an attention, which is acknowledged instead.
+            Reply::Failed | Reply::Cancelled => {
+                self.put_error(tokens, self.numbers.failed, "failed; nothing is known of its effect");
+            }
+            Reply::FailedWithHostError(answer) => self.put_host_error(tokens, answer),
+        }
+    }
+
+    fn put_error(&self, tokens: &mut Vec<u8>, number: i32, text: &str) {
+        put_failure(tokens, number, class::ERROR, text, self.framing.done_code());
+    }
+
+    fn put_value(&self, tokens: &mut Vec<u8>, value: Vec<u8>) {
+        match self.framing {
+            ReplyFraming::CallReturningHandle(handle) => put_with_handle(tokens, &value, handle),
+            ReplyFraming::Batch | ReplyFraming::Call => tokens.extend(value),
+        }
+    }
+
+    /// Writes a host's answer with an error. An error that drivers retry on is replaced, unless the statement is
+    /// idempotent: a driver would send again what may have run.
+    fn put_host_error(&self, tokens: &mut Vec<u8>, answer: Vec<u8>) {
+        match error_retried_by_drivers(&answer).filter(|_| !self.is_idempotent) {
+            Some(error) => {
+                let text = format!("failed by error {}: {}", error.number, error.text);
+                self.put_error(tokens, self.numbers.failed, &text);
+            }
+            None => tokens.extend(answer),
+        }
+    }
+}
+
+/// The first error of an answer on which drivers retry by themselves.
+fn error_retried_by_drivers(answer: &[u8]) -> Option<Message> {
+    let mut parser = Tokens::new();
+    let mut parsed = 0;
+    while let Ok((token, length)) = parser.next(&answer[parsed..]) {
+        parsed += length;
+        match token {
+            Token::Error(message) if RETRIED_BY_DRIVERS.contains(&message.number) => return Some(message),
+            _ => {}
+        }
+    }
+    None
+}
--- /dev/null
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -0,0 +1,97 @@
+//! Opens a session at a host: PRELOGIN, then LOGIN7.
+
+use super::backend::PendingResponse;
+use super::settings::TdsSettings;
+use crate::protocols::exchange::read_response;
+use crate::state::host_connection::{ConnectionError, HostConnection};
+use crate::state::router_state::RouterState;
+use comethitch_policy::AttemptOutcome;
+use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
+use comethitch_tds::packet::{Assembly, FIRST_SIZE, Kind, LARGEST_SIZE, put_message};
+use futures_lite::AsyncWriteExt;
+
+/// The largest PRELOGIN that is accepted of a host.
+const MAX_PRELOGIN_BYTES: usize = 4096;
+/// The names of the application and of the library that hosts are told.
+const APPLICATION: &str = "comethitch";
+
+/// Opens a session on a new connection, and records the packet size that the host settles on.
+///
+/// # Errors
+/// [`ConnectionError::NoConnectionSlot`] if the host has no slot for the session, or else
+/// [`ConnectionError::ConnectFailed`].
+pub async fn log_in(
+    state: &RouterState, settings: &TdsSettings, connection: &mut HostConnection,
+) -> Result<(), ConnectionError> {
+    negotiate_encryption(connection).await?;
+    send_login(state, settings, connection).await?;
+    let mut pending = PendingResponse::new(state);
+    let end = read_response(connection, &mut pending, None).await?;
+    let response = pending.response;
+    if let Some(code) = response.error {
+        // Of the errors at a login, one says more than that no session could be opened.
+        return match ConnectionError::HostError(code).outcome() {
+            AttemptOutcome::Overloaded => Err(ConnectionError::NoConnectionSlot),
+            _ => Err(ConnectionError::ConnectFailed),
+        };
+    }
+    if end.is_err() || !response.login_accepted {
+        return Err(ConnectionError::ConnectFailed);
+    }
+    connection.session.packet_size = response.packet_size.unwrap_or(FIRST_SIZE).min(LARGEST_SIZE);
+    Ok(())
+}
+
+/// Exchanges PRELOGINs. Encryption is not supported, so a host that insists on it can't be used.
+async fn negotiate_encryption(connection: &mut HostConnection) -> Result<(), ConnectionError> {
+    let mut payload = Vec::new();
+    Prelogin::default().put(&mut payload);
+    send(connection, Kind::Prelogin, &payload).await?;
+    let payload = read_prelogin(connection).await?;
+    let prelogin = Prelogin::read(&payload).map_err(|_| ConnectionError::ConnectFailed)?;
+    match prelogin.encryption {
+        Encryption::NotSupported | Encryption::Off => Ok(()),
+        Encryption::On | Encryption::Required => Err(ConnectionError::ConnectFailed),
+    }
+}
+
+async fn read_prelogin(connection: &mut HostConnection) -> Result<Vec<u8>, ConnectionError> {
+    let mut message = Assembly::new(MAX_PRELOGIN_BYTES);
+    while !message.over() {
+        if connection.buffer.unread().is_empty() {
+            match connection.buffer.fill(&connection.stream).await {
+                Ok(0) | Err(_) => return Err(ConnectionError::ConnectFailed),
+                Ok(_) => {}
+            }
+        }
+        let consumed =
+            message.take(connection.buffer.unread()).map_err(|_| ConnectionError::ConnectFailed)?;
+        connection.buffer.consume(consumed);
+    }
+    Ok(message.finish())
+}
+
+async fn send_login(
+    state: &RouterState, settings: &TdsSettings, connection: &HostConnection,
+) -> Result<(), ConnectionError> {
+    let login = Login {
+        version: VERSION,
+        packet_size: settings.packet_size as u32,
+        host: state.config.name.clone(),
+        user: settings.hosts.user.clone(),
+        password: settings.hosts.password.clone(),
+        application: APPLICATION.into(),
+        library: APPLICATION.into(),
+        database: settings.hosts.database.clone(),
+        ..Login::default()
+    };
+    let mut payload = Vec::new();
+    login.put(&mut payload);
+    send(connection, Kind::Login, &payload).await
+}
+
+async fn send(connection: &HostConnection, kind: Kind, payload: &[u8]) -> Result<(), ConnectionError> {
+    let mut packets = Vec::new();
+    put_message(&mut packets, kind, FIRST_SIZE, payload);
+    (&connection.stream).write_all(&packets).await.map_err(|_| ConnectionError::ConnectFailed)
+}
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -2,6 +2,7 @@
 
 mod backend;
 mod client;
+mod host_login;
 mod prepared;
 mod response;
 pub mod settings;
@@ -30,12 +31,12 @@
 
 impl BackendProtocol for Tds {
     fn send_attempt(
-        &self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
+        &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
     ) -> Option<u16> {
-        backend::start(state, &self.0, id, host, time_out)
+        backend::start_attempt(state, &self.0, id, host, timeout)
     }
 
     fn check_health(&self, state: &Rc<RouterState>, host: Host) {
-        backend::probe(state, &self.0, host);
+        backend::start_health_check(state, &self.0, host);
     }
 }
