--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -1,4 +1,7 @@
-//! A router between stand-in hosts and clients, with one takeover in the middle: `make demo`.
+//! A router between stand-in hosts and clients, with one failover in the middle: `make demo`.
+//!
+//! Prints how the clients' commands were answered before, during and after the failover, and whether any rule on
+//! attempts was broken.
 
 use async_io::Async;
 use comethitch_testkit::{Asked, Client, Host, HostBehavior, Ledger, Protocol, Received};
@@ -7,97 +10,187 @@
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
 use serde_json::{Value, json};
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+const HOST_NAMES: [&str; 3] = ["db-1", "db-2", "db-3"];
+const HOST_LATENCY: Duration = Duration::from_millis(3);
 const CLIENTS: usize = 4;
-const BEFORE: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(500);
-const AFTER: Duration = Duration::from_secs(3);
+/// Every so many commands of a client, one writes.
+const COMMANDS_PER_WRITE: usize = 4;
+const BEFORE_FAILOVER: Duration = Duration::from_secs(2);
+const WITHOUT_PRIMARY: Duration = Duration::from_millis(500);
+const AFTER_FAILOVER: Duration = Duration::from_secs(3);
+/// An address at which no discovery service listens.
+const NO_DISCOVERY: &str = "127.0.0.1:1";
+const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 fn main() {
     let ledger = Ledger::default();
-    let hosts: Vec<Host> = ["db-1", "db-2", "db-3"]
-        .iter()
-        .enumerate()
-        .map(|(nth, name)| Host::start(name, Protocol::Postgres, nth == 0, &ledger))
-        .collect();
-    hosts.iter().for_each(|host| host.script(|_, _| HostBehavior::AnswerAfter(Duration::from_millis(3))));
-    let listed = |(nth, host): (usize, &Host)| {
-        json!({"host": format!("db-{}", nth + 1), "dial": host.address.to_string(), "site": "north", "block": 0,
-            "health": "ready", "share": 1.0, "rank": if nth == 0 { "source" } else { "copy" }, "born_ms": 0})
+    let hosts = start_hosts(&ledger);
+    let router = DemoRouter::start(&hosts);
+    println!(
+        "A router at {} before three hosts; {CLIENTS} clients unlock chapters and read pages.",
+        router.address
+    );
+    let commands = run_clients(router.address, &hosts);
+    router.stop();
+    print_answers(&commands);
+    check_rules(&ledger, commands);
+}
+
+/// Starts the hosts, of which the first is the primary.
+fn start_hosts(ledger: &Ledger) -> Vec<Host> {
+    let start = |(index, name): (usize, &&str)| {
+        let host = Host::start(name, Protocol::Postgres, index == 0, ledger);
+        host.script(|_, _| HostBehavior::AnswerAfter(HOST_LATENCY));
+        host
+    };
+    HOST_NAMES.iter().enumerate().map(start).collect()
+}
+
+/// The deployed configuration, with these hosts in place of discovery's.
+fn configuration(hosts: &[Host]) -> Value {
+    let entry = |(index, host): (usize, &Host)| {
+        json!({"host": HOST_NAMES[index], "dial": host.address.to_string(), "site": "north", "block": 0,
+            "health": "ready", "share": 1.0, "rank": if index == 0 { "source" } else { "copy" }, "born_ms": 0})
     };
-    let mut all: Value =
+    let entries: Vec<Value> = hosts.iter().enumerate().map(entry).collect();
+    let mut configuration: Value =
         serde_json::from_str(include_str!("../../../deploy/configuration.json")).expect("JSON");
-    all["known"] =
-        json!({"seq": 1, "whole": true, "hosts": hosts.iter().enumerate().map(listed).collect::<Vec<_>>()});
-    all["discovery"] = "127.0.0.1:1".into();
-    let rules = include_str!("../../../deploy/statements.json");
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let (stop, stopped) = async_channel::bounded::<()>(1);
-    let router = std::thread::spawn(move || {
-        let site = Config::read(&all.to_string(), |_| None).expect("a configuration");
-        let site = site.with_statement_rules(rules).expect("rules");
-        let protocol = listen::Protocol::postgres();
-        let hub = startup::start(site, Clock::start(), protocol.back).expect("a router");
-        let listener = Async::new(listener).expect("a listener");
-        async_io::block_on(listen::serve(hub, protocol.front, vec![listener], async {
-            let _ = stopped.recv().await;
-        }));
-    });
-    println!("A router at {address} before three hosts; {CLIENTS} clients unlock chapters and read pages.");
-    let over = AtomicBool::new(false);
-    let (began, asked) = (Instant::now(), std::sync::Mutex::new(Vec::new()));
+    configuration["known"] = json!({"seq": 1, "whole": true, "hosts": entries});
+    configuration["discovery"] = NO_DISCOVERY.into();
+    configuration
+}
+
+/// A router on a thread of its own.
+struct DemoRouter {
+    address: SocketAddr,
+    stop: async_channel::Sender<()>,
+    thread: JoinHandle<()>,
+}
+
+impl DemoRouter {
+    fn start(hosts: &[Host]) -> DemoRouter {
+        let configuration = configuration(hosts);
+        let rules = include_str!("../../../deploy/statements.json");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let (stop, stopped) = async_channel::bounded::<()>(1);
+        let thread = std::thread::spawn(move || serve(&configuration, rules, listener, stopped));
+        DemoRouter { address, stop, thread }
+    }
+
+    fn stop(self) {
+        self.stop.close();
+        self.thread.join().expect("the router ends without a panic");
+    }
+}
+
+/// Serves until the channel is closed.
+fn serve(configuration: &Value, rules: &str, listener: TcpListener, stopped: async_channel::Receiver<()>) {
+    let config = Config::read(&configuration.to_string(), |_| None).expect("a configuration");
+    let config = config.with_statement_rules(rules).expect("rules");
+    let protocol = listen::Protocol::postgres();
+    let state = startup::start(config, Clock::start(), protocol.back).expect("a router");
+    let listener = Async::new(listener).expect("a listener");
+    async_io::block_on(listen::serve(state, protocol.front, vec![listener], async {
+        let _ = stopped.recv().await;
+    }));
+}
+
+/// A command and its answer, and how long after the start it came.
+struct TimedCommand {
+    answered_at: Duration,
+    command: Asked,
+}
+
+/// Runs all clients while the primary fails and another host takes over.
+fn run_clients(router: SocketAddr, hosts: &[Host]) -> Vec<TimedCommand> {
+    let stop = AtomicBool::new(false);
+    let started = Instant::now();
+    let commands = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let (over, asked) = (&over, &asked);
-            scope.spawn(move || {
-                let mut own = Client::connect(Protocol::Postgres, address);
-                for nth in 0.. {
-                    if over.load(Ordering::SeqCst) {
-                        break;
-                    }
-                    let key = format!("c{client}-{nth}");
-                    let text = match nth % 4 {
-                        0 => format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)"),
-                        _ => format!("SELECT data FROM facts WHERE code = '{key}'"),
-                    };
-                    let got = own.ask(&text);
-                    asked.lock().expect("no panic").push((began.elapsed(), Asked { text, got: vec![got] }));
-                }
-            });
+            let (stop, commands) = (&stop, &commands);
+            scope.spawn(move || run_client(client, router, started, stop, commands));
         }
-        std::thread::sleep(BEFORE);
-        println!("{:4} ms: db-1 dies", began.elapsed().as_millis());
-        hosts[0].set_down(true);
-        std::thread::sleep(PAUSE);
-        println!("{:4} ms: db-2 takes over", began.elapsed().as_millis());
-        hosts[1].set_primary(true);
-        std::thread::sleep(AFTER);
-        over.store(true, Ordering::SeqCst);
+        fail_over(hosts, started);
+        stop.store(true, Ordering::SeqCst);
     });
-    stop.close();
-    router.join().expect("the router ends without a panic");
-    let asked = asked.into_inner().expect("no panic");
+    commands.into_inner().expect("no client panicked")
+}
+
+fn run_client(
+    client: usize, router: SocketAddr, started: Instant, stop: &AtomicBool,
+    commands: &Mutex<Vec<TimedCommand>>,
+) {
+    let mut connection = Client::connect(Protocol::Postgres, router);
+    for number in 0.. {
+        if stop.load(Ordering::SeqCst) {
+            break;
+        }
+        let text = statement(client, number);
+        let answer = connection.ask(&text);
+        let command = Asked { text, got: vec![answer] };
+        let command = TimedCommand { answered_at: started.elapsed(), command };
+        commands.lock().expect("no client panicked").push(command);
+    }
+}
+
+fn statement(client: usize, number: usize) -> String {
+    let key = format!("c{client}-{number}");
+    if number.is_multiple_of(COMMANDS_PER_WRITE) {
+        return format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)");
+    }
+    format!("SELECT data FROM facts WHERE code = '{key}'")
+}
+
+/// Has the primary fail, and after a while the second host take over.
+fn fail_over(hosts: &[Host], started: Instant) {
+    std::thread::sleep(BEFORE_FAILOVER);
+    println!("{:4} ms: db-1 dies", started.elapsed().as_millis());
+    hosts[0].set_down(true);
+    std::thread::sleep(WITHOUT_PRIMARY);
+    println!("{:4} ms: db-2 takes over", started.elapsed().as_millis());
+    hosts[1].set_primary(true);
+    std::thread::sleep(AFTER_FAILOVER);
+}
+
+/// Prints a table of the answers in each phase.
+fn print_answers(commands: &[TimedCommand]) {
     println!("\n| | answered | throttled | failed |\n| --- | --- | --- | --- |");
-    let spans = [
-        ("before", Duration::ZERO, BEFORE),
-        ("without a primary", BEFORE, BEFORE + PAUSE),
-        ("after the takeover", BEFORE + PAUSE, Duration::MAX),
+    let takeover = BEFORE_FAILOVER + WITHOUT_PRIMARY;
+    let phases = [
+        ("before", Duration::ZERO..BEFORE_FAILOVER),
+        ("without a primary", BEFORE_FAILOVER..takeover),
+        ("after the takeover", takeover..Duration::MAX),
     ];
-    for (name, from, until) in spans {
-        let of = |kind: fn(&Received) -> bool| {
-            asked.iter().filter(|(at, one)| *at >= from && *at < until && kind(&one.got[0])).count()
+    for (name, phase) in phases {
+        let count = |is_counted: fn(&Received) -> bool| {
+            let in_phase = commands.iter().filter(|command| phase.contains(&command.answered_at));
+            in_phase.filter(|command| is_counted(&command.command.got[0])).count()
         };
-        let answered = of(|got| matches!(got, Received::Answered(_)));
-        let failed = of(|got| matches!(got, Received::Failed(_)));
-        println!("| {name} | {answered} | {} | {failed} |", of(|got| *got == Received::Throttled));
+        let answered = count(|answer| matches!(answer, Received::Answered(_)));
+        let throttled = count(|answer| *answer == Received::Throttled);
+        let failed = count(|answer| matches!(answer, Received::Failed(_)));
+        println!("| {name} | {answered} | {throttled} | {failed} |");
     }
-    let asked: Vec<Asked> = asked.into_iter().map(|(_, one)| one).collect();
-    let broken = ledger.broken(&asked);
-    println!("\n{} commands, {} dispatches, {} rules broken", asked.len(), ledger.dispatches(), broken.len());
-    broken.iter().take(10).for_each(|why| println!("  {why}"));
+}
+
+/// Holds the hosts' ledger against what clients were answered, and panics if a rule was broken.
+fn check_rules(ledger: &Ledger, commands: Vec<TimedCommand>) {
+    let commands: Vec<Asked> = commands.into_iter().map(|command| command.command).collect();
+    let broken = ledger.broken(&commands);
+    println!(
+        "\n{} commands, {} dispatches, {} rules broken",
+        commands.len(),
+        ledger.dispatches(),
+        broken.len()
+    );
+    broken.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
     assert!(broken.is_empty(), "a rule was broken");
 }
