--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -17,7 +17,7 @@
     pub state: Rc<RouterState>,
     /// The host that it goes to.
     pub host: Host,
-    /// After this long it is given up.
+    /// After this long it is abandoned.
     pub timeout: Duration,
     /// The command's statement.
     pub statement: Rc<Statement>,
--- a/crates/comethitchd/src/protocols/connect.rs
+++ b/crates/comethitchd/src/protocols/connect.rs
@@ -21,7 +21,7 @@
     pub session: SessionState,
 }
 
-/// Connects to a host and has the protocol's handshake carried out, all within the configured time. What breaks until
+/// Connects to a host and runs the protocol's handshake, both within the configured time. What breaks until
 /// then is known never to have run.
 ///
 /// # Errors
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Cancels another session's command. By the protocol, whoever requests it is not told of the result.
+    /// Cancels another session's command. By the protocol, no reply is sent to whoever requests it.
     fn cancel_command(&self, length: usize) {
         let request = &self.connection.buffer.unread()[..length];
         if let Some(target) = postgres::cancel_target(request) {
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -1,7 +1,9 @@
-//! PostgreSQL, version 3 of its protocol, by simple queries.
+//! The PostgreSQL protocol, version 3: simple queries.
+//!
+//! Messages are parsed and written by [`crate::wire::postgres`].
 
-pub mod backend;
-pub mod client;
+mod backend;
+mod client;
 
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::protocol::{BackendProtocol, ClientProtocol, ClientSession};
@@ -12,7 +14,7 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Speaks with clients and hosts.
+/// The PostgreSQL protocol, on both sides.
 pub struct Postgres;
 
 impl ClientProtocol for Postgres {
--- a/crates/comethitchd/src/protocols/streamed_answer.rs
+++ b/crates/comethitchd/src/protocols/streamed_answer.rs
@@ -2,7 +2,7 @@
 //! from the host, each once the part before it is written. Memory stays bounded however large the answer is and however
 //! slow its client.
 //!
-//! The first part is the command's final answer: the policy is told that the command was answered, and no other attempt
+//! The first part is the command's final answer: the policy is notified that the command was answered, and no other attempt
 //! is sent for it. If the host fails midway, the client's connection is closed.
 
 use crate::stages::{policy_driver, reply};
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -21,8 +21,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The most bytes of a response that are held in memory before they are streamed.
-const MAX_HELD_BYTES: usize = STREAMING_THRESHOLD_BYTES + MAX_TOKEN_BYTES;
+/// The most bytes of a response that are buffered before they are streamed.
+const MAX_BUFFERED_BYTES: usize = STREAMING_THRESHOLD_BYTES + MAX_TOKEN_BYTES;
 
 /// A message to a host.
 struct Request<'a> {
@@ -33,7 +33,7 @@
 impl Request<'_> {
     /// The message's packets on this connection.
     fn encode(&self, connection: &HostConnection) -> Vec<u8> {
-        // What another's command left in the session is gone before this one runs.
+        // What another client's command left in the session is reset before this one runs.
         let status = if connection.session.reused { status::RESET } else { 0 };
         let mut packets = Vec::with_capacity(self.payload.len() + self.payload.len() / 64 + 16);
         put_parts(&mut packets, self.kind, connection.session.packet_size, self.payload, status, true);
@@ -172,8 +172,8 @@
     ) -> Result<ResponseProgress, ConnectionError> {
         let consumed = self.response.accept(buffer.unread()).map_err(|_| ConnectionError::Malformed)?;
         buffer.consume(consumed);
-        let held = self.response.held_bytes();
-        if held > MAX_HELD_BYTES || !self.reservation.resize_to(held) {
+        let bytes = self.response.buffered_bytes();
+        if bytes > MAX_BUFFERED_BYTES || !self.reservation.resize_to(bytes) {
             return Err(ConnectionError::TooLarge);
         }
         if self.response.is_ended() {
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -8,9 +8,9 @@
 use comethitch_tds::token::code;
 use comethitch_tds::write::{put_change, put_change_bytes, put_done, put_login_ack};
 
-/// The version of the server that clients are told.
+/// The version that is sent to clients as the server's.
 const SERVER_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
-/// The collation that clients are told: Latin, case-insensitive.
+/// The collation of a session: Latin, case-insensitive.
 const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
 const LANGUAGE: &str = "us_english";
 /// The database that a session is in before its login.
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -6,13 +6,13 @@
 use comethitch_tds::token::{Message, Token, Tokens, code, done};
 use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
 
-/// The name that clients are told as the server's.
+/// The name that is sent to clients as the server's.
 pub const SERVER_NAME: &str = "comethitch";
 /// The length of a DONE token, with which every answer ends.
 pub const DONE_TOKEN_BYTES: usize = 13;
 /// The name of the output parameter for a prepared statement's handle.
 const HANDLE_PARAMETER: &str = "@handle";
-/// The state that errors are told with.
+/// The state of all errors.
 const ERROR_STATE: u8 = 1;
 
 /// The severity classes of errors.
--- a/crates/comethitchd/src/protocols/tds/client/request.rs
+++ b/crates/comethitchd/src/protocols/tds/client/request.rs
@@ -135,7 +135,7 @@
     })
 }
 
-/// `sp_prepare`: the statement is kept, and its handle returned.
+/// `sp_prepare`: the statement is stored, and its handle returned.
 fn prepare(call: &Call, prepared: &mut PreparedStatements) -> Request {
     let Some(text) = call.statement() else {
         return call_rejected("sp_prepare without a statement");
@@ -150,7 +150,7 @@
     Request::AnsweredLocally(tokens)
 }
 
-/// `sp_execute`: a statement that was kept is run.
+/// `sp_execute`: a stored statement is run.
 fn execute_prepared(call: &Call, payload: &[u8], prepared: &PreparedStatements) -> Request {
     let Some(statement) = handle(call).and_then(|handle| prepared.get(handle)) else {
         return call_rejected(UNKNOWN_HANDLE);
@@ -158,7 +158,7 @@
     run_prepared(call, payload, &statement.text, &statement.declarations, ReplyFraming::Call)
 }
 
-/// `sp_prepexec`: the statement is kept and run, and its handle returned.
+/// `sp_prepexec`: the statement is stored and run, and its handle returned.
 fn prepare_and_execute(call: &Call, payload: &[u8], prepared: &mut PreparedStatements) -> Request {
     let Some(text) = call.statement() else {
         return call_rejected("sp_prepexec without a statement");
@@ -170,7 +170,7 @@
     run_prepared(call, payload, text, declarations, ReplyFraming::CallReturningHandle(handle))
 }
 
-/// `sp_unprepare`: a statement that was kept is removed.
+/// `sp_unprepare`: a stored statement is removed.
 fn unprepare(call: &Call, prepared: &mut PreparedStatements) -> Request {
     if !handle(call).is_some_and(|handle| prepared.remove(handle)) {
         return call_rejected(UNKNOWN_HANDLE);
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -12,7 +12,7 @@
 
 /// The largest PRELOGIN that is accepted of a host.
 const MAX_PRELOGIN_BYTES: usize = 4096;
-/// The names of the application and of the library that hosts are told.
+/// The names of the application and of the library in a login.
 const APPLICATION: &str = "comethitch";
 
 /// Opens a session on a new connection, and records the packet size that the host settles on.
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -1,4 +1,6 @@
-//! TDS 7.4, on both sides: batches and calls of `sp_executesql` and its kin.
+//! The TDS protocol, version 7.4: batches, and calls of procedures such as `sp_executesql`.
+//!
+//! Packets and tokens are parsed and written by the package `comethitch-tds`.
 
 mod backend;
 mod client;
@@ -17,7 +19,7 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Speaks with clients and hosts, in the operator's ways.
+/// The TDS protocol, on both sides, with the operator's settings.
 #[derive(Clone)]
 pub struct Tds(pub Rc<TdsSettings>);
 
--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -1,4 +1,4 @@
-//! The statements that a client has prepared. They are kept at the router and not at hosts: each execution becomes a
+//! The statements that a client has prepared. They are stored at the router and not at hosts: each execution becomes a
 //! call of `sp_executesql`, which any host can run.
 
 use crate::state::memory_budget::{MemoryBudget, Reservation};
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Keeps a statement and returns its handle, or none if there is no memory for it.
+    /// Stores a statement and returns its handle, or none if there is no memory for it.
     pub fn insert(&mut self, text: &str, declarations: &str) -> Option<i32> {
         let bytes = self.bytes + entry_bytes(text, declarations);
         if bytes > MAX_CLIENT_BYTES || !self.reservation.resize_to(bytes) {
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -108,8 +108,8 @@
         self.parser.over()
     }
 
-    /// How many bytes are held in memory.
-    pub fn held_bytes(&self) -> usize {
+    /// How many bytes are buffered.
+    pub fn buffered_bytes(&self) -> usize {
         self.unparsed.len() + self.tokens.len()
     }
 
--- a/crates/comethitchd/src/wire/host_report.rs
+++ b/crates/comethitchd/src/wire/host_report.rs
@@ -51,14 +51,14 @@
 
 /// Decimal seconds, less one unit of the resolution: they may have been rounded up.
 fn parse_position(text: &str) -> Option<Timestamp> {
-    let (whole, fraction) = text.split_once('.').unwrap_or((text, ""));
+    let (seconds, fraction) = text.split_once('.').unwrap_or((text, ""));
     let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
-    if whole.is_empty() || !digits(whole) || !digits(fraction) {
+    if seconds.is_empty() || !digits(seconds) || !digits(fraction) {
         return None;
     }
-    let whole_micros = whole.parse::<u64>().ok()?.checked_mul(MICROS_PER_SECOND)?;
+    let second_micros = seconds.parse::<u64>().ok()?.checked_mul(MICROS_PER_SECOND)?;
     // Written with fewer digits, it has lost zeros at its end.
     let fraction_micros: u64 = format!("{fraction:0<6}").get(..6)?.parse().ok()?;
-    let position = Timestamp::from_micros(whole_micros + fraction_micros) - POSITION_RESOLUTION;
+    let position = Timestamp::from_micros(second_micros + fraction_micros) - POSITION_RESOLUTION;
     Some(position).filter(|at| *at > Timestamp::ZERO)
 }
--- a/crates/comethitchd/src/wire/postgres/message.rs
+++ b/crates/comethitchd/src/wire/postgres/message.rs
@@ -96,9 +96,9 @@
 /// The connection whose query a cancel request is to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelTarget {
-    /// The connection's number, as BackendKeyData told it.
+    /// The connection's number, as sent to it in BackendKeyData.
     pub connection: u32,
-    /// The secret key told with it.
+    /// The secret key sent with it.
     pub key: u32,
 }
 
--- a/crates/comethitchd/src/wire/postgres/response.rs
+++ b/crates/comethitchd/src/wire/postgres/response.rs
@@ -71,7 +71,7 @@
     /// Where the body of the last DataRow stands in `rows`.
     last_row: Option<Range<usize>>,
     phase: ResponsePhase,
-    /// Some of the rows were taken out already.
+    /// Some of the rows were streamed already.
     rows_taken: bool,
 }
 
@@ -144,7 +144,7 @@
     zero_terminated(body).is_some_and(|texts| texts.count() == 1)
 }
 
-/// Whether a row's description has one column: its name, and what is told of its type.
+/// Whether a row's description has one column: its name, and the fields of its type.
 fn describes_one_column(body: &[u8]) -> bool {
     let Some(column) = body.strip_prefix(&[0, 1]) else { return false };
     let Some(name_length) = column.len().checked_sub(1 + COLUMN_TYPE_BYTES) else { return false };
@@ -261,7 +261,7 @@
         Ok(())
     }
 
-    /// Checks that this many more bytes may come. What is taken out in time never reaches the limit.
+    /// Checks that this many more bytes may come. Rows that are streamed in time never reach the limit.
     fn check_size(&self, more: usize) -> Result<(), ResponseError> {
         let length = self.rows.len() + more;
         match self.shape {
--- a/crates/comethitchd/src/wire/postgres/write.rs
+++ b/crates/comethitchd/src/wire/postgres/write.rs
@@ -8,7 +8,7 @@
 const NO_UNKNOWN_OPTIONS: [u8; 4] = [0; 4];
 /// The transaction status of ReadyForQuery outside of any transaction.
 const IDLE: u8 = b'I';
-/// The parameters that clients are told at the start of a session.
+/// The parameters that are reported to clients at the start of a session.
 const SESSION_PARAMETERS: [(&str, &str); 5] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
