--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -1,4 +1,4 @@
-//! The instants in which something is still owed as something else ends: clients that go, routers that stop,
+//! Endings while an answer is still owed: clients that disconnect, routers that shut down,
 //! connections that close. `docs/endings.md` lists them, each with its test.
 
 mod support;
@@ -12,16 +12,16 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// What begins for a client longer than this after it has gone is a break.
-const GONE: Duration = Duration::from_millis(100);
-/// How much later than it should be something is seen on a busy machine.
-const BUSY: Duration = Duration::from_millis(400);
+/// After this long nothing may begin any more for a client that has disconnected.
+const EXIT_GRACE: Duration = Duration::from_millis(100);
+/// How much later than it should something may happen on a busy machine.
+const BUSY_MACHINE_SLACK: Duration = Duration::from_millis(400);
 
 fn answer(value: &str) -> Act {
     Act::Answer(row(value.as_bytes()))
 }
 
-fn alone(primary: &Host) -> Router {
+fn router_with_one_host(primary: &Host) -> Router {
     Router::start(site(&[entry("p", primary.address, true, "ready")], None, 1024))
 }
 
@@ -29,27 +29,27 @@
     host.met.try_iter().filter(|met| matches!(met, Met::Query(_))).count()
 }
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Going {
+enum ClientExit {
     Closes,
     /// It ends its sending, and would go on reading.
     HalfCloses,
     Resets,
 }
 
-impl Going {
-    const ALL: [Going; 3] = [Going::Closes, Going::HalfCloses, Going::Resets];
+impl ClientExit {
+    const ALL: [ClientExit; 3] = [ClientExit::Closes, ClientExit::HalfCloses, ClientExit::Resets];
 
-    /// What is returned keeps a half closed connection.
-    fn go(self, client: Client) -> Option<Client> {
+    /// The client that is returned keeps a half closed connection open.
+    fn apply(self, client: Client) -> Option<Client> {
         match self {
-            Going::Closes => None,
-            Going::HalfCloses => {
+            ClientExit::Closes => None,
+            ClientExit::HalfCloses => {
                 client.0.shutdown(Shutdown::Write).expect("half closed");
                 Some(client)
             }
-            Going::Resets => {
+            ClientExit::Resets => {
                 rustix::net::sockopt::set_socket_linger(&client.0, Some(Duration::ZERO)).expect("an option");
                 None
             }
@@ -57,36 +57,36 @@
     }
 }
 
-/// Commands enough that the router stops reading before the end of the connection can be read.
-fn many(from: u32) -> Vec<u8> {
+/// Enough commands that the router stops reading before the end of the connection can be read.
+fn pipelined_commands(from: u32) -> Vec<u8> {
     (from..from + 400).flat_map(|id| query(&write(id, 5_000))).collect()
 }
 
 #[test]
 fn a_client_that_goes_behind_pipelined_commands_has_gone() {
-    for going in Going::ALL {
+    for exit in ClientExit::ALL {
         let primary = host(true, |_, _| Act::Silence);
-        let router = alone(&primary);
+        let router = router_with_one_host(&primary);
         let mut client = Client::connect(router.address);
         client.0.write_all(&query(&write(1, 5_000))).expect("sent");
         assert!(matches!(primary.next(), Met::Query(_)), "the first is out");
-        client.0.write_all(&many(2)).expect("sent");
-        let (gone, _held) = (Instant::now(), going.go(client));
-        assert_eq!(primary.next(), Met::Ended, "{going:?}: the first is called off");
+        client.0.write_all(&pipelined_commands(2)).expect("sent");
+        let (gone, _held) = (Instant::now(), exit.apply(client));
+        assert_eq!(primary.next(), Met::Ended, "{exit:?}: the first is called off");
         let took = gone.elapsed();
-        assert!(took < GONE + BUSY, "{going:?}: only after {took:?}");
+        assert!(took < EXIT_GRACE + BUSY_MACHINE_SLACK, "{exit:?}: only after {took:?}");
         // Whoever comes next is served at once: none of the four hundred was begun.
         router.wait();
-        assert_eq!(queries(&primary), 0, "{going:?}");
+        assert_eq!(queries(&primary), 0, "{exit:?}");
     }
 }
 
 #[test]
 fn a_command_read_after_its_client_has_gone_is_not_begun() {
-    for going in Going::ALL {
+    for exit in ClientExit::ALL {
         let primary = host(true, |_, _| answer("value"));
         let all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
-        let program = Program::start(&format!("read-late-{going:?}"), &all);
+        let program = Program::start(&format!("read-late-{exit:?}"), &all);
         let mut first = Client::connect(program.address);
         assert_eq!(first.ask(&write(1, 5_000)), Got::Value(b"value".to_vec()));
         let mut open = Client::connect(program.address);
@@ -95,8 +95,8 @@
         let mut new = Client::raw(program.address);
         new.0.write_all(&[startup(), query(&write(2, 5_000))].concat()).expect("sent");
         open.0.write_all(&query(&write(3, 5_000))).expect("sent");
-        let _held = [going.go(new), going.go(open)];
-        sleep(GONE);
+        let _held = [exit.apply(new), exit.apply(open)];
+        sleep(EXIT_GRACE);
         program.signal("CONT");
         assert_eq!(first.ask(&write(4, 5_000)), Got::Value(b"value".to_vec()));
         program.signal("TERM");
@@ -105,12 +105,13 @@
         let begun = |id: u32| {
             met.iter().any(|met| matches!(met, Met::Query(text) if text.contains(&format!("id={id},"))))
         };
-        assert!(begun(1) && begun(4) && !begun(2) && !begun(3), "{going:?}: {met:?}");
+        assert!(begun(1) && begun(4) && !begun(2) && !begun(3), "{exit:?}: {met:?}");
     }
 }
 
-/// A host that takes connections and greets none before it is told to; what it is then sent.
-fn greets_late() -> (std::net::SocketAddr, std::sync::mpsc::Sender<()>, std::sync::mpsc::Receiver<Vec<u8>>) {
+/// A host that accepts connections and completes no startup before it is signalled to; what it is sent after that.
+fn host_with_late_greeting()
+-> (std::net::SocketAddr, std::sync::mpsc::Sender<()>, std::sync::mpsc::Receiver<Vec<u8>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (greet, greeted) = channel::<()>();
@@ -138,8 +139,8 @@
 
 #[test]
 fn a_connection_that_comes_up_after_its_client_has_gone_carries_no_command() {
-    for (going, cancel) in Going::ALL.into_iter().flat_map(|going| [(going, true), (going, false)]) {
-        let (address, greet, told) = greets_late();
+    for (exit, cancel) in ClientExit::ALL.into_iter().flat_map(|exit| [(exit, true), (exit, false)]) {
+        let (address, greet, told) = host_with_late_greeting();
         let mut all = site(&[entry("p", address, true, "ready")], None, 1024);
         all["settings"]["permissions"]["cancel"] = cancel.into();
         all["settings"]["permissions"]["connect_timeout_us"] = 3_000_000.into();
@@ -147,20 +148,20 @@
         let mut client = Client::connect(router.address);
         client.0.write_all(&query(&write(1, 5_000))).expect("sent");
         // The router attempts a connection for the command, and probes: both have their startup message out before it goes.
-        sleep(GONE);
-        let _held = going.go(client);
-        sleep(GONE * 2);
+        sleep(EXIT_GRACE);
+        let _held = exit.apply(client);
+        sleep(EXIT_GRACE * 2);
         greet.send(()).expect("told");
         let sent: Vec<Vec<u8>> = told.iter().collect();
         assert!(!sent.is_empty(), "a connection was attempted");
         let begun = sent.iter().any(|bytes| String::from_utf8_lossy(bytes).contains("id=1,"));
-        assert!(!begun, "{going:?}, cancel {cancel}");
+        assert!(!begun, "{exit:?}, cancel {cancel}");
         router.wait();
     }
 }
 
-/// Waits until the other side has ended its sending, and reads nothing.
-fn ended(stream: &TcpStream) {
+/// Waits until the peer has shut its sending half down, and reads nothing.
+fn wait_for_end_of_stream(stream: &TcpStream) {
     let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
     let limit = Timespec { tv_sec: LONG.as_secs() as i64, tv_nsec: 0 };
     assert_eq!(poll(&mut asked, Some(&limit)), Ok(1), "the router closes");
@@ -169,13 +170,13 @@
 #[test]
 fn bytes_that_cross_the_close_of_a_resting_connection_reset_nothing_and_are_not_carried_out() {
     let primary = host(true, |nth, _| answer(&format!("value {nth}")));
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     // Its last answer waits unread, and the next command comes in the moment in which it is closed.
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
     assert!(matches!(primary.next(), Met::Query(_)));
     router.ask_to_stop();
-    ended(&client.0);
+    wait_for_end_of_stream(&client.0);
     client.0.write_all(&query(&write(2, 5_000))).expect("sent");
     assert_eq!(client.got(), Got::Value(b"value 0".to_vec()));
     let end = client.0.read(&mut [0]);
@@ -234,7 +235,7 @@
     for client in &mut clients {
         let got = client.got();
         assert!(matches!(got, Got::Error(_)), "{got:?}");
-        assert!(began.elapsed() < Duration::from_millis(300) + BUSY, "{:?}", began.elapsed());
+        assert!(began.elapsed() < Duration::from_millis(300) + BUSY_MACHINE_SLACK, "{:?}", began.elapsed());
     }
     program.ends();
 }
@@ -310,7 +311,7 @@
     for key in ["class_read", "oldest_data_us"] {
         settings["domain"][key].as_array_mut().expect("a list").reverse();
     }
-    let routers = [alone(&hosts[0]), Router::start(two)];
+    let routers = [router_with_one_host(&hosts[0]), Router::start(two)];
     let mut clients: Vec<Client> = routers.iter().map(|router| Client::connect(router.address)).collect();
     for id in 0..20 {
         let other = write(id, 5_000).replace("c=write", "c=write-two");
@@ -409,8 +410,8 @@
     let last = others.last_mut().expect("clients");
     let turned_away = [last.got(), last.got()].contains(&Got::Error("53300".into()));
     assert!(turned_away, "there is no room left");
-    client.0.write_all(&many(2)[..6_000]).expect("sent");
-    sleep(GONE);
+    client.0.write_all(&pipelined_commands(2)[..6_000]).expect("sent");
+    sleep(EXIT_GRACE);
     tell.send(()).expect("told");
     assert_eq!(client.got(), Got::Value(b"value".to_vec()));
     drop((client, others, tell));
@@ -427,7 +428,7 @@
         }
         answer("value")
     });
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
     assert!(matches!(primary.next(), Met::Query(_)));
@@ -448,7 +449,7 @@
     assert!(third, "the third alone came after the first: {sent:?}");
 }
 
-/// The number and the key of a connection, as a client is told them.
+/// The number and the key of a connection, as they are sent to a client.
 fn cancel_key(client: &mut Client) -> [u8; 8] {
     client.0.write_all(&startup()).expect("sent");
     let mut all = Vec::new();
@@ -464,7 +465,7 @@
 #[test]
 fn a_cancel_request_ends_its_command_alone_and_only_for_who_knows_the_key() {
     let primary = host(true, |nth, _| if nth == 0 { Act::Silence } else { answer("value") });
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::raw(router.address);
     let key = cancel_key(&mut client);
     let cancel = |key: [u8; 8]| {
@@ -480,12 +481,12 @@
     let mut wrong = key;
     wrong[7] ^= 1;
     cancel(wrong);
-    assert!(primary.met.recv_timeout(GONE).is_err(), "a wrong key cancels nothing");
+    assert!(primary.met.recv_timeout(EXIT_GRACE).is_err(), "a wrong key cancels nothing");
     let asked = Instant::now();
     cancel(key);
     assert_eq!(client.got(), Got::Error("57014".into()));
     assert_eq!(primary.next(), Met::Ended, "its dispatch is called off");
-    assert!(asked.elapsed() < GONE + BUSY, "{:?}", asked.elapsed());
+    assert!(asked.elapsed() < EXIT_GRACE + BUSY_MACHINE_SLACK, "{:?}", asked.elapsed());
     assert_eq!(client.ask(&write(2, 5_000)), Got::Value(b"value".to_vec()));
     router.wait();
     let sent: Vec<Met> = primary.met.try_iter().filter(|met| matches!(met, Met::Query(_))).collect();
@@ -497,7 +498,7 @@
 fn a_write_under_which_a_kept_connection_closes_may_have_run_and_a_read_goes_again() {
     let primary =
         host(true, |nth, _| if nth % 2 == 1 { Act::Close } else { answer(&format!("value {nth}")) });
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask(&write(1, 5_000)), Got::Value(b"value 0".to_vec()));
     assert_eq!(client.ask(&write(2, 5_000)), Got::Error("40003".into()), "on the connection kept");
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -1,4 +1,4 @@
-//! One suite of faults for both protocols: what clients are told, what ran, and how often it was sent must be the
+//! One suite of faults for both protocols: what clients are answered, what ran, and how often it was sent must be the
 //! same, and no rule may break. `cargo test -p comethitchd --test faults -- --nocapture` prints the table that is
 //! kept in docs/measured/faults.md.
 
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use support::{Router, entry, site};
 
-/// What came of a scenario.
+/// How often each answer was given in a scenario, and how many attempts were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Counts {
     answered: usize,
@@ -19,7 +19,7 @@
     dispatches: usize,
 }
 
-struct Scene {
+struct TestBed {
     protocol: Protocol,
     primary: Host,
     replica: Host,
@@ -27,8 +27,8 @@
     ledger: Ledger,
     asked: Vec<Asked>,
     keys: usize,
-    /// Dispatches that belong to no scenario.
-    before: usize,
+    /// Attempts before the scenario began.
+    earlier_attempts: usize,
     broken: Vec<String>,
 }
 
@@ -45,14 +45,14 @@
     })
 }
 
-impl Scene {
-    fn new(protocol: Protocol) -> Scene {
+impl TestBed {
+    fn new(protocol: Protocol) -> TestBed {
         let ledger = Ledger::default();
         let primary = Host::start("p", protocol, true, &ledger);
         let replica = Host::start("r", protocol, false, &ledger);
         let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
         let router = Router::start_with_protocol(protocol, site(&hosts, None, 1024), Some(rules(protocol)));
-        Scene {
+        TestBed {
             protocol,
             primary,
             replica,
@@ -60,7 +60,7 @@
             ledger,
             asked: Vec::new(),
             keys: 0,
-            before: 0,
+            earlier_attempts: 0,
             broken: Vec::new(),
         }
     }
@@ -85,9 +85,9 @@
         got
     }
 
-    /// Has reads answered, by the replica too, so that the router knows how both hosts stand and has saved up for
-    /// further dispatches.
-    fn warm(&mut self, client: &mut Client) {
+    /// Has reads answered, by the replica too, so that the router has reports of both hosts and a budget for
+    /// retries.
+    fn warm_up(&mut self, client: &mut Client) {
         for nth in 0..400 {
             if nth >= 40 && self.replica_ran() > 0 {
                 break;
@@ -96,36 +96,36 @@
             self.ask(client, text);
         }
         assert!(self.replica_ran() > 0, "the replica takes reads");
-        self.begin();
+        self.begin_scenario();
     }
 
-    /// What was needed to get here is no part of the scenario.
-    fn begin(&mut self) {
+    /// Forgets what was needed to get here.
+    fn begin_scenario(&mut self) {
         self.asked.clear();
-        self.before = self.ledger.dispatches();
+        self.earlier_attempts = self.ledger.dispatches();
     }
 
-    /// Asks reads until the replica has taken none of ten.
-    fn leave_replica(&mut self, client: &mut Client) {
+    /// Sends reads until none of ten goes to the replica.
+    fn wait_until_replica_is_avoided(&mut self, client: &mut Client) {
         let mut apart = 0;
         for _ in 0..2_000 {
             let (before, text) = (self.replica_ran(), self.read());
             self.ask(client, text);
             apart = if self.replica_ran() == before { apart + 1 } else { 0 };
             if apart == 10 {
-                return self.begin();
+                return self.begin_scenario();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         panic!("the replica takes reads all the time");
     }
 
-    /// Asks writes until one is answered.
-    fn settle(&mut self, client: &mut Client) {
+    /// Sends writes until one is answered.
+    fn wait_until_writes_succeed(&mut self, client: &mut Client) {
         for _ in 0..500 {
             let text = self.write();
             if matches!(self.ask(client, text), Received::Answered(_)) {
-                return self.begin();
+                return self.begin_scenario();
             }
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -138,78 +138,80 @@
     }
 }
 
-/// What each scenario does.
-type Play = fn(&mut Scene, &mut Client);
+/// A scenario, carried out by a client.
+type Scenario = fn(&mut TestBed, &mut Client);
 
-/// A write that a step happens to once, and one behind it.
-fn write_meets(scene: &mut Scene, client: &mut Client, step: HostBehavior) {
-    scene.primary.script(once(step));
+/// Two writes, of which the first is treated so by the host.
+fn write_with_fault(test_bed: &mut TestBed, client: &mut Client, behavior: HostBehavior) {
+    test_bed.primary.script(once(behavior));
     for nth in 0..2 {
-        let text = scene.write();
+        let text = test_bed.write();
         // A debug build on a crowded machine may take a second for two megabytes: this is no test of the time.
         let patient = format!("/* id=p{nth},c=write,d=3000,cluster=0 */ {text}");
-        scene.ask(client, if step == HostBehavior::Huge { patient } else { text });
+        test_bed.ask(client, if behavior == HostBehavior::Huge { patient } else { text });
     }
 }
 
-/// The first command that comes from now on meets a step, and the others are answered.
-fn once(step: HostBehavior) -> impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static {
+/// The first command that comes from now on is treated so by the host, and the others are answered.
+fn once(behavior: HostBehavior) -> impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static {
     let met = std::sync::atomic::AtomicBool::new(false);
-    move |_, _| if met.swap(true, std::sync::atomic::Ordering::SeqCst) { HostBehavior::Answer } else { step }
+    move |_, _| {
+        if met.swap(true, std::sync::atomic::Ordering::SeqCst) { HostBehavior::Answer } else { behavior }
+    }
 }
 
-/// Reads of which the first meets a step at either host.
-fn read_meets(scene: &mut Scene, client: &mut Client, step: HostBehavior) {
-    scene.replica.script(once(step));
-    scene.primary.script(|_, _| HostBehavior::Answer);
+/// Two reads, of which the first is treated so by either host.
+fn read_with_fault(test_bed: &mut TestBed, client: &mut Client, behavior: HostBehavior) {
+    test_bed.replica.script(once(behavior));
+    test_bed.primary.script(|_, _| HostBehavior::Answer);
     for _ in 0..2 {
-        let text = scene.read();
-        scene.ask(client, text);
+        let text = test_bed.read();
+        test_bed.ask(client, text);
     }
 }
 
-const SCENARIOS: [(&str, Play, [usize; 4]); 35] = [
-    ("writes are answered", |s, c| write_meets(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
-    ("a write, reset before it ran", |s, c| write_meets(s, c, HostBehavior::ResetBefore), [1, 0, 1, 0]),
-    ("a write, reset after it ran", |s, c| write_meets(s, c, HostBehavior::ResetAfter), [1, 0, 1, 0]),
-    ("a write, its answer cut off", |s, c| write_meets(s, c, HostBehavior::Cut), [1, 0, 1, 0]),
-    ("a write, its answer spoilt", |s, c| write_meets(s, c, HostBehavior::Spoil), [1, 0, 1, 0]),
-    ("a write, hung before it ran", |s, c| write_meets(s, c, HostBehavior::Hang), [1, 0, 1, 0]),
-    ("a write, hung after it ran", |s, c| write_meets(s, c, HostBehavior::HangAfter), [1, 0, 1, 0]),
-    ("a write, turned away once", |s, c| write_meets(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
-    ("a write, met by an error", |s, c| write_meets(s, c, HostBehavior::Fault), [1, 0, 1, 0]),
+const SCENARIOS: [(&str, Scenario, [usize; 4]); 35] = [
+    ("writes are answered", |s, c| write_with_fault(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
+    ("a write, reset before it ran", |s, c| write_with_fault(s, c, HostBehavior::ResetBefore), [1, 0, 1, 0]),
+    ("a write, reset after it ran", |s, c| write_with_fault(s, c, HostBehavior::ResetAfter), [1, 0, 1, 0]),
+    ("a write, its answer cut off", |s, c| write_with_fault(s, c, HostBehavior::Cut), [1, 0, 1, 0]),
+    ("a write, its answer spoilt", |s, c| write_with_fault(s, c, HostBehavior::Spoil), [1, 0, 1, 0]),
+    ("a write, hung before it ran", |s, c| write_with_fault(s, c, HostBehavior::Hang), [1, 0, 1, 0]),
+    ("a write, hung after it ran", |s, c| write_with_fault(s, c, HostBehavior::HangAfter), [1, 0, 1, 0]),
+    ("a write, turned away once", |s, c| write_with_fault(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
+    ("a write, met by an error", |s, c| write_with_fault(s, c, HostBehavior::Fault), [1, 0, 1, 0]),
     (
         "a write, met by an error that drivers retry",
-        |s, c| write_meets(s, c, HostBehavior::Transient),
+        |s, c| write_with_fault(s, c, HostBehavior::Transient),
         [1, 0, 1, 0],
     ),
-    ("a write, answered byte by byte", |s, c| write_meets(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
-    ("a write, answered twice", |s, c| write_meets(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
-    ("a write, answered with two megabytes", |s, c| write_meets(s, c, HostBehavior::Huge), [2, 0, 0, 0]),
+    ("a write, answered byte by byte", |s, c| write_with_fault(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
+    ("a write, answered twice", |s, c| write_with_fault(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
+    ("a write, answered with two megabytes", |s, c| write_with_fault(s, c, HostBehavior::Huge), [2, 0, 0, 0]),
     (
         "a write that leaves a transaction open",
-        |s, c| write_meets(s, c, HostBehavior::LeaveOpen),
+        |s, c| write_with_fault(s, c, HostBehavior::LeaveOpen),
         [2, 0, 0, 0],
     ),
     (
         "a write, answered late",
-        |s, c| write_meets(s, c, HostBehavior::AnswerAfter(Duration::from_millis(200))),
+        |s, c| write_with_fault(s, c, HostBehavior::AnswerAfter(Duration::from_millis(200))),
         [2, 0, 0, 0],
     ),
-    ("reads are answered", |s, c| read_meets(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
-    ("a read, reset before it ran", |s, c| read_meets(s, c, HostBehavior::ResetBefore), [2, 0, 0, 0]),
-    ("a read, reset after it ran", |s, c| read_meets(s, c, HostBehavior::ResetAfter), [2, 0, 0, 0]),
-    ("a read, its answer cut off", |s, c| read_meets(s, c, HostBehavior::Cut), [2, 0, 0, 0]),
-    ("a read, its answer spoilt", |s, c| read_meets(s, c, HostBehavior::Spoil), [2, 0, 0, 0]),
-    ("a read, hung", |s, c| read_meets(s, c, HostBehavior::Hang), [1, 1, 0, 0]),
-    ("a read, turned away", |s, c| read_meets(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
-    ("a read, answered byte by byte", |s, c| read_meets(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
-    ("a read, answered twice", |s, c| read_meets(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
+    ("reads are answered", |s, c| read_with_fault(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
+    ("a read, reset before it ran", |s, c| read_with_fault(s, c, HostBehavior::ResetBefore), [2, 0, 0, 0]),
+    ("a read, reset after it ran", |s, c| read_with_fault(s, c, HostBehavior::ResetAfter), [2, 0, 0, 0]),
+    ("a read, its answer cut off", |s, c| read_with_fault(s, c, HostBehavior::Cut), [2, 0, 0, 0]),
+    ("a read, its answer spoilt", |s, c| read_with_fault(s, c, HostBehavior::Spoil), [2, 0, 0, 0]),
+    ("a read, hung", |s, c| read_with_fault(s, c, HostBehavior::Hang), [1, 1, 0, 0]),
+    ("a read, turned away", |s, c| read_with_fault(s, c, HostBehavior::Refuse), [2, 0, 0, 0]),
+    ("a read, answered byte by byte", |s, c| read_with_fault(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
+    ("a read, answered twice", |s, c| read_with_fault(s, c, HostBehavior::Twice), [2, 0, 0, 0]),
     (
         "a read, the replica dead",
         |s, c| {
             s.replica.set_down(true);
-            read_meets(s, c, HostBehavior::Answer);
+            read_with_fault(s, c, HostBehavior::Answer);
         },
         [2, 0, 0, 0],
     ),
@@ -217,9 +219,9 @@
         "reads, the replica ten seconds behind",
         |s, c| {
             s.replica.set_lag(Duration::from_secs(10));
-            s.leave_replica(c);
+            s.wait_until_replica_is_avoided(c);
             let before = s.replica_ran();
-            read_meets(s, c, HostBehavior::Answer);
+            read_with_fault(s, c, HostBehavior::Answer);
             if s.replica_ran() > before {
                 s.broken.push("a stale read".into());
             }
@@ -240,11 +242,11 @@
     (
         "writes through a takeover",
         |s, c| {
-            write_meets(s, c, HostBehavior::Answer);
+            write_with_fault(s, c, HostBehavior::Answer);
             s.primary.set_primary(false);
             s.replica.set_primary(true);
-            s.settle(c);
-            write_meets(s, c, HostBehavior::Answer);
+            s.wait_until_writes_succeed(c);
+            write_with_fault(s, c, HostBehavior::Answer);
         },
         [2, 0, 0, 0],
     ),
@@ -309,13 +311,13 @@
     ),
 ];
 
-fn run(protocol: Protocol, play: Play) -> (Counts, Vec<String>) {
-    let mut scene = Scene::new(protocol);
-    let mut client = scene.client();
-    scene.warm(&mut client);
-    play(&mut scene, &mut client);
+fn run(protocol: Protocol, scenario: Scenario) -> (Counts, Vec<String>) {
+    let mut test_bed = TestBed::new(protocol);
+    let mut client = test_bed.client();
+    test_bed.warm_up(&mut client);
+    scenario(&mut test_bed, &mut client);
     let mut counts = Counts::default();
-    for asked in &scene.asked {
+    for asked in &test_bed.asked {
         match &asked.got[0] {
             Received::Answered(_) => counts.answered += 1,
             Received::Throttled => counts.throttled += 1,
@@ -326,16 +328,16 @@
     }
     let quiet = client.is_quiet();
     drop(client);
-    let asked = std::mem::take(&mut scene.asked);
-    scene.router.wait();
-    counts.dispatches = scene.ledger.dispatches() - scene.before;
+    let asked = std::mem::take(&mut test_bed.asked);
+    test_bed.router.wait();
+    counts.dispatches = test_bed.ledger.dispatches() - test_bed.earlier_attempts;
     // Without a row there is no key in the answer.
     let with_key: Vec<Asked> = asked
         .into_iter()
         .filter(|asked| !matches!(&asked.got[0], Received::Answered(value) if value.is_empty()))
         .collect();
-    let mut broken = scene.ledger.broken(&with_key);
-    broken.append(&mut scene.broken);
+    let mut broken = test_bed.ledger.broken(&with_key);
+    broken.append(&mut test_bed.broken);
     if !quiet {
         broken.push("something came behind the last answer".into());
     }
@@ -347,7 +349,9 @@
     let ran: Vec<[(Counts, Vec<String>); 2]> = std::thread::scope(|scope| {
         let all: Vec<_> = SCENARIOS
             .iter()
-            .map(|(_, play, _)| Protocol::BOTH.map(|protocol| scope.spawn(move || run(protocol, *play))))
+            .map(|(_, scenario, _)| {
+                Protocol::BOTH.map(|protocol| scope.spawn(move || run(protocol, *scenario)))
+            })
             .collect();
         all.into_iter().map(|both| both.map(|one| one.join().expect("no panic"))).collect()
     });
@@ -377,24 +381,24 @@
 fn a_large_answer_that_breaks_midway_is_seen_not_to_be_whole_and_not_sent_again() {
     for protocol in Protocol::BOTH {
         for writes in [true, false] {
-            let mut scene = Scene::new(protocol);
-            let mut client = scene.client();
-            scene.warm(&mut client);
-            scene.primary.script(once(HostBehavior::HugeCut));
-            scene.replica.script(once(HostBehavior::HugeCut));
-            let text = if writes { scene.write() } else { scene.read() };
+            let mut test_bed = TestBed::new(protocol);
+            let mut client = test_bed.client();
+            test_bed.warm_up(&mut client);
+            test_bed.primary.script(once(HostBehavior::HugeCut));
+            test_bed.replica.script(once(HostBehavior::HugeCut));
+            let text = if writes { test_bed.write() } else { test_bed.read() };
             let key = comethitch_testkit::key(&text).to_string();
             assert_eq!(client.ask(&text), Received::Closed, "{protocol:?}: the client is told by the end");
             assert_eq!(
-                scene.ledger.dispatches() - scene.before,
+                test_bed.ledger.dispatches() - test_bed.earlier_attempts,
                 1,
                 "{protocol:?}: what has begun is the answer"
             );
-            assert_eq!(scene.ledger.ran(&key), 1);
+            assert_eq!(test_bed.ledger.ran(&key), 1);
             // Another client is served, and nothing of the broken answer reaches it.
-            let mut other = scene.client();
+            let mut other = test_bed.client();
             for _ in 0..3 {
-                let text = scene.write();
+                let text = test_bed.write();
                 let wanted = comethitch_testkit::key(&text).to_string();
                 let got = other.ask(&text);
                 assert!(
@@ -402,11 +406,11 @@
                     "{protocol:?}: {got:?}"
                 );
                 if got == Received::Closed {
-                    other = scene.client();
+                    other = test_bed.client();
                 }
             }
             drop((client, other));
-            scene.router.wait();
+            test_bed.router.wait();
         }
     }
 }
@@ -415,17 +419,17 @@
 fn a_slow_reader_of_a_large_answer_holds_up_no_other() {
     use std::io::Read;
     for protocol in Protocol::BOTH {
-        let mut scene = Scene::new(protocol);
-        let mut client = scene.client();
-        scene.warm(&mut client);
-        scene.primary.script(once(HostBehavior::Huge));
-        let slow_text = scene.write();
+        let mut test_bed = TestBed::new(protocol);
+        let mut client = test_bed.client();
+        test_bed.warm_up(&mut client);
+        test_bed.primary.script(once(HostBehavior::Huge));
+        let slow_text = test_bed.write();
         client.send(&slow_text);
         // Its first byte is there; the rest is left where it is.
         client.stream.read_exact(&mut [0]).expect("the answer has begun");
-        let mut other = scene.client();
+        let mut other = test_bed.client();
         for _ in 0..20 {
-            let text = scene.write();
+            let text = test_bed.write();
             let wanted = comethitch_testkit::key(&text).to_string();
             assert_eq!(other.ask(&text), Received::Answered(wanted), "{protocol:?}");
         }
@@ -438,7 +442,7 @@
             left = left.saturating_sub(length);
         }
         drop((client, other));
-        scene.router.wait();
+        test_bed.router.wait();
     }
 }
 
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -1,4 +1,4 @@
-//! Statements judged by their text, between stand-ins on loopback.
+//! Classification of statements by their text, through a router between simulated clients and hosts on loopback.
 
 mod support;
 
@@ -28,7 +28,7 @@
     sql: String,
 }
 
-/// The statements of PostgreSQL's dialect that can be sent at all.
+/// The corpus of PostgreSQL statements, without those that can not be sent.
 fn corpus() -> Vec<Row> {
     let text = include_str!("../../comethitch-statement/tests/corpus/postgres.jsonl");
     let rows = text.lines().map(|line| {
@@ -39,28 +39,28 @@
     rows.filter(|row| !row.sql.contains('\0')).collect()
 }
 
-/// How often each statement came, without what a comment before it says.
+/// How often each statement came, without the comment before it.
 #[derive(Clone, Default)]
-struct Seen(Arc<Mutex<HashMap<String, usize>>>);
+struct StatementCounts(Arc<Mutex<HashMap<String, usize>>>);
 
-impl Seen {
-    fn note(&self, text: &str) {
+impl StatementCounts {
+    fn record(&self, text: &str) {
         let bare =
             text.strip_prefix("/* id=").and_then(|rest| rest.split_once(" */ ")).map_or(text, |(_, b)| b);
         *self.0.lock().expect("no panic").entry(bare.to_string()).or_default() += 1;
     }
 
-    fn often(&self, sql: &str) -> usize {
+    fn count(&self, sql: &str) -> usize {
         self.0.lock().expect("no panic").get(sql).copied().unwrap_or(0)
     }
 }
 
-/// A primary and a replica that note what they meet; `reset` says which statements break the connection.
-fn pair(reset: fn(usize) -> bool) -> (Host, Host, Seen, Seen) {
-    let (at_primary, at_replica) = (Seen::default(), Seen::default());
-    let act = |seen: Seen| {
+/// A primary and a replica that count the statements they get; `reset` says which statements break the connection.
+fn start_primary_and_replica(reset: fn(usize) -> bool) -> (Host, Host, StatementCounts, StatementCounts) {
+    let (at_primary, at_replica) = (StatementCounts::default(), StatementCounts::default());
+    let act = |seen: StatementCounts| {
         move |nth: usize, text: &str| {
-            seen.note(text);
+            seen.record(text);
             if reset(nth) { Act::Close } else { Act::Answer(row(b"value")) }
         }
     };
@@ -78,7 +78,7 @@
 }
 
 /// Sends every statement of the corpus bare, and with comments that claim each command group.
-fn play(router: &Router, rows: &[Row]) {
+fn send_corpus(router: &Router, rows: &[Row]) {
     let mut client = Client::connect(router.address);
     for (nth, row) in rows.iter().enumerate() {
         let bare = row.sql.clone();
@@ -95,7 +95,7 @@
 
 #[test]
 fn no_statement_that_writes_reaches_a_replica_whatever_its_comment_says() {
-    let (primary, replica, at_primary, at_replica) = pair(|_| false);
+    let (primary, replica, at_primary, at_replica) = start_primary_and_replica(|_| false);
     for disagreement in ["refuse", "raise"] {
         let mut rules = rules();
         rules["disagreement"] = disagreement.into();
@@ -103,18 +103,18 @@
         // to the primary, by the cautious verdict.
         rules["parsing"] = json!({"core_part": 1.0, "client_part": 1.0});
         let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules));
-        play(&router, &corpus());
+        send_corpus(&router, &corpus());
         router.wait();
     }
     let wrong: Vec<String> = corpus()
         .into_iter()
-        .filter(|row| row.effect != "read" && at_replica.often(&row.sql) > 0)
+        .filter(|row| row.effect != "read" && at_replica.count(&row.sql) > 0)
         .map(|row| row.sql)
         .collect();
     assert!(wrong.is_empty(), "at the replica: {wrong:#?}");
     // The test shows something only if the others get through: reads to the replica, writes to the primary.
-    let count = |seen: &Seen, effect: &str| {
-        corpus().iter().filter(|row| row.effect == effect && seen.often(&row.sql) > 0).count()
+    let count = |seen: &StatementCounts, effect: &str| {
+        corpus().iter().filter(|row| row.effect == effect && seen.count(&row.sql) > 0).count()
     };
     assert!(count(&at_replica, "read") > 40, "{} reads at the replica", count(&at_replica, "read"));
     assert!(count(&at_primary, "write") > 90, "{} writes at the primary", count(&at_primary, "write"));
@@ -122,45 +122,45 @@
 
 #[test]
 fn under_resets_nothing_that_may_change_data_is_sent_twice() {
-    let (primary, replica, at_primary, at_replica) = pair(|nth| nth % 3 == 1);
+    let (primary, replica, at_primary, at_replica) = start_primary_and_replica(|nth| nth % 3 == 1);
     let mut with_rules = rules();
     with_rules["disagreement"] = "raise".into();
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(with_rules));
-    play(&router, &corpus());
+    send_corpus(&router, &corpus());
     router.wait();
     for row in corpus().iter().filter(|row| !matches!(&*row.effect, "read" | "locking_read")) {
-        // Bare, and under three claims: four commands, and no more dispatches than that.
-        let often = at_primary.often(&row.sql) + at_replica.often(&row.sql);
+        // Bare, and under three claims: four commands, and no more attempts than that.
+        let often = at_primary.count(&row.sql) + at_replica.count(&row.sql);
         let alike = corpus().iter().filter(|other| other.sql == row.sql).count();
         assert!(often <= 4 * alike, "{} came {often} times", row.sql);
     }
     // Bare and under three claims a read came four times, and where it met a reset once more.
     let more =
-        |row: &&Row| row.effect == "read" && at_primary.often(&row.sql) + at_replica.often(&row.sql) > 4;
+        |row: &&Row| row.effect == "read" && at_primary.count(&row.sql) + at_replica.count(&row.sql) > 4;
     assert!(corpus().iter().filter(more).count() > 10, "reads are tried again");
 }
 
 #[test]
 fn a_comment_that_claims_less_than_the_text_is_refused_or_raised() {
-    let (primary, replica, at_primary, at_replica) = pair(|_| false);
+    let (primary, replica, at_primary, at_replica) = start_primary_and_replica(|_| false);
     let lie = "/* id=1,c=read,d=900,cluster=0 */ DELETE FROM facts";
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask(lie), Got::Error("42809".into()));
     assert_eq!(client.ask(&write(2, 900)), Got::Value(b"value".to_vec()), "the platform's form stays");
     router.wait();
-    assert_eq!((at_primary.often("DELETE FROM facts"), at_replica.often("DELETE FROM facts")), (0, 0));
+    assert_eq!((at_primary.count("DELETE FROM facts"), at_replica.count("DELETE FROM facts")), (0, 0));
     let mut raising = rules();
     raising["disagreement"] = "raise".into();
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(raising));
     assert_eq!(Client::connect(router.address).ask(lie), Got::Value(b"value".to_vec()));
     router.wait();
-    assert_eq!((at_primary.often("DELETE FROM facts"), at_replica.often("DELETE FROM facts")), (1, 0));
+    assert_eq!((at_primary.count("DELETE FROM facts"), at_replica.count("DELETE FROM facts")), (1, 0));
 }
 
 #[test]
 fn without_rules_the_platforms_form_alone_is_taken() {
-    let (primary, replica, ..) = pair(|_| false);
+    let (primary, replica, ..) = start_primary_and_replica(|_| false);
     let router = Router::start(hosts(&primary, &replica));
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask("SELECT 1"), Got::Error("42601".into()));
@@ -170,7 +170,7 @@
 
 #[test]
 fn what_concerns_a_session_or_a_transaction_is_not_half_done() {
-    let (primary, replica, at_primary, _) = pair(|_| false);
+    let (primary, replica, at_primary, _) = start_primary_and_replica(|_| false);
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask("SET a = 1;"), Got::Done("SET".into()));
@@ -180,7 +180,7 @@
     // A write behind SET is no statement of the session alone.
     assert_eq!(client.ask("SET a = 1; DELETE FROM facts"), Got::Value(b"value".to_vec()));
     router.wait();
-    assert_eq!(at_primary.often("SET a = 1; DELETE FROM facts"), 1);
+    assert_eq!(at_primary.count("SET a = 1; DELETE FROM facts"), 1);
 }
 
 #[test]
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -1,4 +1,4 @@
-//! TDS through the router, between stand-ins on loopback, and with a client library from the registry.
+//! TDS through the router, between simulated clients and hosts on loopback, and with a third-party client library.
 
 mod support;
 
@@ -31,20 +31,20 @@
     })
 }
 
-struct Scene {
+struct TestBed {
     primary: Host,
     replica: Host,
     ledger: Ledger,
     router: Router,
 }
 
-fn scene(rules: Value) -> Scene {
+fn start_test_bed(rules: Value) -> TestBed {
     let ledger = Ledger::default();
     let primary = Host::start("p", Protocol::Tds, true, &ledger);
     let replica = Host::start("r", Protocol::Tds, false, &ledger);
     let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
     let router = Router::start_with_protocol(Protocol::Tds, site(&hosts, None, 1024), Some(rules));
-    Scene { primary, replica, ledger, router }
+    TestBed { primary, replica, ledger, router }
 }
 
 #[test]
@@ -53,7 +53,7 @@
     // primary, by the cautious verdict.
     let mut rules = rules();
     rules["parsing"] = json!({"core_part": 1.0, "client_part": 1.0});
-    let Scene { primary: _primary, replica: _replica, ledger, router } = scene(rules);
+    let TestBed { primary: _primary, replica: _replica, ledger, router } = start_test_bed(rules);
     let rows = include_str!("../../comethitch-statement/tests/corpus/tsql.jsonl").lines();
     let rows: Vec<Value> = rows.map(|line| serde_json::from_str(line).expect(line)).collect();
     let mut client = Client::connect(Protocol::Tds, router.address);
@@ -89,7 +89,7 @@
 fn a_read_that_is_not_parsed_for_want_of_budget_goes_to_the_primary() {
     let mut rules = rules();
     rules["parsing"] = json!({"core_part": 1e-9, "client_part": 1.0});
-    let Scene { primary: _primary, replica: _replica, ledger, router } = scene(rules);
+    let TestBed { primary: _primary, replica: _replica, ledger, router } = start_test_bed(rules);
     let mut client = Client::connect(Protocol::Tds, router.address);
     // The first parse takes what is saved; nothing worth a token is added in the test's time.
     for nth in 0..10 {
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_client_library_reads_every_type_and_asks_with_parameters() {
-    let Scene { primary, replica, router, .. } = scene(rules());
+    let TestBed { primary, replica, router, .. } = start_test_bed(rules());
     for host in [&primary, &replica] {
         host.script(
             |_, text| if text.contains("tipos") { HostBehavior::Types } else { HostBehavior::Answer },
@@ -155,7 +155,7 @@
 
 #[test]
 fn an_attention_calls_the_command_off_and_is_acknowledged_once() {
-    let Scene { primary, replica: _replica, ledger, router } = scene(rules());
+    let TestBed { primary, replica: _replica, ledger, router } = start_test_bed(rules());
     primary.script(|nth, _| if nth == 0 { HostBehavior::HangAfter } else { HostBehavior::Answer });
     let mut client = Client::connect(Protocol::Tds, router.address);
     client.send("INSERT INTO t VALUES ('a')");
@@ -168,7 +168,7 @@
         Received::Answered("b".into()),
         "the connection goes on"
     );
-    // An attention that crosses the answer: it is answered, or called off, and then acknowledged once.
+    // An attention that crosses the answer: it is answered, or cancelled, and then acknowledged once.
     for nth in 0..40 {
         let text = format!("INSERT INTO t VALUES ('c{nth}')");
         client.send(&text);
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_pipelined_batch_is_timed_by_its_own_last_byte_and_not_by_those_that_come_later() {
-    let Scene { primary, replica: _replica, ledger, router } = scene(rules());
+    let TestBed { primary, replica: _replica, ledger, router } = start_test_bed(rules());
     let (tell, go) = std::sync::mpsc::channel::<()>();
     let go = std::sync::Mutex::new(go);
     primary.script(move |nth, _| {
@@ -238,7 +238,7 @@
 
 #[test]
 fn prepared_statements_are_kept_by_the_router_and_run_at_any_host() {
-    let Scene { primary, replica: _replica, ledger, router } = scene(rules());
+    let TestBed { primary, replica: _replica, ledger, router } = start_test_bed(rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
     let send = |client: &mut Client, payload: &[u8]| {
         client.stream.write_all(&call(payload)).expect("sent");
@@ -323,7 +323,7 @@
 
 #[test]
 fn what_is_no_login_or_too_large_is_told_and_closed() {
-    let Scene { router, .. } = scene(rules());
+    let TestBed { router, .. } = start_test_bed(rules());
     let ended = |wire: &[u8]| {
         let mut stream = TcpStream::connect(router.address).expect("a connection");
         stream.set_read_timeout(Some(comethitch_testkit::LONG)).expect("a limit");
@@ -350,7 +350,7 @@
     Batch::put(&mut payload, "SELECT 1");
     put_message(&mut batch, Kind::Batch, FIRST_SIZE, &payload);
     assert!(ended(&batch).contains("a connection begins with a PRELOGIN"));
-    // A login that would be 60 MB long is turned down at its fifth packet.
+    // A login that would be 60 MB long is rejected at its fifth packet.
     let mut long = Vec::new();
     for nth in 0..8_u8 {
         Header { kind: Kind::Prelogin, status: 0, length: 32_000, spid: 0, number: nth }.put(&mut long);
@@ -416,7 +416,7 @@
     let mut client = Client::connect(Protocol::Tds, router.address);
     let text = "INSERT INTO t VALUES ('first'); UPDATE u SET n = 1";
     client.send(text);
-    // The host runs it now, and will tell so once it has answered: the notice comes in between.
+    // The host runs it now, and signals when it has answered: the notice comes in between.
     while ledger.dispatches() == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -457,11 +457,11 @@
 
 #[test]
 fn an_attention_in_the_middle_of_a_takeover_is_acknowledged_and_harms_nothing() {
-    let Scene { primary, replica, ledger, router } = scene(rules());
+    let TestBed { primary, replica, ledger, router } = start_test_bed(rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
     assert_eq!(client.ask("INSERT INTO t VALUES ('a')"), Received::Answered("a".into()));
     primary.set_down(true);
-    // Reads that must be fresh wait for the next primary, or are turned away: some are called off meanwhile.
+    // Reads that must be fresh wait for the next primary, or are throttled: some are cancelled meanwhile.
     let mut called_off = 0;
     for nth in 0..20 {
         client.send(&format!("/* id=f{nth},c=fresh,d=700,cluster=0 */ SELECT n FROM t WHERE a = 'f{nth}'"));
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What is spoken: whole and byte by byte, and any bytes at all.
+//! Parsers of wire formats and of the configuration: complete input, input cut anywhere, and arbitrary bytes.
 
 mod support;
 
@@ -19,8 +19,8 @@
 use serde_json::{Value, json};
 use support::*;
 
-/// Feeds an answer's bytes in pieces of this size, and tells whether it came to its end.
-fn answer_in(pieces: usize, bytes: &[u8]) -> Result<HostResponse, ResponseError> {
+/// Feeds a response in pieces of this size; an error if any of them is malformed.
+fn response_in_pieces(pieces: usize, bytes: &[u8]) -> Result<HostResponse, ResponseError> {
     let (mut answer, mut held) = (HostResponse::default(), Vec::new());
     for piece in bytes.chunks(pieces) {
         held.extend(piece);
@@ -36,9 +36,9 @@
 #[test]
 fn an_answer_is_the_same_at_every_split() {
     let told = [parameter("rank", "source"), parameter("as_of", "1767225600123")].concat();
-    let bytes = [row(b"\x9f\x00\x03"), message_of_notice(), told, ready()].concat();
+    let bytes = [row(b"\x9f\x00\x03"), notice(), told, ready()].concat();
     for pieces in [1, 2, 3, 5, 7, bytes.len()] {
-        let answer = answer_in(pieces, &bytes).expect("an answer");
+        let answer = response_in_pieces(pieces, &bytes).expect("an answer");
         assert!(answer.is_complete() && answer.is_ready() && answer.error_code.is_none());
         assert_eq!(answer.rows, row(b"\x9f\x00\x03"), "only the value itself is passed on");
         let noted = host_report::from_parameters(&answer.parameters);
@@ -49,29 +49,32 @@
     }
 }
 
-fn message_of_notice() -> Vec<u8> {
+fn notice() -> Vec<u8> {
     support::message(b'N', b"SNOTICE\0\0")
 }
 
 #[test]
 fn what_is_no_whole_answer_is_told_apart() {
     let cut = [&row(b"x")[..row(b"x").len() - 14], &ready()].concat();
-    assert!(answer_in(1, &cut).is_err(), "ready without CommandComplete");
+    assert!(response_in_pieces(1, &cut).is_err(), "ready without CommandComplete");
     let twice = [row(b"x"), row(b"x"), ready()].concat();
-    assert!(answer_in(1, &twice).is_err(), "two values for one query");
+    assert!(response_in_pieces(1, &twice).is_err(), "two values for one query");
     let none = [support::message(b'C', b"INSERT 0 1\0"), ready()].concat();
-    assert!(!answer_in(1, &none).expect("an answer").is_complete(), "a command without its row");
+    assert!(!response_in_pieces(1, &none).expect("an answer").is_complete(), "a command without its row");
     let late = [row(b"x"), error("XX000"), ready()].concat();
-    let late = answer_in(1, &late).expect("an answer");
+    let late = response_in_pieces(1, &late).expect("an answer");
     assert!(
         !late.is_complete() && late.error_code.as_deref() == Some("XX000"),
         "an error takes the value back"
     );
-    assert!(answer_in(9, &support::message(b'R', &[0, 0, 0, 3])).is_err(), "a password is asked for");
+    assert!(
+        response_in_pieces(9, &support::message(b'R', &[0, 0, 0, 3])).is_err(),
+        "a password is asked for"
+    );
     let large = [&b"D"[..], &(MAX_MESSAGE_BYTES as u32 + 1).to_be_bytes()].concat();
     assert_eq!(message(&large).err(), Some(MalformedMessage("a message has an impossible length")));
     assert!(message(b"Q\0\0\0\x03").is_err(), "a length shorter than its own field");
-    // Lengths that don't fit, at each level, are told by the first bytes that show it: no more need come.
+    // Lengths that don't fit, at each level, are rejected at the first bytes that show it: no more need come.
     let whole = [row(b"abc"), ready()].concat();
     let data = whole.iter().skip(20).position(|b| *b == b'D').expect("a row") + 20;
     let spoilt = [
@@ -89,15 +92,18 @@
         ("longer than its kind ever is", data + 32, 6, data + 33),
         ("a state of no kind", data + 33, b'?', data + 34),
     ];
-    for (what, at, byte, told_by) in spoilt {
+    for (what, at, byte, detected_at) in spoilt {
         let mut bytes = whole.clone();
         bytes[at] = byte;
-        assert!(answer_in(1, &bytes[..told_by]).is_err(), "{what}");
-        assert!(answer_in(1, &bytes[..at]).is_ok(), "{what}: nothing wrong before it");
+        assert!(response_in_pieces(1, &bytes[..detected_at]).is_err(), "{what}");
+        assert!(response_in_pieces(1, &bytes[..at]).is_ok(), "{what}: nothing wrong before it");
     }
-    assert!(answer_in(1, &support::message(b'S', b"rank\0copy\0more\0")).is_err(), "no pair");
-    assert!(answer_in(1, &support::message(b'E', b"SERROR\0C53300\0")).is_err(), "an error that goes on");
-    assert!(answer_in(1, &error("5330")).is_err(), "a code that is none");
+    assert!(response_in_pieces(1, &support::message(b'S', b"rank\0copy\0more\0")).is_err(), "no pair");
+    assert!(
+        response_in_pieces(1, &support::message(b'E', b"SERROR\0C53300\0")).is_err(),
+        "an error that goes on"
+    );
+    assert!(response_in_pieces(1, &error("5330")).is_err(), "a code that is none");
 }
 
 #[test]
@@ -303,7 +309,7 @@
     for round in 0..3_000 {
         let (new, old) = (format!("s-{}", round + 1), format!("s-{round}"));
         let hosts = [entry(&new, address, false, "ready"), entry(&old, address, false, "gone")];
-        // Told of as gone, or missing from a whole list.
+        // Listed as gone, or missing from a complete list.
         let whole = round % 2 == 0;
         let told = json!({"seq": round, "whole": whole, "hosts": hosts[..if whole { 1 } else { 2 }]});
         list.apply(&discovery::endpoint_list_from_json(&told, &[]).expect("a list"));
