--- a/crates/comethitchd/src/wire/json_stream.rs
+++ b/crates/comethitchd/src/wire/json_stream.rs
@@ -17,7 +17,7 @@
     /// Something other than an object stands at the top level.
     #[error("the list is no JSON object")]
     NotAnObject,
-    /// An object is larger than [`MAX_OBJECT_BYTES`].
+    /// An object is larger than 4 MiB.
     #[error("it sends an object without end")]
     ObjectTooLarge,
 }
