--- /dev/null
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -0,0 +1,229 @@
+//! A client's connection, whatever its protocol: its registration, admission of its statements, writing to
+//! it, and closing it.
+//!
+//! [`waiting`] holds the waits for input and for the end of a command, [`disconnect`] the reasons to close.
+
+mod disconnect;
+mod waiting;
+
+pub use disconnect::{ClosingError, Disconnect};
+
+use crate::stages::admit::{AdmissionError, AdmittedCommand, StatementError, StatementRequest, admit};
+use crate::state::arrivals::Arrivals;
+use crate::state::buffer::Buffer;
+use crate::state::client_registry::ConnectionPhase;
+use crate::state::clock::after;
+use crate::state::descriptors::DescriptorPermit;
+use crate::state::router_state::RouterState;
+use crate::state::signals::{CloseRequest, ConnectionSignal};
+use async_io::Async;
+use comethitch_policy::time::Timestamp;
+use comethitch_statement::assign::Arguments;
+use futures_lite::{AsyncWriteExt, FutureExt};
+use std::io::{self, Read};
+use std::net::{IpAddr, Shutdown, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// What a client still sends behind the last answer of its connection is read and discarded for this long. Closed with
+/// bytes unread, the connection would be reset, and what the client has not read yet lost.
+const LINGER: Duration = Duration::from_millis(60);
+/// A client that has sent this many invalid statements in a row is disconnected.
+const MAX_REJECTED_IN_ROW: u32 = 8;
+/// A client's connection.
+pub struct ClientConnection {
+    /// The router.
+    pub state: Rc<RouterState>,
+    /// What was received and not consumed.
+    pub buffer: Buffer,
+    /// The connection's number in the registry of clients.
+    pub number: u32,
+    /// Asks this connection to close, or cancels its command.
+    pub signal: Rc<ConnectionSignal>,
+    stream: Async<TcpStream>,
+    /// A number for the client's machine, whose connections share one budget for parsing.
+    origin: u64,
+    /// When the last byte arrived that was consumed.
+    arrived: Timestamp,
+    arrivals: Arrivals,
+    _permit: DescriptorPermit,
+    /// A command was answered here, so that the connection may be closed while it is idle.
+    has_been_answered: bool,
+    /// Invalid statements since the last command that was answered.
+    rejected_in_row: u32,
+    /// The connection was asked to close before the last bytes were read: they cross the close.
+    closing_at_last_read: bool,
+}
+
+/// What became of a statement that a client wants run.
+pub enum Admission {
+    /// It is a command, to be submitted to the policy.
+    Admitted(AdmittedCommand),
+    /// It must be answered as throttled.
+    Throttled,
+    /// It must be answered with this error.
+    Invalid(StatementError),
+}
+
+impl ClientConnection {
+    /// Registers a client at once: it holds a descriptor although it has sent nothing yet.
+    pub fn new(
+        state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, max_buffer_bytes: usize,
+    ) -> ClientConnection {
+        let _ = stream.get_ref().set_nodelay(true);
+        let arrived = state.now();
+        let (number, signal) = state.clients.register(arrived);
+        let buffer = Buffer::new(max_buffer_bytes, &state.memory);
+        let origin = origin_of(&stream);
+        ClientConnection {
+            state,
+            buffer,
+            number,
+            signal,
+            stream,
+            origin,
+            arrived,
+            arrivals: Arrivals::default(),
+            _permit: permit,
+            has_been_answered: false,
+            rejected_in_row: 0,
+            closing_at_last_read: false,
+        }
+    }
+
+    /// Records that a command was answered.
+    pub fn record_answer(&mut self) {
+        self.has_been_answered = true;
+        self.rejected_in_row = 0;
+    }
+
+    /// Records an invalid statement.
+    ///
+    /// # Errors
+    /// If there were too many in a row.
+    pub fn record_rejection(&mut self, reason: &str) -> Result<(), Disconnect> {
+        self.state.metrics.invalid_requests.increment();
+        log::debug!("client {}: {reason}", self.number);
+        self.rejected_in_row += 1;
+        if self.rejected_in_row >= MAX_REJECTED_IN_ROW {
+            return Err(Disconnect::ProtocolViolation("too many statements that are no commands"));
+        }
+        Ok(())
+    }
+
+    /// Admits the statement that was consumed last, and counts and logs it if it is throttled.
+    ///
+    /// # Errors
+    /// If the client has disconnected: nothing may begin for it any more.
+    pub fn admit(&self, text: &[u8], arguments: &Arguments) -> Result<Admission, Disconnect> {
+        let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
+        let admitted = match admit(&self.state, &request) {
+            Ok(admitted) => admitted,
+            Err(AdmissionError::Invalid(error)) => return Ok(Admission::Invalid(error)),
+            Err(AdmissionError::Throttled) => {
+                self.state.metrics.throttled.increment();
+                self.state.log_rejection("", "statement_budget");
+                return Ok(Admission::Throttled);
+            }
+        };
+        // A hard limit, which the policy has no say in.
+        if self.state.at_command_limit() {
+            self.state.metrics.throttled_at_limit.increment();
+            self.state.log_rejection(&admitted.client_id, "at_limit");
+            return Ok(Admission::Throttled);
+        }
+        if self.has_disconnected() {
+            return Err(Disconnect::ClientGone);
+        }
+        Ok(Admission::Admitted(admitted))
+    }
+
+    /// Records that a command of this client is in progress.
+    pub fn set_busy(&self) {
+        self.set_phase(ConnectionPhase::Busy);
+    }
+
+    fn set_phase(&self, phase: ConnectionPhase) {
+        self.state.clients.set_phase(self.number, phase, self.state.clock.now());
+    }
+
+    /// Consumes bytes of the buffer: the request that they are part of arrived with the last of them.
+    pub fn consume(&mut self, length: usize) {
+        self.buffer.consume(length);
+        self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
+    }
+
+    fn record_read(&mut self, length: usize) {
+        self.arrivals.read(length, self.state.arrival_time());
+        self.closing_at_last_read = self.signal.close_requested() != CloseRequest::Never;
+    }
+
+    /// Writes all of the bytes, within the longest time that any client waits.
+    ///
+    /// # Errors
+    /// If the connection breaks, or the time runs out.
+    pub async fn write(&self, bytes: &[u8]) -> Result<(), Disconnect> {
+        let mut stream = &self.stream;
+        let timed_out = Err(io::ErrorKind::TimedOut.into());
+        let limit = self.state.longest_timeout.to_std();
+        Ok(stream.write_all(bytes).or(after(limit, timed_out)).await?)
+    }
+
+    /// Ends the connection. `encode` gives the protocol's message for an error that is sent to the client.
+    pub async fn close(mut self, disconnect: Disconnect, encode: impl Fn(ClosingError) -> Vec<u8>) {
+        match disconnect {
+            Disconnect::ProtocolViolation(message) => {
+                self.state.metrics.invalid_requests.increment();
+                let error = ClosingError::ProtocolViolation(message);
+                self.close_gracefully(encode(error), &error.to_string()).await;
+            }
+            Disconnect::Io(error) if error.kind() == io::ErrorKind::OutOfMemory => {
+                self.state.metrics.throttled_at_limit.increment();
+                let error = ClosingError::OutOfMemory;
+                self.close_gracefully(encode(error), &error.to_string()).await;
+            }
+            Disconnect::Io(error) => log::debug!("client {}: {error}", self.number),
+            // All is answered. The client sees the end of the stream, and sends again what comes now.
+            Disconnect::Closing => self.close_gracefully(Vec::new(), "closed between two commands").await,
+            Disconnect::ClientGone => {}
+        }
+        self.state.clients.unregister(self.number);
+    }
+
+    /// Sends the last bytes, if there are any, and shuts the sending half down. What the client still sends is discarded
+    /// for a while and never executed: closed with bytes unread, the connection would be reset, and the client
+    /// might never read its error, or its last answer.
+    async fn close_gracefully(&mut self, last_bytes: Vec<u8>, reason: &str) {
+        log::debug!("client {}: {reason}", self.number);
+        self.set_phase(ConnectionPhase::Closing);
+        let signal = self.signal.clone();
+        let linger = async {
+            signal.wait_for_close(CloseRequest::Now).await;
+            after(LINGER, None::<()>).await
+        };
+        self.send_and_discard(&last_bytes).or(linger).await;
+    }
+
+    /// Sends the last bytes, and discards input up to the end of the stream; none then, or if the connection breaks.
+    async fn send_and_discard(&mut self, last_bytes: &[u8]) -> Option<()> {
+        self.write(last_bytes).await.ok()?;
+        self.stream.get_ref().shutdown(Shutdown::Write).ok()?;
+        self.consume(self.buffer.unread().len());
+        loop {
+            self.stream.readable().await.ok()?;
+            match self.stream.get_ref().read(&mut self.state.discard_buffer.borrow_mut()) {
+                Ok(length) if length > 0 => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                _ => return None,
+            }
+        }
+    }
+}
+
+/// A number for the client's machine. An IPv6 network of 64 bits counts as one client's.
+fn origin_of(stream: &Async<TcpStream>) -> u64 {
+    stream.get_ref().peer_addr().map_or(0, |address| match address.ip() {
+        IpAddr::V4(ip) => u64::from(ip.to_bits()),
+        IpAddr::V6(ip) => (ip.to_bits() >> 64) as u64,
+    })
+}
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -1,7 +1,10 @@
-//! TDS 7.4, on both sides: batches and calls of `sp_executesql` and its kin.
+//! The TDS protocol, version 7.4: batches, and calls of procedures such as `sp_executesql`.
+//!
+//! Packets and tokens are parsed and written by the package `comethitch-tds`.
 
 mod backend;
 mod client;
+mod host_login;
 mod prepared;
 mod response;
 pub mod settings;
@@ -16,7 +19,7 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Speaks with clients and hosts, in the operator's ways.
+/// The TDS protocol, on both sides, with the operator's settings.
 #[derive(Clone)]
 pub struct Tds(pub Rc<TdsSettings>);
 
@@ -30,12 +33,12 @@
 
 impl BackendProtocol for Tds {
     fn send_attempt(
-        &self, state: &Rc<RouterState>, id: CommandId, host: Host, time_out: Duration,
+        &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
     ) -> Option<u16> {
-        backend::start(state, &self.0, id, host, time_out)
+        backend::start_attempt(state, &self.0, id, host, timeout)
     }
 
     fn check_health(&self, state: &Rc<RouterState>, host: Host) {
-        backend::probe(state, &self.0, host);
+        backend::start_health_check(state, &self.0, host);
     }
 }
