--- a/crates/comethitch-lab/src/live/clients.rs
+++ b/crates/comethitch-lab/src/live/clients.rs
@@ -2,7 +2,8 @@
 //! their timeout, and retry after a throttle.
 
 use super::network::{Message, message_type, now, read_message, sleep, sleep_until};
-use super::processes::{self, RouterIncarnation};
+use super::process_table::RouterIncarnation;
+use super::processes;
 use super::state::{LiveFleet, SLACK, SharedFleet};
 use crate::clients::{ClientCommand, LEAST_RATE, MAX_RETRIES, RETRY_DELAY};
 use crate::ledger::{Answer, Request};
--- a/crates/comethitch-lab/src/live/mod.rs
+++ b/crates/comethitch-lab/src/live/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Everything outside the routers is played here, in one thread: database hosts (`hosts`, with the same model as in
 //! simulated time), service discovery (`discovery`), clients (`clients`), and the links between them. The router
-//! processes are started, stopped and killed by `processes`. A router reaches hosts over loopback addresses of its
+//! processes are started by `processes`; `process_table` holds them, stops and kills them. A router reaches hosts over loopback addresses of its
 //! own (`network`), so that a connection identifies its router; [`crate::links`] decides the fate of each message on
 //! it. What is seen is recorded in the same [`crate::ledger::Ledger`] as in simulated time.
 //!
@@ -15,6 +15,7 @@
 mod hosts;
 mod network;
 mod play;
+mod process_table;
 mod processes;
 mod state;
 
--- a/crates/comethitch-lab/src/live/play.rs
+++ b/crates/comethitch-lab/src/live/play.rs
@@ -1,7 +1,8 @@
 //! The course of a trial with real processes: start everything, let clients send and faults begin, wait, add up.
 
 use super::network::{now, sleep, sleep_until};
-use super::processes::{self, RouterProcesses};
+use super::process_table::RouterProcesses;
+use super::processes;
 use super::state::{LiveFleet, SLACK, SharedFleet};
 use super::{clients, discovery, hosts};
 use crate::error::PlayError;
--- a/crates/comethitch-lab/src/live/state.rs
+++ b/crates/comethitch-lab/src/live/state.rs
@@ -1,7 +1,7 @@
 //! The state of a fleet of real processes, shared by all tasks of the one thread that plays a trial.
 
 use super::network::{now, sleep};
-use super::processes::RouterProcesses;
+use super::process_table::RouterProcesses;
 use crate::hosts::{Job, SimulatedHost, StartedJob};
 use crate::ledger::{Ledger, Rule};
 use crate::links::{Destination, Fate, Links};
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -260,7 +260,7 @@
     fn print(&self, budget: &str, grown: usize) {
         println!("\n| a million distinct shapes, {budget} | |\n| --- | --- |");
         println!("| the cache's bound | {} KiB |", self.admission.rules().cache.kib);
-        println!("| held by its own count | {} KiB |", self.admission.held() >> 10);
+        println!("| held by its own count | {} KiB |", self.admission.memory_bytes() >> 10);
         println!("| resident, grown from before the cache was made | {} KiB |", grown >> 10);
         let parsed = FLOOD_LOOKUPS - self.beyond_budget;
         println!("| parsed, and beyond the budget | {parsed}, {} |", self.beyond_budget);
--- a/crates/comethitch-statement/src/admission/counts.rs
+++ b/crates/comethitch-statement/src/admission/counts.rs
@@ -10,13 +10,13 @@
     /// Statements that were parsed.
     pub parsed: u64,
     /// Statements that servers may read in several ways.
-    pub doubtful: u64,
+    pub ambiguous: u64,
     /// Statements past the budget of their client.
-    pub beyond_client: u64,
+    pub client_budget_exhausted: u64,
     /// Statements past the budget of all clients.
-    pub beyond_all: u64,
+    pub total_budget_exhausted: u64,
     /// Statements that could not become a command.
-    pub refused: u64,
+    pub rejected: u64,
     /// Statements raised above the command group of their comment.
     pub raised: u64,
 }
--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -113,17 +113,17 @@
     }
 
     /// The bytes that the cache of shapes takes.
-    pub fn held(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.cache.memory_bytes()
     }
 
     /// The cache's counts since the start.
-    pub fn cached(&self) -> CacheCounts {
+    pub fn cache_counts(&self) -> CacheCounts {
         self.cache.counts()
     }
 
     /// The counts since the last call.
-    pub fn done(&mut self) -> AdmissionCounts {
+    pub fn take_counts(&mut self) -> AdmissionCounts {
         std::mem::take(&mut self.counts)
     }
 
@@ -143,7 +143,7 @@
         &mut self, key: ShapeKey, client: u64, clock: &dyn Fn() -> Timestamp,
     ) -> Option<(Rc<KnownShape>, VerdictSource)> {
         if self.lexer.ambiguity().is_some() {
-            self.counts.doubtful += 1;
+            self.counts.ambiguous += 1;
             return Some((KnownShape::new(self.classify()), VerdictSource::Ambiguous));
         }
         if let Some(known) = self.cache.get(key, client) {
@@ -158,8 +158,8 @@
                 self.counts.parsed += 1;
                 return Some((known, VerdictSource::Parsed));
             }
-            Reservation::TotalExceeded => self.counts.beyond_all += 1,
-            Reservation::ClientExceeded => self.counts.beyond_client += 1,
+            Reservation::TotalExceeded => self.counts.total_budget_exhausted += 1,
+            Reservation::ClientExceeded => self.counts.client_budget_exhausted += 1,
         }
         if self.rules.parsing.beyond == BudgetExceeded::Throttle {
             return None;
@@ -212,7 +212,7 @@
         let admitted = self.assign(judged, hints, text, arguments);
         match &admitted {
             Ok(admitted) => self.counts.raised += u64::from(admitted.assigned.raised),
-            Err(_) => self.counts.refused += 1,
+            Err(_) => self.counts.rejected += 1,
         }
         admitted.map_err(|error| match error {
             // A retry may find the budget refilled.
--- a/crates/comethitch-statement/src/cache/mod.rs
+++ b/crates/comethitch-statement/src/cache/mod.rs
@@ -72,9 +72,9 @@
     /// Look-ups that found none.
     pub misses: u64,
     /// Entries that did not get past the window.
-    pub turned_away: u64,
+    pub rejections: u64,
     /// Entries evicted for others.
-    pub pushed_out: u64,
+    pub evictions: u64,
 }
 
 /// A cache of values by shape.
@@ -196,13 +196,13 @@
             self.remove(slot);
         }
         if bytes > self.value_budget / LARGEST_PART {
-            self.counts.turned_away += 1;
+            self.counts.rejections += 1;
             return;
         }
         // A slot is always free here: what leaves the window below makes room for the next entry.
         let entry = Entry::new(key, value, bytes as u32, Self::owner(client));
         let Some(slot) = self.entries.allocate(entry) else {
-            self.counts.turned_away += 1;
+            self.counts.rejections += 1;
             return;
         };
         self.index.insert(key, slot);
@@ -233,10 +233,10 @@
         while self.main_bytes() + bytes > self.main_budget() || self.entries.is_full() {
             let victim = self.victim(owner, bytes);
             if victim == NONE || frequency <= self.sketch.estimate(self.entries.get(victim).key) {
-                self.counts.turned_away += 1;
+                self.counts.rejections += 1;
                 return self.remove(slot);
             }
-            self.counts.pushed_out += 1;
+            self.counts.evictions += 1;
             self.remove(victim);
         }
         self.entries.move_to_segment(slot, Segment::Probation);
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -17,7 +17,7 @@
 /// The PostgreSQL protocol, on both sides.
 pub struct Postgres;
 
-impl ClientProtocol for Postgres {
+impl ClientProtocol<RouterState> for Postgres {
     fn serve(
         &self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
     ) -> ClientSession {
@@ -25,7 +25,7 @@
     }
 }
 
-impl BackendProtocol for Postgres {
+impl BackendProtocol<RouterState> for Postgres {
     fn send_attempt(
         &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
     ) -> Option<u16> {
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -1,16 +1,15 @@
 //! Attempts and health checks at TDS hosts.
 
 use super::host_login::log_in;
-use super::response::{FirstRow, HostResponse, MAX_TOKEN_BYTES};
+use super::pending_response::PendingResponse;
+use super::response::{FirstRow, HostResponse};
 use super::settings::TdsSettings;
 use crate::protocols::attempt;
 use crate::protocols::connect::{ConnectionOptions, connect};
-use crate::protocols::exchange::{Exchange, Response, ResponseEnd, ResponseProgress, read_response};
+use crate::protocols::exchange::{Exchange, ResponseEnd, read_response};
 use crate::protocols::health_check::{self, HealthCheckResult};
-use crate::protocols::streamed_answer::{STREAMING_THRESHOLD_BYTES, StreamedAnswer};
-use crate::state::buffer::Buffer;
+use crate::protocols::streamed_answer::StreamedAnswer;
 use crate::state::host_connection::{ConnectionError, HostConnection, SessionState};
-use crate::state::memory_budget::Reservation;
 use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -21,9 +20,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The most bytes of a response that are buffered before they are streamed.
-const MAX_BUFFERED_BYTES: usize = STREAMING_THRESHOLD_BYTES + MAX_TOKEN_BYTES;
-
 /// A message to a host.
 struct Request<'a> {
     kind: Kind,
@@ -153,44 +149,6 @@
     error.is_some_and(|error| error.outcome() == AttemptOutcome::ConnectionReset)
 }
 
-/// A response that is being read.
-pub(super) struct PendingResponse {
-    pub(super) response: HostResponse,
-    reservation: Reservation,
-}
-
-impl PendingResponse {
-    /// A response of which nothing has come yet.
-    pub(super) fn new(state: &RouterState) -> PendingResponse {
-        PendingResponse { response: HostResponse::new(), reservation: Reservation::new(&state.memory) }
-    }
-}
-
-impl Response for PendingResponse {
-    fn read_buffered(
-        &mut self, buffer: &mut Buffer, is_streamed: bool,
-    ) -> Result<ResponseProgress, ConnectionError> {
-        let consumed = self.response.accept(buffer.unread()).map_err(|_| ConnectionError::Malformed)?;
-        buffer.consume(consumed);
-        let bytes = self.response.buffered_bytes();
-        if bytes > MAX_BUFFERED_BYTES || !self.reservation.resize_to(bytes) {
-            return Err(ConnectionError::TooLarge);
-        }
-        if self.response.is_ended() {
-            return Ok(ResponseProgress::Ended);
-        }
-        // An error within the response is known only once it is complete, up to here.
-        if is_streamed && self.response.tokens.len() >= STREAMING_THRESHOLD_BYTES {
-            return Ok(ResponseProgress::PartReady);
-        }
-        Ok(ResponseProgress::NeedsMore)
-    }
-
-    fn take_part(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.response.tokens)
-    }
-}
-
 async fn connect_to_host(
     state: &RouterState, settings: &TdsSettings, address: SocketAddr,
 ) -> Result<HostConnection, ConnectionError> {
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -1,6 +1,6 @@
 //! Opens a session at a host: PRELOGIN, then LOGIN7.
 
-use super::backend::PendingResponse;
+use super::pending_response::PendingResponse;
 use super::settings::TdsSettings;
 use crate::protocols::exchange::read_response;
 use crate::state::host_connection::{ConnectionError, HostConnection};
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -5,6 +5,7 @@
 mod backend;
 mod client;
 mod host_login;
+mod pending_response;
 mod prepared;
 mod response;
 pub mod settings;
@@ -23,7 +24,7 @@
 #[derive(Clone)]
 pub struct Tds(pub Rc<TdsSettings>);
 
-impl ClientProtocol for Tds {
+impl ClientProtocol<RouterState> for Tds {
     fn serve(
         &self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
     ) -> ClientSession {
@@ -31,7 +32,7 @@
     }
 }
 
-impl BackendProtocol for Tds {
+impl BackendProtocol<RouterState> for Tds {
     fn send_attempt(
         &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
     ) -> Option<u16> {
--- /dev/null
+++ b/crates/comethitchd/src/protocols/tds/pending_response.rs
@@ -0,0 +1,50 @@
+//! A host's response while it is being read, within the memory budget.
+
+use super::response::{HostResponse, MAX_TOKEN_BYTES};
+use crate::protocols::exchange::{Response, ResponseProgress};
+use crate::protocols::streamed_answer::STREAMING_THRESHOLD_BYTES;
+use crate::state::buffer::Buffer;
+use crate::state::host_connection::ConnectionError;
+use crate::state::memory_budget::Reservation;
+use crate::state::router_state::RouterState;
+
+/// The most bytes of a response that are buffered before they are streamed.
+const MAX_BUFFERED_BYTES: usize = STREAMING_THRESHOLD_BYTES + MAX_TOKEN_BYTES;
+
+/// A response that is being read.
+pub(super) struct PendingResponse {
+    pub(super) response: HostResponse,
+    reservation: Reservation,
+}
+
+impl PendingResponse {
+    /// A response of which nothing has come yet.
+    pub(super) fn new(state: &RouterState) -> PendingResponse {
+        PendingResponse { response: HostResponse::new(), reservation: Reservation::new(&state.memory) }
+    }
+}
+
+impl Response for PendingResponse {
+    fn read_buffered(
+        &mut self, buffer: &mut Buffer, is_streamed: bool,
+    ) -> Result<ResponseProgress, ConnectionError> {
+        let consumed = self.response.accept(buffer.unread()).map_err(|_| ConnectionError::Malformed)?;
+        buffer.consume(consumed);
+        let bytes = self.response.buffered_bytes();
+        if bytes > MAX_BUFFERED_BYTES || !self.reservation.resize_to(bytes) {
+            return Err(ConnectionError::TooLarge);
+        }
+        if self.response.is_ended() {
+            return Ok(ResponseProgress::Ended);
+        }
+        // An error within the response is known only once it is complete, up to here.
+        if is_streamed && self.response.tokens.len() >= STREAMING_THRESHOLD_BYTES {
+            return Ok(ResponseProgress::PartReady);
+        }
+        Ok(ResponseProgress::NeedsMore)
+    }
+
+    fn take_part(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.response.tokens)
+    }
+}
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -100,8 +100,8 @@
 
 /// Serves until `stop` is complete, then shuts down gracefully: what was received or is still coming is answered.
 pub async fn serve(
-    state: Rc<RouterState>, protocol: Rc<dyn ClientProtocol>, listeners: Vec<Async<TcpListener>>,
-    stop: impl Future<Output = ()>,
+    state: Rc<RouterState>, protocol: Rc<dyn ClientProtocol<RouterState>>,
+    listeners: Vec<Async<TcpListener>>, stop: impl Future<Output = ()>,
 ) {
     start_listening(&state, &listeners);
     spawn_background_tasks(&state);
@@ -166,7 +166,7 @@
 
 /// Accepts at all listeners for ever.
 async fn accept_all(
-    state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol>, listeners: &[Async<TcpListener>],
+    state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol<RouterState>>, listeners: &[Async<TcpListener>],
 ) {
     let mut acceptors: Vec<_> =
         listeners.iter().map(|listener| Box::pin(accept(state, protocol, listener))).collect();
@@ -180,7 +180,9 @@
 }
 
 /// Accepts for ever. Clients count from the moment they connect, so they may wait only briefly to be accepted.
-async fn accept(state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol>, listener: &Async<TcpListener>) {
+async fn accept(
+    state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol<RouterState>>, listener: &Async<TcpListener>,
+) {
     let mut incoming = std::pin::pin!(listener.incoming());
     loop {
         let Some(permit) = state.acquire_client_descriptor() else {
--- a/crates/comethitchd/src/service/protocol.rs
+++ b/crates/comethitchd/src/service/protocol.rs
@@ -5,6 +5,7 @@
 use crate::protocols::tds::settings::{TdsSettings, TdsSettingsError};
 use crate::state::config::Config;
 use crate::state::protocol::{BackendProtocol, ClientProtocol};
+use crate::state::router_state::RouterState;
 use comethitch_statement::Dialect;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,9 +30,9 @@
 /// The protocol spoken with clients and with hosts, and where else clients connect.
 pub struct Protocol {
     /// What is spoken with clients.
-    pub client: Rc<dyn ClientProtocol>,
+    pub client: Rc<dyn ClientProtocol<RouterState>>,
     /// What is spoken with hosts.
-    pub backend: Box<dyn BackendProtocol>,
+    pub backend: Box<dyn BackendProtocol<RouterState>>,
     /// Further addresses to listen on.
     pub also_listen: Vec<SocketAddr>,
 }
--- a/crates/comethitchd/src/service/startup.rs
+++ b/crates/comethitchd/src/service/startup.rs
@@ -14,7 +14,7 @@
 ///
 /// If the rules for statements do not fit the command groups.
 pub fn start(
-    mut config: Config, clock: Clock, backend: Box<dyn BackendProtocol>,
+    mut config: Config, clock: Clock, backend: Box<dyn BackendProtocol<RouterState>>,
 ) -> Result<Rc<RouterState>, ConfigError> {
     let known = std::mem::take(&mut config.known);
     let mut actions = ActionQueue::at(clock.now());
--- a/crates/comethitchd/src/state/metrics_report.rs
+++ b/crates/comethitchd/src/state/metrics_report.rs
@@ -38,16 +38,16 @@
 
 /// What was done with statements since the last time, and the state of the cache; empty if nothing was done.
 fn statement_counts(admission: &mut StatementAdmission) -> Vec<(String, u64)> {
-    let done = admission.done();
+    let done = admission.take_counts();
     let effects = StatementAdmission::EFFECTS.iter().zip(done.effects);
     let effects = effects.map(|(effect, count)| (effect.name(), count));
     let decisions = [
         ("cache_hits", done.hits),
         ("parsed", done.parsed),
-        ("ambiguous", done.doubtful),
-        ("client_budget_exhausted", done.beyond_client),
-        ("total_budget_exhausted", done.beyond_all),
-        ("rejected", done.refused),
+        ("ambiguous", done.ambiguous),
+        ("client_budget_exhausted", done.client_budget_exhausted),
+        ("total_budget_exhausted", done.total_budget_exhausted),
+        ("rejected", done.rejected),
         ("raised", done.raised),
     ];
     let mut counts: Vec<(String, u64)> = effects
@@ -57,9 +57,9 @@
         .collect();
     if !counts.is_empty() {
         counts.extend([
-            ("cache_bytes".to_string(), admission.held() as u64),
-            ("cache_rejections_total".to_string(), admission.cached().turned_away),
-            ("cache_evictions_total".to_string(), admission.cached().pushed_out),
+            ("cache_bytes".to_string(), admission.memory_bytes() as u64),
+            ("cache_rejections_total".to_string(), admission.cache_counts().rejections),
+            ("cache_evictions_total".to_string(), admission.cache_counts().evictions),
         ]);
     }
     counts
--- a/crates/comethitchd/src/state/protocol.rs
+++ b/crates/comethitchd/src/state/protocol.rs
@@ -3,7 +3,6 @@
 
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
-use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport};
@@ -15,25 +14,21 @@
 /// Serves one client's connection to its end.
 pub type ClientSession = Pin<Box<dyn Future<Output = ()>>>;
 
-/// The protocol spoken with clients.
-pub trait ClientProtocol {
+/// The protocol spoken with clients, in a router of this state.
+pub trait ClientProtocol<State> {
     /// Serves a client's connection to its end. The client is registered by this call, before the first poll.
-    fn serve(
-        &self, state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
-    ) -> ClientSession;
+    fn serve(&self, state: Rc<State>, stream: Async<TcpStream>, permit: DescriptorPermit) -> ClientSession;
 }
 
-/// The protocol spoken with hosts.
-pub trait BackendProtocol {
+/// The protocol spoken with hosts, in a router of this state.
+pub trait BackendProtocol<State> {
     /// Starts the command's next attempt; its end is reported to [`crate::stages::policy_driver::attempt_ended`]. An
     /// attempt whose timeout has already passed, as after a stall of the event loop, is not sent, and its number is
     /// returned: the host is not to blame for it.
-    fn send_attempt(
-        &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
-    ) -> Option<u16>;
+    fn send_attempt(&self, state: &Rc<State>, id: CommandId, host: Host, timeout: Duration) -> Option<u16>;
 
     /// Sends a health check to a host; its outcome and the host's report go to the policy.
-    fn check_health(&self, state: &Rc<RouterState>, host: Host);
+    fn check_health(&self, state: &Rc<State>, host: Host);
 }
 
 /// How an attempt ended, and what its answer reported.
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -50,7 +50,7 @@
     /// The policy, which makes all decisions.
     pub router: RefCell<Router>,
     /// The protocol spoken with hosts.
-    pub backend: Box<dyn BackendProtocol>,
+    pub backend: Box<dyn BackendProtocol<RouterState>>,
     /// Commands in progress.
     pub commands: RefCell<PendingCommands>,
     /// Idle connections to hosts.
@@ -86,7 +86,7 @@
     ///
     /// If the rules for statements do not fit the command groups.
     pub fn new(
-        config: Config, clock: Clock, router: Router, backend: Box<dyn BackendProtocol>,
+        config: Config, clock: Clock, router: Router, backend: Box<dyn BackendProtocol<RouterState>>,
     ) -> Result<Rc<RouterState>, ConfigError> {
         let admission = config.admission(clock.now())?;
         let timeouts = config.deployment.groups.iter().map(|group| group.timeout);
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -17,16 +17,16 @@
 /// How much later than it should something may happen on a busy machine.
 const BUSY_MACHINE_SLACK: Duration = Duration::from_millis(400);
 
-fn answer(value: &str) -> Act {
-    Act::Answer(row(value.as_bytes()))
+fn answer(value: &str) -> HostAction {
+    HostAction::Answer(row(value.as_bytes()))
 }
 
 fn router_with_one_host(primary: &Host) -> Router {
-    Router::start(site(&[entry("p", primary.address, true, "ready")], None, 1024))
+    Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 1024))
 }
 
 fn queries(host: &Host) -> usize {
-    host.met.try_iter().filter(|met| matches!(met, Met::Query(_))).count()
+    host.met.try_iter().filter(|met| matches!(met, HostEvent::Query(_))).count()
 }
 
 /// How a client disconnects.
@@ -65,14 +65,14 @@
 #[test]
 fn a_client_that_goes_behind_pipelined_commands_has_gone() {
     for exit in ClientExit::ALL {
-        let primary = host(true, |_, _| Act::Silence);
+        let primary = host(true, |_, _| HostAction::Silence);
         let router = router_with_one_host(&primary);
         let mut client = Client::connect(router.address);
         client.0.write_all(&query(&write(1, 5_000))).expect("sent");
-        assert!(matches!(primary.next(), Met::Query(_)), "the first is out");
+        assert!(matches!(primary.next(), HostEvent::Query(_)), "the first is out");
         client.0.write_all(&pipelined_commands(2)).expect("sent");
         let (gone, _held) = (Instant::now(), exit.apply(client));
-        assert_eq!(primary.next(), Met::Ended, "{exit:?}: the first is called off");
+        assert_eq!(primary.next(), HostEvent::Ended, "{exit:?}: the first is called off");
         let took = gone.elapsed();
         assert!(took < EXIT_GRACE + BUSY_MACHINE_SLACK, "{exit:?}: only after {took:?}");
         // Whoever comes next is served at once: none of the four hundred was begun.
@@ -85,10 +85,10 @@
 fn a_command_read_after_its_client_has_gone_is_not_begun() {
     for exit in ClientExit::ALL {
         let primary = host(true, |_, _| answer("value"));
-        let all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+        let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
         let program = Program::start(&format!("read-late-{exit:?}"), &all);
         let mut first = Client::connect(program.address);
-        assert_eq!(first.ask(&write(1, 5_000)), Got::Value(b"value".to_vec()));
+        assert_eq!(first.ask(&write(1, 5_000)), ClientReply::Value(b"value".to_vec()));
         let mut open = Client::connect(program.address);
         // All of it waits in the system until the router goes on.
         program.signal("STOP");
@@ -98,12 +98,12 @@
         let _held = [exit.apply(new), exit.apply(open)];
         sleep(EXIT_GRACE);
         program.signal("CONT");
-        assert_eq!(first.ask(&write(4, 5_000)), Got::Value(b"value".to_vec()));
+        assert_eq!(first.ask(&write(4, 5_000)), ClientReply::Value(b"value".to_vec()));
         program.signal("TERM");
         program.ends();
-        let met: Vec<Met> = primary.met.try_iter().collect();
+        let met: Vec<HostEvent> = primary.met.try_iter().collect();
         let begun = |id: u32| {
-            met.iter().any(|met| matches!(met, Met::Query(text) if text.contains(&format!("id={id},"))))
+            met.iter().any(|met| matches!(met, HostEvent::Query(text) if text.contains(&format!("id={id},"))))
         };
         assert!(begun(1) && begun(4) && !begun(2) && !begun(3), "{exit:?}: {met:?}");
     }
@@ -141,7 +141,7 @@
 fn a_connection_that_comes_up_after_its_client_has_gone_carries_no_command() {
     for (exit, cancel) in ClientExit::ALL.into_iter().flat_map(|exit| [(exit, true), (exit, false)]) {
         let (address, greet, told) = host_with_late_greeting();
-        let mut all = site(&[entry("p", address, true, "ready")], None, 1024);
+        let mut all = configuration(&[entry("p", address, true, "ready")], None, 1024);
         all["settings"]["permissions"]["cancel"] = cancel.into();
         all["settings"]["permissions"]["connect_timeout_us"] = 3_000_000.into();
         let router = Router::start(all);
@@ -174,11 +174,11 @@
     let mut client = Client::connect(router.address);
     // Its last answer waits unread, and the next command comes in the moment in which it is closed.
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     router.ask_to_stop();
     wait_for_end_of_stream(&client.0);
     client.0.write_all(&query(&write(2, 5_000))).expect("sent");
-    assert_eq!(client.got(), Got::Value(b"value 0".to_vec()));
+    assert_eq!(client.receive(), ClientReply::Value(b"value 0".to_vec()));
     let end = client.0.read(&mut [0]);
     assert!(matches!(end, Ok(0)), "an end and no reset: {end:?}");
     router.wait();
@@ -188,7 +188,7 @@
 #[test]
 fn a_client_that_sends_on_and_on_holds_no_router_up_and_loses_no_answer() {
     let primary = host(true, |nth, _| answer(&format!("value {nth}")));
-    let all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("on-and-on", &all);
     let mut client = Client::connect(program.address);
     // Sixteen are always ahead of their answers, until the connection ends.
@@ -200,9 +200,9 @@
     (0..16).for_each(|_| assert!(send(&mut client.0)));
     let (mut answered, mut asked) = (0, None);
     loop {
-        match client.got() {
-            Got::Value(value) => assert_eq!(value, format!("value {answered}").into_bytes()),
-            Got::Closed => break,
+        match client.receive() {
+            ClientReply::Value(value) => assert_eq!(value, format!("value {answered}").into_bytes()),
+            ClientReply::Closed => break,
             other => panic!("{other:?}"),
         }
         answered += 1;
@@ -220,8 +220,8 @@
 
 #[test]
 fn a_router_that_stops_before_a_host_that_hangs_answers_within_the_short_time_left() {
-    let primary = host(true, |_, _| Act::Silence);
-    let all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = host(true, |_, _| HostAction::Silence);
+    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("hangs", &all);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(program.address)).collect();
     let began = Instant::now();
@@ -230,11 +230,11 @@
         client.0.write_all(&query(&text)).expect("sent");
     }
     // A write's last byte is just written, and more are on their way.
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     program.signal("TERM");
     for client in &mut clients {
-        let got = client.got();
-        assert!(matches!(got, Got::Error(_)), "{got:?}");
+        let got = client.receive();
+        assert!(matches!(got, ClientReply::Error(_)), "{got:?}");
         assert!(began.elapsed() < Duration::from_millis(300) + BUSY_MACHINE_SLACK, "{:?}", began.elapsed());
     }
     program.ends();
@@ -242,8 +242,8 @@
 
 #[test]
 fn a_client_that_never_reads_holds_no_router_up() {
-    let primary = host(true, |_, _| Act::Answer(row(&[b'x'; 60_000])));
-    let all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = host(true, |_, _| HostAction::Answer(row(&[b'x'; 60_000])));
+    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("never-reads", &all);
     let mut client = Client::connect(program.address);
     let mut sends = client.0.try_clone().expect("a copy");
@@ -254,10 +254,10 @@
         sent += 1;
     }
     let mut other = Client::connect(program.address);
-    assert!(matches!(other.ask(&write(50_000, 5_000)), Got::Value(_)), "another one is served");
+    assert!(matches!(other.ask(&write(50_000, 5_000)), ClientReply::Value(_)), "another one is served");
     program.signal("TERM");
     program.ends();
-    assert!(matches!(client.got(), Got::Value(_)));
+    assert!(matches!(client.receive(), ClientReply::Value(_)));
 }
 
 /// Whatever a configuration that is read again does to the command groups, a command ends under what it came in under.
@@ -268,18 +268,18 @@
     let primary = host(true, move |nth, _| {
         if nth < 2 {
             go.lock().expect("a turn").recv().expect("told to go on");
-            return Act::Close;
+            return HostAction::Close;
         }
         answer("again")
     });
-    let mut all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let mut all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let mut program = Program::start("reorders", &all);
     let (mut writer, mut reader) = (Client::connect(program.address), Client::connect(program.address));
     writer.0.write_all(&query(&write(1, 5_000))).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     let fresh = read(2, 5_000);
     reader.0.write_all(&query(&fresh)).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     let settings = &mut all["settings"];
     settings["classes"].as_array_mut().expect("groups").reverse();
     for key in ["class_read", "oldest_data_us"] {
@@ -289,9 +289,13 @@
     program.signal("HUP");
     program.logs("settings.classes has changed");
     (0..2).for_each(|_| tell.send(()).expect("told"));
-    assert_eq!(writer.got(), Got::Error("40003".into()), "it may have run: it is no read now");
-    assert_eq!(reader.got(), Got::Value(b"again".to_vec()), "it is still a read that may run again");
-    assert_eq!(writer.ask(&write(3, 5_000)), Got::Value(b"again".to_vec()));
+    assert_eq!(writer.receive(), ClientReply::Error("40003".into()), "it may have run: it is no read now");
+    assert_eq!(
+        reader.receive(),
+        ClientReply::Value(b"again".to_vec()),
+        "it is still a read that may run again"
+    );
+    assert_eq!(writer.ask(&write(3, 5_000)), ClientReply::Value(b"again".to_vec()));
     program.signal("TERM");
     program.ends();
 }
@@ -300,7 +304,7 @@
 #[test]
 fn two_deployments_in_one_process_keep_apart() {
     let hosts = [host(true, |_, _| answer("one")), host(true, |_, _| answer("two"))];
-    let mut two = site(&[entry("p", hosts[1].address, true, "ready")], None, 1024);
+    let mut two = configuration(&[entry("p", hosts[1].address, true, "ready")], None, 1024);
     let settings = &mut two["settings"];
     let classes = settings["classes"].as_array_mut().expect("groups");
     classes.reverse();
@@ -315,9 +319,9 @@
     let mut clients: Vec<Client> = routers.iter().map(|router| Client::connect(router.address)).collect();
     for id in 0..20 {
         let other = write(id, 5_000).replace("c=write", "c=write-two");
-        assert_eq!(clients[0].ask(&write(id, 5_000)), Got::Value(b"one".to_vec()));
-        assert_eq!(clients[1].ask(&other), Got::Value(b"two".to_vec()));
-        assert_eq!(clients[0].ask(&other), Got::Error("22023".into()), "no such group here");
+        assert_eq!(clients[0].ask(&write(id, 5_000)), ClientReply::Value(b"one".to_vec()));
+        assert_eq!(clients[1].ask(&other), ClientReply::Value(b"two".to_vec()));
+        assert_eq!(clients[0].ask(&other), ClientReply::Error("22023".into()), "no such group here");
     }
     routers.into_iter().for_each(Router::wait);
 }
@@ -328,7 +332,7 @@
 fn idle_clients_that_fill_the_descriptors_keep_nobody_else_from_theirs() {
     let primary = host(true, |_, _| answer("value"));
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut all: Value = site(&[entry("p", primary.address, true, "ready")], None, 64);
+    let mut all: Value = configuration(&[entry("p", primary.address, true, "ready")], None, 64);
     let address = taken.local_addr().expect("an address");
     all["discovery"] = address.to_string().into();
     drop(taken);
@@ -344,7 +348,7 @@
         .collect();
     for id in 0..20 {
         let mut client = Client::connect(program.address);
-        assert_eq!(client.ask(&write(id, 5_000)), Got::Value(b"value".to_vec()));
+        assert_eq!(client.ask(&write(id, 5_000)), ClientReply::Value(b"value".to_vec()));
     }
     let listener = TcpListener::bind(address).expect("the same address");
     let back = Instant::now();
@@ -372,14 +376,14 @@
 
 #[test]
 fn a_router_that_stops_answers_also_whoever_would_wait_longer_than_it_runs() {
-    let primary = host(true, |_, _| Act::Silence);
-    let all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = host(true, |_, _| HostAction::Silence);
+    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("waits-long", &all);
     let mut client = Client::connect(program.address);
     client.0.write_all(&query(&write(1, 60_000))).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     program.signal("TERM");
-    assert_eq!(client.got(), Got::Error("40003".into()), "it may have run");
+    assert_eq!(client.receive(), ClientReply::Error("40003".into()), "it may have run");
     program.ends();
 }
 
@@ -391,12 +395,12 @@
         go.lock().expect("a turn").recv().expect("told to go on");
         answer("value")
     });
-    let mut all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let mut all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     all["limits"]["memory_mb"] = 32.into();
     let router = Router::start(all);
     let mut client = Client::connect(router.address);
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     // Half messages, smaller and smaller, until the router has no room for the least read.
     let mut others: Vec<Client> = Vec::new();
     for (number, bytes) in [(100, 120_000), (6, 30_000), (8, 7_000), (10, 1_500), (10, 600)] {
@@ -408,12 +412,12 @@
         }
     }
     let last = others.last_mut().expect("clients");
-    let turned_away = [last.got(), last.got()].contains(&Got::Error("53300".into()));
+    let turned_away = [last.receive(), last.receive()].contains(&ClientReply::Error("53300".into()));
     assert!(turned_away, "there is no room left");
     client.0.write_all(&pipelined_commands(2)[..6_000]).expect("sent");
     sleep(EXIT_GRACE);
     tell.send(()).expect("told");
-    assert_eq!(client.got(), Got::Value(b"value".to_vec()));
+    assert_eq!(client.receive(), ClientReply::Value(b"value".to_vec()));
     drop((client, others, tell));
     router.wait();
 }
@@ -431,7 +435,7 @@
     let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     // The second comes while the first is in hand, and the third begins with it.
     let (second, third) = (query(&write(2, 300)), query(&write(3, 5_000)));
     client.0.write_all(&[&second[..], &third[..20]].concat()).expect("sent");
@@ -440,12 +444,13 @@
     // The second's time is over; reckoned from the third's last byte most of it would be left.
     sleep(Duration::from_millis(100));
     tell.send(()).expect("told");
-    assert_eq!(client.got(), Got::Value(b"value".to_vec()));
-    assert_eq!(client.got(), Got::Error("53300".into()), "nobody waits for it any more");
-    assert_eq!(client.got(), Got::Value(b"value".to_vec()), "the third has its whole time");
+    assert_eq!(client.receive(), ClientReply::Value(b"value".to_vec()));
+    assert_eq!(client.receive(), ClientReply::Error("53300".into()), "nobody waits for it any more");
+    assert_eq!(client.receive(), ClientReply::Value(b"value".to_vec()), "the third has its whole time");
     router.wait();
-    let sent: Vec<Met> = primary.met.try_iter().filter(|met| matches!(met, Met::Query(_))).collect();
-    let third = matches!(&sent[..], [Met::Query(text)] if text.contains("id=3,"));
+    let sent: Vec<HostEvent> =
+        primary.met.try_iter().filter(|met| matches!(met, HostEvent::Query(_))).collect();
+    let third = matches!(&sent[..], [HostEvent::Query(text)] if text.contains("id=3,"));
     assert!(third, "the third alone came after the first: {sent:?}");
 }
 
@@ -464,7 +469,7 @@
 
 #[test]
 fn a_cancel_request_ends_its_command_alone_and_only_for_who_knows_the_key() {
-    let primary = host(true, |nth, _| if nth == 0 { Act::Silence } else { answer("value") });
+    let primary = host(true, |nth, _| if nth == 0 { HostAction::Silence } else { answer("value") });
     let router = router_with_one_host(&primary);
     let mut client = Client::raw(router.address);
     let key = cancel_key(&mut client);
@@ -472,51 +477,53 @@
         let request = [&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &key].concat();
         let mut other = Client::raw(router.address);
         other.0.write_all(&request).expect("sent");
-        assert_eq!(other.got(), Got::Closed, "whoever asks learns nothing");
+        assert_eq!(other.receive(), ClientReply::Closed, "whoever asks learns nothing");
     };
     // Between two commands there is nothing to cancel.
     cancel(key);
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     let mut wrong = key;
     wrong[7] ^= 1;
     cancel(wrong);
     assert!(primary.met.recv_timeout(EXIT_GRACE).is_err(), "a wrong key cancels nothing");
     let asked = Instant::now();
     cancel(key);
-    assert_eq!(client.got(), Got::Error("57014".into()));
-    assert_eq!(primary.next(), Met::Ended, "its dispatch is called off");
+    assert_eq!(client.receive(), ClientReply::Error("57014".into()));
+    assert_eq!(primary.next(), HostEvent::Ended, "its dispatch is called off");
     assert!(asked.elapsed() < EXIT_GRACE + BUSY_MACHINE_SLACK, "{:?}", asked.elapsed());
-    assert_eq!(client.ask(&write(2, 5_000)), Got::Value(b"value".to_vec()));
+    assert_eq!(client.ask(&write(2, 5_000)), ClientReply::Value(b"value".to_vec()));
     router.wait();
-    let sent: Vec<Met> = primary.met.try_iter().filter(|met| matches!(met, Met::Query(_))).collect();
-    let second = matches!(&sent[..], [Met::Query(text)] if text.contains("id=2,"));
+    let sent: Vec<HostEvent> =
+        primary.met.try_iter().filter(|met| matches!(met, HostEvent::Query(_))).collect();
+    let second = matches!(&sent[..], [HostEvent::Query(text)] if text.contains("id=2,"));
     assert!(second, "the second alone came after, the first not again: {sent:?}");
 }
 
 #[test]
 fn a_write_under_which_a_kept_connection_closes_may_have_run_and_a_read_goes_again() {
     let primary =
-        host(true, |nth, _| if nth % 2 == 1 { Act::Close } else { answer(&format!("value {nth}")) });
+        host(true, |nth, _| if nth % 2 == 1 { HostAction::Close } else { answer(&format!("value {nth}")) });
     let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
-    assert_eq!(client.ask(&write(1, 5_000)), Got::Value(b"value 0".to_vec()));
-    assert_eq!(client.ask(&write(2, 5_000)), Got::Error("40003".into()), "on the connection kept");
-    assert_eq!(client.ask(&write(3, 5_000)), Got::Value(b"value 2".to_vec()));
+    assert_eq!(client.ask(&write(1, 5_000)), ClientReply::Value(b"value 0".to_vec()));
+    assert_eq!(client.ask(&write(2, 5_000)), ClientReply::Error("40003".into()), "on the connection kept");
+    assert_eq!(client.ask(&write(3, 5_000)), ClientReply::Value(b"value 2".to_vec()));
     assert_eq!(
         client.ask(&read(4, 5_000)),
-        Got::Value(b"value 4".to_vec()),
+        ClientReply::Value(b"value 4".to_vec()),
         "lost on the one kept, and sent again"
     );
     router.wait();
-    let sent: Vec<Met> = primary.met.try_iter().filter(|met| matches!(met, Met::Query(_))).collect();
+    let sent: Vec<HostEvent> =
+        primary.met.try_iter().filter(|met| matches!(met, HostEvent::Query(_))).collect();
     assert_eq!(sent.len(), 5, "{sent:?}");
 }
 
 #[test]
 fn a_router_whose_clients_wait_a_moment_only_stops_without_a_panic() {
-    let primary = host(true, |_, _| Act::Silence);
-    let mut all = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = host(true, |_, _| HostAction::Silence);
+    let mut all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     for group in all["settings"]["classes"].as_array_mut().expect("groups") {
         (group["target_us"], group["deadline_us"]) = (10_000.into(), 20_000.into());
     }
@@ -524,8 +531,8 @@
     // A command in hand that would wait for longer keeps the router up to the end of its time.
     let mut client = Client::connect(program.address);
     client.0.write_all(&query(&write(1, 60_000))).expect("sent");
-    assert!(matches!(primary.next(), Met::Query(_)));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
     program.signal("TERM");
-    assert_eq!(client.got(), Got::Error("40003".into()));
+    assert_eq!(client.receive(), ClientReply::Error("40003".into()));
     program.ends();
 }
--- a/crates/comethitchd/tests/endpoint_updates.rs
+++ b/crates/comethitchd/tests/endpoint_updates.rs
@@ -190,7 +190,7 @@
 /// Starts the program with the agent, changes the list once the router follows it, and returns how long it took until
 /// the router had applied the change.
 fn time_to_update(name: &str, agent: &Agent, known: &[Value]) -> (Duration, Program) {
-    let mut all = site(known, None, 1024);
+    let mut all = configuration(known, None, 1024);
     all["discovery"] = agent.address.to_string().into();
     let mut program = Program::start_with(name, &all, &["--log", "debug"]);
     let was_requested = |wanted: &str| {
@@ -299,7 +299,8 @@
 #[test]
 fn a_replaced_watch_changes_nothing() {
     let (old, new) = (Agent::start(|_, _, _| Behavior::Correct), Agent::start(|_, _, _| Behavior::Correct));
-    let mut all = site(&[entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")], None, 1024);
+    let mut all =
+        configuration(&[entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")], None, 1024);
     all["discovery"] = old.address.to_string().into();
     let mut program = Program::start_with("moved", &all, &["--log", "debug"]);
     while !old.state.lock().expect("the state").requests.iter().any(|line| line.contains("follow")) {
@@ -328,7 +329,7 @@
     let started = Instant::now();
     let mut programs: Vec<Program> = (0..20)
         .map(|nth| {
-            let mut all = site(if nth % 3 == 2 { &[] } else { &known }, None, 1024);
+            let mut all = configuration(if nth % 3 == 2 { &[] } else { &known }, None, 1024);
             if nth % 3 > 0 {
                 all["discovery"] = unresponsive.address.to_string().into();
             }
@@ -339,7 +340,7 @@
         .iter_mut()
         .map(|program| {
             let mut client = Client::connect(program.address);
-            assert_eq!(client.ask(""), Got::Empty);
+            assert_eq!(client.ask(""), ClientReply::Empty);
             started.elapsed()
         })
         .collect();
@@ -352,7 +353,7 @@
     let agent = Agent::start(|_, _, _| Behavior::Correct);
     agent.change();
     let known = [entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")];
-    let mut all = site(&known, None, 1024);
+    let mut all = configuration(&known, None, 1024);
     all["discovery"] = agent.address.to_string().into();
     let started = Instant::now();
     let mut program = Program::start("newer", &all);
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -7,7 +7,7 @@
 use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Received};
 use serde_json::{Value, json};
 use std::time::Duration;
-use support::{Router, entry, site};
+use support::{Router, configuration, entry};
 
 /// How often each answer was given in a scenario, and how many attempts were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -51,7 +51,8 @@
         let primary = Host::start("p", protocol, true, &ledger);
         let replica = Host::start("r", protocol, false, &ledger);
         let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
-        let router = Router::start_with_protocol(protocol, site(&hosts, None, 1024), Some(rules(protocol)));
+        let router =
+            Router::start_with_protocol(protocol, configuration(&hosts, None, 1024), Some(rules(protocol)));
         TestBed {
             protocol,
             primary,
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -61,7 +61,7 @@
     let act = |seen: StatementCounts| {
         move |nth: usize, text: &str| {
             seen.record(text);
-            if reset(nth) { Act::Close } else { Act::Answer(row(b"value")) }
+            if reset(nth) { HostAction::Close } else { HostAction::Answer(row(b"value")) }
         }
     };
     let primary = host(true, act(at_primary.clone()));
@@ -70,7 +70,7 @@
 }
 
 fn hosts(primary: &Host, replica: &Host) -> Value {
-    site(
+    configuration(
         &[entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")],
         None,
         1024,
@@ -86,7 +86,7 @@
             .into_iter()
             .map(|group| format!("/* id={nth}-{group},c={group},d=1500,cluster=0 */ {}", row.sql));
         for text in std::iter::once(bare).chain(claims) {
-            if client.ask(&text) == Got::Closed {
+            if client.ask(&text) == ClientReply::Closed {
                 client = Client::connect(router.address);
             }
         }
@@ -146,14 +146,18 @@
     let lie = "/* id=1,c=read,d=900,cluster=0 */ DELETE FROM facts";
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
     let mut client = Client::connect(router.address);
-    assert_eq!(client.ask(lie), Got::Error("42809".into()));
-    assert_eq!(client.ask(&write(2, 900)), Got::Value(b"value".to_vec()), "the platform's form stays");
+    assert_eq!(client.ask(lie), ClientReply::Error("42809".into()));
+    assert_eq!(
+        client.ask(&write(2, 900)),
+        ClientReply::Value(b"value".to_vec()),
+        "the platform's form stays"
+    );
     router.wait();
     assert_eq!((at_primary.count("DELETE FROM facts"), at_replica.count("DELETE FROM facts")), (0, 0));
     let mut raising = rules();
     raising["disagreement"] = "raise".into();
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(raising));
-    assert_eq!(Client::connect(router.address).ask(lie), Got::Value(b"value".to_vec()));
+    assert_eq!(Client::connect(router.address).ask(lie), ClientReply::Value(b"value".to_vec()));
     router.wait();
     assert_eq!((at_primary.count("DELETE FROM facts"), at_replica.count("DELETE FROM facts")), (1, 0));
 }
@@ -163,8 +167,8 @@
     let (primary, replica, ..) = start_primary_and_replica(|_| false);
     let router = Router::start(hosts(&primary, &replica));
     let mut client = Client::connect(router.address);
-    assert_eq!(client.ask("SELECT 1"), Got::Error("42601".into()));
-    assert_eq!(client.ask(&read(1, 900)), Got::Value(b"value".to_vec()));
+    assert_eq!(client.ask("SELECT 1"), ClientReply::Error("42601".into()));
+    assert_eq!(client.ask(&read(1, 900)), ClientReply::Value(b"value".to_vec()));
     router.wait();
 }
 
@@ -173,12 +177,12 @@
     let (primary, replica, at_primary, _) = start_primary_and_replica(|_| false);
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
     let mut client = Client::connect(router.address);
-    assert_eq!(client.ask("SET a = 1;"), Got::Done("SET".into()));
+    assert_eq!(client.ask("SET a = 1;"), ClientReply::Done("SET".into()));
     for text in ["BEGIN", "COMMIT", "BEGIN; DELETE FROM facts", "SELECT 1; START TRANSACTION"] {
-        assert_eq!(client.ask(text), Got::Error("0A000".into()), "{text}");
+        assert_eq!(client.ask(text), ClientReply::Error("0A000".into()), "{text}");
     }
     // A write behind SET is no statement of the session alone.
-    assert_eq!(client.ask("SET a = 1; DELETE FROM facts"), Got::Value(b"value".to_vec()));
+    assert_eq!(client.ask("SET a = 1; DELETE FROM facts"), ClientReply::Value(b"value".to_vec()));
     router.wait();
     assert_eq!(at_primary.count("SET a = 1; DELETE FROM facts"), 1);
 }
@@ -192,16 +196,16 @@
     };
     let answers = [two_rows, message(b'C', b"DELETE 3\0"), error("42P01"), message(b'I', b"")];
     let sent = answers.clone();
-    let primary = host(true, move |nth, _| Act::Answer(sent[nth % 4].clone()));
+    let primary = host(true, move |nth, _| HostAction::Answer(sent[nth % 4].clone()));
     let router = Router::with_statement_rules(
-        site(&[entry("p", primary.address, true, "ready")], None, 1024),
+        configuration(&[entry("p", primary.address, true, "ready")], None, 1024),
         Some(rules()),
     );
     let mut client = Client::connect(router.address);
     let wanted = [
-        Got::Value(b"\0\0\0\x01y\xff\xff\xff\xff"[4..].to_vec()),
-        Got::Done("DELETE 3".into()),
-        Got::Error("42P01".into()),
+        ClientReply::Value(b"\0\0\0\x01y\xff\xff\xff\xff"[4..].to_vec()),
+        ClientReply::Done("DELETE 3".into()),
+        ClientReply::Error("42P01".into()),
     ];
     for wanted in wanted {
         assert_eq!(client.ask("DELETE FROM facts"), wanted);
@@ -216,15 +220,15 @@
         let rows = message(b'D', &[&[0, 1][..], &(huge.len() as u32).to_be_bytes(), &huge].concat());
         let described = message(b'T', &[&[0, 1][..], b"data\0", &[0; 18]].concat());
         let many = if nth == 0 { 40 } else { 1 };
-        Act::Answer([described, rows.repeat(many), message(b'C', b"SELECT 1\0")].concat())
+        HostAction::Answer([described, rows.repeat(many), message(b'C', b"SELECT 1\0")].concat())
     });
-    let mut small = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let mut small = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     small["limits"]["memory_mb"] = 32.into();
     let router = Router::with_statement_rules(small, Some(rules()));
     let mut client = Client::connect(router.address);
     for _ in 0..2 {
         let got = client.ask("DELETE FROM facts RETURNING data");
-        assert!(matches!(got, Got::Value(value) if value.len() == 100 << 10));
+        assert!(matches!(got, ClientReply::Value(value) if value.len() == 100 << 10));
     }
     router.wait();
 }
@@ -232,48 +236,48 @@
 #[test]
 fn a_connection_with_a_transaction_open_is_not_used_again() {
     let primary = host(true, |nth, _| match nth {
-        0 => Act::Raw([row(b"first"), message(b'Z', b"T")].concat()),
-        _ => Act::Answer(row(b"second")),
+        0 => HostAction::Raw([row(b"first"), message(b'Z', b"T")].concat()),
+        _ => HostAction::Answer(row(b"second")),
     });
     let router = Router::with_statement_rules(
-        site(&[entry("p", primary.address, true, "ready")], None, 1024),
+        configuration(&[entry("p", primary.address, true, "ready")], None, 1024),
         Some(rules()),
     );
     let mut client = Client::connect(router.address);
-    assert_eq!(client.ask("SELECT cobrar(1)"), Got::Value(b"first".to_vec()));
-    assert!(matches!(primary.next(), Met::Query(_)));
-    assert_eq!(primary.next(), Met::Ended, "its connection is closed, which rolls back");
-    assert_eq!(client.ask("SELECT cobrar(2)"), Got::Value(b"second".to_vec()));
+    assert_eq!(client.ask("SELECT cobrar(1)"), ClientReply::Value(b"first".to_vec()));
+    assert!(matches!(primary.next(), HostEvent::Query(_)));
+    assert_eq!(primary.next(), HostEvent::Ended, "its connection is closed, which rolls back");
+    assert_eq!(client.ask("SELECT cobrar(2)"), ClientReply::Value(b"second".to_vec()));
     router.wait();
 }
 
 #[test]
 fn keys_lead_to_their_group_of_hosts_and_nothing_goes_to_two() {
     let (first, second) =
-        (host(true, |_, _| Act::Answer(row(b"0"))), host(true, |_, _| Act::Answer(row(b"1"))));
+        (host(true, |_, _| HostAction::Answer(row(b"0"))), host(true, |_, _| HostAction::Answer(row(b"1"))));
     let mut other = entry("q", second.address, true, "ready");
     other["block"] = 1.into();
     let mut rules = rules();
     rules["keys"] = json!([{"tables": ["facts"], "column": "n",
         "spread": {"range": [{"below": 100, "hosts": 0}, {"hosts": 1}]}}]);
-    let site = site(&[entry("p", first.address, true, "ready"), other], None, 1024);
-    let router = Router::with_statement_rules(site, Some(rules));
+    let config = configuration(&[entry("p", first.address, true, "ready"), other], None, 1024);
+    let router = Router::with_statement_rules(config, Some(rules));
     let mut client = Client::connect(router.address);
     for (text, wanted) in [
-        ("UPDATE facts SET a = 1 WHERE n = 99", Got::Value(b"0".to_vec())),
-        ("UPDATE facts SET a = 1 WHERE n = 100", Got::Value(b"1".to_vec())),
-        ("INSERT INTO facts (a, n) VALUES (100, 7), (100, 8)", Got::Value(b"0".to_vec())),
-        ("INSERT INTO facts (a, n) VALUES (1, 7), (1, 700)", Got::Error("0A000".into())),
-        ("DELETE FROM facts WHERE n IN (7, 700)", Got::Error("0A000".into())),
-        ("DELETE FROM facts WHERE n = 7 OR a = 1", Got::Error("0A000".into())),
-        ("DELETE FROM facts", Got::Error("0A000".into())),
+        ("UPDATE facts SET a = 1 WHERE n = 99", ClientReply::Value(b"0".to_vec())),
+        ("UPDATE facts SET a = 1 WHERE n = 100", ClientReply::Value(b"1".to_vec())),
+        ("INSERT INTO facts (a, n) VALUES (100, 7), (100, 8)", ClientReply::Value(b"0".to_vec())),
+        ("INSERT INTO facts (a, n) VALUES (1, 7), (1, 700)", ClientReply::Error("0A000".into())),
+        ("DELETE FROM facts WHERE n IN (7, 700)", ClientReply::Error("0A000".into())),
+        ("DELETE FROM facts WHERE n = 7 OR a = 1", ClientReply::Error("0A000".into())),
+        ("DELETE FROM facts", ClientReply::Error("0A000".into())),
     ] {
         assert_eq!(client.ask(text), wanted, "{text}");
     }
     let elsewhere = "/* id=5,c=write,d=900,cluster=0 */ DELETE FROM facts WHERE n = 700";
     assert_eq!(
         client.ask(elsewhere),
-        Got::Error("22023".into()),
+        ClientReply::Error("22023".into()),
         "the comment names the other group of hosts"
     );
     router.wait();
@@ -281,17 +285,17 @@
 
 #[test]
 fn rules_are_taken_over_whole_or_not_at_all() {
-    let primary = host(true, |_, _| Act::Answer(row(b"value")));
-    let site = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = host(true, |_, _| HostAction::Answer(row(b"value")));
+    let config = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let file = std::env::temp_dir().join(format!("comethitchd-{}-rules.json", std::process::id()));
     let put = |rules: &Value| std::fs::write(&file, rules.to_string()).expect("written");
     let mut rules = rules();
     rules["commentless"] = Value::Null;
     put(&rules);
     let mut program =
-        Program::start_with("judging", &site, &["--statements", file.to_str().expect("a path")]);
+        Program::start_with("judging", &config, &["--statements", file.to_str().expect("a path")]);
     let mut client = Client::connect(program.address);
-    assert_eq!(client.ask("SELECT 1"), Got::Error("42601".into()));
+    assert_eq!(client.ask("SELECT 1"), ClientReply::Error("42601".into()));
     for (key, faulty) in [
         ("groups[0].group", json!({"group": 7})),
         ("groups.0.group", json!({"group": "nobody", "effects": ["read"]})),
@@ -303,7 +307,7 @@
         put(&with_fault);
         program.signal("HUP");
         program.logs(&format!("stays as it was: {}: {key}", file.display()));
-        assert_eq!(client.ask("SELECT 1"), Got::Error("42601".into()), "the rules before hold on");
+        assert_eq!(client.ask("SELECT 1"), ClientReply::Error("42601".into()), "the rules before hold on");
     }
     for (key, change) in [("dialect", json!("tsql")), ("cache", json!({"kib": 8192}))] {
         let mut fixed = rules.clone();
@@ -319,7 +323,7 @@
     put(&rules);
     program.signal("HUP");
     program.logs("statements are judged by other rules");
-    assert_eq!(client.ask("SELECT 1"), Got::Value(b"value".to_vec()));
+    assert_eq!(client.ask("SELECT 1"), ClientReply::Value(b"value".to_vec()));
     program.signal("TERM");
     program.ends();
     std::fs::remove_file(&file).expect("removed");
@@ -327,12 +331,12 @@
 
 #[test]
 fn the_log_tells_verdicts_as_fields_of_json() {
-    let primary = host(true, |_, _| Act::Answer(row(b"value")));
-    let site = site(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = host(true, |_, _| HostAction::Answer(row(b"value")));
+    let config = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let file = std::env::temp_dir().join(format!("comethitchd-{}-told.json", std::process::id()));
     std::fs::write(&file, rules().to_string()).expect("written");
     let path = file.to_str().expect("a path");
-    let mut program = Program::start_with("json", &site, &["--statements", path, "--log-form", "json"]);
+    let mut program = Program::start_with("json", &config, &["--statements", path, "--log-form", "json"]);
     let mut client = Client::connect(program.address);
     for text in
         ["DELETE FROM facts", "DELETE  FROM facts", "/* id=1,c=read,d=900,cluster=0 */ DELETE FROM facts"]
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -65,7 +65,7 @@
 }
 
 /// What a host does with a query.
-pub enum Act {
+pub enum HostAction {
     /// Answers with these messages, its role and ReadyForQuery.
     Answer(Vec<u8>),
     /// Sends these bytes, and nothing of its own behind them.
@@ -78,7 +78,7 @@
 
 /// What a host has observed.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum HostEvent {
     /// A query, but for health checks.
     Query(String),
     /// The router ended a connection, after a query that got no answer or while idle.
@@ -88,25 +88,25 @@
 /// A database host.
 pub struct Host {
     pub address: SocketAddr,
-    pub met: Receiver<Met>,
+    pub met: Receiver<HostEvent>,
 }
 
 impl Host {
     /// The next observation.
-    pub fn next(&self) -> Met {
+    pub fn next(&self) -> HostEvent {
         self.met.recv_timeout(LONG).expect("something at the host")
     }
 }
 
 /// A host that answers health checks as primary or replica, and commands by the script; `nth` counts commands.
-pub fn host(primary: bool, script: impl Fn(usize, &str) -> Act + Send + Sync + 'static) -> Host {
+pub fn host(primary: bool, script: impl Fn(usize, &str) -> HostAction + Send + Sync + 'static) -> Host {
     host_since(primary, script, None)
 }
 
 /// The same, with data that do not change from a time on, and no greeting to a second connection until a span has
 /// passed since then.
 pub fn host_since(
-    primary: bool, script: impl Fn(usize, &str) -> Act + Send + Sync + 'static,
+    primary: bool, script: impl Fn(usize, &str) -> HostAction + Send + Sync + 'static,
     still: Option<(SystemTime, Duration)>,
 ) -> Host {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -133,8 +133,8 @@
 }
 
 fn host_connection(
-    mut stream: TcpStream, primary: bool, at: impl Fn() -> SystemTime, act: impl Fn(&str) -> Act,
-    observations: &Sender<Met>,
+    mut stream: TcpStream, primary: bool, at: impl Fn() -> SystemTime, act: impl Fn(&str) -> HostAction,
+    observations: &Sender<HostEvent>,
 ) {
     let mut length = [0; 4];
     let _ = stream.read_exact(&mut length);
@@ -145,27 +145,27 @@
         let answer = if text == "SHOW vitals" {
             let unix = at().duration_since(SystemTime::UNIX_EPOCH).expect("a clock").as_millis();
             let at = format!("x0={}.{:03},x1={}", unix / 1000, unix % 1000, u8::from(primary));
-            Act::Answer(row(at.as_bytes()))
+            HostAction::Answer(row(at.as_bytes()))
         } else {
-            let _ = observations.send(Met::Query(text.clone()));
+            let _ = observations.send(HostEvent::Query(text.clone()));
             act(&text)
         };
         match answer {
-            Act::Answer(answer) => {
+            HostAction::Answer(answer) => {
                 let rank = parameter("rank", if primary { "source" } else { "copy" });
                 let _ = stream.write_all(&[answer, rank, ready()].concat());
             }
-            Act::Raw(bytes) => {
+            HostAction::Raw(bytes) => {
                 let _ = stream.write_all(&bytes);
             }
-            Act::Silence => {
+            HostAction::Silence => {
                 let _ = stream.read(&mut [0]);
                 break;
             }
-            Act::Close => return,
+            HostAction::Close => return,
         }
     }
-    let _ = observations.send(Met::Ended);
+    let _ = observations.send(HostEvent::Ended);
 }
 
 /// The program itself, serving by a configuration file of its own, and its log line by line.
@@ -290,7 +290,7 @@
 }
 
 /// A configuration with these hosts, which do not change unless a discovery service is given.
-pub fn site(hosts: &[Value], discovery: Option<&Discovery>, sockets: usize) -> Value {
+pub fn configuration(hosts: &[Value], discovery: Option<&Discovery>, sockets: usize) -> Value {
     let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample");
     all["known"] = json!({"seq": 7, "whole": true, "hosts": hosts});
     all["limits"]["sockets"] = sockets.into();
@@ -362,7 +362,7 @@
 
 /// What a client got for one query.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ClientReply {
     /// The value of one row.
     Value(Vec<u8>),
     /// An error, by its SQLSTATE.
@@ -383,7 +383,7 @@
     pub fn connect(address: SocketAddr) -> Client {
         let mut client = Client::raw(address);
         client.0.write_all(&startup()).expect("the startup message sent");
-        assert_eq!(client.got(), Got::Done("welcome".into()));
+        assert_eq!(client.receive(), ClientReply::Done("welcome".into()));
         client
     }
 
@@ -395,24 +395,24 @@
     }
 
     /// Sends a query and waits for its answer.
-    pub fn ask(&mut self, text: &str) -> Got {
+    pub fn ask(&mut self, text: &str) -> ClientReply {
         self.0.write_all(&query(text)).expect("a query sent");
-        self.got()
+        self.receive()
     }
 
     /// The next answer, up to ReadyForQuery or the end of the connection.
-    pub fn got(&mut self) -> Got {
-        let mut got = Got::Closed;
+    pub fn receive(&mut self) -> ClientReply {
+        let mut got = ClientReply::Closed;
         while let Some((kind, body)) = read_message(&mut self.0) {
             match kind {
                 b'Z' => return got,
-                b'R' => got = Got::Done("welcome".into()),
-                b'D' => got = Got::Value(body[6..].to_vec()),
-                b'I' => got = Got::Empty,
-                b'C' if got == Got::Closed => got = Got::Done(text_of(&body)),
+                b'R' => got = ClientReply::Done("welcome".into()),
+                b'D' => got = ClientReply::Value(body[6..].to_vec()),
+                b'I' => got = ClientReply::Empty,
+                b'C' if got == ClientReply::Closed => got = ClientReply::Done(text_of(&body)),
                 b'E' => {
                     let code = body.split(|b| *b == 0).find(|field| field.first() == Some(&b'C'));
-                    got = Got::Error(text_of(&code.expect("a code")[1..]));
+                    got = ClientReply::Error(text_of(&code.expect("a code")[1..]));
                 }
                 _ => {}
             }
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -15,7 +15,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
-use support::{Router, discovery, entry, send_chunk, site};
+use support::{Router, configuration, discovery, entry, send_chunk};
 use tiberius::{AuthMethod, Config, EncryptionLevel};
 
 fn rules() -> Value {
@@ -43,7 +43,7 @@
     let primary = Host::start("p", Protocol::Tds, true, &ledger);
     let replica = Host::start("r", Protocol::Tds, false, &ledger);
     let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
-    let router = Router::start_with_protocol(Protocol::Tds, site(&hosts, None, 1024), Some(rules));
+    let router = Router::start_with_protocol(Protocol::Tds, configuration(&hosts, None, 1024), Some(rules));
     TestBed { primary, replica, ledger, router }
 }
 
@@ -295,7 +295,7 @@
     let mut rules = rules();
     rules["keys"] = json!([{"tables": ["facts"], "column": "n",
         "spread": {"range": [{"below": 100, "hosts": 0}, {"hosts": 1}]}}]);
-    let hosts = site(&[entry("0", first.address, true, "ready"), other], None, 1024);
+    let hosts = configuration(&[entry("0", first.address, true, "ready"), other], None, 1024);
     let router = Router::start_with_protocol(Protocol::Tds, hosts, Some(rules));
     let mut client = Client::connect(Protocol::Tds, router.address);
     for (value, host) in [(Some(99), "0"), (Some(100), "1"), (None, "")] {
@@ -402,8 +402,11 @@
     let new = Host::start("new", Protocol::Tds, false, &ledger);
     let discovery = discovery();
     let hosts = [entry("old", old.address, true, "ready"), entry("new", new.address, false, "ready")];
-    let router =
-        Router::start_with_protocol(Protocol::Tds, site(&hosts, Some(&discovery), 1024), Some(rules()));
+    let router = Router::start_with_protocol(
+        Protocol::Tds,
+        configuration(&hosts, Some(&discovery), 1024),
+        Some(rules()),
+    );
     let (_, mut watch) = discovery.watch();
     let tell = |watch: &mut TcpStream, seq: u64, hosts: Value| {
         send_chunk(watch, &format!("{}\n", json!({"seq": seq, "whole": false, "hosts": hosts})));
