--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -30,6 +30,7 @@
 const LINGER: Duration = Duration::from_millis(60);
 /// A client that has sent this many invalid statements in a row is disconnected.
 const MAX_REJECTED_IN_ROW: u32 = 8;
+
 /// A client's connection.
 pub struct ClientConnection {
     /// The router.
