--- a/crates/comethitch-testkit/src/postgres/mod.rs
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -42,7 +42,7 @@
 }
 
 /// A simple query.
-pub(crate) fn query(text: &str) -> Vec<u8> {
+pub fn query(text: &str) -> Vec<u8> {
     message(message_type::QUERY, format!("{text}\0").as_bytes())
 }
 
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -1,8 +1,11 @@
 //! Peers of the router played on loopback, from the protocols' public descriptions: a database host, discovery and a
 //! client. Every wait is for an event; the limits on waiting only end a test that has failed.
-#![allow(dead_code)]
+// Each test file uses a part of it.
+#![allow(dead_code, unused_imports)]
 
 use async_io::Async;
+pub use comethitch_testkit::LONG;
+pub use comethitch_testkit::postgres::{error, message, query, row};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol;
@@ -18,33 +21,9 @@
 use std::thread::{JoinHandle, spawn};
 use std::time::{Duration, SystemTime};
 
-/// The limit on waiting for an event.
-pub const LONG: Duration = Duration::from_secs(20);
 /// The sample of a configuration.
 pub const SAMPLE: &str = include_str!("../../../../deploy/configuration.json");
 
-/// A message of PostgreSQL's protocol.
-pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
-    [&[kind], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
-}
-
-/// A simple query.
-pub fn query(text: &str) -> Vec<u8> {
-    message(b'Q', format!("{text}\0").as_bytes())
-}
-
-/// A complete answer of one row, without ReadyForQuery.
-pub fn row(value: &[u8]) -> Vec<u8> {
-    let described = message(b'T', &[&[0, 1][..], b"data\0", &[0; 18]].concat());
-    let data = message(b'D', &[&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat());
-    [described, data, message(b'C', b"SELECT 1\0")].concat()
-}
-
-/// An error with this SQLSTATE.
-pub fn error(code: &str) -> Vec<u8> {
-    message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
-}
-
 /// A parameter that the host reports.
 pub fn parameter(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
