--- a/crates/comethitch-lab/src/fleet/events.rs
+++ b/crates/comethitch-lab/src/fleet/events.rs
@@ -33,6 +33,7 @@
 }
 
 impl HostResult {
+    /// What the policy is told of it.
     pub fn outcome(self) -> AttemptOutcome {
         match self {
             HostResult::Answered => AttemptOutcome::Answered,
@@ -169,11 +170,13 @@
 }
 
 impl EventQueue {
+    /// Schedules an event; of those at one time the first scheduled comes first.
     pub fn push(&mut self, at: Timestamp, event: Event) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
+    /// Takes the next event, and its time.
     pub fn pop(&mut self) -> Option<(Timestamp, Event)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -39,6 +39,7 @@
 }
 
 impl CommandInFlight {
+    /// A command of which nothing was sent yet.
     pub fn new(number: u64, command: ClientCommand, retries: u8) -> CommandInFlight {
         CommandInFlight { number, command, retries, attempts: Vec::new(), finished: false }
     }
@@ -98,10 +99,12 @@
         }
     }
 
+    /// Whether it is up.
     pub fn is_running(&self) -> bool {
         self.router.is_some()
     }
 
+    /// Adds a command under an id of its own.
     pub fn add_command(&mut self, command: CommandInFlight) -> CommandId {
         self.last_command += 1;
         self.commands.insert(self.last_command, command);
--- a/crates/comethitch-lab/src/live/network.rs
+++ b/crates/comethitch-lab/src/live/network.rs
@@ -3,6 +3,7 @@
 use crate::error::PlayError;
 use async_io::{Async, Timer};
 use comethitch_policy::time::{Duration, Timestamp};
+pub(super) use comethitch_testkit::postgres::message_type;
 use futures_lite::AsyncReadExt;
 use socket2::{Domain, Socket, Type};
 use std::io;
@@ -18,17 +19,6 @@
 /// The second byte of the first router's addresses.
 const FIRST_BLOCK: u8 = 64;
 
-/// The type bytes of PostgreSQL's messages.
-pub(super) mod message_type {
-    pub const AUTHENTICATION: u8 = b'R';
-    pub const DATA_ROW: u8 = b'D';
-    pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
-    pub const ERROR_RESPONSE: u8 = b'E';
-    pub const PARAMETER_STATUS: u8 = b'S';
-    pub const QUERY: u8 = b'Q';
-    pub const READY_FOR_QUERY: u8 = b'Z';
-}
-
 /// A PostgreSQL message.
 pub(super) struct Message {
     pub kind: u8,
--- a/crates/comethitch-statement/src/cache/entries.rs
+++ b/crates/comethitch-statement/src/cache/entries.rs
@@ -88,10 +88,12 @@
         }
     }
 
+    /// How many entries there may be.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
+    /// Removes all entries.
     pub fn clear(&mut self) {
         self.slots.clear();
         self.free = NONE;
@@ -99,14 +101,17 @@
         self.owners = [EMPTY; OWNERS + 1];
     }
 
+    /// The entry in a slot.
     pub fn get(&self, slot: u32) -> &Entry<V> {
         &self.slots[slot as usize]
     }
 
+    /// The entries of a segment, as a list.
     pub fn segment(&self, segment: Segment) -> &List {
         &self.segments[segment as usize]
     }
 
+    /// The entries of an owner, as a list.
     pub fn owner(&self, owner: u8) -> &List {
         &self.owners[owner as usize]
     }
--- a/crates/comethitch-statement/src/classify/findings.rs
+++ b/crates/comethitch-statement/src/classify/findings.rs
@@ -60,6 +60,7 @@
 }
 
 impl<'a> Findings<'a> {
+    /// Nothing is found yet.
     pub fn new(dialect: Dialect, catalogue: &'a Catalogue) -> Findings<'a> {
         Findings {
             dialect,
--- a/crates/comethitch-statement/src/classify/from_clause.rs
+++ b/crates/comethitch-statement/src/classify/from_clause.rs
@@ -35,14 +35,17 @@
 }
 
 impl FromClause {
+    /// What the clause reads from, in order.
     pub fn sources(&self) -> &[Source] {
         &self.sources
     }
 
+    /// The columns whose values are known, with the placeholders of these values.
     pub fn known_values(&self) -> &[(Column, Vec<u32>)] {
         &self.known_values
     }
 
+    /// Adds a source under its alias, with the table use that it stands for.
     pub fn add_source(&mut self, alias: String, table_use: Option<usize>) {
         self.sources.push(Source { alias, table_use });
     }
--- a/crates/comethitch-tds/src/login/prelogin.rs
+++ b/crates/comethitch-tds/src/login/prelogin.rs
@@ -47,12 +47,19 @@
 
 /// The codes of options.
 mod option {
+    /// The sender's version.
     pub const VERSION: u8 = 0;
+    /// Whether the connection is encrypted.
     pub const ENCRYPTION: u8 = 1;
+    /// The name of the server's instance.
     pub const INSTANCE: u8 = 2;
+    /// The sender's thread, for traces.
     pub const THREAD: u8 = 3;
+    /// Multiple active result sets.
     pub const MARS: u8 = 4;
+    /// Federated authentication is required.
     pub const FEDERATED: u8 = 6;
+    /// The end of the list of options.
     pub const TERMINATOR: u8 = 0xff;
 }
 
--- a/crates/comethitch-testkit/src/postgres/mod.rs
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -2,23 +2,12 @@
 //! the few answers that a scripted host gives. The modules `server` and `client` are the two ends of a connection.
 
 pub(crate) mod client;
+pub mod message_type;
 pub(crate) mod server;
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// The types of messages that are sent or read here.
-mod message_type {
-    pub const AUTHENTICATION: u8 = b'R';
-    pub const COMMAND_COMPLETE: u8 = b'C';
-    pub const DATA_ROW: u8 = b'D';
-    pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
-    pub const ERROR_RESPONSE: u8 = b'E';
-    pub const QUERY: u8 = b'Q';
-    pub const READY_FOR_QUERY: u8 = b'Z';
-    pub const ROW_DESCRIPTION: u8 = b'T';
-}
-
 /// The transaction status in a ReadyForQuery message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TransactionStatus {
