--- a/crates/comethitch-adapter/src/error.rs
+++ b/crates/comethitch-adapter/src/error.rs
@@ -105,9 +105,9 @@
     /// A lifecycle that the wire does not have.
     #[error("unknown lifecycle {0} in a list")]
     UnknownLifecycle(u8),
-    /// A command group that the deployment does not have.
+    /// A request class that the deployment does not have.
     #[error("unknown command group {0}")]
-    UnknownCommandGroup(usize),
+    UnknownRequestClass(usize),
     /// An outcome that the wire does not have.
     #[error("unknown ending {0}")]
     UnknownOutcome(u16),
--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -7,7 +7,7 @@
 use crate::record::RecordReader;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{
-    AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Deployment, Endpoint, Host, HostReport, Lifecycle,
+    AttemptEnd, AttemptOutcome, Deployment, Endpoint, Host, Lifecycle, LoadReport, Request, RequestId,
 };
 
 /// The length of a record.
@@ -29,14 +29,14 @@
 pub enum EventCode {
     /// An instance ends.
     InstanceStopped,
-    /// A command's client has disconnected.
+    /// A request's client has disconnected.
     ClientDisconnected,
     /// The endpoint list has changed, or cannot be read.
     EndpointsChanged,
     /// A health check has ended.
     HealthChecked,
-    /// A command is submitted.
-    CommandSubmitted,
+    /// A request is submitted.
+    RequestSubmitted,
     /// The time that the policy asked to be called at has come.
     Ticked,
     /// An instance starts.
@@ -45,7 +45,7 @@
     ListDefined,
     /// An attempt has ended.
     AttemptEnded,
-    /// The answer of a streamed command has begun. The policy needs no notice of it.
+    /// The answer of a streamed request has begun. The policy needs no notice of it.
     StreamOpened,
     /// A message from another instance. The policy sends none and reads none.
     MessageReceived,
@@ -61,7 +61,7 @@
             19 => Ok(EventCode::StreamOpened),
             20 => Ok(EventCode::HealthChecked),
             21 => Ok(EventCode::MessageReceived),
-            22 => Ok(EventCode::CommandSubmitted),
+            22 => Ok(EventCode::RequestSubmitted),
             23 => Ok(EventCode::Ticked),
             24 => Ok(EventCode::InstanceStarted),
             25 => Ok(EventCode::ListDefined),
@@ -143,7 +143,7 @@
 pub struct HealthCheckEnd {
     pub host: Host,
     pub outcome: AttemptOutcome,
-    pub report: HostReport,
+    pub report: LoadReport,
 }
 
 impl HealthCheckEnd {
@@ -157,10 +157,10 @@
     }
 }
 
-/// Decodes a record of [`EventCode::CommandSubmitted`].
-pub fn command_request(
+/// Decodes a record of [`EventCode::RequestSubmitted`].
+pub fn request(
     record: RecordReader, deployment: &Deployment, now: Timestamp,
-) -> Result<CommandRequest, RecordError> {
+) -> Result<Request, RecordError> {
     const ID: usize = 3;
     const GROUP: usize = 7;
     const SESSION: usize = 11;
@@ -168,14 +168,14 @@
     const SHARD: usize = 27;
     const SINCE_WRITE: usize = 31;
     let group = usize::from(record.u16(GROUP)?);
-    if group >= deployment.groups.len() {
-        return Err(RecordError::UnknownCommandGroup(group));
+    if group >= deployment.classes.len() {
+        return Err(RecordError::UnknownRequestClass(group));
     }
     let after = since_write(record.f32(SINCE_WRITE)?).map(|since| now - since);
-    Ok(CommandRequest {
+    Ok(Request {
         id: record.u32(ID)?,
-        group,
-        shard: record.f32(SHARD)? as u16,
+        class: group,
+        shard_id: record.f32(SHARD)? as u16,
         session: record.u64(SESSION)?,
         after,
         timeout: Duration::from_micros(record.u32(TIMEOUT)?.into()),
@@ -189,15 +189,15 @@
     (milliseconds > 0.0).then(|| Duration::from_micros(micros()))
 }
 
-/// The command whose client has disconnected, in a record of [`EventCode::ClientDisconnected`].
-pub fn disconnected_command(record: RecordReader) -> Result<CommandId, RecordError> {
+/// The request whose client has disconnected, in a record of [`EventCode::ClientDisconnected`].
+pub fn disconnected_request(record: RecordReader) -> Result<RequestId, RecordError> {
     const COMMAND: usize = 3;
     record.u32(COMMAND)
 }
 
-/// The end of an attempt, and its command.
+/// The end of an attempt, and its request.
 pub struct EndedAttempt {
-    pub command: CommandId,
+    pub request: RequestId,
     pub end: AttemptEnd,
 }
 
@@ -213,11 +213,11 @@
         let end = AttemptEnd {
             attempt: record.u16(ATTEMPT)?,
             outcome: outcome(record.u16(OUTCOME)?)?,
-            command_finished: record.u8(COMMAND_FINISHED)? != 0,
-            note: deployment.parse_note(record.u32(NOTE)?),
+            request_finished: record.u8(COMMAND_FINISHED)? != 0,
+            trailer: deployment.parse_trailer(record.u32(NOTE)?),
             report: deployment.parse_report(&report_values(record, REPORT)?),
         };
-        Ok(EndedAttempt { command: record.u32(COMMAND)?, end })
+        Ok(EndedAttempt { request: record.u32(COMMAND)?, end })
     }
 }
 
@@ -239,7 +239,7 @@
     Ok(Endpoint {
         host: entry.host(HOST)?,
         zone: entry.u8(ZONE)?,
-        shard: entry.u16(SHARD)?,
+        shard_id: entry.u16(SHARD)?,
         lifecycle,
         is_primary: entry.f32(IS_PRIMARY)? >= 0.5,
         capacity: f64::from(entry.f32(CAPACITY)?),
--- a/crates/comethitch-adapter/src/reply.rs
+++ b/crates/comethitch-adapter/src/reply.rs
@@ -1,7 +1,7 @@
 //! Writes the reply to a batch: one record for each action that the policy decides, in their order.
 
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{Actions, CommandId, Host, RejectionReason};
+use comethitch_policy::{Actions, Host, RejectionReason, RequestId};
 
 /// The length of a reply's header: the frame's length, and the number of records.
 const HEADER_SIZE: usize = 8;
@@ -94,22 +94,22 @@
         self.now
     }
 
-    fn send_attempt(&mut self, command: CommandId, host: Host, timeout: Duration) {
-        let fields = [&command.to_le_bytes()[..], &host.address, &host.port.to_le_bytes(), &micros(timeout)];
+    fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration) {
+        let fields = [&request.to_le_bytes()[..], &host.address, &host.port.to_le_bytes(), &micros(timeout)];
         self.record(ActionCode::SendAttempt, &fields);
     }
 
-    fn cancel_attempt(&mut self, command: CommandId, attempt: u16) {
-        self.record(ActionCode::CancelAttempt, &[&command.to_le_bytes(), &attempt.to_le_bytes()]);
+    fn cancel_attempt(&mut self, request: RequestId, attempt: u16) {
+        self.record(ActionCode::CancelAttempt, &[&request.to_le_bytes(), &attempt.to_le_bytes()]);
     }
 
-    fn throttle(&mut self, command: CommandId, retry_after: Option<Duration>, _: RejectionReason) {
+    fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, _: RejectionReason) {
         let retry_after = micros(retry_after.unwrap_or_default());
-        self.record(ActionCode::Throttle, &[&command.to_le_bytes(), &retry_after]);
+        self.record(ActionCode::Throttle, &[&request.to_le_bytes(), &retry_after]);
     }
 
-    fn fail(&mut self, command: CommandId, _: RejectionReason) {
-        self.record(ActionCode::Fail, &[&command.to_le_bytes()]);
+    fn fail(&mut self, request: RequestId, _: RejectionReason) {
+        self.record(ActionCode::Fail, &[&request.to_le_bytes()]);
     }
 
     fn check_health(&mut self, host: Host) {
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -113,7 +113,7 @@
         EventCode::ClientDisconnected => client_disconnected(router, record, out),
         EventCode::EndpointsChanged => endpoints_changed(router, record, lists, out),
         EventCode::HealthChecked => health_checked(router, record, out),
-        EventCode::CommandSubmitted => command_submitted(router, record, out),
+        EventCode::RequestSubmitted => request_submitted(router, record, out),
         EventCode::Ticked => {
             router.tick(out);
             Ok(())
@@ -130,7 +130,7 @@
 fn client_disconnected(
     router: &mut Router, record: RecordReader, out: &mut Reply,
 ) -> Result<(), RecordError> {
-    if let Some(handle) = router.handle(event::disconnected_command(record)?) {
+    if let Some(handle) = router.handle(event::disconnected_request(record)?) {
         handle.client_disconnected(router, out);
     }
     Ok(())
@@ -156,15 +156,15 @@
     Ok(())
 }
 
-fn command_submitted(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
-    let request = event::command_request(record, &router.deployment, out.now())?;
+fn request_submitted(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
+    let request = event::request(record, &router.deployment, out.now())?;
     router.submit(request, out);
     Ok(())
 }
 
 fn attempt_ended(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
-    let EndedAttempt { command, end } = EndedAttempt::decode(record, &router.deployment)?;
-    if let Some(handle) = router.handle(command) {
+    let EndedAttempt { request, end } = EndedAttempt::decode(record, &router.deployment)?;
+    if let Some(handle) = router.handle(request) {
         handle.attempt_ended(router, end, out);
     }
     Ok(())
--- a/crates/comethitch-adapter/src/tests.rs
+++ b/crates/comethitch-adapter/src/tests.rs
@@ -69,7 +69,7 @@
     let (mut records, tail) = begun();
     records.push(record(SUBMITTED));
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply").to_vec();
-    // The wake, then the attempt with all of the 240 ms that the command has.
+    // The wake, then the attempt with all of the 240 ms that the request has.
     assert_eq!(reply[..8], bytes("38000000 02000000"));
     assert_eq!(reply[8..11], bytes("52 0300"));
     assert_eq!(reply[32..], bytes("50 0300 c4913a5d 0a124a07 2b23 80a90300 00000000000000"));
--- a/crates/comethitch-fleet/src/concurrency_limit.rs
+++ b/crates/comethitch-fleet/src/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! An adaptive limit on the work that one router has in flight at a host, or for one command group at a group of hosts.
+//! An adaptive limit on the work that one router has in flight at a host, or for one request class at a shard.
 //!
 //! All routers together fill a host, and each sees only its own answers. The limit is cut when a run of them is late
 //! and grows back with those in time; the caller says how small it may get, which is the router's part of what the
@@ -54,9 +54,9 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether so much more work may be sent; `stretch` is how many times the limit a long command finds. Where nothing
-    /// is in flight one command is admitted, unless late answers have cut the limit to less than that: then as often as
-    /// the limit holds of one, by `draw`, from 0 up to 1. Three hundred routers with one command each at a host are an
+    /// Whether so much more work may be sent; `stretch` is how many times the limit a long request finds. Where nothing
+    /// is in flight one request is admitted, unless late answers have cut the limit to less than that: then as often as
+    /// the limit holds of one, by `draw`, from 0 up to 1. Three hundred routers with one request each at a host are an
     /// overload, too.
     ///
     /// ```
@@ -79,7 +79,7 @@
         self.in_flight + work <= limit
     }
 
-    /// Records that an attempt ended. Only a run of late answers cuts the limit: a long command now and then is no
+    /// Records that an attempt ended. Only a run of late answers cuts the limit: a long request now and then is no
     /// queue.
     pub fn record_end(&mut self, ended: EndedWork, now: Timestamp) {
         let before = self.in_flight;
--- a/crates/comethitch-fleet/src/connection_slots.rs
+++ b/crates/comethitch-fleet/src/connection_slots.rs
@@ -1,7 +1,7 @@
 //! Backoff from a host whose connection slots are all taken.
 //!
 //! A host accepts a limited number of connections. One that has no slot left rejects a newcomer as it connects, and a
-//! router that connects again for each command costs it work and gets nothing. So what a router has in flight there as
+//! router that connects again for each request costs it work and gets nothing. So what a router has in flight there as
 //! it is rejected becomes its limit, and after a backoff, twice as long each time, it connects once more. Routers that
 //! were rejected together come back apart: each draws its own jitter.
 
@@ -18,19 +18,19 @@
 /// What a router knows of the connection slots at one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionSlots {
-    /// Commands in flight there: each has a connection.
+    /// Requests in flight there: each has a connection.
     in_flight: u32,
     /// How many it may have in flight, since it was rejected with so many; no limit before.
     limit: Option<u32>,
     /// How often it was rejected since it last got one more.
     rejections: u32,
     backoff_until: Timestamp,
-    /// When the command that tries for one more connection was sent, while it is in flight.
+    /// When the request that tries for one more connection was sent, while it is in flight.
     trial_sent_at: Option<Timestamp>,
 }
 
 impl ConnectionSlots {
-    /// Records that a command is sent there.
+    /// Records that a request is sent there.
     pub fn attempt_sent(&mut self, now: Timestamp) {
         self.in_flight += 1;
         if self.limit.is_some_and(|limit| self.in_flight > limit) {
@@ -52,7 +52,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Records a rejected connection, after the end of the command that tried it. `connect_timeout` is the longest that
+    /// Records a rejected connection, after the end of the request that tried it. `connect_timeout` is the longest that
     /// a connection may take to come up.
     ///
     /// ```
--- a/crates/comethitch-fleet/src/decaying_counter.rs
+++ b/crates/comethitch-fleet/src/decaying_counter.rs
@@ -11,15 +11,15 @@
 /// use comethitch_fleet::decaying_counter::DecayingCounter;
 /// use comethitch_time::{Duration, Timestamp};
 /// let time_constant = Duration::from_secs(2);
-/// let mut commands = DecayingCounter::default();
+/// let mut requests = DecayingCounter::default();
 /// // Five a second for a while: about ten are left of the last two seconds.
-/// (0..100).for_each(|k| commands.add(1.0, Timestamp::from_micros(k * 200_000), time_constant));
-/// assert!((commands.value(Timestamp::from_millis(20_000), time_constant) - 9.5).abs() < 0.5);
-/// assert!(commands.value(Timestamp::from_millis(40_000), time_constant) < 0.001);
+/// (0..100).for_each(|k| requests.add(1.0, Timestamp::from_micros(k * 200_000), time_constant));
+/// assert!((requests.value(Timestamp::from_millis(20_000), time_constant) - 9.5).abs() < 0.5);
+/// assert!(requests.value(Timestamp::from_millis(40_000), time_constant) < 0.001);
 /// // After half a second three have come: that is twelve in a time constant.
-/// let mut commands = DecayingCounter::default();
-/// (1..4).for_each(|k| commands.add(1.0, Timestamp::from_micros(k * 200_000), time_constant));
-/// assert!((commands.rate(Timestamp::from_millis(700), time_constant) - 12.0).abs() < 1.5);
+/// let mut requests = DecayingCounter::default();
+/// (1..4).for_each(|k| requests.add(1.0, Timestamp::from_micros(k * 200_000), time_constant));
+/// assert!((requests.rate(Timestamp::from_millis(700), time_constant) - 12.0).abs() < 1.5);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCounter {
--- a/crates/comethitch-fleet/src/freshness.rs
+++ b/crates/comethitch-fleet/src/freshness.rs
@@ -1,13 +1,13 @@
 //! Refresh on demand: when a router asks a replica for its position.
 //!
 //! A bounded read needs a position that was proven within its staleness bound. Polling on a timer costs routers times
-//! hosts health checks each period, most of them for nobody. Here a position is refreshed only while commands need
-//! it, and only as it is about to become too old; a command that finds no fresh one triggers the refresh at once and
+//! hosts health checks each period, most of them for nobody. Here a position is refreshed only while requests need
+//! it, and only as it is about to become too old; a request that finds no fresh one triggers the refresh at once and
 //! is sent when it is answered.
 
 use comethitch_time::Duration;
 
-/// After how long a position is refreshed for commands that accept data no older than `bound`: just before it is too
+/// After how long a position is refreshed for requests that accept data no older than `bound`: just before it is too
 /// old, as there are other hosts to go to meanwhile. `retry_interval` is how soon a health check that reported nothing
 /// is sent again; at the most half of the bound is given up for it.
 ///
--- a/crates/comethitch-fleet/src/quota.rs
+++ b/crates/comethitch-fleet/src/quota.rs
@@ -2,7 +2,7 @@
 //!
 //! A host that has just started is overloaded if all routers together send it more than it bears. Each router spends
 //! its quota by itself: the fleet's budget over the number of routers that use the host ([`expected_users`]). Where
-//! that is less than one command, sending nothing would leave the host idle, and rounding up would multiply it: the
+//! that is less than one request, sending nothing would leave the host idle, and rounding up would multiply it: the
 //! quota is rounded at random ([`WindowUsage::admits`]), so that over all routers just the budget is spent, give or
 //! take the spread of a Poisson draw, whose chance of going over is [`overrun_probability`].
 
@@ -125,7 +125,7 @@
     }
 
     /// Whether `cost` more may be spent in this window. The budget is rounded at random, drawn once for router, host
-    /// and window: over many windows as much is admitted as the budget says, be it a small part of one command or
+    /// and window: over many windows as much is admitted as the budget says, be it a small part of one request or
     /// several.
     pub fn admits(&self, cost: f64, budget: f64, window: &Window) -> bool {
         self.spent_in(window.number()) + cost * (1.0 - window.draw()) < budget
--- a/crates/comethitch-fleet/src/quota/tests.rs
+++ b/crates/comethitch-fleet/src/quota/tests.rs
@@ -4,7 +4,7 @@
 
 const LENGTH: Duration = Duration::from_millis(1_500);
 
-/// What a fleet spends at one host in a window: each router has more commands than it may send.
+/// What a fleet spends at one host in a window: each router has more requests than it may send.
 fn spent_together(routers: u64, budget: f64, cost: f64, now: Timestamp) -> f64 {
     let spend = |router: u64| {
         let hash_seed = router.wrapping_mul(0x9E37_79B9_7F4A_7C15);
--- a/crates/comethitch-fleet/src/subset.rs
+++ b/crates/comethitch-fleet/src/subset.rs
@@ -1,6 +1,6 @@
 //! Subsetting: the few replicas of a group that one router knows well and uses.
 //!
-//! A router that sees two commands a second of a group can't know twenty replicas within three seconds, nor hold a
+//! A router that sees two requests a second of a group can't know twenty replicas within three seconds, nor hold a
 //! connection to each. It ranks them by weighted rendezvous hashing (each replica draws from a hash of the router's
 //! seed and the host, and the draw is stretched by the host's weight) and uses the first few. Over many routers
 //! every host is then in subsets in proportion to its weight (light ones a little more often, as no host is drawn
@@ -23,7 +23,7 @@
     }
 }
 
-/// How many commands share one refresh of a member's position: a subset grows only as far as commands pay for it.
+/// How many requests share one refresh of a member's position: a subset grows only as far as requests pay for it.
 const COMMANDS_PER_REFRESH: f64 = 8.0;
 
 /// Marks the hash of the moment at which a pair of router and host draws anew, apart from those of its draws.
@@ -52,10 +52,10 @@
     pub router_share: f64,
 }
 
-/// How many members a subset has, by the commands that the router sees of a group while one position stays fresh: so
+/// How many members a subset has, by the requests that the router sees of a group while one position stays fresh: so
 /// that no router, however much it sees, sends a host much more than another does.
-pub fn size(commands_per_refresh: f64) -> usize {
-    ((commands_per_refresh / COMMANDS_PER_REFRESH).ceil() as usize).max(MIN_SIZE)
+pub fn size(requests_per_refresh: f64) -> usize {
+    ((requests_per_refresh / COMMANDS_PER_REFRESH).ceil() as usize).max(MIN_SIZE)
 }
 
 /// The subset of the router with this seed: the first `size` candidates by rank, best first; all, if there are no
--- a/crates/comethitch-lab/src/clients.rs
+++ b/crates/comethitch-lab/src/clients.rs
@@ -1,24 +1,24 @@
-//! What all simulated clients have in common, in simulated time and with real processes: the commands that they send,
+//! What all simulated clients have in common, in simulated time and with real processes: the requests that they send,
 //! and how they retry.
 
-use crate::ledger::Request;
-use comethitch_policy::Shard;
+use crate::ledger::Operation;
+use comethitch_policy::ShardId;
 use comethitch_policy::time::Duration;
 
-/// How often a client retries a throttled command.
+/// How often a client retries a throttled request.
 pub const MAX_RETRIES: u8 = 2;
 /// How long a client waits before it retries.
 pub const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The least rate of a router's clients, in commands a second: the time to the next one stays finite.
+/// The least rate of a router's clients, in requests a second: the time to the next one stays finite.
 pub const LEAST_RATE: f64 = 1e-6;
 
-/// A command as a client sends it, again if it retries.
+/// A request as a client sends it, again if it retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClientCommand {
+pub struct ClientRequest {
     /// The request that it belongs to.
-    pub request: Request,
-    /// The group of hosts that holds its data.
-    pub shard: Shard,
+    pub operation: Operation,
+    /// The shard that holds its data.
+    pub shard: ShardId,
     /// Whether it writes.
     pub write: bool,
 }
--- a/crates/comethitch-lab/src/fleet/attempts.rs
+++ b/crates/comethitch-lab/src/fleet/attempts.rs
@@ -7,24 +7,24 @@
 use crate::ledger::{Answer, Rule};
 use crate::trial::Routing;
 use comethitch_policy::time::Duration;
-use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport};
+use comethitch_policy::{AttemptOutcome, Host, LoadReport, RequestId};
 use rand_distr::{Distribution, Exp};
 
 impl Fleet<'_> {
     /// Sends an attempt over a connection of its own; its work is drawn here.
-    pub(super) fn send_attempt(&mut self, router: usize, id: CommandId, host: Host, timeout: Duration) {
+    pub(super) fn send_attempt(&mut self, router: usize, id: RequestId, host: Host, timeout: Duration) {
         let host = self.host_index[&host];
         self.acquire_connection(router, host);
         let work = self.draw_work();
         let incarnation = self.routers[router].incarnation;
-        let Some(in_flight) = self.routers[router].commands.get_mut(&id) else { return };
+        let Some(in_flight) = self.routers[router].requests.get_mut(&id) else { return };
         let attempt = in_flight.attempts.len() as u16;
         in_flight.attempts.push(Attempt { host, work, sent_at: self.now, in_flight: true });
-        let write = in_flight.command.write;
+        let write = in_flight.request.write;
         self.ledger.attempt_sent(in_flight.number, router, host, self.now);
-        let job = Job { router, command: id, attempt, work };
+        let job = Job { router, request: id, attempt, work };
         self.after_network_delay(Event::AttemptReachesHost { host, incarnation, job, write });
-        let attempt = AttemptId { router: RouterId { index: router, incarnation }, command: id, attempt };
+        let attempt = AttemptId { router: RouterId { index: router, incarnation }, request: id, attempt };
         self.events.push(self.now + timeout, Event::AttemptTimesOut { attempt });
     }
 
@@ -36,7 +36,7 @@
 
     pub(super) fn attempt_reaches_host(&mut self, host: usize, incarnation: u32, job: Job, write: bool) {
         let router = RouterId { index: job.router, incarnation };
-        let attempt = AttemptId { router, command: job.command, attempt: job.attempt };
+        let attempt = AttemptId { router, request: job.request, attempt: job.attempt };
         if write && !self.hosts[host].primary {
             let result = HostResult::NotPrimary;
             self.after_network_delay(Event::AttemptReturns { attempt, host, result });
@@ -57,7 +57,7 @@
         };
         if let Some(result) = rejection {
             self.after_network_delay(Event::AttemptReturns { attempt, host, result });
-        } else if let Some(in_flight) = self.routers[job.router].commands.get(&job.command) {
+        } else if let Some(in_flight) = self.routers[job.router].requests.get(&job.request) {
             self.ledger.attempt_may_run(in_flight.number);
         }
     }
@@ -85,40 +85,40 @@
             return;
         }
         let router = self.current_id(job.router);
-        let attempt = AttemptId { router, command: job.command, attempt: job.attempt };
+        let attempt = AttemptId { router, request: job.request, attempt: job.attempt };
         self.after_network_delay(Event::AttemptReturns { attempt, host, result: HostResult::Answered });
     }
 
     pub(super) fn attempt_returns(&mut self, id: AttemptId, host: usize, result: HostResult) {
         let router = id.router.index;
-        let Some(in_flight) = self.routers[router].commands.get(&id.command) else { return };
+        let Some(in_flight) = self.routers[router].requests.get(&id.request) else { return };
         let attempt = in_flight.attempts.get(usize::from(id.attempt)).copied();
         let attempt = attempt.filter(|attempt| attempt.in_flight);
         let answered = result == HostResult::Answered;
         if let Some(attempt) = attempt {
             if answered {
-                self.answer(router, id.command, attempt);
+                self.answer(router, id.request, attempt);
             } else if self.trial.routing == Routing::Perfect {
-                self.reject(router, id.command, Answer::Throttled);
+                self.reject(router, id.request, Answer::Throttled);
             }
         }
         let mut end = attempt_end(id.attempt, result.outcome());
-        end.command_finished = answered;
+        end.request_finished = answered;
         if result != HostResult::ConnectionReset {
-            end.note.role = Some(self.hosts[host].role());
+            end.trailer.role = Some(self.hosts[host].role());
         }
-        self.attempt_ended(router, id.command, end);
+        self.attempt_ended(router, id.request, end);
     }
 
-    /// The client receives the answer of an attempt, unless its command is finished.
-    fn answer(&mut self, router: usize, id: CommandId, attempt: Attempt) {
-        let Some(in_flight) = self.routers[router].commands.get_mut(&id) else { return };
+    /// The client receives the answer of an attempt, unless its request is finished.
+    fn answer(&mut self, router: usize, id: RequestId, attempt: Attempt) {
+        let Some(in_flight) = self.routers[router].requests.get_mut(&id) else { return };
         if in_flight.finished {
             return;
         }
         in_flight.finished = true;
         let number = in_flight.number;
-        let write = in_flight.command.write;
+        let write = in_flight.request.write;
         self.ledger.answer_received(number, self.now, Answer::Answered);
         let lag = Duration::from_millis(self.trial.lag_ms);
         let staleness = self.hosts[attempt.host].staleness(lag, attempt.sent_at);
@@ -130,7 +130,7 @@
 
     pub(super) fn attempt_times_out(&mut self, id: AttemptId) {
         let end = attempt_end(id.attempt, AttemptOutcome::TimedOut);
-        self.attempt_ended(id.router.index, id.command, end);
+        self.attempt_ended(id.router.index, id.request, end);
     }
 
     pub(super) fn health_check_reaches_host(&mut self, router: RouterId, host: usize) {
@@ -141,7 +141,7 @@
         self.after_network_delay(Event::HealthCheckReturns { router, host, report });
     }
 
-    pub(super) fn health_check_returns(&mut self, router: RouterId, host: usize, report: Option<HostReport>) {
+    pub(super) fn health_check_returns(&mut self, router: RouterId, host: usize, report: Option<LoadReport>) {
         let host = self.hosts[host].host;
         let outcome =
             if report.is_some() { AttemptOutcome::Answered } else { AttemptOutcome::ConnectionReset };
--- a/crates/comethitch-lab/src/fleet/baseline.rs
+++ b/crates/comethitch-lab/src/fleet/baseline.rs
@@ -1,10 +1,10 @@
 //! The baseline that trials are compared with: host selection that knows each host's true capacity.
 
 use super::Fleet;
-use crate::clients::ClientCommand;
+use crate::clients::ClientRequest;
 use crate::hosts::SimulatedHost;
 use crate::ledger::Answer;
-use comethitch_policy::CommandId;
+use comethitch_policy::RequestId;
 use comethitch_policy::time::Duration;
 use rand::RngExt;
 
@@ -12,18 +12,18 @@
 const LEAST_TOTAL: f64 = 1e-9;
 
 impl Fleet<'_> {
-    /// Sends a command to a usable host of its group, drawn by present capacity; throttles it if there is none.
-    pub(super) fn submit_to_baseline(&mut self, router: usize, id: CommandId, command: ClientCommand) {
+    /// Sends a request to a usable host of its group, drawn by present capacity; throttles it if there is none.
+    pub(super) fn submit_to_baseline(&mut self, router: usize, id: RequestId, request: ClientRequest) {
         let timeout = Duration::from_millis(self.trial.timeout_ms);
-        match self.draw_host_by_capacity(command) {
+        match self.draw_host_by_capacity(request) {
             Some(host) => self.send_attempt(router, id, self.hosts[host].host, timeout),
             None => self.reject(router, id, Answer::Throttled),
         }
     }
 
-    fn draw_host_by_capacity(&mut self, command: ClientCommand) -> Option<usize> {
+    fn draw_host_by_capacity(&mut self, request: ClientRequest) -> Option<usize> {
         let serves = |host: &SimulatedHost| {
-            host.shard == command.shard && host.usable() && host.primary == command.write
+            host.shard == request.shard && host.usable() && host.primary == request.write
         };
         let capacity = |host: &SimulatedHost| {
             f64::from(host.cores) * host.capacity_fraction(&self.cold_start, self.now) / host.slowdown
--- a/crates/comethitch-lab/src/fleet/events.rs
+++ b/crates/comethitch-lab/src/fleet/events.rs
@@ -1,9 +1,9 @@
 //! The events of a simulated fleet, and the queue that orders them by time.
 
-use crate::clients::ClientCommand;
+use crate::clients::ClientRequest;
 use crate::hosts::Job;
 use comethitch_policy::time::Timestamp;
-use comethitch_policy::{AttemptOutcome, CommandId, HostReport, Shard};
+use comethitch_policy::{AttemptOutcome, LoadReport, RequestId, ShardId};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptId {
     pub router: RouterId,
-    pub command: CommandId,
+    pub request: RequestId,
     pub attempt: u16,
 }
 
@@ -47,14 +47,14 @@
 /// Something that happens at a time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// The next command of a router's own clients arrives.
-    CommandArrives {
+    /// The next request of a router's own clients arrives.
+    RequestArrives {
         router: usize,
     },
-    /// A client sends a throttled command again.
+    /// A client sends a throttled request again.
     ClientRetries {
         router: usize,
-        command: ClientCommand,
+        request: ClientRequest,
         retries: u8,
     },
     AttemptReachesHost {
@@ -83,7 +83,7 @@
     HealthCheckReturns {
         router: RouterId,
         host: usize,
-        report: Option<HostReport>,
+        report: Option<LoadReport>,
     },
     RouterTicks {
         router: RouterId,
@@ -104,7 +104,7 @@
         host: usize,
     },
     ReplicaIsPromoted {
-        shard: Shard,
+        shard: ShardId,
     },
     ReplicationResumes {
         host: usize,
--- a/crates/comethitch-lab/src/fleet/faults.rs
+++ b/crates/comethitch-lab/src/fleet/faults.rs
@@ -4,7 +4,7 @@
 use super::events::Event;
 use crate::hosts::{fraction_of_each_shard, usable_replicas};
 use crate::trial::FaultKind;
-use comethitch_policy::Shard;
+use comethitch_policy::ShardId;
 use comethitch_policy::time::Duration;
 use rand::RngExt;
 
@@ -96,7 +96,7 @@
         self.notify_all_routers();
     }
 
-    pub(super) fn promote_replica(&mut self, shard: Shard) {
+    pub(super) fn promote_replica(&mut self, shard: ShardId) {
         let mut hosts = self.hosts.iter_mut();
         if let Some(replica) = hosts.find(|host| host.shard == shard && !host.primary && host.usable()) {
             replica.primary = true;
--- a/crates/comethitch-lab/src/fleet/mod.rs
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 //! [`play`] takes one event after the other from the `events::EventQueue`; `Fleet::handle` dispatches each to its
 //! handler. Handlers stand with what they concern:
 //!
-//! - `clients`: commands arrive, are retried and get their final answers;
+//! - `clients`: requests arrive, are retried and get their final answers;
 //! - `routers`: routers start, decide, and have their actions carried out;
 //! - `attempts`: attempts and health checks travel to hosts and back;
 //! - `faults`: faults begin, and hosts are replaced, promoted and removed;
@@ -24,7 +24,7 @@
 use crate::trial::{Fault, FaultKind, Trial};
 use crate::usable::UsableReplicas;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{Deployment, Host, Shard};
+use comethitch_policy::{Deployment, Host, ShardId};
 use events::{Event, EventQueue, RouterId};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -53,7 +53,7 @@
     host_index: BTreeMap<Host, usize>,
     ledger: Ledger,
     usable: UsableReplicas,
-    /// The last number given to a request or a command.
+    /// The last number given to a request or a request.
     last_number: u64,
 }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    fn add_host(&mut self, shard: Shard, primary: bool) -> usize {
+    fn add_host(&mut self, shard: ShardId, primary: bool) -> usize {
         let index = self.hosts.len();
         let host = Host { address: [10, 0, (index >> 8) as u8, index as u8], port: HOST_PORT };
         let cores = self.trial.cores[index % self.trial.cores.len()];
@@ -153,7 +153,7 @@
         self.routers = rates_per_core.into_iter().map(|rate| SimulatedRouter::new(rate * cores)).collect();
         for router in 0..self.routers.len() {
             self.start_router(router);
-            self.schedule_next_command(router);
+            self.schedule_next_request(router);
         }
     }
 
@@ -189,12 +189,12 @@
             return;
         }
         match event {
-            Event::CommandArrives { router } => {
+            Event::RequestArrives { router } => {
                 if clients_send {
-                    self.command_arrives(router);
+                    self.request_arrives(router);
                 }
             }
-            Event::ClientRetries { router, command, retries } => self.submit(router, command, retries),
+            Event::ClientRetries { router, request, retries } => self.submit(router, request, retries),
             Event::AttemptReachesHost { host, incarnation, job, write } => {
                 self.attempt_reaches_host(host, incarnation, job, write);
             }
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -1,14 +1,14 @@
-//! Routers of a simulated fleet: a [`Router`] each, the commands it has in flight, and the actions that it decides.
+//! Routers of a simulated fleet: a [`Router`] each, the requests it has in flight, and the actions that it decides.
 
 use super::Fleet;
 use super::events::{Event, RouterId};
-use crate::clients::ClientCommand;
+use crate::clients::ClientRequest;
 use crate::hosts::{Job, SimulatedHost};
 use crate::ledger::Answer;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{
-    Action, ActionQueue, AttemptEnd, AttemptOutcome, CommandId, Endpoint, EndpointUpdate, Host, HostReport,
-    Lifecycle, Router,
+    Action, ActionQueue, AttemptEnd, AttemptOutcome, Endpoint, EndpointUpdate, Host, Lifecycle, LoadReport,
+    RequestId, Router,
 };
 use rand::{Rng, RngExt};
 use std::collections::BTreeMap;
@@ -25,12 +25,12 @@
     pub in_flight: bool,
 }
 
-/// A command at a router.
+/// A request at a router.
 #[derive(Debug)]
-pub(super) struct CommandInFlight {
+pub(super) struct RequestInFlight {
     /// Its number over all routers.
     pub number: u64,
-    pub command: ClientCommand,
+    pub request: ClientRequest,
     /// How often its client had retried before.
     pub retries: u8,
     pub attempts: Vec<Attempt>,
@@ -38,10 +38,10 @@
     pub finished: bool,
 }
 
-impl CommandInFlight {
-    /// A command of which nothing was sent yet.
-    pub fn new(number: u64, command: ClientCommand, retries: u8) -> CommandInFlight {
-        CommandInFlight { number, command, retries, attempts: Vec::new(), finished: false }
+impl RequestInFlight {
+    /// A request of which nothing was sent yet.
+    pub fn new(number: u64, request: ClientRequest, retries: u8) -> RequestInFlight {
+        RequestInFlight { number, request, retries, attempts: Vec::new(), finished: false }
     }
 
     fn is_complete(&self) -> bool {
@@ -78,10 +78,10 @@
     router: Option<Router>,
     /// How often it was killed: what was meant for an earlier incarnation is void.
     pub incarnation: u32,
-    /// Commands a second of its own clients.
+    /// Requests a second of its own clients.
     pub arrival_rate: f64,
-    last_command: CommandId,
-    pub commands: BTreeMap<CommandId, CommandInFlight>,
+    last_request: RequestId,
+    pub requests: BTreeMap<RequestId, RequestInFlight>,
     /// By host.
     connections: BTreeMap<usize, Connections>,
 }
@@ -93,8 +93,8 @@
             router: None,
             incarnation: 0,
             arrival_rate,
-            last_command: 0,
-            commands: BTreeMap::new(),
+            last_request: 0,
+            requests: BTreeMap::new(),
             connections: BTreeMap::new(),
         }
     }
@@ -104,26 +104,26 @@
         self.router.is_some()
     }
 
-    /// Adds a command under an id of its own.
-    pub fn add_command(&mut self, command: CommandInFlight) -> CommandId {
-        self.last_command += 1;
-        self.commands.insert(self.last_command, command);
-        self.last_command
+    /// Adds a request under an id of its own.
+    pub fn add_request(&mut self, request: RequestInFlight) -> RequestId {
+        self.last_request += 1;
+        self.requests.insert(self.last_request, request);
+        self.last_request
     }
 
-    /// Forgets a command that has its final answer and no attempt in flight.
-    pub fn forget_if_complete(&mut self, id: CommandId) {
-        if self.commands.get(&id).is_some_and(CommandInFlight::is_complete) {
-            self.commands.remove(&id);
+    /// Forgets a request that has its final answer and no attempt in flight.
+    pub fn forget_if_complete(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(RequestInFlight::is_complete) {
+            self.requests.remove(&id);
         }
     }
 
-    /// Kills it; returns the commands that it had in flight.
-    pub fn kill(&mut self) -> BTreeMap<CommandId, CommandInFlight> {
+    /// Kills it; returns the requests that it had in flight.
+    pub fn kill(&mut self) -> BTreeMap<RequestId, RequestInFlight> {
         self.router = None;
         self.incarnation += 1;
         self.connections.clear();
-        std::mem::take(&mut self.commands)
+        std::mem::take(&mut self.requests)
     }
 }
 
@@ -167,12 +167,12 @@
         let id = self.current_id(router);
         for action in queue.actions {
             match action {
-                Action::SendAttempt { command, host, timeout } => {
-                    self.send_attempt(router, command, host, timeout);
+                Action::SendAttempt { request, host, timeout } => {
+                    self.send_attempt(router, request, host, timeout);
                 }
-                Action::CancelAttempt { command, attempt } => self.cancel_attempt(router, command, attempt),
-                Action::Throttle { command, .. } => self.reject(router, command, Answer::Throttled),
-                Action::Fail { command, .. } => self.reject(router, command, Answer::Failed),
+                Action::CancelAttempt { request, attempt } => self.cancel_attempt(router, request, attempt),
+                Action::Throttle { request, .. } => self.reject(router, request, Answer::Throttled),
+                Action::Fail { request, .. } => self.reject(router, request, Answer::Failed),
                 Action::CheckHealth(host) => self.check_health(id, host),
                 Action::WakeAfter(delay) => {
                     self.events.push(self.now + delay, Event::RouterTicks { router: id });
@@ -182,22 +182,22 @@
         }
     }
 
-    fn cancel_attempt(&mut self, router: usize, id: CommandId, attempt: u16) {
-        let Some(in_flight) = self.routers[router].commands.get(&id) else { return };
+    fn cancel_attempt(&mut self, router: usize, id: RequestId, attempt: u16) {
+        let Some(in_flight) = self.routers[router].requests.get(&id) else { return };
         let Some(sent) = in_flight.attempts.get(usize::from(attempt)) else { return };
-        let job = Job { router, command: id, attempt, work: sent.work };
+        let job = Job { router, request: id, attempt, work: sent.work };
         if self.hosts[sent.host].withdraw(&job) {
             self.ledger.attempt_never_ran(in_flight.number);
         }
         let mut end = attempt_end(attempt, AttemptOutcome::Cancelled);
-        end.command_finished = true;
+        end.request_finished = true;
         self.attempt_ended(router, id, end);
     }
 
     /// Releases the connection of an attempt in flight, and notifies the router of its end.
-    pub(super) fn attempt_ended(&mut self, router: usize, id: CommandId, end: AttemptEnd) {
+    pub(super) fn attempt_ended(&mut self, router: usize, id: RequestId, end: AttemptEnd) {
         let simulated = &mut self.routers[router];
-        let Some(in_flight) = simulated.commands.get_mut(&id) else { return };
+        let Some(in_flight) = simulated.requests.get_mut(&id) else { return };
         let Some(attempt) = in_flight.attempts.get_mut(usize::from(end.attempt)) else { return };
         if !attempt.in_flight {
             return;
@@ -227,14 +227,14 @@
     }
 }
 
-/// The end of an attempt without a report of its host, and leaves its command unfinished.
+/// The end of an attempt without a report of its host, and leaves its request unfinished.
 pub(super) fn attempt_end(attempt: u16, outcome: AttemptOutcome) -> AttemptEnd {
     AttemptEnd {
         attempt,
         outcome,
-        command_finished: false,
-        note: HostReport::default(),
-        report: HostReport::default(),
+        request_finished: false,
+        trailer: LoadReport::default(),
+        report: LoadReport::default(),
     }
 }
 
@@ -243,7 +243,7 @@
     Endpoint {
         host: host.host,
         zone: 0,
-        shard: host.shard,
+        shard_id: host.shard,
         lifecycle,
         is_primary: host.primary,
         capacity: f64::from(host.cores),
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -5,7 +5,7 @@
 //! of real processes from sockets.
 
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{Host, HostReport, Role, Shard};
+use comethitch_policy::{Host, LoadReport, Role, ShardId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// One attempt at a host.
@@ -13,8 +13,8 @@
 pub struct Job {
     /// The router that sent it.
     pub router: usize,
-    /// The router's number of the command.
-    pub command: u32,
+    /// The router's number of the request.
+    pub request: u32,
     /// The number of the attempt.
     pub attempt: u16,
     /// How long it takes on one core at full speed.
@@ -32,12 +32,12 @@
     pub overload_multiple: f64,
     /// The window of that count.
     pub window: Duration,
-    /// The mean time of a command on one core.
+    /// The mean time of a request on one core.
     pub mean_work: Duration,
 }
 
 impl ColdStart {
-    /// The most commands within `window` that count as chance where the settings allow this many commands of mean
+    /// The most requests within `window` that count as chance where the settings allow this many requests of mean
     /// work: each router draws for itself whether it sends one, so that the standard deviation of the sum is at most
     /// the root of its mean.
     ///
@@ -68,9 +68,9 @@
 pub struct SimulatedHost {
     /// Its address.
     pub host: Host,
-    /// The group of hosts that it belongs to.
-    pub shard: Shard,
-    /// How many commands it serves at a time.
+    /// The shard that it belongs to.
+    pub shard: ShardId,
+    /// How many requests it serves at a time.
     pub cores: u16,
     /// Whether it is its group's primary.
     pub primary: bool,
@@ -82,13 +82,13 @@
     pub removed: bool,
     /// It has crashed under overload.
     pub crashed: bool,
-    /// 1 as usual, 3 if commands take three times as long.
+    /// 1 as usual, 3 if requests take three times as long.
     pub slowdown: f64,
-    /// The most commands that may wait.
+    /// The most requests that may wait.
     pub queue_limit: usize,
     /// Since when replication to it has stalled.
     pub replication_stalled_since: Option<Timestamp>,
-    /// The most commands that arrived within a window while it was warming up, over [`ColdStart::chance_bound`] of what
+    /// The most requests that arrived within a window while it was warming up, over [`ColdStart::chance_bound`] of what
     /// it could serve then.
     pub peak_cold_load: f64,
     waiting: VecDeque<Job>,
@@ -122,7 +122,7 @@
 
 impl SimulatedHost {
     /// A warm host that is idle.
-    pub fn new(host: Host, shard: Shard, cores: u16, primary: bool, queue_per_core: u16) -> SimulatedHost {
+    pub fn new(host: Host, shard: ShardId, cores: u16, primary: bool, queue_per_core: u16) -> SimulatedHost {
         SimulatedHost {
             host,
             shard,
@@ -150,7 +150,7 @@
         self.started.map_or(1.0, |started| initial + (1.0 - initial) * progress(started))
     }
 
-    /// Whether new commands should be sent here.
+    /// Whether new requests should be sent here.
     pub fn usable(&self) -> bool {
         self.reachable() && self.draining.is_none()
     }
@@ -236,12 +236,12 @@
     }
 
     /// Its load report, measured anew once `interval` has passed since the last measurement.
-    pub fn report(&mut self, lag: Duration, interval: Duration, now: Timestamp) -> HostReport {
+    pub fn report(&mut self, lag: Duration, interval: Duration, now: Timestamp) -> LoadReport {
         if now - self.measured.at >= interval || self.measured.at == Timestamp::ZERO {
             self.measured = Measurement { at: now, queue: self.waiting.len() };
         }
         let staleness = self.staleness(lag, self.measured.at);
-        HostReport {
+        LoadReport {
             role: Some(self.role()),
             position: Some(self.measured.at - staleness),
             queue: Some(self.measured.queue as f64),
@@ -262,7 +262,7 @@
 /// This fraction of each group's usable replicas, the same ones at every call: what is left of each group follows from
 /// the fraction alone, not from a draw.
 pub fn fraction_of_each_shard(hosts: &[SimulatedHost], fraction: f64) -> Vec<usize> {
-    let mut by_shard: BTreeMap<Shard, Vec<usize>> = BTreeMap::new();
+    let mut by_shard: BTreeMap<ShardId, Vec<usize>> = BTreeMap::new();
     for host in usable_replicas(hosts) {
         by_shard.entry(hosts[host].shard).or_default().push(host);
     }
--- a/crates/comethitch-lab/src/hosts/tests.rs
+++ b/crates/comethitch-lab/src/hosts/tests.rs
@@ -11,7 +11,7 @@
 };
 
 fn job(attempt: u16) -> Job {
-    Job { router: 0, command: 1, attempt, work: Duration::from_millis(100) }
+    Job { router: 0, request: 1, attempt, work: Duration::from_millis(100) }
 }
 
 #[test]
@@ -51,12 +51,12 @@
 
 #[test]
 fn more_commands_than_chance_allows_are_detected_even_if_their_work_is_small() {
-    // 2.5 * 0.2 * 1.5 s of mean work are 7.5 commands: past 7.5 + 2 * 2.74 + 2 it is no chance.
-    let peak_load = |commands: u16| {
+    // 2.5 * 0.2 * 1.5 s of mean work are 7.5 requests: past 7.5 + 2 * 2.74 + 2 it is no chance.
+    let peak_load = |requests: u16| {
         let mut host = SimulatedHost::new(Host::default(), 0, 1, false, 100);
         host.started = Some(Timestamp::from_millis(1_000));
         let small = |nth| Job { work: Duration::from_micros(100), ..job(nth) };
-        (0..commands).for_each(|nth| {
+        (0..requests).for_each(|nth| {
             host.arrive(small(nth), &COLD_START, Timestamp::from_millis(1_000));
         });
         (host.peak_cold_load, host.crashed)
--- a/crates/comethitch-lab/src/ledger.rs
+++ b/crates/comethitch-lab/src/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger: records what happens in a trial, checks it against the rules, and adds it up.
 //!
-//! Both fleets, in simulated time and of real processes, write to it. Commands have numbers of their own over all
+//! Both fleets, in simulated time and of real processes, write to it. Requests have numbers of their own over all
 //! routers; routers and hosts are named by their index. [`Ledger::close`] turns it into a [`Report`].
 
 mod evenness;
@@ -30,7 +30,7 @@
 /// A final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The command was executed.
+    /// The request was executed.
     Answered,
     /// Rejected; trying again is harmless.
     Throttled,
@@ -40,7 +40,7 @@
 
 /// What a client wants, over all its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Request {
+pub struct Operation {
     /// Its number.
     pub id: u64,
     /// When the client first sent it.
@@ -48,9 +48,9 @@
 }
 
 #[derive(Debug)]
-struct RequestRecord {
+struct OperationRecord {
     sent_at: Timestamp,
-    /// Whether one of its commands was answered within the latency objective.
+    /// Whether one of its requests was answered within the latency objective.
     in_time: bool,
 }
 
@@ -59,12 +59,12 @@
     at: Timestamp,
 }
 
-/// A command: a request's first, or a client's retry.
+/// A request: a request's first, or a client's retry.
 #[derive(Debug)]
-struct CommandRecord {
+struct RequestRecord {
     /// The router that its client sent it to first.
     router: usize,
-    request: Request,
+    operation: Operation,
     write: bool,
     deadline: Timestamp,
     answer: Option<FinalAnswer>,
@@ -76,7 +76,7 @@
     client_left: Option<Timestamp>,
 }
 
-impl CommandRecord {
+impl RequestRecord {
     fn may_have_run(&self) -> bool {
         self.possible_runs > 0
     }
@@ -97,9 +97,9 @@
     /// By router and host: when the router was notified that the host drains.
     drain_notifications: BTreeMap<(usize, usize), Timestamp>,
     start: Timestamp,
-    commands: BTreeMap<u64, CommandRecord>,
     requests: BTreeMap<u64, RequestRecord>,
-    /// What became of commands that got no answer, as their clients saw it.
+    operations: BTreeMap<u64, OperationRecord>,
+    /// What became of requests that got no answer, as their clients saw it.
     courses: BTreeMap<u64, String>,
     violations: Vec<String>,
     violation_count: u64,
@@ -124,8 +124,8 @@
             drain_grace,
             drain_notifications: BTreeMap::new(),
             start,
-            commands: BTreeMap::new(),
             requests: BTreeMap::new(),
+            operations: BTreeMap::new(),
             courses: BTreeMap::new(),
             violations: Vec::new(),
             violation_count: 0,
@@ -151,24 +151,24 @@
         self.slack = slack;
     }
 
-    /// A command got no answer: what its client saw.
-    pub fn unanswered(&mut self, command: u64, course: String) {
-        self.courses.insert(command, course);
+    /// A request got no answer: what its client saw.
+    pub fn unanswered(&mut self, request: u64, course: String) {
+        self.courses.insert(request, course);
     }
 
-    /// A command's client closed its connection.
-    pub fn client_left(&mut self, command: u64, at: Timestamp) {
-        if let Some(record) = self.commands.get_mut(&command) {
+    /// A request's client closed its connection.
+    pub fn client_left(&mut self, request: u64, at: Timestamp) {
+        if let Some(record) = self.requests.get_mut(&request) {
             record.client_left = Some(at);
         }
     }
 
-    /// A host was told how much time a command's client has left.
-    pub fn time_told(&mut self, command: u64, told: Duration, at: Timestamp) {
-        let Some(record) = self.commands.get(&command) else { return };
+    /// A host was told how much time a request's client has left.
+    pub fn time_told(&mut self, request: u64, told: Duration, at: Timestamp) {
+        let Some(record) = self.requests.get(&request) else { return };
         let left = record.deadline - at;
         if told > left + TOLD_TIME_SLACK + self.slack {
-            let description = format!("command {command} had {left:?} left, and its host was told {told:?}");
+            let description = format!("command {request} had {left:?} left, and its host was told {told:?}");
             self.record_violation(Rule::ToldTime, description);
         }
     }
@@ -197,19 +197,19 @@
 
     /// A client sends a request, whether or not a router accepts it: one that no router accepts is not answered in
     /// time.
-    pub fn request_sent(&mut self, request: Request) {
-        let record = RequestRecord { sent_at: request.sent_at, in_time: false };
-        self.requests.entry(request.id).or_insert(record);
+    pub fn operation_started(&mut self, operation: Operation) {
+        let record = OperationRecord { sent_at: operation.sent_at, in_time: false };
+        self.operations.entry(operation.id).or_insert(record);
     }
 
-    /// A router receives a command, of a request that is new or retried.
-    pub fn command_received(
-        &mut self, command: u64, router: usize, request: Request, write: bool, deadline: Timestamp,
+    /// A router receives a request, of a request that is new or retried.
+    pub fn request_received(
+        &mut self, request: u64, router: usize, operation: Operation, write: bool, deadline: Timestamp,
     ) {
-        self.request_sent(request);
-        let record = CommandRecord {
+        self.operation_started(operation);
+        let record = RequestRecord {
             router,
-            request,
+            operation,
             write,
             deadline,
             answer: None,
@@ -217,7 +217,7 @@
             router_lost: false,
             client_left: None,
         };
-        self.commands.insert(command, record);
+        self.requests.insert(request, record);
     }
 
     /// A router was notified that a host drains; later notifications change nothing.
@@ -226,99 +226,99 @@
     }
 
     /// A router sent an attempt to a host.
-    pub fn attempt_sent(&mut self, command: u64, router: usize, host: usize, at: Timestamp) {
+    pub fn attempt_sent(&mut self, request: u64, router: usize, host: usize, at: Timestamp) {
         let notified = self.drain_notifications.get(&(router, host));
         if notified.is_some_and(|notified| at > *notified + self.drain_grace + self.slack) {
             let description = format!(
-                "command {command} was sent at {at:?} to host {host}, which router {router} knew drains"
+                "command {request} was sent at {at:?} to host {host}, which router {router} knew drains"
             );
             self.record_violation(Rule::Drain, description);
         }
-        self.check_attempt_allowed(command, at);
+        self.check_attempt_allowed(request, at);
     }
 
-    fn check_attempt_allowed(&mut self, command: u64, at: Timestamp) {
-        let Some(record) = self.commands.get(&command) else { return };
+    fn check_attempt_allowed(&mut self, request: u64, at: Timestamp) {
+        let Some(record) = self.requests.get(&request) else { return };
         let exact = self.slack == Duration::ZERO;
         let after_answer = record.answer.as_ref().is_some_and(|answer| exact || at > answer.at + self.slack);
         let duplicate_write = record.write && record.may_have_run();
         let gone_at = record.client_left.filter(|left| at > *left + CLIENT_GONE_GRACE + self.slack);
         if let Some(left) = gone_at {
             let description =
-                format!("command {command} was sent at {at:?}, its client had left at {left:?}");
+                format!("command {request} was sent at {at:?}, its client had left at {left:?}");
             self.record_violation(Rule::ClientGone, description);
         }
         if after_answer {
-            let description = format!("command {command} was sent at {at:?}, after its final answer");
+            let description = format!("command {request} was sent at {at:?}, after its final answer");
             self.record_violation(Rule::OneFinalAnswer, description);
         }
         if duplicate_write {
-            let description = format!("write {command} was sent again at {at:?}, though it may have run");
+            let description = format!("write {request} was sent again at {at:?}, though it may have run");
             self.record_violation(Rule::NoDuplicateWrite, description);
         }
     }
 
     /// An attempt reached a host that will run it.
-    pub fn attempt_may_run(&mut self, command: u64) {
-        let Some(record) = self.commands.get_mut(&command) else { return };
+    pub fn attempt_may_run(&mut self, request: u64) {
+        let Some(record) = self.requests.get_mut(&request) else { return };
         record.possible_runs += 1;
         if record.write && record.possible_runs > 1 {
-            self.record_violation(Rule::NoDuplicateWrite, format!("write {command} ran twice"));
+            self.record_violation(Rule::NoDuplicateWrite, format!("write {request} ran twice"));
         }
     }
 
     /// An attempt was withdrawn before it ran.
-    pub fn attempt_never_ran(&mut self, command: u64) {
-        if let Some(record) = self.commands.get_mut(&command) {
+    pub fn attempt_never_ran(&mut self, request: u64) {
+        if let Some(record) = self.requests.get_mut(&request) {
             record.possible_runs = record.possible_runs.saturating_sub(1);
         }
     }
 
     /// A client received a final answer.
-    pub fn answer_received(&mut self, command: u64, at: Timestamp, answer: Answer) {
-        let Some(record) = self.commands.get_mut(&command) else { return };
-        let CommandRecord { deadline, request, router, .. } = *record;
+    pub fn answer_received(&mut self, request: u64, at: Timestamp, answer: Answer) {
+        let Some(record) = self.requests.get_mut(&request) else { return };
+        let RequestRecord { deadline, operation, router, .. } = *record;
         let is_second = record.answer.replace(FinalAnswer { at }).is_some();
         let is_late = at > deadline + self.slack;
         let throttled_after_run = answer == Answer::Throttled && record.write && record.may_have_run();
-        self.count_answer(request, at, answer);
+        self.count_answer(operation, at, answer);
         if is_second {
-            let description = format!("command {command} has two final answers, the second at {at:?}");
+            let description = format!("command {request} has two final answers, the second at {at:?}");
             self.record_violation(Rule::OneFinalAnswer, description);
         }
         if is_late {
             let late = at - deadline;
             let description = format!(
-                "command {command} was {answer:?} by router {router} at {at:?}, {late:?} late: its time was {deadline:?}"
+                "command {request} was {answer:?} by router {router} at {at:?}, {late:?} late: its time was {deadline:?}"
             );
             self.record_violation(Rule::OneFinalAnswer, description);
         }
         if throttled_after_run {
-            let description = format!("write {command} was throttled, though it may have run");
+            let description = format!("write {request} was throttled, though it may have run");
             self.record_violation(Rule::NoDuplicateWrite, description);
         }
     }
 
-    fn count_answer(&mut self, request: Request, at: Timestamp, answer: Answer) {
+    fn count_answer(&mut self, operation: Operation, at: Timestamp, answer: Answer) {
         match answer {
-            Answer::Answered => self.count_latency(request, at - request.sent_at),
+            Answer::Answered => self.count_latency(operation, at - operation.sent_at),
             Answer::Throttled => self.throttled += 1,
             Answer::Failed => self.failed += 1,
         }
     }
 
-    fn count_latency(&mut self, request: Request, latency: Duration) {
+    fn count_latency(&mut self, operation: Operation, latency: Duration) {
         self.answered += 1;
         self.latencies.saturating_record(latency.as_micros());
         if latency <= self.latency_objective {
-            let record = RequestRecord { sent_at: request.sent_at, in_time: true };
-            self.requests.insert(request.id, record);
+            let record = OperationRecord { sent_at: operation.sent_at, in_time: true };
+            self.operations.insert(operation.id, record);
         }
     }
 
-    /// The router of this command was killed or stopped.
-    pub fn router_lost(&mut self, command: u64) {
-        if let Some(record) = self.commands.get_mut(&command) {
+    /// The router of this request was killed or stopped.
+    pub fn router_lost(&mut self, request: u64) {
+        if let Some(record) = self.requests.get_mut(&request) {
             record.router_lost = true;
         }
     }
@@ -343,14 +343,14 @@
             entry.variation = spread.variation;
             entry.greatest = spread.greatest;
         }
-        let requests = self.requests.len() as u64;
-        let in_time = self.requests.values().filter(|request| request.in_time).count();
-        let of_commands = |count: u64| count as f64 / self.commands.len().max(1) as f64;
+        let operations = self.operations.len() as u64;
+        let in_time = self.operations.values().filter(|operation| operation.in_time).count();
+        let of_commands = |count: u64| count as f64 / self.requests.len().max(1) as f64;
         let per_answer = |count: u64| count as f64 / self.answered.max(1) as f64;
         let latency_ms = |quantile: f64| self.latencies.value_at_quantile(quantile) as f64 / 1e3;
         Report {
-            asked: requests,
-            in_time: in_time as f64 / requests.max(1) as f64,
+            asked: operations,
+            in_time: in_time as f64 / operations.max(1) as f64,
             throttled: of_commands(self.throttled),
             failed: of_commands(self.failed),
             p50_ms: latency_ms(0.5),
@@ -368,22 +368,22 @@
     }
 
     fn check_all_answered(&mut self, end: Timestamp) {
-        let unanswered = self.commands.iter().filter(|(_, record)| record.is_owed_an_answer(end));
-        let unanswered: Vec<u64> = unanswered.map(|(command, _)| *command).collect();
-        for command in unanswered {
-            let course = self.courses.remove(&command).unwrap_or_default();
-            let description = format!("command {command} got no final answer: {course}");
+        let unanswered = self.requests.iter().filter(|(_, record)| record.is_owed_an_answer(end));
+        let unanswered: Vec<u64> = unanswered.map(|(request, _)| *request).collect();
+        for request in unanswered {
+            let course = self.courses.remove(&request).unwrap_or_default();
+            let description = format!("command {request} got no final answer: {course}");
             self.record_violation(Rule::OneFinalAnswer, description);
         }
     }
 
     fn requests_by_second(&self) -> BTreeMap<u64, Second> {
         let mut seconds: BTreeMap<u64, Second> = BTreeMap::new();
-        for request in self.requests.values() {
-            let second = (request.sent_at - self.start).as_micros() / 1_000_000;
+        for operation in self.operations.values() {
+            let second = (operation.sent_at - self.start).as_micros() / 1_000_000;
             let entry = seconds.entry(second).or_default();
             entry.asked += 1;
-            entry.in_time += u64::from(request.in_time);
+            entry.in_time += u64::from(operation.in_time);
         }
         seconds
     }
--- a/crates/comethitch-lab/src/ledger/report.rs
+++ b/crates/comethitch-lab/src/ledger/report.rs
@@ -25,17 +25,17 @@
     pub asked: u64,
     /// The share of requests answered within the latency objective, if by a retry.
     pub in_time: f64,
-    /// The share of all commands, retries included, that were throttled.
+    /// The share of all requests, retries included, that were throttled.
     pub throttled: f64,
-    /// The share of all commands, retries included, that failed.
+    /// The share of all requests, retries included, that failed.
     pub failed: f64,
-    /// The median latency of answered commands, in milliseconds from the request's first command.
+    /// The median latency of answered requests, in milliseconds from the request's first request.
     pub p50_ms: f64,
     /// The 99th percentile of the same latency, in milliseconds.
     pub p99_ms: f64,
-    /// Health checks for each answered command, over the fleet.
+    /// Health checks for each answered request, over the fleet.
     pub probes: f64,
-    /// Connections opened for each answered command, over the fleet.
+    /// Connections opened for each answered request, over the fleet.
     pub connections: f64,
     /// The coefficient of variation of the reads for each core that reached usable replicas in a second, mean over the
     /// seconds.
@@ -46,7 +46,7 @@
     pub idle: u64,
     /// Violations of rules.
     pub breaks: u64,
-    /// The most commands that a warming host got within a window from all routers together, over the most that counts as
+    /// The most requests that a warming host got within a window from all routers together, over the most that counts as
     /// chance: above 1 the rule is broken.
     pub cold_most: f64,
     /// The first few violations, in words.
--- a/crates/comethitch-lab/src/ledger/rule.rs
+++ b/crates/comethitch-lab/src/ledger/rule.rs
@@ -5,7 +5,7 @@
 /// What the ledger checks. Its name begins the text of each violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Each command gets one final answer, in time, and no attempt after it.
+    /// Each request gets one final answer, in time, and no attempt after it.
     OneFinalAnswer,
     /// A write that may have run is neither sent again nor throttled.
     NoDuplicateWrite,
--- a/crates/comethitch-lab/src/ledger/tests.rs
+++ b/crates/comethitch-lab/src/ledger/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-const REQUEST: Request = Request { id: 1, sent_at: Timestamp::ZERO };
+const REQUEST: Operation = Operation { id: 1, sent_at: Timestamp::ZERO };
 
 fn after(plant: impl Fn(&mut Ledger)) -> Vec<String> {
     let mut ledger = Ledger::new(Duration::from_micros(100), Duration::from_micros(40), Timestamp::ZERO);
-    ledger.command_received(1, 0, REQUEST, true, Timestamp::from_millis(1));
+    ledger.request_received(1, 0, REQUEST, true, Timestamp::from_millis(1));
     ledger.check_attempt_allowed(1, Timestamp::from_micros(10));
     ledger.attempt_may_run(1);
     plant(&mut ledger);
@@ -65,7 +65,7 @@
     found(&|l| left(l, 103), "its client had left");
     assert_eq!(after(|l| left(l, 102)), Vec::<String>::new(), "a tenth of a second later it may");
     let mut refused = Ledger::new(Duration::from_micros(100), Duration::from_micros(40), Timestamp::ZERO);
-    refused.request_sent(REQUEST);
+    refused.operation_started(REQUEST);
     let report = refused.close(Timestamp::from_millis(5), &|_, _| true);
     assert_eq!((report.asked, report.in_time), (1, 0.0), "no router accepted it, and it counts");
     assert_eq!(after(|l| l.router_lost(1)), Vec::<String>::new(), "a killed router owes nothing");
--- a/crates/comethitch-lab/src/live/clients.rs
+++ b/crates/comethitch-lab/src/live/clients.rs
@@ -1,12 +1,12 @@
-//! Clients of a fleet of real processes: each router has its own, which send commands at a rate of their own, wait for
+//! Clients of a fleet of real processes: each router has its own, which send requests at a rate of their own, wait for
 //! their timeout, and retry after a throttle.
 
 use super::network::{Message, message_type, now, read_message, sleep, sleep_until};
 use super::process_table::RouterIncarnation;
 use super::processes;
 use super::state::{LiveFleet, SLACK, SharedFleet};
-use crate::clients::{ClientCommand, LEAST_RATE, MAX_RETRIES, RETRY_DELAY};
-use crate::ledger::{Answer, Request};
+use crate::clients::{ClientRequest, LEAST_RATE, MAX_RETRIES, RETRY_DELAY};
+use crate::ledger::{Answer, Operation};
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_testkit::postgres::message;
@@ -24,7 +24,7 @@
 /// The code fields of errors that mean a throttle: `too_many_connections` and `cannot_connect_now`.
 const THROTTLE_CODES: [&[u8]; 2] = [b"C53300\0", b"C57P03\0"];
 
-/// A connection that waits for its next command.
+/// A connection that waits for its next request.
 struct IdleConnection {
     router: RouterIncarnation,
     stream: Async<TcpStream>,
@@ -41,8 +41,8 @@
     answer: Option<Answer>,
 }
 
-/// Sends the commands of one router's clients, until the trial ends.
-pub(super) async fn send_commands(fleet: SharedFleet, router: usize, rate: f64) {
+/// Sends the requests of one router's clients, until the trial ends.
+pub(super) async fn send_requests(fleet: SharedFleet, router: usize, rate: f64) {
     let pool = Pool::default();
     let interval = Exp::new(rate.max(LEAST_RATE)).expect("the rate is above 0");
     let mut next = now();
@@ -56,25 +56,25 @@
         }
         let shard = fleet.rng.borrow_mut().random_range(0..fleet.trial.groups);
         let write = fleet.rng.borrow_mut().random_bool(fleet.trial.writes);
-        let request = Request { id: fleet.next_number(), sent_at: now() };
-        fleet.ledger.borrow_mut().request_sent(request);
-        let command = ClientCommand { request, shard, write };
-        fleet.spawn(send_with_retries(fleet.clone(), pool.clone(), router, command));
+        let operation = Operation { id: fleet.next_number(), sent_at: now() };
+        fleet.ledger.borrow_mut().operation_started(operation);
+        let request = ClientRequest { operation, shard, write };
+        fleet.spawn(send_with_retries(fleet.clone(), pool.clone(), router, request));
     }
 }
 
-async fn send_with_retries(fleet: SharedFleet, pool: Pool, router: usize, command: ClientCommand) {
+async fn send_with_retries(fleet: SharedFleet, pool: Pool, router: usize, request: ClientRequest) {
     for _ in 0..=MAX_RETRIES {
-        if send_once(&fleet, &pool, router, command).await != Some(Answer::Throttled) {
+        if send_once(&fleet, &pool, router, request).await != Some(Answer::Throttled) {
             return;
         }
         sleep(RETRY_DELAY).await;
     }
 }
 
-/// Sends a command with a number of its own. `None` if it got no answer.
+/// Sends a request with a number of its own. `None` if it got no answer.
 async fn send_once(
-    fleet: &LiveFleet, pool: &Pool, own_router: usize, command: ClientCommand,
+    fleet: &LiveFleet, pool: &Pool, own_router: usize, request: ClientRequest,
 ) -> Option<Answer> {
     let router = match ending_router(fleet, pool, own_router) {
         Some(router) => router,
@@ -83,7 +83,7 @@
     let idle = take_idle(fleet, pool, router);
     let number = fleet.next_number();
     let taken_by = Cell::new(router);
-    let exchange = Exchange { fleet, pool, router, command, number, course: RefCell::default(), taken_by };
+    let exchange = Exchange { fleet, pool, router, request, number, course: RefCell::default(), taken_by };
     let late = async {
         sleep(exchange.timeout() + SLACK + LATE_ANSWER_GRACE).await;
         None
@@ -143,12 +143,12 @@
     Some(pool.swap_remove(found).stream)
 }
 
-/// One command and its answer.
+/// One request and its answer.
 struct Exchange<'a> {
     fleet: &'a LiveFleet,
     pool: &'a Pool,
     router: RouterIncarnation,
-    command: ClientCommand,
+    request: ClientRequest,
     number: u64,
     /// What became of it on each connection, for the report of one that got no answer.
     course: RefCell<Vec<String>>,
@@ -161,7 +161,7 @@
         Duration::from_millis(self.fleet.trial.timeout_ms)
     }
 
-    /// Sends the command on an idle connection or a new one. The router may have closed an idle one as the command was
+    /// Sends the request on an idle connection or a new one. The router may have closed an idle one as the request was
     /// on its way: then it is sent again on a new one.
     async fn run(&self, idle: Option<Async<TcpStream>>) -> Option<Answer> {
         let query = message(message_type::QUERY, self.query().as_bytes());
@@ -187,14 +187,14 @@
 
     fn query(&self) -> String {
         let number = self.number;
-        let statement = if self.command.write {
+        let statement = if self.request.write {
             format!(r"INSERT INTO facts (code, data) VALUES ('{number:016x}', '\x9f03') RETURNING data")
         } else {
             format!("SELECT data FROM facts WHERE code = '{number:016x}'")
         };
-        let group = if self.command.write { "write" } else { "read" };
+        let group = if self.request.write { "write" } else { "read" };
         let timeout_ms = self.fleet.trial.timeout_ms;
-        let shard = self.command.shard;
+        let shard = self.request.shard;
         format!("/* id={number:016x},c={group},d={timeout_ms},cluster={shard} */ {statement}\0")
     }
 
@@ -218,19 +218,19 @@
     }
 
     fn add_course(&self, event: &str) {
-        let millis = (now() - self.command.request.sent_at).as_micros() / 1_000;
+        let millis = (now() - self.request.operation.sent_at).as_micros() / 1_000;
         self.course.borrow_mut().push(format!("{event} at router {}, {millis} ms", self.router.router));
     }
 
     fn record_received(&self) {
-        let ClientCommand { request, write, .. } = self.command;
+        let ClientRequest { operation, write, .. } = self.request;
         let allowed = self.fleet.processes.borrow().lateness_allowed(self.router.router);
         let deadline = now() + self.timeout() + allowed;
-        self.fleet.processes.borrow_mut().command_sent(self.router.router, self.number);
-        self.fleet.ledger.borrow_mut().command_received(
+        self.fleet.processes.borrow_mut().request_sent(self.router.router, self.number);
+        self.fleet.ledger.borrow_mut().request_received(
             self.number,
             self.router.router,
-            request,
+            operation,
             write,
             deadline,
         );
@@ -280,7 +280,7 @@
         } else if let Some(answer) = answer {
             ledger.answer_received(self.number, now(), answer);
         }
-        self.fleet.processes.borrow_mut().command_ended(self.router.router, self.number);
+        self.fleet.processes.borrow_mut().request_ended(self.router.router, self.number);
     }
 }
 
--- a/crates/comethitch-lab/src/live/hosts.rs
+++ b/crates/comethitch-lab/src/live/hosts.rs
@@ -10,7 +10,7 @@
 use crate::links::Destination;
 use async_io::Async;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{Host, Role, Shard};
+use comethitch_policy::{Host, Role, ShardId};
 use comethitch_testkit::postgres::{error, message, row};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rand_distr::{Distribution, Exp};
@@ -27,7 +27,7 @@
 const PING_QUERY: &str = "SELECT 1";
 /// What marks a statement as a write.
 const WRITE_KEYWORD: &str = "INSERT";
-/// What precedes a command's number in its statement, and the number's hexadecimal digits.
+/// What precedes a request's number in its statement, and the number's hexadecimal digits.
 const NUMBER_KEY: &str = "id=";
 /// What precedes the milliseconds that the client has left.
 const TOLD_KEY: &str = ",d=";
@@ -40,7 +40,7 @@
 const AUTHENTICATION_OK: &[u8] = &[0; 4];
 
 /// Adds a host, serves it, and returns its index.
-pub(super) fn start(fleet: &SharedFleet, shard: Shard, primary: bool) -> Result<usize, PlayError> {
+pub(super) fn start(fleet: &SharedFleet, shard: ShardId, primary: bool) -> Result<usize, PlayError> {
     let Listener { listener, port } = listen()?;
     let index = fleet.hosts.borrow().len();
     let cores = fleet.trial.cores[index % fleet.trial.cores.len()];
@@ -67,9 +67,9 @@
     stream: Async<TcpStream>,
 }
 
-/// A command as its statement carries it.
+/// A request as its statement carries it.
 #[derive(Clone, Copy)]
-struct HostCommand {
+struct HostRequest {
     number: u64,
     write: bool,
     /// How much time its router says that its client has left.
@@ -156,9 +156,9 @@
             PING_QUERY => Some(row(b"1")),
             "" => Some(message(message_type::EMPTY_QUERY_RESPONSE, b"")),
             _ => {
-                let Some(number) = command_number(&text) else { return Some(error(PROTOCOL_VIOLATION)) };
+                let Some(number) = request_number(&text) else { return Some(error(PROTOCOL_VIOLATION)) };
                 let write = text.contains(WRITE_KEYWORD);
-                self.execute(HostCommand { number, write, told: told_time(&text), received_at }).await
+                self.execute(HostRequest { number, write, told: told_time(&text), received_at }).await
             }
         }
     }
@@ -171,11 +171,11 @@
         self.stream.write_all(&[reply, rank, ready].concat()).await
     }
 
-    /// Runs a command, or rejects it. `None` if it is not answered any more.
-    async fn execute(&mut self, command: HostCommand) -> Option<Vec<u8>> {
-        let HostCommand { number, write, received_at, .. } = command;
+    /// Runs a request, or rejects it. `None` if it is not answered any more.
+    async fn execute(&mut self, request: HostRequest) -> Option<Vec<u8>> {
+        let HostRequest { number, write, received_at, .. } = request;
         self.fleet.ledger.borrow_mut().attempt_sent(number, self.router, self.host, received_at);
-        if let Some(told) = command.told {
+        if let Some(told) = request.told {
             self.fleet.ledger.borrow_mut().time_told(number, told, received_at);
         }
         let second = self.fleet.second();
@@ -186,7 +186,7 @@
             return Some(error(READ_ONLY_TRANSACTION));
         }
         let work = draw_work(&self.fleet);
-        let job = Job { router: self.router, command: self.fleet.next_job(), attempt: 0, work };
+        let job = Job { router: self.router, request: self.fleet.next_job(), attempt: 0, work };
         let (waiter, finished) = async_channel::bounded(1);
         match self.admit(job, second) {
             Admission::Runs(duration) => {
@@ -204,7 +204,7 @@
             false
         };
         if future::or(async { finished.recv().await.is_ok() }, cancelled).await {
-            self.check_staleness(command);
+            self.check_staleness(request);
             return Some(row(format!("{number:016x}").as_bytes()));
         }
         self.withdraw(job, number);
@@ -212,7 +212,7 @@
     }
 
     fn await_job(&self, job: Job, waiter: async_channel::Sender<()>) {
-        let id = JobId { host: self.host, job: job.command };
+        let id = JobId { host: self.host, job: job.request };
         self.fleet.job_waiters.borrow_mut().insert(id, waiter);
     }
 
@@ -232,8 +232,8 @@
         admission
     }
 
-    fn check_staleness(&self, command: HostCommand) {
-        let HostCommand { number, write, received_at, .. } = command;
+    fn check_staleness(&self, request: HostRequest) {
+        let HostRequest { number, write, received_at, .. } = request;
         let host = self.host;
         let lag = Duration::from_millis(self.fleet.trial.lag_ms);
         let bound = Duration::from_millis(self.fleet.trial.bound_ms);
@@ -248,7 +248,7 @@
         if self.fleet.hosts.borrow_mut()[self.host].withdraw(&job) {
             self.fleet.ledger.borrow_mut().attempt_never_ran(number);
         }
-        let id = JobId { host: self.host, job: job.command };
+        let id = JobId { host: self.host, job: job.request };
         self.fleet.job_waiters.borrow_mut().remove(&id);
     }
 }
@@ -279,7 +279,7 @@
 }
 
 /// The number that a statement carries as its id.
-fn command_number(text: &str) -> Option<u64> {
+fn request_number(text: &str) -> Option<u64> {
     let (_, rest) = text.split_once(NUMBER_KEY)?;
     u64::from_str_radix(rest.get(..NUMBER_DIGITS)?, 16).ok()
 }
--- a/crates/comethitch-lab/src/live/play.rs
+++ b/crates/comethitch-lab/src/live/play.rs
@@ -83,7 +83,7 @@
     show_progress(trial.seconds, start).await;
     fleet.clients_send.set(false);
     let end = now();
-    // The last commands have their timeout, and their retries.
+    // The last requests have their timeout, and their retries.
     sleep(Duration::from_millis(trial.timeout_ms) + SLACK).await;
     for (router, line) in fleet.processes.borrow().own_violations() {
         fleet.record_violation(Rule::OwnCheck, format!("router {router}: {line}"));
@@ -133,7 +133,7 @@
 fn start_clients(fleet: &SharedFleet, rates_per_core: Vec<f64>) {
     let cores = replica_cores(&fleet.hosts.borrow());
     for (router, rate) in rates_per_core.into_iter().enumerate() {
-        fleet.spawn(clients::send_commands(fleet.clone(), router, rate * cores));
+        fleet.spawn(clients::send_requests(fleet.clone(), router, rate * cores));
     }
 }
 
--- a/crates/comethitch-lab/src/live/process_table.rs
+++ b/crates/comethitch-lab/src/live/process_table.rs
@@ -50,7 +50,7 @@
     ending: bool,
     incarnation: u32,
     losses: u32,
-    commands_in_flight: BTreeSet<u64>,
+    requests_in_flight: BTreeSet<u64>,
 }
 
 impl RouterProcess {
@@ -59,10 +59,10 @@
     }
 
     /// Begins a new incarnation; returns the commands that the last one had in flight.
-    fn lose_commands(&mut self) -> BTreeSet<u64> {
+    fn lose_requests(&mut self) -> BTreeSet<u64> {
         self.incarnation += 1;
         self.losses += 1;
-        std::mem::take(&mut self.commands_in_flight)
+        std::mem::take(&mut self.requests_in_flight)
     }
 }
 
@@ -159,13 +159,13 @@
     }
 
     /// Counts a command as in flight at a router.
-    pub fn command_sent(&mut self, router: usize, command: u64) {
-        self.processes[router].commands_in_flight.insert(command);
+    pub fn request_sent(&mut self, router: usize, command: u64) {
+        self.processes[router].requests_in_flight.insert(command);
     }
 
     /// A command is no longer in flight.
-    pub fn command_ended(&mut self, router: usize, command: u64) {
-        self.processes[router].commands_in_flight.remove(&command);
+    pub fn request_ended(&mut self, router: usize, command: u64) {
+        self.processes[router].requests_in_flight.remove(&command);
     }
 
     /// Kills a router; returns the commands that it had in flight.
@@ -177,7 +177,7 @@
         }
         process.ready = false;
         process.ending = false;
-        process.lose_commands()
+        process.lose_requests()
     }
 
     /// Tells a router to end (SIGTERM); it owes what it has taken.
@@ -194,7 +194,7 @@
         process.ready = false;
         process.ending = false;
         process.incarnation += 1;
-        process.commands_in_flight.clear();
+        process.requests_in_flight.clear();
         Some(status)
     }
 
@@ -230,7 +230,7 @@
         self.signal(router, Signal::STOP);
         let process = &mut self.processes[router];
         process.stopped = true;
-        process.lose_commands()
+        process.lose_requests()
     }
 
     /// Lets a stopped router go on (SIGCONT).
--- a/crates/comethitch-lab/src/live/state.rs
+++ b/crates/comethitch-lab/src/live/state.rs
@@ -53,7 +53,7 @@
     /// The version of the endpoint list.
     pub endpoints_version: Cell<u64>,
     pub usable: RefCell<UsableReplicas>,
-    /// Whether clients still send new commands.
+    /// Whether clients still send new requests.
     pub clients_send: Cell<bool>,
 }
 
@@ -136,7 +136,7 @@
         (now() - self.start.get()).as_micros() / 1_000_000
     }
 
-    /// The next number of a request or a command.
+    /// The next number of a request or a request.
     pub fn next_number(&self) -> u64 {
         self.last_number.set(self.last_number.get() + 1);
         self.last_number.get()
@@ -158,7 +158,7 @@
     }
 
     fn finish_job(self: &Rc<LiveFleet>, host: usize, job: Job) {
-        let waiter = self.job_waiters.borrow_mut().remove(&JobId { host, job: job.command });
+        let waiter = self.job_waiters.borrow_mut().remove(&JobId { host, job: job.request });
         if let Some(waiter) = waiter {
             // Whoever waited may have given up meanwhile.
             let _ = waiter.try_send(());
@@ -169,10 +169,10 @@
         }
     }
 
-    /// Commands whose router was killed or stopped: no answer is owed.
-    pub fn record_lost(&self, commands: BTreeSet<u64>) {
-        for command in commands {
-            self.ledger.borrow_mut().router_lost(command);
+    /// Requests whose router was killed or stopped: no answer is owed.
+    pub fn record_lost(&self, requests: BTreeSet<u64>) {
+        for request in requests {
+            self.ledger.borrow_mut().router_lost(request);
         }
     }
 
--- a/crates/comethitch-lab/src/soak.rs
+++ b/crates/comethitch-lab/src/soak.rs
@@ -33,7 +33,7 @@
 
 /// The clients' timeout. SIGKILL comes 0.7 s after it, and after three seconds of a longer one.
 const TIMEOUTS_MS: [u64; 5] = [500, 1_200, 1_200, 3_000, 5_000];
-/// Groups of hosts: mostly few, sometimes so many that each sees little.
+/// Shards: mostly few, sometimes so many that each sees little.
 const GROUPS: [u16; 5] = [1, 2, 3, 3, 40];
 /// The traffic grows with the groups up to this many.
 const MANY_GROUPS: u16 = 3;
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -49,7 +49,7 @@
     Deployment(#[from] DeploymentError),
 }
 
-/// Who selects hosts for commands.
+/// Who selects hosts for requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Routing {
@@ -71,21 +71,21 @@
     pub routing: Routing,
     /// How many routers.
     pub routers: u16,
-    /// How many groups of hosts (shards).
+    /// How many shards (shards).
     pub groups: u16,
     /// Replicas in each group, beside its primary.
     pub replicas: u16,
-    /// How long clients send commands.
+    /// How long clients send requests.
     pub seconds: u64,
     /// Cores of the hosts, dealt out in turn.
     pub cores: Vec<u16>,
-    /// The mean time of a command on one core.
+    /// The mean time of a request on one core.
     pub work_ms: f64,
     /// The mean part of all replicas' cores that the reads take.
     pub load: f64,
     /// How unequal routers' traffic is: the standard deviation of its logarithm.
     pub skew: f64,
-    /// The part of commands that write.
+    /// The part of requests that write.
     pub writes: f64,
     /// The latency objective.
     pub target_ms: u64,
@@ -109,7 +109,7 @@
     pub fall_ms: u64,
     /// How long a router may still send to a host after it was notified that the host drains.
     pub drain_grace_ms: u64,
-    /// How many commands may wait at a host for each of its cores.
+    /// How many requests may wait at a host for each of its cores.
     pub queue_per_core: u16,
     /// How many connections a host accepts, 0 for any number; more are rejected. Real processes alone.
     pub slots: u32,
@@ -118,7 +118,7 @@
     /// Settings of failing system calls (`shim/system_calls.c` lists them), dealt out to the routers in turn; an empty
     /// one leaves a router its own calls. Real processes alone.
     pub system_calls: Vec<String>,
-    /// The part of commands whose client closes its connection before it has the answer. Real processes alone.
+    /// The part of requests whose client closes its connection before it has the answer. Real processes alone.
     pub leave: f64,
     /// How many clients connect to each router at once, in the middle of the trial, and rest until it ends them. Real
     /// processes alone.
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Commands a second from each router's own clients: unequal, and together the trial's load on this many cores.
+    /// Requests a second from each router's own clients: unequal, and together the trial's load on this many cores.
     ///
     /// # Errors
     /// A skew that no distribution has.
--- a/crates/comethitch-lab/src/trial/faults.rs
+++ b/crates/comethitch-lab/src/trial/faults.rs
@@ -29,7 +29,7 @@
     Slow {
         /// The part of the replicas.
         part: f64,
-        /// By what factor their commands take longer.
+        /// By what factor their requests take longer.
         factor: f64,
     },
     /// Replication to this part of each group's replicas stalls; afterwards they have caught up at once.
--- a/crates/comethitch-lab/tests/fleet.rs
+++ b/crates/comethitch-lab/tests/fleet.rs
@@ -21,7 +21,7 @@
 #[test]
 fn hosts_are_loaded_nearly_as_evenly_as_by_perfect_knowledge_with_few_health_checks() {
     for seed in [1, 2] {
-        // Each router sees some five commands a second of a group.
+        // Each router sees some five requests a second of a group.
         let trial = Trial { seed, routers: 60, load: 0.4, ..small() };
         let (report, ideal) = (play_without_violations(&trial), play_baseline(&trial));
         assert!(report.variation < ideal.variation * 1.6, "{report}\nwith perfect knowledge\n{ideal}");
--- a/crates/comethitch-policy/src/actions.rs
+++ b/crates/comethitch-policy/src/actions.rs
@@ -4,24 +4,24 @@
 //! call has returned passes an [`ActionQueue`] and works through its [`Action`]s.
 
 use crate::time::{Duration, Timestamp};
-use crate::{CommandId, Host, RejectionReason};
+use crate::{Host, RejectionReason, RequestId};
 
 /// What the policy acts through. An implementation carries each call out; it decides nothing.
 pub trait Actions {
     /// The present, on the caller's clock.
     fn now(&self) -> Timestamp;
 
-    /// Sends the command to a host. The attempts of a command are numbered from 0 in the order of these calls.
-    fn send_attempt(&mut self, command: CommandId, host: Host, timeout: Duration);
+    /// Sends the request to a host. The attempts of a request are numbered from 0 in the order of these calls.
+    fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration);
 
     /// Withdraws an attempt that has not ended yet.
-    fn cancel_attempt(&mut self, command: CommandId, attempt: u16);
+    fn cancel_attempt(&mut self, request: RequestId, attempt: u16);
 
     /// Final answer: rejected, and trying again is harmless, best after `retry_after` where one is given.
-    fn throttle(&mut self, command: CommandId, retry_after: Option<Duration>, reason: RejectionReason);
+    fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectionReason);
 
     /// Final answer: failed, with nothing said of its effect.
-    fn fail(&mut self, command: CommandId, reason: RejectionReason);
+    fn fail(&mut self, request: RequestId, reason: RejectionReason);
 
     /// Asks a host for its report; [`Router::health_checked`](crate::Router::health_checked) takes its end.
     fn check_health(&mut self, host: Host);
@@ -39,10 +39,10 @@
 /// One call of [`Actions`], to be carried out later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the command's next attempt.
+    /// Send the request's next attempt.
     SendAttempt {
-        /// The command.
-        command: CommandId,
+        /// The request.
+        request: RequestId,
         /// Where to.
         host: Host,
         /// How long the attempt may take.
@@ -50,15 +50,15 @@
     },
     /// Withdraw an attempt.
     CancelAttempt {
-        /// The command.
-        command: CommandId,
+        /// The request.
+        request: RequestId,
         /// The number of the attempt.
         attempt: u16,
     },
     /// Answer finally: rejected, trying again is harmless.
     Throttle {
-        /// The command.
-        command: CommandId,
+        /// The request.
+        request: RequestId,
         /// When the client should try again, where one is given.
         retry_after: Option<Duration>,
         /// Which check rejected it.
@@ -66,8 +66,8 @@
     },
     /// Answer finally: failed.
     Fail {
-        /// The command.
-        command: CommandId,
+        /// The request.
+        request: RequestId,
         /// Which check gave it up.
         reason: RejectionReason,
     },
@@ -101,20 +101,20 @@
         self.now
     }
 
-    fn send_attempt(&mut self, command: CommandId, host: Host, timeout: Duration) {
-        self.actions.push(Action::SendAttempt { command, host, timeout });
+    fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration) {
+        self.actions.push(Action::SendAttempt { request, host, timeout });
     }
 
-    fn cancel_attempt(&mut self, command: CommandId, attempt: u16) {
-        self.actions.push(Action::CancelAttempt { command, attempt });
+    fn cancel_attempt(&mut self, request: RequestId, attempt: u16) {
+        self.actions.push(Action::CancelAttempt { request, attempt });
     }
 
-    fn throttle(&mut self, command: CommandId, retry_after: Option<Duration>, reason: RejectionReason) {
-        self.actions.push(Action::Throttle { command, retry_after, reason });
+    fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectionReason) {
+        self.actions.push(Action::Throttle { request, retry_after, reason });
     }
 
-    fn fail(&mut self, command: CommandId, reason: RejectionReason) {
-        self.actions.push(Action::Fail { command, reason });
+    fn fail(&mut self, request: RequestId, reason: RejectionReason) {
+        self.actions.push(Action::Fail { request, reason });
     }
 
     fn check_health(&mut self, host: Host) {
--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The settings of a deployment: read once at start, from the `path=value` lines of a start message.
 
-use crate::command_group::{CommandGroup, Consistency, DeduplicationScope, Idempotency, StalenessCheck};
-use crate::host::{HostReport, Role};
+use crate::host::{LoadReport, Role};
+use crate::request_class::{Consistency, DeduplicationScope, Idempotency, RequestClass, StalenessCheck};
 use crate::time::{Duration, Timestamp};
 use comethitch_fleet::quota::SlowStart;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
         /// What it is set to.
         text: String,
     },
-    /// A list has no entry for the last command groups.
+    /// A list has no entry for the last request classes.
     #[error("{key} is too short")]
     TooShort {
         /// The key.
@@ -36,8 +36,8 @@
 /// The settings that decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// The command groups, by their numbers.
-    pub groups: Vec<CommandGroup>,
+    /// The request classes, by their numbers.
+    pub classes: Vec<RequestClass>,
     /// What replicas do with reads that they are too far behind for.
     pub staleness_check: StalenessCheck,
     /// Whether clients tell when their session last wrote; else routers remember it.
@@ -48,11 +48,11 @@
     pub may_cancel: bool,
     /// Whether health checks may be sent.
     pub may_check_health: bool,
-    /// Points of service that one health check for each command would cost.
+    /// Points of service that one health check for each request would cost.
     pub health_check_price: f64,
     /// Whether a second attempt may be sent while one is in flight.
     pub hedging_allowed: bool,
-    /// How many attempts a command may have.
+    /// How many attempts a request may have.
     pub max_attempts: usize,
     /// The longest time that a rejected client may be told to wait; none where it may be told nothing.
     pub max_retry_after: Option<Duration>,
@@ -92,10 +92,10 @@
     /// If a key is missing or unreadable, or a list is too short.
     pub fn read(text: &str) -> Result<Deployment, DeploymentError> {
         let lines = Lines(text.lines().filter_map(|line| line.split_once('=')).collect());
-        let groups = lines.command_groups()?;
+        let classes = lines.request_classes()?;
         let retry_after_allowed = lines.value_or("permissions.retry_after", false)?;
         Ok(Deployment {
-            groups,
+            classes,
             staleness_check: lines.one_of("domain.guards", &STALENESS_CHECKS)?,
             session_tokens_carried: lines.text_or("domain.tokens", "carried") == "carried",
             tick: lines.duration("tick_us")?,
@@ -121,7 +121,7 @@
 
     /// Parses the values of a host's load report. The position is a 32-bit float, rounded to the nearest: the next
     /// one below is surely not past the truth.
-    pub fn parse_report(&self, values: &[f32]) -> HostReport {
+    pub fn parse_report(&self, values: &[f32]) -> LoadReport {
         let value = |field: Option<usize>| field.and_then(|field| values.get(field)).copied();
         let position = value(self.report_fields.position).map(|seconds| {
             let micros = (f64::from(seconds.next_down()) * 1e6).max(0.0) as u64;
@@ -130,38 +130,38 @@
         let role = value(self.report_fields.role)
             .map(|role| if role >= 0.5 { Role::Primary } else { Role::Replica });
         let queue = value(self.report_fields.queue).map(|queue| f64::from(queue).max(0.0));
-        HostReport { role, position, queue }
+        LoadReport { role, position, queue }
     }
 
     /// Parses the note on an answer: four times the position in milliseconds, plus the role.
-    pub fn parse_note(&self, note: u32) -> HostReport {
-        let role = match note % 4 {
+    pub fn parse_trailer(&self, trailer: u32) -> LoadReport {
+        let role = match trailer % 4 {
             1 => Some(Role::Primary),
             2 => Some(Role::Replica),
             _ => None,
         };
-        let position = Duration::from_micros(u64::from(note / 4) * 1000);
-        let position = (note >= 4).then(|| self.position_origin + position);
-        HostReport { role, position, queue: None }
+        let position = Duration::from_micros(u64::from(trailer / 4) * 1000);
+        let position = (trailer >= 4).then(|| self.position_origin + position);
+        LoadReport { role, position, queue: None }
     }
 
-    /// The shortest latency objective of all command groups; none without command groups.
+    /// The shortest latency objective of all request classes; none without request classes.
     pub fn shortest_latency_objective(&self) -> Option<Duration> {
-        self.groups.iter().map(|group| group.latency_objective).min()
+        self.classes.iter().map(|class| class.latency_objective).min()
     }
 
-    /// The tightest bound on the age of data; none if no command group has one.
+    /// The tightest bound on the age of data; none if no request class has one.
     pub fn tightest_staleness_bound(&self) -> Option<Duration> {
-        let bound = |group: &CommandGroup| match group.consistency {
+        let bound = |class: &RequestClass| match class.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
             _ => None,
         };
-        self.groups.iter().filter_map(bound).min()
+        self.classes.iter().filter_map(bound).min()
     }
 
-    /// Whether some command group has this need.
+    /// Whether some request class has this need.
     pub fn serves(&self, need: Consistency) -> bool {
-        self.groups.iter().any(|group| group.consistency == need)
+        self.classes.iter().any(|class| class.consistency == need)
     }
 }
 
@@ -177,7 +177,7 @@
 const DEDUPLICATION_SCOPES: [(&str, DeduplicationScope); 3] = [
     ("all", DeduplicationScope::Everywhere),
     ("zone", DeduplicationScope::Zone),
-    ("cell", DeduplicationScope::Shard),
+    ("cell", DeduplicationScope::ShardId),
 ];
 
 const CONSISTENCIES: &str = "domain.class_read";
@@ -229,23 +229,23 @@
         ReportFields { position: place("x0"), role: place("x1"), queue: place("queue") }
     }
 
-    fn command_groups(&self) -> Result<Vec<CommandGroup>, DeploymentError> {
+    fn request_classes(&self) -> Result<Vec<RequestClass>, DeploymentError> {
         let consistencies: Vec<&str> = self.text(CONSISTENCIES)?.split(',').collect();
         let bounds: Vec<&str> = self.text(STALENESS_BOUNDS)?.split(',').collect();
         (0..self.value::<usize>("classes.count")?)
             .map(|number| {
                 let consistency = consistency(consistencies.get(number), bounds.get(number))?;
-                self.command_group(number, consistency)
+                self.request_class(number, consistency)
             })
             .collect()
     }
 
-    fn command_group(
+    fn request_class(
         &self, number: usize, consistency: Consistency,
-    ) -> Result<CommandGroup, DeploymentError> {
+    ) -> Result<RequestClass, DeploymentError> {
         let key = |field: &str| format!("classes.{number}.{field}");
         let idempotency = self.one_of(&key("effect"), &IDEMPOTENCIES)?;
-        Ok(CommandGroup {
+        Ok(RequestClass {
             latency_objective: self.duration(&key("target_us"))?,
             timeout: self.duration(&key("deadline_us"))?,
             priority_weight: self.value(&key("value"))?,
@@ -261,7 +261,7 @@
     }
 }
 
-/// One command group's entries of the two lists that say how new its data must be.
+/// One request class's entries of the two lists that say how new its data must be.
 fn consistency(name: Option<&&str>, bound: Option<&&str>) -> Result<Consistency, DeploymentError> {
     let name = name.ok_or(DeploymentError::TooShort { key: CONSISTENCIES })?;
     match *name {
--- a/crates/comethitch-policy/src/estimates.rs
+++ b/crates/comethitch-policy/src/estimates.rs
@@ -2,49 +2,49 @@
 //!
 //! What is done about them, and every value that is tuned, stands in [`policy`](crate::policy).
 
-use crate::host_group::HostGroup;
 use crate::host_table::HostIndex;
+use crate::shard::Shard;
 use crate::time::{Duration, Timestamp};
-use crate::{CommandGroup, Router, command::Command};
+use crate::{RequestClass, Router, request_state::RequestState};
 use comethitch_fleet::quota::{self, Window};
 
-/// How a command group's answer time is estimated.
+/// How a request class's answer time is estimated.
 pub(crate) struct Estimate {
     /// The quantile of the answer times seen so far, 0 to 1.
     pub quantile: f64,
-    /// Before any answer, the command group's latency objective over this.
+    /// Before any answer, the request class's latency objective over this.
     pub objective_divisor: u64,
 }
 
 impl Router {
-    /// The settings of a command's group.
-    pub(crate) fn settings(&self, command: &Command) -> &CommandGroup {
-        &self.deployment.groups[command.command_group]
+    /// The settings of a request's group.
+    pub(crate) fn settings(&self, request: &RequestState) -> &RequestClass {
+        &self.deployment.classes[request.request_class]
     }
 
     /// The group of a host.
-    pub(crate) fn group_of(&self, index: HostIndex) -> &HostGroup {
-        &self.host_groups[&self.hosts[index].shard]
+    pub(crate) fn shard_of(&self, index: HostIndex) -> &Shard {
+        &self.shards[&self.hosts[index].shard_id]
     }
 
     /// The group of a host, to be changed.
-    pub(crate) fn group_of_mut(&mut self, index: HostIndex) -> &mut HostGroup {
-        self.host_groups.get_mut(&self.hosts[index].shard).expect("every host was added to its group")
+    pub(crate) fn shard_of_mut(&mut self, index: HostIndex) -> &mut Shard {
+        self.shards.get_mut(&self.hosts[index].shard_id).expect("every host was added to its group")
     }
 
-    /// Whether the endpoint list, a command or a health check in flight still refers to a host.
+    /// Whether the endpoint list, a request or a health check in flight still refers to a host.
     pub(crate) fn is_referred_to(&self, index: HostIndex) -> bool {
-        let group = self.group_of(index);
-        group.primary == Some(index)
-            || group.listed_primary == Some(index)
+        let shard = self.shard_of(index);
+        shard.primary == Some(index)
+            || shard.listed_primary == Some(index)
             || self.hosts[index].health_check_sent.is_some()
             || self.hosts[index].attempts_in_progress > 0
     }
 
-    /// An answer time of a command group.
-    pub(crate) fn service_time(&self, command_group: usize, estimate: &Estimate) -> Duration {
-        let objective = self.deployment.groups[command_group].latency_objective;
-        let observed = self.service_times[command_group].quantile(estimate.quantile);
+    /// An answer time of a request class.
+    pub(crate) fn service_time(&self, request_class: usize, estimate: &Estimate) -> Duration {
+        let objective = self.deployment.classes[request_class].latency_objective;
+        let observed = self.service_times[request_class].quantile(estimate.quantile);
         observed.unwrap_or(objective / estimate.objective_divisor)
     }
 
@@ -61,9 +61,9 @@
 
     /// How many routers use a host, where their subsets have this size; all use a primary.
     pub(crate) fn expected_users(&self, index: HostIndex, subset_size: usize) -> f64 {
-        let group = self.group_of(index);
-        let subset_share = subset_size as f64 / group.members.len().max(1) as f64;
-        let router_share = if group.primary == Some(index) { 1.0 } else { subset_share };
+        let shard = self.shard_of(index);
+        let subset_share = subset_size as f64 / shard.members.len().max(1) as f64;
+        let router_share = if shard.primary == Some(index) { 1.0 } else { subset_share };
         quota::expected_users(self.deployment.slow_start.routers, router_share.min(1.0))
     }
 
--- a/crates/comethitch-policy/src/host.rs
+++ b/crates/comethitch-policy/src/host.rs
@@ -19,7 +19,7 @@
 }
 
 /// The number of a group of database hosts: one primary and its replicas.
-pub type Shard = u16;
+pub type ShardId = u16;
 
 /// What a host is to its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,11 +43,11 @@
 
 /// What a host reports of itself; `None` is not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct HostReport {
+pub struct LoadReport {
     /// What it is to its group.
     pub role: Option<Role>,
     /// All commits up to here are applied there, at the least.
     pub position: Option<Timestamp>,
-    /// How many commands wait there.
+    /// How many requests wait there.
     pub queue: Option<f64>,
 }
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -3,7 +3,7 @@
 //! What follows from these fields, and when a host counts as failed, is decided in [`policy`](crate::policy).
 
 use crate::time::{Duration, Timestamp};
-use crate::{DeduplicationScope, Endpoint, Host, HostReport, Lifecycle, Role, Shard, histogram::Histogram};
+use crate::{DeduplicationScope, Endpoint, Host, Lifecycle, LoadReport, Role, ShardId, histogram::Histogram};
 use comethitch_fleet::{
     concurrency_limit::ConcurrencyLimit, connection_slots::ConnectionSlots,
     decaying_counter::DecayingCounter, quota::WindowUsage,
@@ -13,7 +13,7 @@
 const MIN_CAPACITY: f64 = 1e-9;
 
 /// Notes on answers give positions in milliseconds.
-const NOTE_RESOLUTION: Duration = Duration::from_millis(1);
+const TRAILER_RESOLUTION: Duration = Duration::from_millis(1);
 
 /// A database host as this router sees it.
 #[derive(Default)]
@@ -22,7 +22,7 @@
     /// The number of its zone.
     pub zone: u8,
     /// The group that it belongs to.
-    pub shard: Shard,
+    pub shard_id: ShardId,
     /// Its listed capacity beside that of others.
     pub capacity: f64,
     /// When it was first listed as draining, or as removed where removal is binding.
@@ -43,23 +43,23 @@
     pub lag: Duration,
     /// When it last reported its position.
     pub lag_reported_at: Timestamp,
-    /// How many commands waited there at its last report.
+    /// How many requests waited there at its last report.
     pub queue_length: f64,
     /// The work that this router has in flight there, and its limit.
     pub concurrency: ConcurrencyLimit,
-    /// The last answer to a command.
+    /// The last answer to a request.
     pub last_answer: Timestamp,
     /// The last answer of any kind, also to a health check.
     pub last_sign_of_life: Timestamp,
     /// When it was first asked anything after its last sign of life: silence counts from here.
     pub awaiting_since: Timestamp,
-    /// Attempts that timed out, or were cancelled late, since its last answer to a command.
+    /// Attempts that timed out, or were cancelled late, since its last answer to a request.
     pub unanswered_attempts: u32,
-    /// Answers no commands, whatever its health checks say.
+    /// Answers no requests, whatever its health checks say.
     pub unresponsive: bool,
     /// Failed connections, resets, failed health checks and rare errors since its last sign of life.
     pub consecutive_failures: u32,
-    /// Until then no command is sent there.
+    /// Until then no request is sent there.
     pub ejected_until: Timestamp,
     /// Whether it accepts one more connection.
     pub connection_slots: ConnectionSlots,
@@ -67,9 +67,9 @@
     pub health_check_sent: Option<Timestamp>,
     /// When its health is to be checked next.
     pub next_health_check: Timestamp,
-    /// When a command may have its position refreshed next.
+    /// When a request may have its position refreshed next.
     pub next_position_refresh: Timestamp,
-    /// Answer times as thousandths of the usual one of their command group.
+    /// Answer times as thousandths of the usual one of their request class.
     pub relative_latency: Histogram,
     /// Work lately sent there, decaying over the window in which a host in slow start is judged.
     pub work_sent: DecayingCounter,
@@ -77,7 +77,7 @@
     pub work_answered: DecayingCounter,
     /// What was sent there in the present window of its slow start.
     pub slow_start_usage: WindowUsage,
-    /// How many attempts of commands in progress, ended ones too, went there.
+    /// How many attempts of requests in progress, ended ones too, went there.
     pub attempts_in_progress: u32,
 }
 
@@ -86,7 +86,7 @@
     pub fn new(endpoint: &Endpoint, relative_latency: Histogram, now: Timestamp) -> HostState {
         HostState {
             host: endpoint.host,
-            shard: endpoint.shard,
+            shard_id: endpoint.shard_id,
             last_sign_of_life: now,
             next_health_check: now,
             relative_latency,
@@ -108,7 +108,7 @@
     }
 
     /// Records a report that came now, and how far behind its position seemed.
-    pub fn apply_position(&mut self, lag: Duration, report: &HostReport, now: Timestamp) {
+    pub fn apply_position(&mut self, lag: Duration, report: &LoadReport, now: Timestamp) {
         self.lag = lag;
         self.lag_reported_at = now;
         self.queue_length = report.queue.unwrap_or_default();
@@ -116,19 +116,19 @@
 
     /// Records the note on an answer to what was sent at that time of the hosts, if it is known. A primary has all
     /// commits when it answers, so at the least those up to the moment of the send.
-    pub fn apply_note(&mut self, note: &HostReport, sent_at: Option<Timestamp>) {
-        if note.role == Some(Role::Primary) {
-            let noted = note.position.map(|position| position - NOTE_RESOLUTION);
+    pub fn apply_trailer(&mut self, trailer: &LoadReport, sent_at: Option<Timestamp>) {
+        if trailer.role == Some(Role::Primary) {
+            let noted = trailer.position.map(|position| position - TRAILER_RESOLUTION);
             self.position = self.position.max(noted.max(sent_at).unwrap_or_default());
         }
     }
 
-    /// Whether it drops a command as a duplicate that ran at another host, by the scope of idempotency keys.
+    /// Whether it drops a request as a duplicate that ran at another host, by the scope of idempotency keys.
     pub fn shares_keys(&self, other: &HostState, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::Everywhere => true,
             DeduplicationScope::Zone => self.zone == other.zone,
-            DeduplicationScope::Shard => self.shard == other.shard,
+            DeduplicationScope::ShardId => self.shard_id == other.shard_id,
         }
     }
 
--- a/crates/comethitch-policy/src/messages.rs
+++ b/crates/comethitch-policy/src/messages.rs
@@ -1,20 +1,20 @@
-//! What a caller reports to the policy: commands, the endpoint list, and how attempts ended.
+//! What a caller reports to the policy: requests, the endpoint list, and how attempts ended.
 
 use crate::time::{Duration, Timestamp};
-use crate::{AttemptOutcome, Host, HostReport, Lifecycle, Shard};
+use crate::{AttemptOutcome, Host, Lifecycle, LoadReport, ShardId};
 
-/// A command's id, as the caller gives it.
-pub type CommandId = u32;
+/// A request's id, as the caller gives it.
+pub type RequestId = u32;
 
-/// A command as a caller submits it.
+/// A request as a caller submits it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CommandRequest {
-    /// The caller's number for it, unique among the commands in flight.
-    pub id: CommandId,
-    /// Its command group, by its place in the deployment.
-    pub group: usize,
-    /// The group of hosts that holds its data.
-    pub shard: Shard,
+pub struct Request {
+    /// The caller's number for it, unique among the requests in flight.
+    pub id: RequestId,
+    /// Its request class, by its place in the deployment.
+    pub class: usize,
+    /// The shard that holds its data.
+    pub shard_id: ShardId,
     /// The client's session, 0 for none.
     pub session: u64,
     /// The position that it must see, where clients carry that.
@@ -30,8 +30,8 @@
     pub host: Host,
     /// The number of its zone.
     pub zone: u8,
-    /// The group of hosts that it belongs to.
-    pub shard: Shard,
+    /// The shard that it belongs to.
+    pub shard_id: ShardId,
     /// Whether it may be used.
     pub lifecycle: Lifecycle,
     /// Whether the list names it as its group's primary.
@@ -58,10 +58,10 @@
     pub attempt: u16,
     /// What came of it.
     pub outcome: AttemptOutcome,
-    /// Whether the command has its final answer, by this attempt or before.
-    pub command_finished: bool,
+    /// Whether the request has its final answer, by this attempt or before.
+    pub request_finished: bool,
     /// What the answer reports of the host at that moment.
-    pub note: HostReport,
+    pub trailer: LoadReport,
     /// The host's last load report.
-    pub report: HostReport,
+    pub report: LoadReport,
 }
--- a/crates/comethitch-policy/src/outcome.rs
+++ b/crates/comethitch-policy/src/outcome.rs
@@ -1,9 +1,9 @@
-//! How attempts end, and why commands are rejected.
+//! How attempts end, and why requests are rejected.
 
 /// How an attempt, or a health check, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptOutcome {
-    /// The host answered the command.
+    /// The host answered the request.
     Answered,
     /// The host answered with an error.
     Error,
@@ -26,7 +26,7 @@
 }
 
 impl AttemptOutcome {
-    /// Whether this outcome proves that the command never ran.
+    /// Whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -38,7 +38,7 @@
         )
     }
 
-    /// Whether the host answered the command, be it only to reject it.
+    /// Whether the host answered the request, be it only to reject it.
     pub fn is_answer(self) -> bool {
         matches!(
             self,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Which check rejected a command, and so where to look when many are.
+/// Which check rejected a request, and so where to look when many are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// Only the primary could take it, and no primary is believed to serve: Failover, or none found yet.
--- a/crates/comethitch-policy/src/policy/check_schedule.rs
+++ b/crates/comethitch-policy/src/policy/check_schedule.rs
@@ -4,13 +4,13 @@
 use super::health::HEALTH_CHECK_RETRY;
 use super::*;
 
-/// A group of which fewer recent commands are left than this is not checked.
+/// A group of which fewer recent requests are left than this is not checked.
 pub(super) const MIN_RECENT_COMMANDS: f64 = 0.5;
 /// How often a group in use is reviewed for what time alone has changed, at the least.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a host may go without a health check that no command has paid for.
+/// How long a host may go without a health check that no request has paid for.
 const UNPAID_INTERVAL: Duration = Duration::from_secs(10);
-/// The time between two health checks that no command has paid for, of all hosts: a router's own cost for them must not
+/// The time between two health checks that no request has paid for, of all hosts: a router's own cost for them must not
 /// grow with the hosts.
 const UNPAID_CHECK_SPACING: Duration = Duration::from_millis(40);
 /// So many health checks that are due by time are sent from one tick to the next; the others wait for the next.
@@ -23,39 +23,39 @@
             return;
         }
         let now = out.now();
-        let mut due = self.groups_to_review(now);
+        let mut due = self.shards_to_review(now);
         // The round goes on where it ended: the first groups must not use up what there is for all.
-        let looked_at = due.partition_point(|shard| Some(*shard) <= self.last_checked_group);
+        let looked_at = due.partition_point(|shard_id| Some(*shard_id) <= self.last_checked_shard);
         due.rotate_left(looked_at);
-        for shard in due {
+        for shard_id in due {
             if self.timed_checks_left == 0 {
                 return;
             }
-            self.last_checked_group = Some(shard);
-            self.run_due_health_checks_of(shard, out);
-            let next_check_review = self.next_check_review(shard, now);
-            let group = self.host_groups.get_mut(&shard).expect("a group that was just reviewed");
-            group.next_check_review = next_check_review;
+            self.last_checked_shard = Some(shard_id);
+            self.run_due_health_checks_of(shard_id, out);
+            let next_check_review = self.next_check_review(shard_id, now);
+            let shard = self.shards.get_mut(&shard_id).expect("a group that was just reviewed");
+            shard.next_check_review = next_check_review;
         }
     }
 
     /// The groups of which time alone may have changed something.
-    pub(super) fn groups_to_review(&self, now: Timestamp) -> Vec<Shard> {
-        let due = self.host_groups.iter().filter(|(_, group)| group.next_check_review <= now);
-        due.map(|(shard, _)| *shard).collect()
+    pub(super) fn shards_to_review(&self, now: Timestamp) -> Vec<ShardId> {
+        let due = self.shards.iter().filter(|(_, shard)| shard.next_check_review <= now);
+        due.map(|(shard_id, _)| *shard_id).collect()
     }
 
     /// When a check of a member may be due next, as far as time alone tells: at the latest after a review interval, as
-    /// commands may need a check, or have paid for it, without any other event. Of a group that is not in use little
-    /// needs to be known, and its next command brings the review forward.
-    fn next_check_review(&self, shard: Shard, now: Timestamp) -> Timestamp {
-        let group = &self.host_groups[&shard];
-        let is_idle = self.refresh_on_demand && !self.is_in_use(group, now);
+    /// requests may need a check, or have paid for it, without any other event. Of a group that is not in use little
+    /// needs to be known, and its next request brings the review forward.
+    fn next_check_review(&self, shard_id: ShardId, now: Timestamp) -> Timestamp {
+        let shard = &self.shards[&shard_id];
+        let is_idle = self.refresh_on_demand && !self.is_in_use(shard, now);
         if self.timed_checks_left == 0 {
             return now;
         }
         let latest = now + if is_idle { HEALTH_CHECK_INTERVAL } else { REVIEW_INTERVAL };
-        let members = self.members_to_check(group, now).iter();
+        let members = self.members_to_check(shard, now).iter();
         let next = members.map(|member| self.hosts[*member].next_health_check).filter(|at| *at > now).min();
         next.map_or(latest, |next| next.min(latest))
     }
@@ -69,20 +69,20 @@
     /// The members that a health check may be needed for. Where positions are refreshed on demand, these are none of a
     /// group that is not in use, and only the primary of one that has one and is not in Failover (see
     /// [`Router::is_check_needed`]).
-    fn members_to_check<'a>(&self, group: &'a HostGroup, now: Timestamp) -> &'a [HostIndex] {
-        match &group.primary {
-            _ if self.refresh_on_demand && !self.is_in_use(group, now) => &[],
-            Some(primary) if self.refresh_on_demand && group.state != GroupState::Failover => {
+    fn members_to_check<'a>(&self, shard: &'a Shard, now: Timestamp) -> &'a [HostIndex] {
+        match &shard.primary {
+            _ if self.refresh_on_demand && !self.is_in_use(shard, now) => &[],
+            Some(primary) if self.refresh_on_demand && shard.state != ShardState::Failover => {
                 std::slice::from_ref(primary)
             }
-            _ => &group.members,
+            _ => &shard.members,
         }
     }
 
-    fn run_due_health_checks_of(&mut self, shard: Shard, out: &mut dyn Actions) {
+    fn run_due_health_checks_of(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
         let calm_interval = self.tightest_bound.clamp(HEALTH_CHECK_INTERVAL / 5, HEALTH_CHECK_INTERVAL);
-        for index in self.due_health_checks(shard, now) {
+        for index in self.due_health_checks(shard_id, now) {
             if self.timed_checks_left == 0 {
                 return;
             }
@@ -102,11 +102,11 @@
     }
 
     /// The listed primaries, then the longest due: where few are paid for, each has its turn.
-    fn due_health_checks(&self, shard: Shard, now: Timestamp) -> Vec<HostIndex> {
+    fn due_health_checks(&self, shard_id: ShardId, now: Timestamp) -> Vec<HostIndex> {
         let is_due = |index: &HostIndex| self.is_check_due(*index, now) && self.is_check_needed(*index, now);
-        let members = self.members_to_check(&self.host_groups[&shard], now).iter().copied();
+        let members = self.members_to_check(&self.shards[&shard_id], now).iter().copied();
         let mut due: Vec<HostIndex> = members.filter(is_due).collect();
-        let is_listed = |index: HostIndex| self.group_of(index).listed_primary == Some(index);
+        let is_listed = |index: HostIndex| self.shard_of(index).listed_primary == Some(index);
         due.sort_by_key(|index| (!is_listed(*index), self.hosts[*index].next_health_check));
         due
     }
@@ -119,46 +119,46 @@
     }
 
     fn is_check_urgent(&self, index: HostIndex) -> bool {
-        let group = self.group_of(index);
+        let shard = self.shard_of(index);
         let is_draining = |primary: HostIndex| self.hosts[primary].draining_since.is_some();
-        let lacks_primary = group.state == GroupState::Failover || group.primary.is_none_or(is_draining);
+        let lacks_primary = shard.state == ShardState::Failover || shard.primary.is_none_or(is_draining);
         lacks_primary || self.hosts[index].unresponsive || self.is_doubtful_primary(index)
     }
 
     /// Whether it is a primary that is Unhealthy or was last seen as a replica: nothing else asks it.
     fn is_doubtful_primary(&self, index: HostIndex) -> bool {
-        let group = self.group_of(index);
+        let shard = self.shard_of(index);
         let was_replica = self.hosts[index].role == Some(Role::Replica);
-        group.primary == Some(index) && (group.state == GroupState::Unhealthy || was_replica)
+        shard.primary == Some(index) && (shard.state == ShardState::Unhealthy || was_replica)
     }
 
-    /// Where positions are refreshed on demand, replicas are asked as commands need it, and a primary proves
-    /// itself by its answers: it is checked if they stay out. Without commands nobody need know.
+    /// Where positions are refreshed on demand, replicas are asked as requests need it, and a primary proves
+    /// itself by its answers: it is checked if they stay out. Without requests nobody need know.
     fn is_check_needed(&self, index: HostIndex, now: Timestamp) -> bool {
-        let group = self.group_of(index);
+        let shard = self.shard_of(index);
         let silent = self.hosts[index].silent_for(now) >= HEALTH_CHECK_INTERVAL / 2;
-        let needed = (group.state == GroupState::Failover || group.primary.is_none())
+        let needed = (shard.state == ShardState::Failover || shard.primary.is_none())
             || self.is_doubtful_primary(index)
-            || group.primary == Some(index) && silent;
-        !self.refresh_on_demand || needed && self.is_in_use(group, now)
+            || shard.primary == Some(index) && silent;
+        !self.refresh_on_demand || needed && self.is_in_use(shard, now)
     }
 
-    /// Whether commands came for a group lately.
-    pub(super) fn is_in_use(&self, group: &HostGroup, now: Timestamp) -> bool {
-        group.recent_commands.value(now, RECENT_COMMANDS_WINDOW) >= MIN_RECENT_COMMANDS
+    /// Whether requests came for a group lately.
+    pub(super) fn is_in_use(&self, shard: &Shard, now: Timestamp) -> bool {
+        shard.recent_requests.value(now, RECENT_COMMANDS_WINDOW) >= MIN_RECENT_COMMANDS
     }
 
     /// Takes the price from the group's budget. What nothing has paid for is free after a long while.
     fn pay_for_health_check(&mut self, index: HostIndex, now: Timestamp) -> bool {
-        let group = self.group_of_mut(index);
-        if group.health_check_budget >= 1.0 {
-            group.health_check_budget -= 1.0;
+        let shard = self.shard_of_mut(index);
+        if shard.health_check_budget >= 1.0 {
+            shard.health_check_budget -= 1.0;
             return true;
         }
         let long_unchecked = now >= self.hosts[index].next_health_check + UNPAID_INTERVAL;
         let is_free = long_unchecked && now >= self.next_unpaid_check;
         if is_free {
-            self.group_of_mut(index).health_check_budget = 0.0;
+            self.shard_of_mut(index).health_check_budget = 0.0;
             self.next_unpaid_check = now + UNPAID_CHECK_SPACING;
         }
         is_free
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -17,18 +17,19 @@
         for endpoint in &update.endpoints {
             self.update_endpoint(endpoint, out);
         }
-        let mut changed_groups: BTreeSet<Shard> = update.endpoints.iter().map(|entry| entry.shard).collect();
+        let mut changed_shards: BTreeSet<ShardId> =
+            update.endpoints.iter().map(|entry| entry.shard_id).collect();
         for index in self.removed_by(update) {
-            changed_groups.insert(self.hosts[index].shard);
+            changed_shards.insert(self.hosts[index].shard_id);
             self.remove_host(index, now);
         }
         self.forget_removed(now);
-        for shard in &changed_groups {
-            self.members_changed(*shard, now);
+        for shard_id in &changed_shards {
+            self.members_changed(*shard_id, now);
         }
         self.run_due_health_checks(out);
-        for shard in changed_groups {
-            self.drain_queues(shard, out);
+        for shard_id in changed_shards {
+            self.drain_queues(shard_id, out);
         }
     }
 
@@ -60,11 +61,11 @@
     }
 
     /// What follows from a change of a group's members for the group alone.
-    fn members_changed(&mut self, shard: Shard, now: Timestamp) {
-        let Some(group) = self.host_groups.get_mut(&shard) else { return };
-        group.ranking.get_mut().invalidate();
-        group.next_check_review = now;
-        self.limit_unknown_hosts(shard, now);
+    fn members_changed(&mut self, shard_id: ShardId, now: Timestamp) {
+        let Some(shard) = self.shards.get_mut(&shard_id) else { return };
+        shard.ranking.get_mut().invalidate();
+        shard.next_check_review = now;
+        self.limit_unknown_hosts(shard_id, now);
     }
 
     fn update_endpoint(&mut self, endpoint: &Endpoint, out: &mut dyn Actions) {
@@ -77,17 +78,17 @@
         let last_answer = self.host_clock.probably(host.last_answer);
         let restarted = known.is_some() && newer && last_answer < endpoint.started.unwrap_or_default();
         host.apply_endpoint(endpoint, now);
-        let Some(group) = self.host_groups.get_mut(&endpoint.shard) else { return };
-        let newly_named = endpoint.is_primary && group.listed_primary != Some(index);
+        let Some(shard) = self.shards.get_mut(&endpoint.shard_id) else { return };
+        let newly_named = endpoint.is_primary && shard.listed_primary != Some(index);
         if newly_named {
             host.next_health_check = now;
-            group.next_check_review = now;
+            shard.next_check_review = now;
         }
         if endpoint.is_primary {
-            group.listed_primary = Some(index);
-            group.primary = group.primary.or(group.listed_primary.filter(|_| group.serial == 0));
+            shard.listed_primary = Some(index);
+            shard.primary = shard.primary.or(shard.listed_primary.filter(|_| shard.serial == 0));
         }
-        let primary_lost = group.primary.is_some_and(|primary| {
+        let primary_lost = shard.primary.is_some_and(|primary| {
             if primary == index {
                 return restarted || endpoint.lifecycle == Lifecycle::Removed;
             }
@@ -95,16 +96,16 @@
             newly_named && now - self.hosts[primary].last_seen_primary > HEALTH_CHECK_INTERVAL
         });
         if primary_lost {
-            self.fail_over(endpoint.shard, out);
+            self.fail_over(endpoint.shard_id, out);
         }
     }
 
     fn add_host(&mut self, endpoint: &Endpoint, now: Timestamp) -> HostIndex {
         let latency = Histogram::new(Duration::from_micros(250), 64);
         let index = self.hosts.insert(HostState::new(endpoint, latency, now));
-        let group = self.host_groups.entry(endpoint.shard).or_default();
-        group.add_member(index, self.deployment.groups.len());
-        group.health_check_budget += 1.0;
+        let shard = self.shards.entry(endpoint.shard_id).or_default();
+        shard.add_member(index, self.deployment.classes.len());
+        shard.health_check_budget += 1.0;
         index
     }
 
@@ -128,19 +129,19 @@
 
     fn forget_host(&mut self, index: HostIndex) {
         let has_answered = self.hosts[index].last_answer > Timestamp::ZERO;
-        let group = self.group_of_mut(index);
-        group.members.retain(|member| *member != index);
-        group.answered_members -= usize::from(has_answered);
-        group.ranking.get_mut().invalidate();
+        let shard = self.shard_of_mut(index);
+        shard.members.retain(|member| *member != index);
+        shard.answered_members -= usize::from(has_answered);
+        shard.ranking.get_mut().invalidate();
         self.hosts.release(index);
     }
 
     /// Until a host has answered, all routers together put no more there than the work of the longest
     /// objective: one that comes into many subsets is else filled for seconds before any answer is late.
-    fn limit_unknown_hosts(&mut self, shard: Shard, now: Timestamp) {
-        let group = &self.host_groups[&shard];
-        let subset_size = self.subset_size(group, now);
-        for index in group.members.clone() {
+    fn limit_unknown_hosts(&mut self, shard_id: ShardId, now: Timestamp) {
+        let shard = &self.shards[&shard_id];
+        let subset_size = self.subset_size(shard, now);
+        for index in shard.members.clone() {
             if self.hosts[index].last_answer == Timestamp::ZERO {
                 let users = self.expected_users(index, subset_size);
                 self.hosts[index].concurrency.limit = self.longest_objective.scaled(1.0 / users);
--- a/crates/comethitch-policy/src/policy/group.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -1,4 +1,4 @@
-//! The states of a group of hosts: which member is believed to be the primary, and whether it serves.
+//! The states of a shard: which member is believed to be the primary, and whether it serves.
 //!
 //! Healthy becomes Unhealthy at the primary's first fault, Unhealthy becomes Failover when the primary is
 //! surely lost, and a member that proves itself primary ends both.
@@ -11,9 +11,9 @@
 const FAILOVER_LOST_SHARE: f64 = 0.6;
 
 impl Router {
-    /// Applies a host's load report and, if it answered a command, the note on the answer.
+    /// Applies a host's load report and, if it answered a request, the note on the answer.
     pub(super) fn apply_report(
-        &mut self, index: HostIndex, report: HostReport, note: Option<HostReport>, out: &mut dyn Actions,
+        &mut self, index: HostIndex, report: LoadReport, trailer: Option<LoadReport>, out: &mut dyn Actions,
     ) {
         let now = out.now();
         self.observe_host_time(index, &report, now);
@@ -33,43 +33,43 @@
         let last_seen_primary = self.host_clock.probably(host.last_seen_primary);
         let newer = report.position.is_none_or(|position| position > last_seen_primary);
         let reported_role = report.role.filter(|role| *role == Role::Primary || newer);
-        let Some(role) = note.and_then(|note| note.role).or(reported_role) else { return };
+        let Some(role) = trailer.and_then(|trailer| trailer.role).or(reported_role) else { return };
         host.role = Some(role);
-        if role == Role::Primary && self.proves_primary(index, note.is_some()) {
+        if role == Role::Primary && self.proves_primary(index, trailer.is_some()) {
             self.confirm_primary(index, out);
-        } else if role == Role::Replica && self.group_of(index).primary == Some(index) {
-            self.fail_over(self.hosts[index].shard, out);
+        } else if role == Role::Replica && self.shard_of(index).primary == Some(index) {
+            self.fail_over(self.hosts[index].shard_id, out);
         }
     }
 
     fn confirm_primary(&mut self, index: HostIndex, out: &mut dyn Actions) {
         let now = out.now();
-        if self.group_of(index).primary.is_some_and(|primary| primary != index) {
-            self.fail_over(self.hosts[index].shard, out);
+        if self.shard_of(index).primary.is_some_and(|primary| primary != index) {
+            self.fail_over(self.hosts[index].shard_id, out);
         }
         self.hosts[index].last_seen_primary = now;
-        let group = self.group_of_mut(index);
-        if group.state != GroupState::Healthy || group.primary != Some(index) {
-            group.primary = Some(index);
-            group.enter(GroupState::Healthy, now);
-            self.drain_queues(self.hosts[index].shard, out);
+        let shard = self.shard_of_mut(index);
+        if shard.state != ShardState::Healthy || shard.primary != Some(index) {
+            shard.primary = Some(index);
+            shard.enter(ShardState::Healthy, now);
+            self.drain_queues(self.hosts[index].shard_id, out);
         }
     }
 
     fn proves_primary(&self, index: HostIndex, by_answer: bool) -> bool {
         let host = &self.hosts[index];
-        let group = self.group_of(index);
-        if group.primary != Some(index) {
+        let shard = self.shard_of(index);
+        if shard.primary != Some(index) {
             // Two claim the role: the one whose data are newer took over.
             let newer = |primary: HostIndex| host.position > self.hosts[primary].position;
-            return by_answer || group.primary.is_none_or(newer);
+            return by_answer || shard.primary.is_none_or(newer);
         }
-        match group.state {
-            GroupState::Healthy => true,
-            GroupState::Unhealthy => by_answer || !host.unresponsive,
+        match shard.state {
+            ShardState::Healthy => true,
+            ShardState::Unhealthy => by_answer || !host.unresponsive,
             // Failover ends with evidence newer than it: a report made earlier tells of the time before.
-            GroupState::Failover => {
-                let since = self.host_clock.probably(group.state_since);
+            ShardState::Failover => {
+                let since = self.host_clock.probably(shard.state_since);
                 by_answer || (host.position > since && !host.unresponsive)
             }
         }
@@ -77,80 +77,82 @@
 
     /// Healthy to Unhealthy: something went wrong at the believed primary.
     pub(super) fn mark_unhealthy(&mut self, index: HostIndex, now: Timestamp) {
-        let group = self.group_of(index);
-        if group.primary != Some(index) || group.state != GroupState::Healthy {
+        let shard = self.shard_of(index);
+        if shard.primary != Some(index) || shard.state != ShardState::Healthy {
             return;
         }
         let in_flight = self.mark_in_flight_at_fault(index);
-        let group = self.group_of_mut(index);
-        group.enter(GroupState::Unhealthy, now);
-        group.in_flight_at_fault = in_flight;
-        group.lost_since_fault = 0;
+        let shard = self.shard_of_mut(index);
+        shard.enter(ShardState::Unhealthy, now);
+        shard.in_flight_at_fault = in_flight;
+        shard.lost_since_fault = 0;
         self.set_next_health_check(index, now);
     }
 
     /// To Failover: the serial goes up, the old primary's connections close, queued writes are rejected.
-    pub(super) fn fail_over(&mut self, shard: Shard, out: &mut dyn Actions) {
+    pub(super) fn fail_over(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
-        let group = self.host_groups.get_mut(&shard);
-        let Some(group) = group.filter(|group| group.state != GroupState::Failover) else { return };
-        group.enter(GroupState::Failover, now);
-        group.serial += 1;
-        group.next_check_review = now;
-        for &member in &group.members {
+        let shard = self.shards.get_mut(&shard_id);
+        let Some(shard) = shard.filter(|shard| shard.state != ShardState::Failover) else { return };
+        shard.enter(ShardState::Failover, now);
+        shard.serial += 1;
+        shard.next_check_review = now;
+        for &member in &shard.members {
             let host = &mut self.hosts[member];
             host.next_health_check = host.next_health_check.min(now);
         }
-        if let Some(primary) = group.primary {
+        if let Some(primary) = shard.primary {
             out.close_idle_connections(self.hosts[primary].host);
         }
         self.run_due_health_checks(out);
-        self.drain_queues(shard, out);
+        self.drain_queues(shard_id, out);
     }
 
     /// Acts on what time alone shows of the believed primary: that it is silent, past its drain, or lost.
-    pub(super) fn check_primary(&mut self, shard: Shard, out: &mut dyn Actions) {
+    pub(super) fn check_primary(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
-        let group = &self.host_groups[&shard];
-        let Some(primary) = group.primary else { return };
+        let shard = &self.shards[&shard_id];
+        let Some(primary) = shard.primary else { return };
         let silent = self.hosts[primary].silent_for(now) > SILENCE_TIMEOUT;
-        match group.state {
-            GroupState::Healthy if self.past_drain_grace(primary, now) => self.fail_over(shard, out),
-            GroupState::Healthy if silent => self.mark_unhealthy(primary, now),
-            GroupState::Unhealthy if self.is_failover_due(primary, group, now) => self.fail_over(shard, out),
+        match shard.state {
+            ShardState::Healthy if self.past_drain_grace(primary, now) => self.fail_over(shard_id, out),
+            ShardState::Healthy if silent => self.mark_unhealthy(primary, now),
+            ShardState::Unhealthy if self.is_failover_due(primary, shard, now) => {
+                self.fail_over(shard_id, out)
+            }
             _ => {}
         }
     }
 
-    fn is_failover_due(&self, primary: HostIndex, group: &HostGroup, now: Timestamp) -> bool {
+    fn is_failover_due(&self, primary: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
-        let required = FAILOVER_LOST_SHARE * f64::from(group.in_flight_at_fault);
-        let attempts_lost = f64::from(group.lost_since_fault) >= required;
+        let required = FAILOVER_LOST_SHARE * f64::from(shard.in_flight_at_fault);
+        let attempts_lost = f64::from(shard.lost_since_fault) >= required;
         (host.unresponsive || host.is_unreachable() && attempts_lost)
-            && now - group.state_since > FAILOVER_DELAY
-            && !self.keeps_primary(group, now)
+            && now - shard.state_since > FAILOVER_DELAY
+            && !self.keeps_primary(shard, now)
     }
 
     /// Whether the believed primary may get what only a primary can do.
-    pub(super) fn primary_serves(&self, primary: HostIndex, group: &HostGroup, now: Timestamp) -> bool {
+    pub(super) fn primary_serves(&self, primary: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
         let reachable = !host.is_ejected(now) && !host.is_unreachable();
-        match group.state {
+        match shard.state {
             _ if self.past_drain_grace(primary, now) => false,
-            GroupState::Healthy => host.role != Some(Role::Replica),
-            // Beyond the design: a host that answers health checks and no commands gets one now and then.
-            GroupState::Unhealthy => reachable || self.keeps_primary(group, now),
-            GroupState::Failover => false,
+            ShardState::Healthy => host.role != Some(Role::Replica),
+            // Beyond the design: a host that answers health checks and no requests gets one now and then.
+            ShardState::Unhealthy => reachable || self.keeps_primary(shard, now),
+            ShardState::Failover => false,
         }
     }
 
     /// Beyond the design: whether the group keeps a primary that this router can't reach. Without one no
     /// member's position moves on; with one, it is tried further, as no other could do its work.
-    fn keeps_primary(&self, group: &HostGroup, now: Timestamp) -> bool {
-        let mut others = group.members.iter().filter(|member| group.primary != Some(**member));
+    fn keeps_primary(&self, shard: &Shard, now: Timestamp) -> bool {
+        let mut others = shard.members.iter().filter(|member| shard.primary != Some(**member));
         let host_time = self.host_clock.probably(now);
         let moving = others.any(|member| host_time - self.hosts[*member].position < SILENCE_TIMEOUT);
-        moving && group.primary.is_some_and(|primary| !self.hosts[primary].unresponsive)
+        moving && shard.primary.is_some_and(|primary| !self.hosts[primary].unresponsive)
     }
 
     /// Whether a host has been draining for over half of its grace: the rest is left for what is in flight, and for a
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::Host;
 
-/// Points of service that each command spends on health checks: quiet routers pay more than once for each.
+/// Points of service that each request spends on health checks: quiet routers pay more than once for each.
 const POINTS_PER_COMMAND: f64 = 0.02;
 /// The part of these that timers get where positions are refreshed on demand besides.
 const TIMER_PART: f64 = 0.25;
@@ -14,7 +14,7 @@
 pub(super) const HEALTH_CHECK_RETRY: Duration = Duration::from_millis(250);
 /// Attempts in a row, cancelled late or timed out without any answer since, that make a host unresponsive.
 const UNRESPONSIVE_AFTER: u32 = 2;
-/// How often an unresponsive host is tried with a command.
+/// How often an unresponsive host is tried with a request.
 pub(super) const UNRESPONSIVE_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 /// Failures in a row, of connections, attempts and health checks, that make a host unreachable.
 const UNREACHABLE_AFTER: u32 = 3;
@@ -22,7 +22,7 @@
 impl Router {
     /// Takes in the end of a health check, with the load report that came back.
     pub fn health_checked(
-        &mut self, host: Host, outcome: AttemptOutcome, report: HostReport, out: &mut dyn Actions,
+        &mut self, host: Host, outcome: AttemptOutcome, report: LoadReport, out: &mut dyn Actions,
     ) {
         let now = out.now();
         let Some(index) = self.hosts.index_of(host) else { return };
@@ -33,7 +33,7 @@
             AttemptOutcome::NoConnectionSlot => host.record_rejection(self.hash_seed, connect_timeout, now),
             AttemptOutcome::Answered | AttemptOutcome::Error | AttemptOutcome::Overloaded => {
                 host.record_sign_of_life(now);
-                if report == HostReport::default() {
+                if report == LoadReport::default() {
                     host.retry_health_check(now);
                 }
             }
@@ -42,20 +42,20 @@
         }
         self.review_checks_by(index);
         self.apply_report(index, report, None, out);
-        self.drain_queues(self.hosts[index].shard, out);
+        self.drain_queues(self.hosts[index].shard_id, out);
     }
 
-    pub(super) fn fund_health_checks(&mut self, shard: Shard, now: Timestamp) {
-        self.recent_commands.add(1.0, now, RECENT_COMMANDS_WINDOW);
-        let Some(group) = self.host_groups.get_mut(&shard) else { return };
+    pub(super) fn fund_health_checks(&mut self, shard_id: ShardId, now: Timestamp) {
+        self.recent_requests.add(1.0, now, RECENT_COMMANDS_WINDOW);
+        let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let points = POINTS_PER_COMMAND * if self.refresh_on_demand { TIMER_PART } else { 1.0 };
-        let funded = group.health_check_budget + points / self.deployment.health_check_price;
-        group.health_check_budget = funded.min(group.members.len() as f64 * SAVED_PER_MEMBER);
-        if group.recent_commands.value(now, RECENT_COMMANDS_WINDOW) < MIN_RECENT_COMMANDS {
+        let funded = shard.health_check_budget + points / self.deployment.health_check_price;
+        shard.health_check_budget = funded.min(shard.members.len() as f64 * SAVED_PER_MEMBER);
+        if shard.recent_requests.value(now, RECENT_COMMANDS_WINDOW) < MIN_RECENT_COMMANDS {
             // Nobody needed to know its state before.
-            group.next_check_review = now;
+            shard.next_check_review = now;
         }
-        group.recent_commands.add(1.0, now, RECENT_COMMANDS_WINDOW);
+        shard.recent_requests.add(1.0, now, RECENT_COMMANDS_WINDOW);
     }
 }
 
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -185,12 +185,12 @@
 
     /// Takes in the position of a host's report. One that has not advanced is as old as the one before, and shows
     /// nothing: a host whose reports stand still would make the router's clock seem ahead.
-    pub(super) fn observe_host_time(&mut self, index: HostIndex, report: &HostReport, now: Timestamp) {
+    pub(super) fn observe_host_time(&mut self, index: HostIndex, report: &LoadReport, now: Timestamp) {
         let advanced = |position: &Timestamp| *position > self.hosts[index].position;
         let Some(position) = report.position.filter(advanced) else { return };
         let by_primary = match report.role {
             Some(role) => role == Role::Primary,
-            None => self.group_of(index).primary == Some(index),
+            None => self.shard_of(index).primary == Some(index),
         };
         self.host_clock.observe(position, by_primary, now);
         if by_primary {
@@ -220,8 +220,8 @@
 
     /// The believed primaries of groups in use that no health check is on its way to.
     fn askable_primaries(&self, now: Timestamp) -> impl Iterator<Item = HostIndex> {
-        let in_use = self.host_groups.values().filter(move |group| self.is_in_use(group, now));
-        in_use.filter_map(|group| group.primary).filter(move |index| {
+        let in_use = self.shards.values().filter(move |shard| self.is_in_use(shard, now));
+        in_use.filter_map(|shard| shard.primary).filter(move |index| {
             let host = &self.hosts[*index];
             host.health_check_sent.is_none() && !host.removed && host.connection_slots.has_free(now)
         })
--- a/crates/comethitch-policy/src/policy/lateness.rs
+++ b/crates/comethitch-policy/src/policy/lateness.rs
@@ -28,7 +28,7 @@
 }
 
 impl Router {
-    /// How long before its deadline a command gets its final answer at the latest: the next review is a tick away, and
+    /// How long before its deadline a request gets its final answer at the latest: the next review is a tick away, and
     /// may come as late as the last ones did.
     pub(super) fn answer_margin(&self) -> Duration {
         self.tick_interval + self.lateness.greatest
--- a/crates/comethitch-policy/src/policy/mod.rs
+++ b/crates/comethitch-policy/src/policy/mod.rs
@@ -1,18 +1,18 @@
 //! The decision module: every decision of the router is made in this folder.
 //!
-//! A caller makes a [`Router`], reports endpoint updates, health checks and ticks, and submits commands.
-//! What happens to a command later is a call on the [`Handle`] that this returns.
+//! A caller makes a [`Router`], reports endpoint updates, health checks and ticks, and submits requests.
+//! What happens to a request later is a call on the [`Handle`] that this returns.
 //!
-//! `admission` queues and rejects commands, `selection` chooses a host, `retries` says what may be sent
+//! `admission` queues and rejects requests, `selection` chooses a host, `retries` says what may be sent
 //! again, `attempts` sends and takes in ends, `send_guard` checks what is about to leave, `load` limits the work at each host,
-//! `check_schedule` says which hosts are checked, `health` takes in the checks and ejects outliers, `position_refresh` asks for positions, `group` follows failovers, `endpoints` applies the endpoint list, `host_clock` tells
+//! `check_schedule` says which hosts are checked, `health` takes in the checks and ejects outliers, `position_refresh` asks for positions, `shard` follows failovers, `endpoints` applies the endpoint list, `host_clock` tells
 //! what time it is at the hosts, `lateness` how late the router itself is. The mechanism is described in `docs/design.md`; "Beyond the design" marks departures from it.
 
 mod admission;
 mod attempts;
 mod check_schedule;
 mod endpoints;
-mod group;
+mod failover;
 mod health;
 mod host_clock;
 mod lateness;
@@ -27,14 +27,14 @@
 pub(crate) use lateness::Lateness;
 pub(crate) use load::PeerLoad;
 
-use crate::command::{Attempt, Command};
-use crate::host_group::{GroupState, HostGroup};
+use crate::request_state::{Attempt, RequestState};
 use crate::router::{Handle, Router, Selection};
+use crate::shard::{Shard, ShardState};
 use crate::time::{Duration, Timestamp};
-use crate::waiting_commands::WaitingFor;
-use crate::{Actions, AttemptOutcome, CommandGroup, CommandId, CommandRequest, Consistency};
+use crate::waiting_requests::WaitingFor;
+use crate::{Actions, AttemptOutcome, Consistency, Request, RequestClass, RequestId};
 use crate::{DeduplicationScope, Deployment, Idempotency, RejectionReason, Role};
-use crate::{HostReport, Shard, StalenessCheck, histogram::Histogram};
+use crate::{LoadReport, ShardId, StalenessCheck, histogram::Histogram};
 use crate::{estimates::Estimate, host_state::HostState, host_table::HostIndex};
 use comethitch_fleet::{freshness, subset::Member};
 
@@ -44,19 +44,19 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 /// For how long a router may be held up between a check and the write that it allows.
 const HELD_UP: Duration = Duration::from_millis(150);
-/// The time constant over which a group's recent commands are counted.
+/// The time constant over which a group's recent requests are counted.
 const RECENT_COMMANDS_WINDOW: Duration = Duration::from_secs(10);
 
 impl Router {
     /// A router that knows no hosts yet. The same seed and the same calls give the same decisions.
     pub fn start(deployment: Deployment, seed: u64, out: &mut dyn Actions) -> Router {
-        let service_times = |group: &CommandGroup| Histogram::new(group.latency_objective / 64, 256);
+        let service_times = |shard: &RequestClass| Histogram::new(shard.latency_objective / 64, 256);
         let mut router = Router::empty(deployment, seed, HEALTH_CHECK_INTERVAL);
         let deployment = &router.deployment;
         router.tick_interval = deployment.tick.max(router.shortest_objective / 16);
         router.retry_budget = retries::MAX_RETRY_BUDGET;
         router.timed_checks_left = check_schedule::MAX_TIMED_CHECKS_PER_TICK;
-        router.service_times = deployment.groups.iter().map(service_times).collect();
+        router.service_times = deployment.classes.iter().map(service_times).collect();
         router.report_age = Histogram::new(deployment.tick, 256);
         router.refresh_on_demand =
             deployment.staleness_check == StalenessCheck::Off && !deployment.serves(Consistency::Session);
@@ -65,17 +65,17 @@
         router
     }
 
-    /// Accepts a command. What happens to it later is a call on the handle.
-    pub fn submit(&mut self, request: CommandRequest, out: &mut dyn Actions) -> Handle {
+    /// Accepts a request. What happens to it later is a call on the handle.
+    pub fn submit(&mut self, request: Request, out: &mut dyn Actions) -> Handle {
         let now = out.now();
         let required_position = if self.deployment.session_tokens_carried {
             request.after.unwrap_or_default()
         } else {
             self.session_commits.latest(request.session)
         };
-        self.commands.insert(request.id, Command::new(&request, required_position, now));
+        self.requests.insert(request.id, RequestState::new(&request, required_position, now));
         self.fund_retries();
-        self.fund_health_checks(request.shard, now);
+        self.fund_health_checks(request.shard_id, now);
         self.prove_clock(out);
         self.refresh_positions(request.id, out);
         self.schedule(request.id, out);
@@ -87,21 +87,21 @@
         out.wake_after(self.tick_interval);
         self.lateness.record_tick(out.now(), self.tick_interval);
         self.timed_checks_left = check_schedule::MAX_TIMED_CHECKS_PER_TICK;
-        for shard in self.groups_to_review(out.now()) {
-            self.check_primary(shard, out);
+        for shard_id in self.shards_to_review(out.now()) {
+            self.check_primary(shard_id, out);
         }
         self.forget_removed(out.now());
         self.run_due_health_checks(out);
         self.prove_clock(out);
-        for id in self.commands.keys().copied().collect::<Vec<_>>() {
-            self.review_command(id, out);
+        for id in self.requests.keys().copied().collect::<Vec<_>>() {
+            self.review_request(id, out);
         }
-        self.try_waiting_commands(out);
+        self.retry_waiting_requests(out);
     }
 
-    /// Gives every command that is left its final answer, as the router ends.
+    /// Gives every request that is left its final answer, as the router ends.
     pub fn shut_down(&mut self, out: &mut dyn Actions) {
-        for id in self.commands.keys().copied().collect::<Vec<_>>() {
+        for id in self.requests.keys().copied().collect::<Vec<_>>() {
             self.reject(id, RejectionReason::DeadlineExceeded, out);
         }
     }
--- a/crates/comethitch-policy/src/policy/retries.rs
+++ b/crates/comethitch-policy/src/policy/retries.rs
@@ -1,13 +1,13 @@
-//! Retries and hedged requests: what may be sent again, and what commands have paid for.
+//! Retries and hedged requests: what may be sent again, and what requests have paid for.
 
 use super::*;
 
-/// Retries that each command pays for, and how many may be saved up.
+/// Retries that each request pays for, and how many may be saved up.
 const RETRIES_PER_COMMAND: f64 = 0.2;
 pub(super) const MAX_RETRY_BUDGET: f64 = 16.0;
 /// From this many times the usual answer time on a host counts as slow beside the others.
 const SLOW_HOST_FACTOR: f64 = 2.0;
-/// Up to this share of errors, over all hosts, a command that met one is tried elsewhere.
+/// Up to this share of errors, over all hosts, a request that met one is tried elsewhere.
 pub(super) const MAX_RARE_ERROR_RATE: f64 = 1.0 / 8.0;
 
 impl Router {
@@ -15,21 +15,23 @@
         self.retry_budget = (self.retry_budget + RETRIES_PER_COMMAND).min(MAX_RETRY_BUDGET);
     }
 
-    pub(super) fn may_attempt(&self, command: &Command, index: HostIndex, now: Timestamp) -> bool {
-        let nth = command.attempts.len();
+    pub(super) fn may_attempt(&self, request: &RequestState, index: HostIndex, now: Timestamp) -> bool {
+        let nth = request.attempts.len();
         // A retry must arrive while the first is remembered: the way there may take a connection.
         let arrival = now + self.deployment.connect_timeout;
-        nth == 0 || nth < self.deployment.max_attempts && self.may_follow(command, nth, index, arrival)
+        nth == 0 || nth < self.deployment.max_attempts && self.may_follow(request, nth, index, arrival)
     }
 
     /// Whether the `nth` attempt may arrive at this host at that moment, beside what was sent before it.
-    pub(super) fn may_follow(&self, command: &Command, nth: usize, host: HostIndex, at: Timestamp) -> bool {
-        let earlier = &command.attempts[..nth];
+    pub(super) fn may_follow(
+        &self, request: &RequestState, nth: usize, host: HostIndex, at: Timestamp,
+    ) -> bool {
+        let earlier = &request.attempts[..nth];
         if !self.deployment.hedging_allowed && earlier.iter().any(|attempt| attempt.outcome.is_none()) {
             return false;
         }
         let mut maybe_ran = earlier.iter().filter(|attempt| attempt.maybe_ran());
-        let settings = self.settings(command);
+        let settings = self.settings(request);
         match settings.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => maybe_ran.next().is_none(),
@@ -40,17 +42,17 @@
         }
     }
 
-    pub(super) fn may_retry(&self, command: &Command, ended: &Attempt, now: Timestamp) -> bool {
-        // Errors spread over all hosts are the commands' fault: what failed here would fail at the next.
+    pub(super) fn may_retry(&self, request: &RequestState, ended: &Attempt, now: Timestamp) -> bool {
+        // Errors spread over all hosts are the requests' fault: what failed here would fail at the next.
         let own_fault = ended.ended_as(AttemptOutcome::Error) && self.error_rate > MAX_RARE_ERROR_RATE;
-        let in_time = now + self.tick_interval < command.deadline;
-        !own_fault && in_time && self.may_attempt(command, ended.host, now)
+        let in_time = now + self.tick_interval < request.deadline;
+        !own_fault && in_time && self.may_attempt(request, ended.host, now)
     }
 
     /// Whether a second copy is sent, as the attempt is at a host that fails, or that is slow beside the
     /// others: where all are slow, copies of whatever was late fed the overload.
-    pub(super) fn should_hedge(&self, command: &Command, attempt: &Attempt, now: Timestamp) -> bool {
-        let settings = self.settings(command);
+    pub(super) fn should_hedge(&self, request: &RequestState, attempt: &Attempt, now: Timestamp) -> bool {
+        let settings = self.settings(request);
         let host = &self.hosts[attempt.host];
         let late = now - attempt.sent_at > settings.latency_objective / 2;
         let slow = host.relative_latency.slowness() > SLOW_HOST_FACTOR && late;
@@ -58,6 +60,6 @@
             && (host.unresponsive || host.is_unreachable() || slow)
             && self.retry_budget > MAX_RETRY_BUDGET / 2.0
             && self.waiting.is_empty()
-            && now < command.submitted_at + settings.latency_objective
+            && now < request.submitted_at + settings.latency_objective
     }
 }
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Host selection: where a command can go now.
+//! Host selection: where a request can go now.
 //!
 //! Writes and strong reads go to the believed primary. Other reads are drawn at random among the fresh
 //! replicas of the router's subset; if none is fresh, the freshest that checks takes them, else the primary.
@@ -16,112 +16,114 @@
 const RANKING_LIFETIME: Duration = Duration::from_millis(100);
 
 impl Router {
-    pub(super) fn select_host(&mut self, id: CommandId, now: Timestamp) -> Selection {
-        let command = &self.commands[&id];
-        let Some(group) = self.host_groups.get(&command.shard) else { return Selection::Wait };
-        let consistency = self.settings(command).consistency;
+    pub(super) fn select_host(&mut self, id: RequestId, now: Timestamp) -> Selection {
+        let request = &self.requests[&id];
+        let Some(shard) = self.shards.get(&request.shard_id) else { return Selection::Wait };
+        let consistency = self.settings(request).consistency;
         if consistency.needs_primary() {
-            return self.select_primary(command, group, now);
+            return self.select_primary(request, shard, now);
         }
-        let mut open = self.subset(command.shard, now);
-        open.retain(|member| !command.tried(member.index) && self.is_open(command, member, now));
-        let is_fresh = |member: &Member| self.is_fresh(member.index, consistency, command, now);
+        let mut open = self.subset(request.shard_id, now);
+        open.retain(|member| !request.tried(member.index) && self.is_open(request, member, now));
+        let is_fresh = |member: &Member| self.is_fresh(member.index, consistency, request, now);
         let fresh: Vec<Member> = open.iter().copied().filter(is_fresh).collect();
         if consistency == Consistency::Eventual
-            && let Some(index) = self.most_stale_replica(command, &fresh, now)
+            && let Some(index) = self.most_stale_replica(request, &fresh, now)
         {
             return Selection::Host(index);
         }
-        let fallback = if fresh.is_empty() { self.fallback(command, &open, now) } else { None };
-        let weight = |member| self.draw_weight(member, command.command_group);
+        let fallback = if fresh.is_empty() { self.fallback(request, &open, now) } else { None };
+        let weight = |member| self.draw_weight(member, request.request_class);
         let weights: Vec<f64> = fresh.iter().map(weight).collect();
         let drawn = self.random.pick(&weights).map(|nth| fresh[nth].index);
         drawn.or(fallback).map_or(Selection::Wait, Selection::Host)
     }
 
-    fn select_primary(&self, command: &Command, group: &HostGroup, now: Timestamp) -> Selection {
-        let repeatable = self.settings(command).idempotency != Idempotency::NonIdempotent;
-        match group.primary {
+    fn select_primary(&self, request: &RequestState, shard: &Shard, now: Timestamp) -> Selection {
+        let repeatable = self.settings(request).idempotency != Idempotency::NonIdempotent;
+        match shard.primary {
             // A fresh router that the list names no primary to checks all hosts first.
-            None if group.serial == 0 => Selection::Wait,
-            Some(primary) if self.primary_serves(primary, group, now) => {
-                let free = self.has_capacity(&Member::of_all_routers(primary), command.command_group, now)
-                    && self.may_attempt(command, primary, now);
+            None if shard.serial == 0 => Selection::Wait,
+            Some(primary) if self.primary_serves(primary, shard, now) => {
+                let free = self.has_capacity(&Member::of_all_routers(primary), request.request_class, now)
+                    && self.may_attempt(request, primary, now);
                 if free { Selection::Host(primary) } else { Selection::Wait }
             }
-            // Beyond the design: a keyed command that may have run waits for the next primary while its
+            // Beyond the design: a keyed request that may have run waits for the next primary while its
             // retry is still deduplicated; a throttle is forbidden and a failure would lose it.
-            _ if command.maybe_ran() && repeatable => Selection::Wait,
+            _ if request.maybe_ran() && repeatable => Selection::Wait,
             _ => Selection::Rejected,
         }
     }
 
-    fn is_open(&self, command: &Command, member: &Member, now: Timestamp) -> bool {
+    fn is_open(&self, request: &RequestState, member: &Member, now: Timestamp) -> bool {
         self.is_usable(member.index, now)
-            && self.has_capacity(member, command.command_group, now)
-            && self.may_attempt(command, member.index, now)
+            && self.has_capacity(member, request.request_class, now)
+            && self.may_attempt(request, member.index, now)
     }
 
     /// Beyond the design: a read of any age spares fresh replicas and goes to the one furthest behind. As
     /// long ones hold up a log, where none is behind all routers agree on the largest replica of lowest id.
-    fn most_stale_replica(&self, command: &Command, open: &[Member], now: Timestamp) -> Option<HostIndex> {
+    fn most_stale_replica(
+        &self, request: &RequestState, open: &[Member], now: Timestamp,
+    ) -> Option<HostIndex> {
         let rank = |index: HostIndex| {
             let host = &self.hosts[index];
             let fresh =
-                self.is_fresh(index, Consistency::BoundedStaleness(self.tightest_bound), command, now);
+                self.is_fresh(index, Consistency::BoundedStaleness(self.tightest_bound), request, now);
             let position = if fresh { Timestamp::ZERO } else { host.position };
             (fresh, position, u64::MAX - host.capacity.to_bits(), host.host, index)
         };
         let (fresh, .., index) = open.iter().map(|member| rank(member.index)).min()?;
-        (!fresh || self.is_long(command.command_group)).then_some(index)
+        (!fresh || self.is_long(request.request_class)).then_some(index)
     }
 
     /// Where a read goes that no open replica is fresh enough for.
-    fn fallback(&self, command: &Command, open: &[Member], now: Timestamp) -> Option<HostIndex> {
-        let freshest = self.freshest_that_checks(command, open);
+    fn fallback(&self, request: &RequestState, open: &[Member], now: Timestamp) -> Option<HostIndex> {
+        let freshest = self.freshest_that_checks(request, open);
         // A refresh that is on its way is waited for: the primary could not bear what falls to it meanwhile.
         let is_refreshing = |member: &Member| self.hosts[member.index].health_check_sent.is_some();
         if freshest.is_some() || self.refresh_on_demand && open.iter().any(is_refreshing) {
             return freshest;
         }
-        let primary = self.host_groups[&command.shard].primary;
-        primary.filter(|primary| self.primary_takes_read(command, *primary, now))
+        let primary = self.shards[&request.shard_id].primary;
+        primary.filter(|primary| self.primary_takes_read(request, *primary, now))
     }
 
     /// Beyond the design: not the freshest where it would surely reject the read.
-    fn freshest_that_checks(&self, command: &Command, open: &[Member]) -> Option<HostIndex> {
+    fn freshest_that_checks(&self, request: &RequestState, open: &[Member]) -> Option<HostIndex> {
         if self.deployment.staleness_check == StalenessCheck::Off {
             return None;
         }
         let position = |index: &HostIndex| self.hosts[*index].position;
         let freshest = open.iter().map(|member| member.index).rev().max_by_key(position)?;
-        match self.settings(command).consistency {
+        match self.settings(request).consistency {
             Consistency::BoundedStaleness(bound) if self.hosts[freshest].lag > bound => None,
             _ => Some(freshest),
         }
     }
 
-    /// Whether the primary takes a read that no replica will do for. Its own commands keep a quarter of its
-    /// limit. With one of less than a command it takes none: many routers' single reads would crowd it. A
-    /// session's read, which may have no other host, it takes as often as that limit holds of a command.
-    fn primary_takes_read(&self, command: &Command, primary: HostIndex, now: Timestamp) -> bool {
+    /// Whether the primary takes a read that no replica will do for. Its own requests keep a quarter of its
+    /// limit. With one of less than a request it takes none: many routers' single reads would crowd it. A
+    /// session's read, which may have no other host, it takes as often as that limit holds of a request.
+    fn primary_takes_read(&self, request: &RequestState, primary: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
-        let session = self.settings(command).consistency == Consistency::Session;
-        let mut work = self.work(command.command_group);
+        let session = self.settings(request).consistency == Consistency::Session;
+        let mut work = self.work(request.request_class);
         if session && host.concurrency.in_flight == Duration::ZERO {
             work = work.scaled(self.admission_draw(primary, now));
         }
-        self.group_of(primary).state != GroupState::Failover
+        self.shard_of(primary).state != ShardState::Failover
             && host.role != Some(Role::Replica)
-            && self.is_open(command, &Member::of_all_routers(primary), now)
+            && self.is_open(request, &Member::of_all_routers(primary), now)
             && host.concurrency.in_flight + work <= host.concurrency.limit.scaled(PRIMARY_READ_SHARE)
     }
 
     /// The draw is even among equals: a host's part is its capacity, less what it lacks of warmth and speed,
     /// and for what waits there and what this router has in flight there.
-    fn draw_weight(&self, member: &Member, command_group: usize) -> f64 {
+    fn draw_weight(&self, member: &Member, request_class: usize) -> f64 {
         let host = &self.hosts[member.index];
-        let own_load = host.concurrency.in_flight.ratio(self.work(command_group));
+        let own_load = host.concurrency.in_flight.ratio(self.work(request_class));
         let crowd = (1.0 + host.queue_length) * (1.0 + own_load);
         member.weight / crowd.powi(2) / host.relative_latency.slowness()
     }
@@ -131,7 +133,9 @@
         host.draining_since.is_none() && !host.is_ejected(now) && host.connection_slots.has_free(now)
     }
 
-    pub(super) fn is_fresh(&self, host: HostIndex, need: Consistency, of: &Command, now: Timestamp) -> bool {
+    pub(super) fn is_fresh(
+        &self, host: HostIndex, need: Consistency, of: &RequestState, now: Timestamp,
+    ) -> bool {
         let host = &self.hosts[host];
         let checks = self.deployment.staleness_check != StalenessCheck::Off;
         let reported = now - host.lag_reported_at <= HEALTH_CHECK_INTERVAL * 2;
@@ -150,16 +154,16 @@
     }
 
     /// Beyond the design: the replicas that this router uses, few enough to know them well.
-    pub(super) fn subset(&self, shard: Shard, now: Timestamp) -> Vec<Member> {
-        let group = &self.host_groups[&shard];
-        let is_candidate = |index: HostIndex| self.is_candidate(index, group, now);
-        let mut ranking = group.ranking.borrow_mut();
+    pub(super) fn subset(&self, shard_id: ShardId, now: Timestamp) -> Vec<Member> {
+        let shard = &self.shards[&shard_id];
+        let is_candidate = |index: HostIndex| self.is_candidate(index, shard, now);
+        let mut ranking = shard.ranking.borrow_mut();
         if ranking.is_outdated(now) {
-            let replicas = group.members.iter().map(|index| self.replica_to_rank(*index, now));
+            let replicas = shard.members.iter().map(|index| self.replica_to_rank(*index, now));
             let drift = self.deployment.slow_start.warmup * 8;
             ranking.renew(self.hash_seed, now, drift, RANKING_LIFETIME, replicas);
         }
-        ranking.members(self.subset_size(group, now), is_candidate)
+        ranking.members(self.subset_size(shard, now), is_candidate)
     }
 
     fn replica_to_rank(&self, index: HostIndex, now: Timestamp) -> Candidate {
@@ -169,15 +173,15 @@
     }
 
     /// One that was just reported to be too far behind gives way too, until it is time to ask again.
-    fn is_candidate(&self, index: HostIndex, group: &HostGroup, now: Timestamp) -> bool {
+    fn is_candidate(&self, index: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let host = &self.hosts[index];
         let behind = now - host.lag_reported_at < SILENCE_TIMEOUT && host.lag > self.tightest_bound;
-        group.primary != Some(index) && self.is_usable(index, now) && !(self.refresh_on_demand && behind)
+        shard.primary != Some(index) && self.is_usable(index, now) && !(self.refresh_on_demand && behind)
     }
 
-    pub(super) fn subset_size(&self, group: &HostGroup, now: Timestamp) -> usize {
+    pub(super) fn subset_size(&self, shard: &Shard, now: Timestamp) -> usize {
         let lasts = freshness::refresh_after(self.tightest_bound, HEALTH_CHECK_RETRY);
-        let rate = group.recent_commands.rate(now, RECENT_COMMANDS_WINDOW);
+        let rate = shard.recent_requests.rate(now, RECENT_COMMANDS_WINDOW);
         subset::size(rate * lasts.ratio(RECENT_COMMANDS_WINDOW))
     }
 }
--- a/crates/comethitch-policy/src/policy/send_guard.rs
+++ b/crates/comethitch-policy/src/policy/send_guard.rs
@@ -8,29 +8,29 @@
 use crate::{SendRefusal, SendViolation};
 
 impl Handle {
-    /// Whether an attempt may leave now. Meanwhile its command may have been rejected, its host begun to drain, or the
+    /// Whether an attempt may leave now. Meanwhile its request may have been rejected, its host begun to drain, or the
     /// data become too old.
     ///
     /// # Errors
     /// Why it may not.
     pub fn check_send(self, router: &Router, nth: u16, now: Timestamp) -> Result<(), SendRefusal> {
-        let command = router.commands.get(&self.0).filter(|command| !command.finished);
-        let command = command.ok_or(SendRefusal::CommandFinished)?;
+        let request = router.requests.get(&self.0).filter(|request| !request.finished);
+        let request = request.ok_or(SendRefusal::RequestFinished)?;
         let nth = usize::from(nth);
-        let attempt = command.attempts.get(nth).filter(|attempt| attempt.outcome.is_none());
+        let attempt = request.attempts.get(nth).filter(|attempt| attempt.outcome.is_none());
         let index = attempt.ok_or(SendRefusal::AttemptEnded)?.host;
-        if now >= command.deadline {
+        if now >= request.deadline {
             return Err(SendRefusal::DeadlinePassed);
         }
-        if router.guarded_bound(command, index).is_some()
-            && !router.is_fresh(index, router.settings(command).consistency, command, now)
+        if router.guarded_bound(request, index).is_some()
+            && !router.is_fresh(index, router.settings(request).consistency, request, now)
         {
             return Err(SendRefusal::DataTooOld);
         }
         if router.past_drain_grace(index, now) {
             return Err(SendRefusal::HostDrains);
         }
-        if !router.may_follow(command, nth, index, now) {
+        if !router.may_follow(request, nth, index, now) {
             return Err(SendRefusal::MayNotRepeat);
         }
         Ok(())
@@ -39,33 +39,33 @@
     /// The rule that an attempt breaks whose last byte left now, if it breaks one. The margins of
     /// [`Handle::check_send`] are there so that this finds nothing.
     pub fn violation_of_sent(self, router: &Router, nth: u16, now: Timestamp) -> Option<SendViolation> {
-        let command = router.commands.get(&self.0)?;
+        let request = router.requests.get(&self.0)?;
         let nth = usize::from(nth);
-        let index = command.attempts.get(nth)?.host;
+        let index = request.attempts.get(nth)?.host;
         let host = &router.hosts[index];
         let drain_grace = router.deployment.drain_grace;
-        if now > command.deadline {
+        if now > request.deadline {
             return Some(SendViolation::AfterDeadline);
         }
         if host.draining_since.is_some_and(|since| now > since + drain_grace) {
             return Some(SendViolation::PastDrainGrace);
         }
         let too_old = |bound| router.latest_host_time(now).is_none_or(|time| time - host.position > bound);
-        if router.guarded_bound(command, index).is_some_and(too_old) {
+        if router.guarded_bound(request, index).is_some_and(too_old) {
             return Some(SendViolation::DataTooOld);
         }
         // The margin of a tick is the check's, not the rule's.
-        let may_follow = router.may_follow(command, nth, index, now - router.tick_interval);
+        let may_follow = router.may_follow(request, nth, index, now - router.tick_interval);
         (!may_follow).then_some(SendViolation::Repeated)
     }
 }
 
 impl Router {
     /// The staleness bound of a read that nothing but the position known here guards at this host.
-    fn guarded_bound(&self, command: &Command, index: HostIndex) -> Option<Duration> {
+    fn guarded_bound(&self, request: &RequestState, index: HostIndex) -> Option<Duration> {
         let guarded = self.deployment.staleness_check == StalenessCheck::Off
-            && self.host_groups[&command.shard].primary != Some(index);
-        match self.settings(command).consistency {
+            && self.shards[&request.shard_id].primary != Some(index);
+        match self.settings(request).consistency {
             Consistency::BoundedStaleness(bound) if guarded => Some(bound),
             _ => None,
         }
--- a/crates/comethitch-policy/src/command_group.rs
+++ b/crates/comethitch-policy/src/request_class.rs
@@ -1,19 +1,19 @@
-//! Command groups: what the commands of an application have in common, as its settings say.
+//! Request classes: what the requests of an application have in common, as its settings say.
 
 use crate::time::Duration;
 
-/// The settings that the commands of a group share.
+/// The settings that the requests of a group share.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CommandGroup {
+pub struct RequestClass {
     /// An answer within this time is of full use.
     pub latency_objective: Duration,
     /// How long clients wait at the most.
     pub timeout: Duration,
-    /// What a command is worth beside others.
+    /// What a request is worth beside others.
     pub priority_weight: f64,
     /// What a second run may do.
     pub idempotency: Idempotency,
-    /// Among which hosts a keyed command's retry is dropped as a duplicate.
+    /// Among which hosts a keyed request's retry is dropped as a duplicate.
     pub deduplication_scope: DeduplicationScope,
     /// For how long it is.
     pub deduplication_window: Duration,
@@ -21,7 +21,7 @@
     pub consistency: Consistency,
 }
 
-/// What a command may do on a second run.
+/// What a request may do on a second run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// The same as one run.
@@ -32,7 +32,7 @@
     NonIdempotent,
 }
 
-/// Among which hosts a keyed command's retry is dropped as a duplicate.
+/// Among which hosts a keyed request's retry is dropped as a duplicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All hosts.
@@ -40,10 +40,10 @@
     /// Hosts of the same zone.
     Zone,
     /// Hosts of the same group.
-    Shard,
+    ShardId,
 }
 
-/// How new the data must be that a command is answered from.
+/// How new the data must be that a request is answered from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
     /// It changes data, as only a primary can.
@@ -59,7 +59,7 @@
 }
 
 impl Consistency {
-    /// Whether only the primary can answer such a command.
+    /// Whether only the primary can answer such a request.
     pub fn needs_primary(self) -> bool {
         matches!(self, Consistency::Write | Consistency::Strong)
     }
--- a/crates/comethitch-policy/src/command.rs
+++ b/crates/comethitch-policy/src/request_state.rs
@@ -1,16 +1,16 @@
-//! A command in hand and the attempts made for it: data alone.
+//! A request in hand and the attempts made for it: data alone.
 //!
 //! What may be sent, retried or rejected is decided in [`policy`](crate::policy).
 
 use crate::host_table::HostIndex;
 use crate::time::{Duration, Timestamp};
-use crate::{AttemptOutcome, CommandRequest, Shard};
+use crate::{AttemptOutcome, Request, ShardId};
 
-/// One sending of a command to a host.
+/// One sending of a request to a host.
 #[derive(Clone, Copy)]
 pub struct Attempt {
-    /// The command group of its command.
-    pub command_group: usize,
+    /// The request class of its request.
+    pub request_class: usize,
     /// Where it was sent.
     pub host: HostIndex,
     /// When it was sent.
@@ -25,8 +25,8 @@
 
 impl Attempt {
     /// An attempt that is sent now.
-    pub fn new(command_group: usize, host: HostIndex, work: Duration, now: Timestamp) -> Attempt {
-        Attempt { command_group, host, sent_at: now, outcome: None, in_flight_at_fault: false, work }
+    pub fn new(request_class: usize, host: HostIndex, work: Duration, now: Timestamp) -> Attempt {
+        Attempt { request_class, host, sent_at: now, outcome: None, in_flight_at_fault: false, work }
     }
 
     /// Whether it ran, may have run or may still run.
@@ -52,12 +52,12 @@
     }
 }
 
-/// What is known of a submitted command until it is answered and nothing is in flight.
-pub struct Command {
-    /// Its command group, by its place in the deployment.
-    pub command_group: usize,
-    /// The group of hosts that holds its data.
-    pub shard: Shard,
+/// What is known of a submitted request until it is answered and nothing is in flight.
+pub struct RequestState {
+    /// Its request class, by its place in the deployment.
+    pub request_class: usize,
+    /// The shard that holds its data.
+    pub shard_id: ShardId,
     /// Its client's session, 0 for none.
     pub session: u64,
     /// A session read must see all commits up to here.
@@ -74,12 +74,12 @@
     pub attempts: Vec<Attempt>,
 }
 
-impl Command {
-    /// A command that was just submitted.
-    pub fn new(request: &CommandRequest, required_position: Timestamp, now: Timestamp) -> Command {
-        Command {
-            command_group: request.group,
-            shard: request.shard,
+impl RequestState {
+    /// A request that was just submitted.
+    pub fn new(request: &Request, required_position: Timestamp, now: Timestamp) -> RequestState {
+        RequestState {
+            request_class: request.class,
+            shard_id: request.shard_id,
             session: request.session,
             required_position,
             submitted_at: now,
--- a/crates/comethitch-policy/src/router.rs
+++ b/crates/comethitch-policy/src/router.rs
@@ -2,20 +2,20 @@
 //!
 //! What follows from the state is decided in [`policy`](crate::policy), which adds the entry points to [`Router`].
 
-use crate::command::{Attempt, Command};
 use crate::histogram::Histogram;
-use crate::host_group::{GroupState, HostGroup};
 use crate::host_table::{HostIndex, HostTable};
 use crate::policy::{HostClock, Lateness, PeerLoad};
+use crate::request_state::{Attempt, RequestState};
+use crate::shard::{Shard, ShardState};
 use crate::time::{Duration, Timestamp};
-use crate::waiting_commands::WaitingCommands;
-use crate::{Actions, CommandId, Deployment, Shard};
+use crate::waiting_requests::WaitingRequests;
+use crate::{Actions, Deployment, RequestId, ShardId};
 use crate::{random::RandomGenerator, session_commits::SessionCommits};
 use comethitch_fleet::decaying_counter::DecayingCounter;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Decides where each command goes. Hosts and command groups are given by their indices.
+/// Decides where each request goes. Hosts and request classes are given by their indices.
 pub struct Router {
     /// The settings that it was started with.
     pub deployment: Deployment,
@@ -26,30 +26,30 @@
     pub(crate) tick_interval: Duration,
     /// How late this router's own calls come.
     pub(crate) lateness: Lateness,
-    pub(crate) host_groups: BTreeMap<Shard, HostGroup>,
+    pub(crate) shards: BTreeMap<ShardId, Shard>,
     pub(crate) hosts: HostTable,
-    pub(crate) commands: BTreeMap<CommandId, Command>,
-    /// Commands that wait for capacity; those of highest priority go first.
-    pub(crate) waiting: WaitingCommands,
-    /// The group of hosts whose waiting commands were tried last for the time alone.
-    pub(crate) last_tried_group: Option<Shard>,
+    pub(crate) requests: BTreeMap<RequestId, RequestState>,
+    /// Requests that wait for capacity; those of highest priority go first.
+    pub(crate) waiting: WaitingRequests,
+    /// The shard whose waiting requests were tried last for the time alone.
+    pub(crate) last_tried_shard: Option<ShardId>,
     /// Removed hosts that are to be forgotten.
     pub(crate) removed_hosts: BTreeSet<RemovedHost>,
     /// What this router sends to warm hosts, as it was last added up.
     pub(crate) peer_load: Cell<PeerLoad>,
-    /// How many retries the commands so far have paid for.
+    /// How many retries the requests so far have paid for.
     pub(crate) retry_budget: f64,
     /// How many health checks that are due by time may still be sent before the next tick.
     pub(crate) timed_checks_left: usize,
     /// The group whose health checks were looked at last.
-    pub(crate) last_checked_group: Option<Shard>,
-    /// When a health check that no command has paid for may be sent again.
+    pub(crate) last_checked_shard: Option<ShardId>,
+    /// When a health check that no request has paid for may be sent again.
     pub(crate) next_unpaid_check: Timestamp,
-    /// Commands submitted lately, for any group of hosts.
-    pub(crate) recent_commands: DecayingCounter,
+    /// Requests submitted lately, for any shard.
+    pub(crate) recent_requests: DecayingCounter,
     /// The share of errors among the last answers, of all hosts together.
     pub(crate) error_rate: f64,
-    /// Answer times by command group.
+    /// Answer times by request class.
     pub(crate) service_times: Vec<Histogram>,
     /// What reports show of the hosts' clock.
     pub(crate) host_clock: HostClock,
@@ -63,11 +63,11 @@
     pub(crate) report_age: Histogram,
     /// The latest commit that each session has written, where this router has to remember.
     pub(crate) session_commits: SessionCommits,
-    /// The shortest latency objective of all command groups.
+    /// The shortest latency objective of all request classes.
     pub(crate) shortest_objective: Duration,
-    /// The longest latency objective of all command groups.
+    /// The longest latency objective of all request classes.
     pub(crate) longest_objective: Duration,
-    /// The tightest staleness bound of all command groups.
+    /// The tightest staleness bound of all request classes.
     pub(crate) tightest_bound: Duration,
     /// Whether positions alone guard reads, and bounds alone need them: then they are refreshed on demand.
     pub(crate) refresh_on_demand: bool,
@@ -80,7 +80,7 @@
     pub index: HostIndex,
 }
 
-/// Where a command can go now.
+/// Where a request can go now.
 pub(crate) enum Selection {
     Host(HostIndex),
     /// It must wait: no host that may take it has capacity.
@@ -89,15 +89,15 @@
     Rejected,
 }
 
-/// A submitted command. All that happens to it after it was submitted is a call on this.
+/// A submitted request. All that happens to it after it was submitted is a call on this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Handle(pub(crate) CommandId);
+pub struct Handle(pub(crate) RequestId);
 
 impl Handle {
     /// The client went away, or its time is up: no answer is owed any more.
     pub fn client_disconnected(self, router: &mut Router, out: &mut dyn Actions) {
-        if let Some(command) = router.commands.get_mut(&self.0) {
-            command.finished = true;
+        if let Some(request) = router.requests.get_mut(&self.0) {
+            request.finished = true;
             router.cancel_attempts(self.0, out);
         }
     }
@@ -107,24 +107,24 @@
     /// A router that knows no hosts yet. What depends on the policy's own values is empty or zero.
     pub(crate) fn empty(deployment: Deployment, seed: u64, default_interval: Duration) -> Router {
         let shortest_objective = deployment.shortest_latency_objective().unwrap_or(default_interval);
-        let longest_objective = deployment.groups.iter().map(|group| group.latency_objective).max();
+        let longest_objective = deployment.classes.iter().map(|shard| shard.latency_objective).max();
         Router {
             random: RandomGenerator::new(seed),
             hash_seed: seed,
             tick_interval: deployment.tick,
             lateness: Lateness::default(),
-            host_groups: BTreeMap::new(),
+            shards: BTreeMap::new(),
             hosts: HostTable::default(),
-            commands: BTreeMap::new(),
-            waiting: WaitingCommands::default(),
-            last_tried_group: None,
+            requests: BTreeMap::new(),
+            waiting: WaitingRequests::default(),
+            last_tried_shard: None,
             removed_hosts: BTreeSet::new(),
             peer_load: Cell::default(),
             retry_budget: 0.0,
             timed_checks_left: 0,
-            last_checked_group: None,
+            last_checked_shard: None,
             next_unpaid_check: Timestamp::ZERO,
-            recent_commands: DecayingCounter::default(),
+            recent_requests: DecayingCounter::default(),
             error_rate: 0.0,
             service_times: Vec::new(),
             host_clock: HostClock::default(),
@@ -141,14 +141,14 @@
         }
     }
 
-    /// The handle of a command that was submitted and has an attempt in flight or no final answer yet.
-    pub fn handle(&self, id: CommandId) -> Option<Handle> {
-        self.commands.contains_key(&id).then_some(Handle(id))
+    /// The handle of a request that was submitted and has an attempt in flight or no final answer yet.
+    pub fn handle(&self, id: RequestId) -> Option<Handle> {
+        self.requests.contains_key(&id).then_some(Handle(id))
     }
 
-    /// The state of each group of hosts and how many failovers it has seen, for the log.
-    pub fn group_states(&self) -> impl Iterator<Item = (Shard, GroupState, u32)> {
-        self.host_groups.iter().map(|(shard, group)| (*shard, group.state, group.serial))
+    /// The state of each shard and how many failovers it has seen, for the log.
+    pub fn shard_states(&self) -> impl Iterator<Item = (ShardId, ShardState, u32)> {
+        self.shards.iter().map(|(shard_id, shard)| (*shard_id, shard.state, shard.serial))
     }
 
     /// How many host entries are allocated: those of removed hosts are used again.
@@ -172,8 +172,8 @@
     pub(crate) fn record_sent(&mut self, attempt: &Attempt, cost: f64) {
         let now = attempt.sent_at;
         let window = self.window(attempt.host, now, self.deployment.slow_start.window);
-        let group = self.group_of_mut(attempt.host);
-        group.concurrency_limits[attempt.command_group].in_flight += attempt.work;
+        let shard = self.shard_of_mut(attempt.host);
+        shard.concurrency_limits[attempt.request_class].in_flight += attempt.work;
         let host = &mut self.hosts[attempt.host];
         host.concurrency.in_flight += attempt.work;
         host.work_sent.add(cost, now, window.length);
@@ -186,7 +186,7 @@
     /// Marks the attempts in flight to a host as such at its fault, and counts them.
     pub(crate) fn mark_in_flight_at_fault(&mut self, index: HostIndex) -> u32 {
         let mut in_flight = 0;
-        let attempts = self.commands.values_mut().flat_map(|command| &mut command.attempts);
+        let attempts = self.requests.values_mut().flat_map(|request| &mut request.attempts);
         for attempt in attempts.filter(|attempt| attempt.host == index) {
             attempt.in_flight_at_fault = attempt.outcome.is_none();
             in_flight += u32::from(attempt.in_flight_at_fault);
@@ -202,23 +202,23 @@
         out.check_health(host.host);
     }
 
-    /// Cancels what is still in flight of a finished command, if that is allowed, and forgets it once nothing is.
-    pub(crate) fn cancel_attempts(&mut self, id: CommandId, out: &mut dyn Actions) {
-        let Some(command) = self.commands.get(&id) else { return };
-        for (nth, attempt) in command.attempts.iter().enumerate() {
+    /// Cancels what is still in flight of a finished request, if that is allowed, and forgets it once nothing is.
+    pub(crate) fn cancel_attempts(&mut self, id: RequestId, out: &mut dyn Actions) {
+        let Some(request) = self.requests.get(&id) else { return };
+        for (nth, attempt) in request.attempts.iter().enumerate() {
             if self.deployment.may_cancel && attempt.outcome.is_none() {
                 out.cancel_attempt(id, nth as u16);
             }
         }
-        if command.in_flight().next().is_none() {
-            self.forget_command(id);
+        if request.in_flight().next().is_none() {
+            self.forget_request(id);
         }
     }
 
-    /// Forgets a command that is finished and has nothing in flight.
-    fn forget_command(&mut self, id: CommandId) {
-        let Some(command) = self.commands.remove(&id) else { return };
-        for attempt in &command.attempts {
+    /// Forgets a request that is finished and has nothing in flight.
+    fn forget_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(&id) else { return };
+        for attempt in &request.attempts {
             self.hosts[attempt.host].attempts_in_progress -= 1;
         }
     }
@@ -226,7 +226,7 @@
     /// Sets when a host's health is to be checked next, and sees to it that its group is reviewed by then.
     pub(crate) fn set_next_health_check(&mut self, index: HostIndex, at: Timestamp) {
         self.hosts[index].next_health_check = at;
-        let group = self.group_of_mut(index);
-        group.next_check_review = group.next_check_review.min(at);
+        let shard = self.shard_of_mut(index);
+        shard.next_check_review = shard.next_check_review.min(at);
     }
 }
--- a/crates/comethitch-policy/src/send.rs
+++ b/crates/comethitch-policy/src/send.rs
@@ -3,9 +3,9 @@
 /// Why an attempt may not leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRefusal {
-    /// The command has its final answer, or its client is gone.
+    /// The request has its final answer, or its client is gone.
     #[error("the command is finished")]
-    CommandFinished,
+    RequestFinished,
     /// The attempt was cancelled, or has ended.
     #[error("the attempt has ended")]
     AttemptEnded,
@@ -27,7 +27,7 @@
     /// The name in logs and counts.
     pub fn name(self) -> &'static str {
         match self {
-            SendRefusal::CommandFinished => "command_finished",
+            SendRefusal::RequestFinished => "command_finished",
             SendRefusal::AttemptEnded => "attempt_ended",
             SendRefusal::DeadlinePassed => "deadline_passed",
             SendRefusal::DataTooOld => "data_too_old",
