--- a/crates/comethitch-policy/tests/scenarios.rs
+++ b/crates/comethitch-policy/tests/scenarios.rs
@@ -6,9 +6,9 @@
 //! pair                         primary a and replica b are listed, a was checked, it is 10ms
 //! hosts 600s ahead|behind      the hosts' clock differs by so much from the router's, from now on
 //! at 40ms                      the time from the start; ticks that were due before are made
-//! checked a,b ok primary -20ms the end of a health check of each, and its report (q9: nine commands wait there)
+//! checked a,b ok primary -20ms the end of a health check of each, and its report (q9: nine requests wait there)
 //! late 200ms                   ticks come so late from now on, as in a busy event loop
-//! submit 1 bounded for 600ms   a command of a group, with its client timeout (`after 30ms`: since its write)
+//! submit 1 bounded for 600ms   a request of a group, with its client timeout (`after 30ms`: since its write)
 //! ended 1.0 reset [finished] [role [position]]   the end of an attempt
 //! entries 4                    no more host entries than this are allocated; b17 is a host like b, for many
 //! delayed 1.0 may|not          an attempt held up on its way may still be sent now, or may not
@@ -22,16 +22,16 @@
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{
-    Actions, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Deployment, Endpoint, EndpointUpdate,
-    Handle, Host, HostReport, Lifecycle, RejectionReason, Role, Router,
+    Actions, AttemptEnd, AttemptOutcome, Deployment, Endpoint, EndpointUpdate, Handle, Host, Lifecycle,
+    LoadReport, RejectionReason, Request, RequestId, Role, Router,
 };
 use std::{fs, path::Path};
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
 const SEED: u64 = 7;
 
-/// The settings of a command group, as a start message names them; times in milliseconds.
-struct GroupSettings {
+/// The settings of a request class, as a start message names them; times in milliseconds.
+struct ClassSettings {
     name: &'static str,
     consistency: &'static str,
     idempotency: &'static str,
@@ -43,11 +43,11 @@
 const fn group(
     name: &'static str, [consistency, idempotency, deduplication_scope]: [&'static str; 3],
     latency_objective: u64, timeout: u64,
-) -> GroupSettings {
-    GroupSettings { name, consistency, idempotency, deduplication_scope, latency_objective, timeout }
+) -> ClassSettings {
+    ClassSettings { name, consistency, idempotency, deduplication_scope, latency_objective, timeout }
 }
 
-const GROUPS: [GroupSettings; 7] = [
+const GROUPS: [ClassSettings; 7] = [
     group("bounded", ["bounded", "repeatable", "all"], 250, 600),
     group("fresh", ["fresh", "repeatable", "all"], 250, 750),
     group("mutating", ["write", "once", "all"], 300, 3000),
@@ -70,7 +70,7 @@
     text += &format!("classes.count={}\ndomain.class_read={consistencies}\n", GROUPS.len());
     text += &format!("domain.oldest_data_us={}\n", bounds.join(","));
     for (number, group) in GROUPS.iter().enumerate() {
-        let GroupSettings { idempotency, deduplication_scope, latency_objective, timeout, .. } = group;
+        let ClassSettings { idempotency, deduplication_scope, latency_objective, timeout, .. } = group;
         text += &format!(
             "classes.{number}.effect={idempotency}\nclasses.{number}.group={deduplication_scope}\n\
              classes.{number}.target_us={latency_objective}000\nclasses.{number}.deadline_us={timeout}000\n\
@@ -105,26 +105,26 @@
         self.now
     }
 
-    fn send_attempt(&mut self, command: CommandId, host: Host, timeout: Duration) {
-        self.digest([80, command.into(), host.number(), timeout.as_micros()]);
-        self.actions.push(format!("attempt {command} {}", name(host)));
+    fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration) {
+        self.digest([80, request.into(), host.number(), timeout.as_micros()]);
+        self.actions.push(format!("attempt {request} {}", name(host)));
     }
 
-    fn cancel_attempt(&mut self, command: CommandId, nth: u16) {
-        self.digest([90, command.into(), nth.into(), 0]);
-        self.actions.push(format!("cancel {command}.{nth}"));
+    fn cancel_attempt(&mut self, request: RequestId, nth: u16) {
+        self.digest([90, request.into(), nth.into(), 0]);
+        self.actions.push(format!("cancel {request}.{nth}"));
     }
 
-    fn throttle(&mut self, command: CommandId, retry_after: Option<Duration>, reason: RejectionReason) {
-        self.digest([84, command.into(), retry_after.map_or(0, |after| after.as_micros() + 1), 0]);
+    fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectionReason) {
+        self.digest([84, request.into(), retry_after.map_or(0, |after| after.as_micros() + 1), 0]);
         let advice =
             retry_after.map_or("now".into(), |after| format!("later {}ms", after.as_micros() / 1000));
-        self.actions.push(format!("throttle {command} {} {advice}", reason.name()));
+        self.actions.push(format!("throttle {request} {} {advice}", reason.name()));
     }
 
-    fn fail(&mut self, command: CommandId, reason: RejectionReason) {
-        self.digest([86, command.into(), 0, 0]);
-        self.actions.push(format!("fail {command} {}", reason.name()));
+    fn fail(&mut self, request: RequestId, reason: RejectionReason) {
+        self.digest([86, request.into(), 0, 0]);
+        self.actions.push(format!("fail {request} {}", reason.name()));
     }
 
     fn check_health(&mut self, host: Host) {
@@ -166,8 +166,8 @@
     Duration::from_secs(seconds.parse().expect("seconds"))
 }
 
-/// The command and the attempt that `1.0` names.
-fn attempt(which: &str) -> (CommandId, u16) {
+/// The request and the attempt that `1.0` names.
+fn attempt(which: &str) -> (RequestId, u16) {
     let (id, nth) = which.split_once('.').expect("command and attempt");
     (id.parse().expect("an id"), nth.parse().expect("an attempt"))
 }
@@ -200,7 +200,7 @@
     Endpoint {
         host: host(words[0]),
         zone: 0,
-        shard: 0,
+        shard_id: 0,
         lifecycle,
         is_primary: words.contains(&"primary"),
         capacity: 4.0,
@@ -264,13 +264,13 @@
         (self.router.as_mut().expect("just started"), &mut self.out)
     }
 
-    fn command(&mut self, id: CommandId) -> Result<(Handle, &mut Router, &mut RecordedActions), String> {
+    fn request(&mut self, id: RequestId) -> Result<(Handle, &mut Router, &mut RecordedActions), String> {
         let (router, out) = self.router();
         let handle = router.handle(id).ok_or("no such command is known")?;
         Ok((handle, router, out))
     }
 
-    fn report(&self, words: &[&str]) -> HostReport {
+    fn report(&self, words: &[&str]) -> LoadReport {
         let role = words.iter().find_map(|word| match *word {
             "primary" => Some(Role::Primary),
             "replica" => Some(Role::Replica),
@@ -278,7 +278,7 @@
         });
         let age = words.iter().find(|word| word.starts_with('-'));
         let queue = words.iter().find_map(|word| word.strip_prefix('q')?.parse().ok());
-        HostReport { role, position: age.map(|word| self.hosts.at(self.out.now) - duration(word)), queue }
+        LoadReport { role, position: age.map(|word| self.hosts.at(self.out.now) - duration(word)), queue }
     }
 
     fn step(&mut self, line: &str) -> Result<(), String> {
@@ -293,11 +293,11 @@
             ["at", time] => self.advance(START + duration(time)),
             ["checked", hosts, end, report @ ..] => self.check_health(hosts, outcome(end), report),
             ["submit", id, group, "for", timeout, rest @ ..] => self.submit(id, group, timeout, rest),
-            ["ended", which, end, note @ ..] => self.end(attempt(which), outcome(end), note)?,
+            ["ended", which, end, trailer @ ..] => self.end(attempt(which), outcome(end), trailer)?,
             ["delayed", which, wanted] => self.check_delayed(attempt(which), *wanted == "may")?,
             ["entries", most] => self.check_entries(most.parse().expect("a count"))?,
             ["disconnect", id] => {
-                let (handle, router, out) = self.command(id.parse().expect("an id"))?;
+                let (handle, router, out) = self.request(id.parse().expect("an id"))?;
                 handle.client_disconnected(router, out);
             }
             ["expect", wanted @ ..] => self.expect(wanted)?,
@@ -351,10 +351,10 @@
     fn submit(&mut self, id: &str, group: &str, timeout: &str, rest: &[&str]) {
         let hosts = self.hosts;
         let (router, out) = self.router();
-        let request = CommandRequest {
+        let request = Request {
             id: id.parse().expect("an id"),
-            group: GROUPS.iter().position(|other| other.name == group).expect("a command group"),
-            shard: 0,
+            class: GROUPS.iter().position(|other| other.name == group).expect("a command group"),
+            shard_id: 0,
             session: 1,
             after: rest.last().map(|word| hosts.at(out.now) - duration(word)),
             timeout: duration(timeout),
@@ -363,18 +363,18 @@
     }
 
     fn end(
-        &mut self, (id, attempt): (CommandId, u16), outcome: AttemptOutcome, note: &[&str],
+        &mut self, (id, attempt): (RequestId, u16), outcome: AttemptOutcome, trailer: &[&str],
     ) -> Result<(), String> {
-        let command_finished = note.contains(&"finished");
-        let note = self.report(note);
-        let (handle, router, out) = self.command(id)?;
-        let report = HostReport::default();
-        handle.attempt_ended(router, AttemptEnd { attempt, outcome, command_finished, note, report }, out);
+        let request_finished = trailer.contains(&"finished");
+        let trailer = self.report(trailer);
+        let (handle, router, out) = self.request(id)?;
+        let report = LoadReport::default();
+        handle.attempt_ended(router, AttemptEnd { attempt, outcome, request_finished, trailer, report }, out);
         Ok(())
     }
 
-    fn check_delayed(&mut self, (id, attempt): (CommandId, u16), wanted: bool) -> Result<(), String> {
-        let (handle, router, out) = self.command(id)?;
+    fn check_delayed(&mut self, (id, attempt): (RequestId, u16), wanted: bool) -> Result<(), String> {
+        let (handle, router, out) = self.request(id)?;
         let may_send = handle.check_send(router, attempt, out.now);
         if may_send.is_ok() == wanted { Ok(()) } else { Err(format!("may be sent: {may_send:?}")) }
     }
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -4,7 +4,7 @@
 //!     cargo run --release -p comethitch-statement --example shapes
 
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_policy::{Consistency, DeduplicationScope, Idempotency, RequestClass};
 use comethitch_statement::admission::{StatementAdmission, StatementHints, VerdictSource};
 use comethitch_statement::cache::Cache;
 use comethitch_statement::{Rules, Secret, ShapeKey};
@@ -153,7 +153,7 @@
             {"group": "write", "effects": ["locking_read", "session", "unknown", "write"]}]}"#,
     )
     .expect("rules");
-    let group = |effect, need| CommandGroup {
+    let class = |effect, need| RequestClass {
         latency_objective: Duration::from_micros(1),
         timeout: Duration::from_micros(1),
         priority_weight: 1.0,
@@ -162,16 +162,16 @@
         deduplication_window: Duration::ZERO,
         consistency: need,
     };
-    let groups = [
-        group(Idempotency::Idempotent, Consistency::Eventual),
-        group(Idempotency::NonIdempotent, Consistency::Write),
+    let classes = [
+        class(Idempotency::Idempotent, Consistency::Eventual),
+        class(Idempotency::NonIdempotent, Consistency::Write),
     ];
     let names = ["read".into(), "write".into()];
     let secret = Secret([5; 16]);
     let admission = if limited {
-        StatementAdmission::new(rules, &groups, &names, secret, Timestamp::ZERO)
+        StatementAdmission::new(rules, &classes, &names, secret, Timestamp::ZERO)
     } else {
-        StatementAdmission::unlimited(rules, &groups, &names, secret)
+        StatementAdmission::unlimited(rules, &classes, &names, secret)
     };
     admission.expect("rules")
 }
--- a/crates/comethitch-statement/src/admission/counts.rs
+++ b/crates/comethitch-statement/src/admission/counts.rs
@@ -17,6 +17,6 @@
     pub total_budget_exhausted: u64,
     /// Statements that could not become a command.
     pub rejected: u64,
-    /// Statements raised above the command group of their comment.
+    /// Statements raised above the request class of their comment.
     pub raised: u64,
 }
--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -17,16 +17,16 @@
 //! #     classes.1.value=1\ndomain.class_read=any,write\ndomain.oldest_data_us=0,0\nsiblings=1\ntick_us=1\n\
 //! #     domain.guards=off\npermissions.max_attempts=1\npermissions.connect_timeout_us=1\nrules.drain_grace_us=1\n\
 //! #     rules.cold_from=1\nrules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
-//! # let groups = comethitch_policy::Deployment::read(settings).unwrap().groups;
+//! # let classes = comethitch_policy::Deployment::read(settings).unwrap().classes;
 //! let names = ["read".to_string(), "write".to_string()];
-//! let mut admission = StatementAdmission::new(rules, &groups, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
+//! let mut admission = StatementAdmission::new(rules, &classes, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
 //! let clock = || Timestamp::ZERO;
-//! let mut group = |text: &str| {
+//! let mut class = |text: &str| {
 //!     let admitted = admission.admit(text.as_bytes(), StatementHints::default(), 1, &clock);
-//!     admitted.unwrap().assigned.group
+//!     admitted.unwrap().assigned.class
 //! };
-//! assert_eq!(group("SELECT data FROM facts"), 0);
-//! assert_eq!(group("SELECT cobrar(3)"), 1);
+//! assert_eq!(class("SELECT data FROM facts"), 0);
+//! assert_eq!(class("SELECT cobrar(3)"), 1);
 //! ```
 
 mod counts;
@@ -45,7 +45,7 @@
 use crate::rules::{BudgetExceeded, Rules};
 use crate::rules_error::RulesError;
 use crate::{Classifier, Effect, Lexer, Secret, ShapeKey, Verdict};
-use comethitch_policy::CommandGroup;
+use comethitch_policy::RequestClass;
 use comethitch_policy::time::{Duration, Timestamp};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -70,18 +70,18 @@
     pub const EFFECTS: [Effect; 5] =
         [Effect::Read, Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write];
 
-    /// Checks the rules against the deployment's command groups and their names.
+    /// Checks the rules against the deployment's request classes and their names.
     ///
     /// # Errors
     ///
     /// The first fault in the rules.
     pub fn new(
-        rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret, now: Timestamp,
+        rules: Rules, classes: &[RequestClass], names: &[String], secret: Secret, now: Timestamp,
     ) -> Result<StatementAdmission, RulesError> {
         let shares = checked_shares(&rules)?;
         let cache_bytes = checked_cache_bytes(&rules)?;
         Ok(StatementAdmission {
-            assigner: Assigner::new(&rules, groups, names)?,
+            assigner: Assigner::new(&rules, classes, names)?,
             lexer: Lexer::new(rules.dialect),
             secret,
             cache: Cache::new(cache_bytes),
@@ -98,9 +98,9 @@
     ///
     /// The first fault in the rules.
     pub fn unlimited(
-        rules: Rules, groups: &[CommandGroup], names: &[String], secret: Secret,
+        rules: Rules, classes: &[RequestClass], names: &[String], secret: Secret,
     ) -> Result<StatementAdmission, RulesError> {
-        let mut admission = StatementAdmission::new(rules, groups, names, secret, Timestamp::ZERO)?;
+        let mut admission = StatementAdmission::new(rules, classes, names, secret, Timestamp::ZERO)?;
         // Far more than any parse takes, and small enough to be multiplied.
         let shares = BudgetShares { total: f64::MAX.sqrt(), client: 1.0 };
         admission.budget = Budget::new(shares, Timestamp::ZERO);
--- a/crates/comethitch-statement/src/assign/allowed_effects.rs
+++ b/crates/comethitch-statement/src/assign/allowed_effects.rs
@@ -1,9 +1,9 @@
-//! Which effects the statements of a command group may have.
+//! Which effects the statements of a request class may have.
 
 use crate::Effect;
-use comethitch_policy::{CommandGroup, Consistency, Idempotency};
+use comethitch_policy::{Consistency, Idempotency, RequestClass};
 
-/// The effects that a command group may hold: one whose reads may go to replicas takes plain reads alone, and one
+/// The effects that a request class may hold: one whose reads may go to replicas takes plain reads alone, and one
 /// that may be retried takes nothing that a second execution could harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AllowedEffects {
@@ -16,16 +16,16 @@
 }
 
 impl AllowedEffects {
-    /// The effects that a command group of a deployment allows.
-    pub fn of(group: &CommandGroup) -> AllowedEffects {
+    /// The effects that a request class of a deployment allows.
+    pub fn of(class: &RequestClass) -> AllowedEffects {
         AllowedEffects {
-            primary_only: group.consistency == Consistency::Write,
-            executed_once: group.idempotency != Idempotency::Idempotent,
-            keyed: group.idempotency == Idempotency::Keyed,
+            primary_only: class.consistency == Consistency::Write,
+            executed_once: class.idempotency != Idempotency::Idempotent,
+            keyed: class.idempotency == Idempotency::Keyed,
         }
     }
 
-    /// Whether a statement of this effect may be in the command group.
+    /// Whether a statement of this effect may be in the request class.
     pub fn allows(self, effect: Effect) -> bool {
         match effect {
             Effect::Read => true,
--- a/crates/comethitch-statement/src/assign/group_rules.rs
+++ b/crates/comethitch-statement/src/assign/class_rules.rs
@@ -1,8 +1,8 @@
-//! From effects, tables and costs to command groups.
+//! From effects, tables and costs to request classes.
 
 use super::allowed_effects::AllowedEffects;
-use crate::rules::GroupRule;
-use crate::rules_error::{GroupRuleError, RulesError};
+use crate::rules::ClassRule;
+use crate::rules_error::{ClassRuleError, RulesError};
 use crate::{Effect, Verdict};
 use comethitch_policy::time::Duration;
 
@@ -11,9 +11,9 @@
 /// A bound of cost is below this, in milliseconds.
 const MAX_COST_BOUND_MS: f64 = 1e9;
 
-/// The rules for command groups, checked against those of a deployment.
+/// The rules for request classes, checked against those of a deployment.
 #[derive(Clone, Debug)]
-pub(super) struct GroupRules {
+pub(super) struct ClassRules {
     rules: Vec<CheckedRule>,
     /// The bounds between bands of cost, in rising order.
     cost_bounds: Vec<Duration>,
@@ -21,24 +21,24 @@
 
 #[derive(Clone, Debug)]
 struct CheckedRule {
-    group: usize,
+    class: usize,
     effects: Vec<Effect>,
     tables: Option<Vec<String>>,
     from: Option<Duration>,
     below: Option<Duration>,
 }
 
-impl GroupRules {
-    /// Checks rules; `names` and `allowed` are those of the deployment's command groups, in its order.
+impl ClassRules {
+    /// Checks rules; `names` and `allowed` are those of the deployment's request classes, in its order.
     pub fn new(
-        rules: &[GroupRule], names: &[String], allowed: &[AllowedEffects],
-    ) -> Result<GroupRules, RulesError> {
+        rules: &[ClassRule], names: &[String], allowed: &[AllowedEffects],
+    ) -> Result<ClassRules, RulesError> {
         let check = |(index, rule)| {
             check_rule(rule, names, allowed).map_err(|source| RulesError::Group { index, source })
         };
         let rules = rules.iter().enumerate().map(check).collect::<Result<Vec<_>, _>>()?;
         if rules.is_empty() {
-            return Err(RulesError::NoGroups);
+            return Err(RulesError::NoClasses);
         }
         let bounds = rules.iter().flat_map(|rule| rule.from.into_iter().chain(rule.below));
         let mut cost_bounds: Vec<Duration> = bounds.collect();
@@ -47,7 +47,7 @@
         if cost_bounds.len() > MAX_COST_BOUNDS {
             return Err(RulesError::TooManyCostBounds { most: MAX_COST_BOUNDS });
         }
-        Ok(GroupRules { rules, cost_bounds })
+        Ok(ClassRules { rules, cost_bounds })
     }
 
     /// The bounds between bands of cost, in rising order.
@@ -55,9 +55,9 @@
         &self.cost_bounds
     }
 
-    /// The command group of the first rule that fits a statement.
-    pub fn group(&self, verdict: &Verdict, band: u8) -> Option<usize> {
-        self.rules.iter().find(|rule| self.fits(rule, verdict, band)).map(|rule| rule.group)
+    /// The request class of the first rule that fits a statement.
+    pub fn class(&self, verdict: &Verdict, band: u8) -> Option<usize> {
+        self.rules.iter().find(|rule| self.fits(rule, verdict, band)).map(|rule| rule.class)
     }
 
     fn fits(&self, rule: &CheckedRule, verdict: &Verdict, band: u8) -> bool {
@@ -77,30 +77,30 @@
 }
 
 fn check_rule(
-    rule: &GroupRule, names: &[String], allowed: &[AllowedEffects],
-) -> Result<CheckedRule, GroupRuleError> {
-    let group = names.iter().position(|name| *name == rule.group);
-    let group = group.ok_or_else(|| GroupRuleError::UnknownGroup { name: rule.group.clone() })?;
+    rule: &ClassRule, names: &[String], allowed: &[AllowedEffects],
+) -> Result<CheckedRule, ClassRuleError> {
+    let class = names.iter().position(|name| *name == rule.class);
+    let class = class.ok_or_else(|| ClassRuleError::UnknownClass { name: rule.class.clone() })?;
     if rule.effects.is_empty() {
-        return Err(GroupRuleError::NoEffects);
+        return Err(ClassRuleError::NoEffects);
     }
-    if let Some(effect) = rule.effects.iter().find(|effect| !allowed[group].allows(**effect)) {
-        return Err(GroupRuleError::EffectNotAllowed { effect: *effect, group: rule.group.clone() });
+    if let Some(effect) = rule.effects.iter().find(|effect| !allowed[class].allows(**effect)) {
+        return Err(ClassRuleError::EffectNotAllowed { effect: *effect, class: rule.class.clone() });
     }
     let from = cost_bound("from_ms", rule.from_ms)?;
     let below = cost_bound("below_ms", rule.below_ms)?;
     if let (Some(from), Some(below)) = (from, below)
         && from >= below
     {
-        return Err(GroupRuleError::NoCostBetweenBounds);
+        return Err(ClassRuleError::NoCostBetweenBounds);
     }
-    Ok(CheckedRule { group, effects: rule.effects.clone(), tables: rule.tables.clone(), from, below })
+    Ok(CheckedRule { class, effects: rule.effects.clone(), tables: rule.tables.clone(), from, below })
 }
 
-fn cost_bound(key: &'static str, milliseconds: Option<f64>) -> Result<Option<Duration>, GroupRuleError> {
+fn cost_bound(key: &'static str, milliseconds: Option<f64>) -> Result<Option<Duration>, ClassRuleError> {
     match milliseconds {
         Some(ms) if ms > 0.0 && ms < MAX_COST_BOUND_MS => Ok(Some(Duration::from_micros((ms * 1e3) as u64))),
-        Some(milliseconds) => Err(GroupRuleError::CostBound { key, milliseconds }),
+        Some(milliseconds) => Err(ClassRuleError::CostBound { key, milliseconds }),
         None => Ok(None),
     }
 }
--- a/crates/comethitch-statement/src/assign/error.rs
+++ b/crates/comethitch-statement/src/assign/error.rs
@@ -1,16 +1,16 @@
 //! Reasons for which a statement can't become a command, as they are reported to its client.
 
 use crate::Effect;
-use comethitch_policy::Shard;
+use comethitch_policy::ShardId;
 
 /// Why a statement becomes no command. None has run, and none becomes possible by a retry.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentError {
-    /// Its comment's command group may do less than its text does.
-    #[error("the comment says {group:?}, and the statement is of the effect {}: {why}", .effect.name())]
+    /// Its comment's request class may do less than its text does.
+    #[error("the comment says {class:?}, and the statement is of the effect {}: {why}", .effect.name())]
     Disagrees {
-        /// The name of the command group.
-        group: String,
+        /// The name of the request class.
+        class: String,
         /// The effect of the text.
         effect: Effect,
         /// Why it has this effect.
@@ -21,7 +21,7 @@
     Transaction,
     /// No rule takes it.
     #[error("no rule names a command group for the effect {}{}", .effect.name(), reason(.why))]
-    NoGroup {
+    NoClass {
         /// The effect of the text.
         effect: Effect,
         /// Why it has this effect; empty for a read.
@@ -35,23 +35,23 @@
         /// The column of its key.
         column: String,
     },
-    /// Its keys lie in several groups of hosts.
+    /// Its keys lie in several shards.
     #[error("the statement's keys lie in the groups of hosts {first} and {second}")]
     SeveralShards {
-        /// The first group of hosts found.
-        first: Shard,
+        /// The first shard found.
+        first: ShardId,
         /// Another one.
-        second: Shard,
+        second: ShardId,
     },
-    /// The comment names one group of hosts, its keys lie in another.
+    /// The comment names one shard, its keys lie in another.
     #[error("the comment says cluster={hinted}, and the statement's keys lie in {found}")]
     OtherShard {
         /// The one that the comment names.
-        hinted: Shard,
+        hinted: ShardId,
         /// The one of the keys.
-        found: Shard,
+        found: ShardId,
     },
-    /// Neither comment, keys nor rules name a group of hosts.
+    /// Neither comment, keys nor rules name a shard.
     #[error("nothing says which group of hosts the statement is for")]
     NoShard,
     /// Its tables are not known, since it could not be parsed, and tables are placed by keys.
@@ -67,7 +67,7 @@
     pub fn code(&self) -> &'static str {
         match self {
             AssignmentError::Disagrees { .. } => "42809",
-            AssignmentError::NoGroup { .. }
+            AssignmentError::NoClass { .. }
             | AssignmentError::Transaction
             | AssignmentError::NoKey { .. }
             | AssignmentError::SeveralShards { .. }
--- a/crates/comethitch-statement/src/assign/keys.rs
+++ b/crates/comethitch-statement/src/assign/keys.rs
@@ -1,20 +1,20 @@
-//! From the values of a table's key to groups of hosts.
+//! From the values of a table's key to shards.
 
 use super::values::PlaceholderValues;
 use crate::rules::{Bound, KeyRange, KeyRule, Placement};
 use crate::rules_error::{KeyRuleError, RulesError};
 use crate::verdict::{ColumnValues, TableUse};
-use comethitch_policy::Shard;
+use comethitch_policy::ShardId;
 
 /// Where the values of one key lie.
 pub(super) struct KeyLocation {
-    /// The groups of hosts, each once, in order.
-    pub shards: Vec<Shard>,
+    /// The shards, each once, in order.
+    pub shards: Vec<ShardId>,
     /// A hash of each value, never 0.
     pub hashes: Vec<u64>,
 }
 
-/// Checks that each table has one key, and that every value of a key has a group of hosts.
+/// Checks that each table has one key, and that every value of a key has a shard.
 pub(super) fn check(rules: &[KeyRule]) -> Result<(), RulesError> {
     for (index, rule) in rules.iter().enumerate() {
         check_rule(rule).map_err(|source| RulesError::Key { index, source })?;
@@ -90,7 +90,7 @@
     Some(location)
 }
 
-fn shard_of(placement: &Placement, key: &[u8]) -> Option<Shard> {
+fn shard_of(placement: &Placement, key: &[u8]) -> Option<ShardId> {
     match placement {
         Placement::Hash(shards) => Some(shards[(fnv1a(key) % shards.len() as u64) as usize]),
         Placement::Range(ranges) => {
--- a/crates/comethitch-statement/src/assign/mod.rs
+++ b/crates/comethitch-statement/src/assign/mod.rs
@@ -1,12 +1,12 @@
-//! From a verdict to what the decision module needs: the command group, the group of hosts (shard) and the session.
+//! From a verdict to what the decision module needs: the request class, the shard (shard) and the session.
 //!
-//! [`Assigner`] holds the operator's rules, checked against the deployment. A command group allows only some
+//! [`Assigner`] holds the operator's rules, checked against the deployment. A request class allows only some
 //! effects ([`AllowedEffects`]): rules that would break this are rejected when they are read, and a comment that
 //! would is rejected, or raised to the group that the rules name.
 
 mod allowed_effects;
+mod class_rules;
 mod error;
-mod group_rules;
 mod keys;
 mod values;
 
@@ -19,58 +19,58 @@
 use crate::hints::StatementHints;
 use crate::rules::{Disagreement, KeyRule, Rules};
 use crate::rules_error::RulesError;
+use class_rules::ClassRules;
 use comethitch_policy::time::Duration;
-use comethitch_policy::{CommandGroup, Shard};
-use group_rules::GroupRules;
+use comethitch_policy::{RequestClass, ShardId};
 
 /// Assigns statements by rules that were checked against a deployment.
 #[derive(Clone, Debug)]
 pub struct Assigner {
-    group_rules: GroupRules,
+    class_rules: ClassRules,
     key_rules: Vec<KeyRule>,
-    /// The group of hosts of statements without a key.
-    default_shard: Option<Shard>,
+    /// The shard of statements without a key.
+    default_shard: Option<ShardId>,
     disagreement: Disagreement,
-    /// What each command group of the deployment allows, in its order.
+    /// What each request class of the deployment allows, in its order.
     allowed: Vec<AllowedEffects>,
-    /// The names of the command groups, in the same order.
+    /// The names of the request classes, in the same order.
     names: Vec<String>,
 }
 
 /// Where a statement goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The command group, by its place in the deployment.
-    pub group: usize,
-    /// The group of hosts.
-    pub shard: Shard,
+    /// The request class, by its place in the deployment.
+    pub class: usize,
+    /// The shard.
+    pub shard: ShardId,
     /// The session, as the hash of the one key that its tables lie by; none where there is no key, or several.
     pub session: Option<u64>,
-    /// Its comment named a command group that allows less.
+    /// Its comment named a request class that allows less.
     pub raised: bool,
 }
 
 /// What a statement's keys determine.
 #[derive(Default)]
 struct KeyFindings {
-    /// The group of hosts in which all keys lie.
-    shard: Option<Shard>,
+    /// The shard in which all keys lie.
+    shard: Option<ShardId>,
     /// The hash of the one key's value.
     session: Option<u64>,
 }
 
 impl Assigner {
-    /// Checks rules against a deployment's command groups and their names.
+    /// Checks rules against a deployment's request classes and their names.
     ///
     /// # Errors
     ///
     /// The first rule that is faulty, or that would let a statement run where its effect does harm.
-    pub fn new(rules: &Rules, groups: &[CommandGroup], names: &[String]) -> Result<Assigner, RulesError> {
-        let allowed: Vec<AllowedEffects> = groups.iter().map(AllowedEffects::of).collect();
-        let group_rules = GroupRules::new(&rules.groups, names, &allowed)?;
+    pub fn new(rules: &Rules, classes: &[RequestClass], names: &[String]) -> Result<Assigner, RulesError> {
+        let allowed: Vec<AllowedEffects> = classes.iter().map(AllowedEffects::of).collect();
+        let class_rules = ClassRules::new(&rules.classes, names, &allowed)?;
         keys::check(&rules.keys)?;
         Ok(Assigner {
-            group_rules,
+            class_rules,
             key_rules: rules.keys.clone(),
             default_shard: rules.elsewhere,
             disagreement: rules.disagreement,
@@ -81,7 +81,7 @@
 
     /// The bounds between bands of cost, in rising order.
     pub fn cost_bounds(&self) -> &[Duration] {
-        self.group_rules.cost_bounds()
+        self.class_rules.cost_bounds()
     }
 
     /// Where a statement goes, by its verdict and band of cost, and by the hints of its comment. `values` gives the
@@ -96,33 +96,33 @@
         if verdict.transaction {
             return Err(AssignmentError::Transaction);
         }
-        let is_allowed = |group: usize| self.allowed[group].allows(verdict.effect);
-        let (group, raised) = match hints.group {
-            Some(group) if is_allowed(group) => (group, false),
-            Some(group) if self.disagreement == Disagreement::Refuse => {
-                return Err(self.disagrees(group, verdict));
+        let is_allowed = |class: usize| self.allowed[class].allows(verdict.effect);
+        let (class, raised) = match hints.class {
+            Some(class) if is_allowed(class) => (class, false),
+            Some(class) if self.disagreement == Disagreement::Refuse => {
+                return Err(self.disagrees(class, verdict));
             }
-            hint => (self.group_by_rules(verdict, band)?, hint.is_some()),
+            hint => (self.class_by_rules(verdict, band)?, hint.is_some()),
         };
         let keys = self.locate_keys(verdict, values, hints.shard.is_some())?;
         let shard = self.shard(hints.shard, keys.shard)?;
-        Ok(Assignment { group, shard, session: keys.session, raised })
+        Ok(Assignment { class, shard, session: keys.session, raised })
     }
 
-    fn disagrees(&self, group: usize, verdict: &Verdict) -> AssignmentError {
+    fn disagrees(&self, class: usize, verdict: &Verdict) -> AssignmentError {
         AssignmentError::Disagrees {
-            group: self.names[group].clone(),
+            class: self.names[class].clone(),
             effect: verdict.effect,
             why: verdict.why.to_string(),
         }
     }
 
-    fn group_by_rules(&self, verdict: &Verdict, band: u8) -> Result<usize, AssignmentError> {
-        let no_group = || AssignmentError::NoGroup { effect: verdict.effect, why: verdict.why.to_string() };
-        self.group_rules.group(verdict, band).ok_or_else(no_group)
+    fn class_by_rules(&self, verdict: &Verdict, band: u8) -> Result<usize, AssignmentError> {
+        let no_class = || AssignmentError::NoClass { effect: verdict.effect, why: verdict.why.to_string() };
+        self.class_rules.class(verdict, band).ok_or_else(no_class)
     }
 
-    fn shard(&self, hinted: Option<Shard>, found: Option<Shard>) -> Result<Shard, AssignmentError> {
+    fn shard(&self, hinted: Option<ShardId>, found: Option<ShardId>) -> Result<ShardId, AssignmentError> {
         match (hinted, found) {
             (Some(hinted), Some(found)) if hinted != found => {
                 Err(AssignmentError::OtherShard { hinted, found })
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Where the statement's keys lie. A comment that names the group of hosts makes up for keys that are not
+    /// Where the statement's keys lie. A comment that names the shard makes up for keys that are not
     /// known, but not for those that lie elsewhere.
     fn locate_keys(
         &self, verdict: &Verdict, values: &dyn PlaceholderValues, has_shard_hint: bool,
@@ -173,8 +173,8 @@
     }
 }
 
-/// The one group of hosts among those found before and now.
-fn only_shard(found: Option<Shard>, shards: &[Shard]) -> Result<Option<Shard>, AssignmentError> {
+/// The one shard among those found before and now.
+fn only_shard(found: Option<ShardId>, shards: &[ShardId]) -> Result<Option<ShardId>, AssignmentError> {
     let mut only = found;
     for shard in shards {
         match only {
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -1,5 +1,5 @@
-//! Classifies SQL statements by their text: what a statement may do, its shape, its cost, and the command group and
-//! group of hosts that it belongs to.
+//! Classifies SQL statements by their text: what a statement may do, its shape, its cost, and the request class and
+//! shard that it belongs to.
 //!
 //! [`lexer`] reduces a statement to its *shape* in one pass; the shape's [`Verdict`] is looked up in a [`cache`] or
 //! worked out by [`classify`]: its effect, the tables and functions that it names, and what makes it costly.
@@ -47,6 +47,6 @@
 pub use dialect::Dialect;
 pub use lexer::Lexer;
 pub use rules::Rules;
-pub use rules_error::{GroupRuleError, KeyRuleError, RulesError};
+pub use rules_error::{ClassRuleError, KeyRuleError, RulesError};
 pub use shape::{Secret, ShapeKey};
 pub use verdict::{Effect, Features, Verdict};
--- a/crates/comethitch-statement/src/rules.rs
+++ b/crates/comethitch-statement/src/rules.rs
@@ -8,23 +8,24 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The rules by which statements are assigned to command groups and groups of hosts.
+/// The rules by which statements are assigned to request classes and shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
     /// The language that clients and hosts speak.
     pub dialect: Dialect,
-    /// What becomes of a statement whose comment names a command group that may do less than its text does.
+    /// What becomes of a statement whose comment names a request class that may do less than its text does.
     pub disagreement: Disagreement,
     /// How statements without a comment, or whose comment leaves something out, are admitted. Without this they
     /// are rejected.
     pub commentless: Option<Commentless>,
-    /// From effects, tables and costs to command groups; the first rule that fits counts.
-    pub groups: Vec<GroupRule>,
-    /// From keys to groups of hosts. Without any, a comment must name the group of hosts, or `elsewhere` does.
+    /// From effects, tables and costs to request classes; the first rule that fits counts.
+    #[serde(rename = "groups")]
+    pub classes: Vec<ClassRule>,
+    /// From keys to shards. Without any, a comment must name the shard, or `elsewhere` does.
     #[serde(default)]
     pub keys: Vec<KeyRule>,
-    /// The group of hosts of statements that name no table with a key.
+    /// The shard of statements that name no table with a key.
     pub elsewhere: Option<u16>,
     /// Names that the router can't know: functions, tables, types and operators.
     #[serde(default)]
@@ -37,13 +38,13 @@
     pub parsing: Parsing,
 }
 
-/// What becomes of a statement whose comment names a command group that may do less than its text does.
+/// What becomes of a statement whose comment names a request class that may do less than its text does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Disagreement {
     /// The statement is rejected, with an error that says why.
     Refuse,
-    /// It goes by the command group that the rules name.
+    /// It goes by the request class that the rules name.
     Raise,
 }
 
@@ -55,12 +56,13 @@
     pub wait_ms: u64,
 }
 
-/// Statements that fit all conditions belong to the command group.
+/// Statements that fit all conditions belong to the request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct GroupRule {
-    /// The command group, by its name in `settings.classes`.
-    pub group: String,
+#[serde(rename = "GroupRule", expecting = "struct GroupRule", deny_unknown_fields)]
+pub struct ClassRule {
+    /// The request class, by its name in `settings.classes`.
+    #[serde(rename = "group")]
+    pub class: String,
     /// The statement has one of these effects.
     pub effects: Vec<Effect>,
     /// It uses one of these tables; without this, any tables.
@@ -71,7 +73,7 @@
     pub below_ms: Option<f64>,
 }
 
-/// Tables whose rows are placed in groups of hosts by one of their columns.
+/// Tables whose rows are placed in shards by one of their columns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KeyRule {
@@ -83,11 +85,11 @@
     pub spread: Placement,
 }
 
-/// How keys are placed in groups of hosts.
+/// How keys are placed in shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Spread", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Placement {
-    /// By the 64-bit FNV-1a hash of the key's text, modulo the number of groups of hosts: that many of them, in
+    /// By the 64-bit FNV-1a hash of the key's text, modulo the number of shards: that many of them, in
     /// this order.
     Hash(Vec<u16>),
     /// By ranges of keys, in rising order.
@@ -101,7 +103,7 @@
     /// Keys below this; the last range has none, and takes all others. A number compares as a number, a text
     /// byte by byte.
     pub below: Option<Bound>,
-    /// The group of hosts.
+    /// The shard.
     pub hosts: u16,
 }
 
--- a/crates/comethitch-statement/src/rules_error.rs
+++ b/crates/comethitch-statement/src/rules_error.rs
@@ -23,22 +23,22 @@
         /// The size given, in KiB.
         kib: usize,
     },
-    /// There is no rule for any command group.
+    /// There is no rule for any request class.
     #[error("groups must hold a rule")]
-    NoGroups,
+    NoClasses,
     /// The rules name more different bounds of cost than there may be.
     #[error("groups must not hold more than {most} bounds of cost")]
     TooManyCostBounds {
         /// The most that there may be.
         most: usize,
     },
-    /// A rule for a command group is faulty.
+    /// A rule for a request class is faulty.
     #[error("groups.{index}.{source}")]
     Group {
         /// The rule's place, from 0.
         index: usize,
         /// What is wrong with it.
-        source: GroupRuleError,
+        source: ClassRuleError,
     },
     /// A rule for keys is faulty.
     #[error("keys.{index}.{source}")]
@@ -50,25 +50,25 @@
     },
 }
 
-/// What is wrong with one rule for a command group.
+/// What is wrong with one rule for a request class.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum GroupRuleError {
-    /// The deployment has no command group of this name.
+pub enum ClassRuleError {
+    /// The deployment has no request class of this name.
     #[error("group is no command group: {name:?}")]
-    UnknownGroup {
+    UnknownClass {
         /// The name given.
         name: String,
     },
     /// It lists no effect.
     #[error("effects must name an effect")]
     NoEffects,
-    /// The command group's idempotency or consistency does not allow an effect.
-    #[error("effects holds {}, and commands of {group:?} may go to replicas or be sent again", .effect.name())]
+    /// The request class's idempotency or consistency does not allow an effect.
+    #[error("effects holds {}, and commands of {class:?} may go to replicas or be sent again", .effect.name())]
     EffectNotAllowed {
         /// The effect.
         effect: Effect,
-        /// The command group's name.
-        group: String,
+        /// The request class's name.
+        class: String,
     },
     /// A bound is no duration.
     #[error("{key} must be a time above 0, not {milliseconds}")]
@@ -95,7 +95,7 @@
         /// The table.
         table: String,
     },
-    /// It hashes keys to no group of hosts.
+    /// It hashes keys to no shard.
     #[error("spread.hash must name a group of hosts")]
     NoShards,
     /// It has no ranges of keys.
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Where statements go by the operator's rules, and which rules are rejected.
 
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_policy::{Consistency, DeduplicationScope, Idempotency, RequestClass};
 use comethitch_statement::admission::{
     AdmittedStatement, StatementAdmission, StatementHints, StatementRejection, VerdictSource,
 };
@@ -9,25 +9,25 @@
 use comethitch_statement::{Rules, RulesError, Secret};
 use serde_json::{Value, json};
 
-fn groups() -> (Vec<CommandGroup>, Vec<String>) {
-    let group = |effect, need| CommandGroup {
+fn classes() -> (Vec<RequestClass>, Vec<String>) {
+    let class = |effect, need| RequestClass {
         latency_objective: Duration::from_millis(250),
         timeout: Duration::from_millis(600),
         priority_weight: 1.0,
         idempotency: effect,
-        deduplication_scope: DeduplicationScope::Shard,
+        deduplication_scope: DeduplicationScope::ShardId,
         deduplication_window: Duration::ZERO,
         consistency: need,
     };
     let all = [
-        ("read", group(Idempotency::Idempotent, Consistency::BoundedStaleness(Duration::from_secs(3)))),
-        ("fresh", group(Idempotency::Idempotent, Consistency::Strong)),
-        ("heavy", group(Idempotency::Idempotent, Consistency::Eventual)),
-        ("locked", group(Idempotency::Idempotent, Consistency::Write)),
-        ("keyed", group(Idempotency::Keyed, Consistency::Write)),
-        ("write", group(Idempotency::NonIdempotent, Consistency::Write)),
+        ("read", class(Idempotency::Idempotent, Consistency::BoundedStaleness(Duration::from_secs(3)))),
+        ("fresh", class(Idempotency::Idempotent, Consistency::Strong)),
+        ("heavy", class(Idempotency::Idempotent, Consistency::Eventual)),
+        ("locked", class(Idempotency::Idempotent, Consistency::Write)),
+        ("keyed", class(Idempotency::Keyed, Consistency::Write)),
+        ("write", class(Idempotency::NonIdempotent, Consistency::Write)),
     ];
-    all.into_iter().map(|(name, group)| (group, name.to_string())).unzip()
+    all.into_iter().map(|(name, class)| (class, name.to_string())).unzip()
 }
 
 fn rules() -> Value {
@@ -53,22 +53,22 @@
 
 fn admission(rules: &Value) -> Result<StatementAdmission, RulesError> {
     let rules: Rules = serde_json::from_value(rules.clone()).expect("rules");
-    let (groups, names) = groups();
-    StatementAdmission::new(rules, &groups, &names, Secret([3; 16]), Timestamp::ZERO)
+    let (classes, names) = classes();
+    StatementAdmission::new(rules, &classes, &names, Secret([3; 16]), Timestamp::ZERO)
 }
 
 fn admit(
-    admission: &mut StatementAdmission, text: &str, group: Option<&str>,
+    admission: &mut StatementAdmission, text: &str, class: Option<&str>,
 ) -> Result<AdmittedStatement, StatementRejection> {
-    let group = group.map(|group| groups().1.iter().position(|name| name == group).expect("a group"));
-    admission.admit(text.as_bytes(), StatementHints { group, shard: None }, 1, &|| Timestamp::ZERO)
+    let class = class.map(|class| classes().1.iter().position(|name| name == class).expect("a group"));
+    admission.admit(text.as_bytes(), StatementHints { class, shard: None }, 1, &|| Timestamp::ZERO)
 }
 
 #[test]
 fn statements_go_where_the_rules_say() {
     let mut admission = admission(&rules()).expect("rules");
     let hashed = |key: &str| [4, 5, 6][(fnv1a(key.as_bytes()) % 3) as usize];
-    for (text, group, hosts) in [
+    for (text, class, hosts) in [
         ("SELECT data FROM facts WHERE code = 'k1'", "read", hashed("k1")),
         ("SELECT data FROM facts WHERE code = 'it''s'", "read", hashed("it's")),
         ("SELECT data FROM facts WHERE code IN (17, '17')", "read", hashed("17")),
@@ -81,8 +81,8 @@
     ] {
         let passed = admit(&mut admission, text, None).expect(text);
         assert_eq!(
-            (groups().1[passed.assigned.group].as_str(), passed.assigned.shard),
-            (group, hosts),
+            (classes().1[passed.assigned.class].as_str(), passed.assigned.shard),
+            (class, hosts),
             "{text}"
         );
     }
@@ -129,7 +129,7 @@
 #[test]
 fn a_comment_may_be_stricter_than_the_text_and_never_milder() {
     let mut admission = admission(&rules()).expect("rules");
-    for (text, group, passes) in [
+    for (text, class, passes) in [
         ("SELECT 1", "read", true),
         ("SELECT 1", "write", true),
         ("SELECT 1 FROM series FOR SHARE", "read", false),
@@ -140,13 +140,13 @@
         ("SELECT CAST(a AS precio) FROM series", "write", true),
         ("DELETE FROM series", "fresh", false),
     ] {
-        let passed = admit(&mut admission, text, Some(group));
+        let passed = admit(&mut admission, text, Some(class));
         match passed {
-            Ok(passed) => assert!(passes && !passed.assigned.raised, "{text} as {group}"),
+            Ok(passed) => assert!(passes && !passed.assigned.raised, "{text} as {class}"),
             Err(StatementRejection::Refused(AssignmentError::Disagrees { .. })) => {
-                assert!(!passes, "{text} as {group}")
+                assert!(!passes, "{text} as {class}")
             }
-            Err(other) => panic!("{text} as {group}: {other:?}"),
+            Err(other) => panic!("{text} as {class}: {other:?}"),
         }
     }
 }
@@ -156,11 +156,14 @@
     let mut admission = admission(&rules()).expect("rules");
     let text = "SELECT * FROM series WHERE titulo LIKE 'x%'";
     let passed = admit(&mut admission, text, None).expect("it passes");
-    assert_eq!(groups().1[passed.assigned.group], "read");
+    assert_eq!(classes().1[passed.assigned.class], "read");
     (0..30).for_each(|_| admission.learn(&passed.known, Duration::from_millis(400)));
     let other =
         admit(&mut admission, "select * from SERIES where titulo like 'another%'", None).expect("it passes");
-    assert_eq!((groups().1[other.assigned.group].as_str(), other.source), ("heavy", VerdictSource::CacheHit));
+    assert_eq!(
+        (classes().1[other.assigned.class].as_str(), other.source),
+        ("heavy", VerdictSource::CacheHit)
+    );
 }
 
 #[test]
@@ -177,14 +180,14 @@
             ticks.set(ticks.get() + 50);
             Timestamp::from_micros(ticks.get())
         };
-        let hints = |shard| StatementHints { group: None, shard };
+        let hints = |shard| StatementHints { class: None, shard };
         for nth in 0..500 {
             let _ = admission.admit(format!("SELECT c{nth} FROM series").as_bytes(), hints(None), 1, &clock);
         }
         match (beyond, admission.admit(b"SELECT last FROM series", hints(Some(9)), 1, &clock)) {
             ("cautious", Ok(passed)) => {
-                let group = &groups().1[passed.assigned.group];
-                assert_eq!((group.as_str(), passed.source), ("write", VerdictSource::BudgetExceeded));
+                let class = &classes().1[passed.assigned.class];
+                assert_eq!((class.as_str(), passed.source), ("write", VerdictSource::BudgetExceeded));
                 // Without a parse its key is not known, and a retry may be parsed.
                 let retried = admission.admit(b"SELECT last FROM series", hints(None), 1, &clock);
                 assert_eq!(retried.err(), Some(StatementRejection::Throttled));
@@ -204,17 +207,17 @@
         change(&mut rules);
         admission(&rules).err().map(|error| error.to_string()).unwrap_or_default()
     };
-    let group = |effects: Value, name: &str| json!({"group": name, "effects": effects});
+    let class = |effects: Value, name: &str| json!({"group": name, "effects": effects});
     type Change<'a> = &'a dyn Fn(&mut Value);
     let faults: [(&str, Change<'_>); 16] = [
         ("groups.2.group is no command group", &|r| r["groups"][2]["group"] = "x".into()),
-        ("groups.2.effects holds write", &|r| r["groups"][2] = group(json!(["read", "write"]), "read")),
+        ("groups.2.effects holds write", &|r| r["groups"][2] = class(json!(["read", "write"]), "read")),
         ("groups.2.effects holds locking_read", &|r| {
-            r["groups"][2] = group(json!(["locking_read"]), "fresh")
+            r["groups"][2] = class(json!(["locking_read"]), "fresh")
         }),
-        ("groups.2.effects holds write", &|r| r["groups"][2] = group(json!(["write"]), "locked")),
-        ("groups.2.effects holds unknown", &|r| r["groups"][2] = group(json!(["unknown"]), "keyed")),
-        ("groups.2.effects must name", &|r| r["groups"][2] = group(json!([]), "write")),
+        ("groups.2.effects holds write", &|r| r["groups"][2] = class(json!(["write"]), "locked")),
+        ("groups.2.effects holds unknown", &|r| r["groups"][2] = class(json!(["unknown"]), "keyed")),
+        ("groups.2.effects must name", &|r| r["groups"][2] = class(json!([]), "write")),
         ("groups must hold a rule", &|r| r["groups"] = json!([])),
         ("groups.1.from_ms must be", &|r| r["groups"][1]["from_ms"] = (-1.0).into()),
         ("groups.1.below_ms must be above", &|r| r["groups"][1]["below_ms"] = 3.into()),
--- a/crates/comethitch-testkit/src/behavior.rs
+++ b/crates/comethitch-testkit/src/behavior.rs
@@ -1,11 +1,11 @@
-//! The behaviors that a test can script a host with: fault injection, command by command.
+//! The behaviors that a test can script a host with: fault injection, request by request.
 
 use std::time::Duration;
 
-/// What a host does with a command. Unless a variant says otherwise the command is executed.
+/// What a host does with a request. Unless a variant says otherwise the request is executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostBehavior {
-    /// Answers with the command's key.
+    /// Answers with the request's key.
     Answer,
     /// Answers with the key after a delay.
     AnswerAfter(Duration),
@@ -13,23 +13,23 @@
     Trickle,
     /// Answers with the key and sends surplus data after it.
     AnswerTwice,
-    /// Closes the connection without executing the command.
+    /// Closes the connection without executing the request.
     ResetBefore,
-    /// Executes the command and closes the connection without an answer.
+    /// Executes the request and closes the connection without an answer.
     ResetAfter,
     /// Sends the first half of the answer and closes the connection.
     Truncate,
     /// Sends bytes that the protocol does not allow.
     Malformed,
-    /// Neither executes the command nor answers.
+    /// Neither executes the request nor answers.
     Hang,
-    /// Executes the command and does not answer.
+    /// Executes the request and does not answer.
     HangAfter,
-    /// Rejects the command for lack of capacity, without executing it.
+    /// Rejects the request for lack of capacity, without executing it.
     Overloaded,
-    /// Answers with an error that is not retryable, without executing the command.
+    /// Answers with an error that is not retryable, without executing the request.
     Error,
-    /// Executes the command and answers with an error on which drivers retry.
+    /// Executes the request and answers with an error on which drivers retry.
     TransientError,
     /// Answers with two megabytes of rows; the last row holds the key.
     LargeAnswer,
@@ -42,7 +42,7 @@
 }
 
 impl HostBehavior {
-    /// Whether the host executes the command before it answers or fails.
+    /// Whether the host executes the request before it answers or fails.
     pub(crate) fn executes(self) -> bool {
         !matches!(
             self,
--- a/crates/comethitch-testkit/src/client.rs
+++ b/crates/comethitch-testkit/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of either protocol that sends commands one at a time and reads their answers, blocking.
+//! A client of either protocol that sends requests one at a time and reads their answers, blocking.
 
 use crate::protocol::{LONG, Protocol};
 use crate::received::Received;
@@ -31,7 +31,7 @@
         Client { protocol, stream }
     }
 
-    /// Sends a command. If the router has closed the connection, the next [`Client::receive`] says so.
+    /// Sends a request. If the router has closed the connection, the next [`Client::receive`] says so.
     ///
     /// # Panics
     ///
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Sends a command and reads its answer.
+    /// Sends a request and reads its answer.
     pub fn execute(&mut self, text: &str) -> Received {
         self.send(text);
         self.receive()
     }
 
-    /// Whether nothing has arrived after the answers read so far, such as a second answer to one command.
+    /// Whether nothing has arrived after the answers read so far, such as a second answer to one request.
     ///
     /// # Panics
     ///
--- a/crates/comethitch-testkit/src/connection.rs
+++ b/crates/comethitch-testkit/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a scripted host after its login: the loop that reads commands and responds as scripted, the same
+//! One connection of a scripted host after its login: the loop that reads requests and responds as scripted, the same
 //! for both protocols. Each protocol implements [`ServerProtocol`] and contributes only its bytes.
 
 use crate::behavior::HostBehavior;
@@ -24,7 +24,7 @@
     Transient,
 }
 
-/// The server side of a protocol on one connection. The encoders belong to the command read last.
+/// The server side of a protocol on one connection. The encoders belong to the request read last.
 pub(crate) trait ServerProtocol {
     /// The text of the health check that the router sends in this protocol.
     const HEALTH_CHECK: &'static str;
@@ -32,8 +32,8 @@
     /// The connection's socket.
     fn stream(&mut self) -> &mut TcpStream;
 
-    /// Reads the next command; none once the client has ended the session.
-    fn read_command(&mut self) -> Result<Option<String>, ConnectionError>;
+    /// Reads the next request; none once the client has ended the session.
+    fn read_request(&mut self) -> Result<Option<String>, ConnectionError>;
 
     /// The answer to a health check: the host's position in Unix milliseconds, and whether it is a primary.
     fn health_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8>;
@@ -63,16 +63,16 @@
 /// Whether a connection goes on after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
-    ReadCommand,
+    ReadRequest,
     Close,
 }
 
-/// Reads commands and responds to them until either side ends the connection.
-pub(crate) fn serve_commands<P: ServerProtocol>(
+/// Reads requests and responds to them until either side ends the connection.
+pub(crate) fn serve_requests<P: ServerProtocol>(
     mut protocol: P, engine: &Engine,
 ) -> Result<(), ConnectionError> {
     let mut transaction_open = false;
-    while let Some(text) = protocol.read_command()? {
+    while let Some(text) = protocol.read_request()? {
         if transaction_open {
             engine.record_interleaved(&text);
         }
@@ -155,7 +155,7 @@
 
 fn send<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<Next, ConnectionError> {
     protocol.stream().write_all(bytes)?;
-    Ok(Next::ReadCommand)
+    Ok(Next::ReadRequest)
 }
 
 fn send_and_close<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<Next, ConnectionError> {
@@ -173,7 +173,7 @@
         protocol.stream().write_all(&[*byte])?;
         std::thread::sleep(TRICKLE_INTERVAL);
     }
-    Ok(Next::ReadCommand)
+    Ok(Next::ReadRequest)
 }
 
 /// Stays silent until the peer sends something, such as a cancellation, or closes the connection.
--- a/crates/comethitch-testkit/src/engine.rs
+++ b/crates/comethitch-testkit/src/engine.rs
@@ -1,9 +1,9 @@
-//! The database behind a scripted host, independent of the protocol: it executes commands as its script says, and
+//! The database behind a scripted host, independent of the protocol: it executes requests as its script says, and
 //! records them in the ledger.
 
 use crate::behavior::HostBehavior;
-use crate::command::{key, writes};
 use crate::ledger::{Entry, Ledger};
+use crate::request::{key, writes};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::Sender;
@@ -11,16 +11,16 @@
 
 type Script = Box<dyn Fn(usize, &str) -> HostBehavior + Send + Sync>;
 
-/// How a connection must respond to a command.
+/// How a connection must respond to a request.
 pub(crate) enum Response {
-    /// As this behavior says; an answer holds the command's key.
+    /// As this behavior says; an answer holds the request's key.
     Scripted {
         /// What the script chose.
         behavior: HostBehavior,
-        /// The command's key.
+        /// The request's key.
         key: String,
     },
-    /// With an error: the command writes, and the host is a replica.
+    /// With an error: the request writes, and the host is a replica.
     ReadOnly,
     /// Not at all: the host is down, and the connection ends.
     Close,
@@ -31,27 +31,27 @@
     name: String,
     primary: AtomicBool,
     replication_lag_ms: AtomicU64,
-    /// New connections are dropped, and open ones end at their next command.
+    /// New connections are dropped, and open ones end at their next request.
     down: AtomicBool,
     script: Mutex<Script>,
-    command_count: AtomicUsize,
+    request_count: AtomicUsize,
     ledger: Ledger,
-    /// Notifies the test of each command.
-    commands: Mutex<Sender<String>>,
+    /// Notifies the test of each request.
+    requests: Mutex<Sender<String>>,
 }
 
 impl Engine {
-    /// An engine that answers every command.
-    pub(crate) fn new(name: &str, primary: bool, ledger: &Ledger, commands: Sender<String>) -> Engine {
+    /// An engine that answers every request.
+    pub(crate) fn new(name: &str, primary: bool, ledger: &Ledger, requests: Sender<String>) -> Engine {
         Engine {
             name: name.into(),
             primary: AtomicBool::new(primary),
             replication_lag_ms: AtomicU64::new(0),
             down: AtomicBool::new(false),
             script: Mutex::new(Box::new(|_, _| HostBehavior::Answer)),
-            command_count: AtomicUsize::new(0),
+            request_count: AtomicUsize::new(0),
             ledger: ledger.clone(),
-            commands: Mutex::new(commands),
+            requests: Mutex::new(requests),
         }
     }
 
@@ -85,7 +85,7 @@
         *self.script.lock().expect("scripts do not panic") = Box::new(script);
     }
 
-    /// Runs a command that has arrived completely. An execution is in the ledger before anything is answered.
+    /// Runs a request that has arrived completely. An execution is in the ledger before anything is answered.
     pub(crate) fn execute(&self, text: &str) -> Response {
         if self.is_down() {
             return Response::Close;
@@ -107,18 +107,18 @@
         Response::Scripted { behavior, key: key(text).to_string() }
     }
 
-    /// Records a command on a connection on which a transaction was left open.
+    /// Records a request on a connection on which a transaction was left open.
     pub(crate) fn record_interleaved(&self, text: &str) {
         self.ledger.record(Entry::Interleaved { host: self.name.clone(), text: text.into() });
     }
 
     fn next_behavior(&self, text: &str) -> HostBehavior {
-        let nth = self.command_count.fetch_add(1, Ordering::SeqCst);
+        let nth = self.request_count.fetch_add(1, Ordering::SeqCst);
         self.script.lock().expect("scripts do not panic")(nth, text)
     }
 
     fn notify_test(&self, text: &str) {
-        // A test that has dropped its host no longer waits for commands.
-        let _ = self.commands.lock().expect("sending does not panic").send(text.into());
+        // A test that has dropped its host no longer waits for requests.
+        let _ = self.requests.lock().expect("sending does not panic").send(text.into());
     }
 }
--- a/crates/comethitch-testkit/src/host.rs
+++ b/crates/comethitch-testkit/src/host.rs
@@ -18,7 +18,7 @@
     pub address: SocketAddr,
     engine: Arc<Engine>,
     connections: Arc<Connections>,
-    commands: Receiver<String>,
+    requests: Receiver<String>,
 }
 
 /// The connections that a host has accepted.
@@ -30,7 +30,7 @@
 }
 
 impl Host {
-    /// Starts a host. Until [`Host::script`] says otherwise it answers every command.
+    /// Starts a host. Until [`Host::script`] says otherwise it answers every request.
     ///
     /// # Panics
     ///
@@ -38,16 +38,16 @@
     pub fn start(name: &str, protocol: Protocol, primary: bool, ledger: &Ledger) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
-        let (sender, commands) = channel();
+        let (sender, requests) = channel();
         let engine = Arc::new(Engine::new(name, primary, ledger, sender));
         let connections = Arc::new(Connections::default());
         let accepting = (engine.clone(), connections.clone());
         std::thread::spawn(move || accept(&listener, protocol, &accepting.0, &accepting.1));
-        Host { address, engine, connections, commands }
+        Host { address, engine, connections, requests }
     }
 
-    /// Sets what the host does from now on, from the number of commands that arrived before (from the start of the
-    /// host, not of the script) and the command's text.
+    /// Sets what the host does from now on, from the number of requests that arrived before (from the start of the
+    /// host, not of the script) and the request's text.
     pub fn script(&self, script: impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static) {
         self.engine.set_script(script);
     }
@@ -74,13 +74,13 @@
         self.connections.shut_down();
     }
 
-    /// Waits for the next command and returns its text.
+    /// Waits for the next request and returns its text.
     ///
     /// # Panics
     ///
     /// If none arrives within [`LONG`].
-    pub fn next_command(&self) -> String {
-        self.commands.recv_timeout(LONG).expect("a command arrives at the host")
+    pub fn next_request(&self) -> String {
+        self.requests.recv_timeout(LONG).expect("a command arrives at the host")
     }
 
     /// How many connections it has accepted so far.
--- a/crates/comethitch-testkit/src/ledger.rs
+++ b/crates/comethitch-testkit/src/ledger.rs
@@ -1,41 +1,41 @@
 //! A record of what reached the hosts of a test, and a checker that compares it with what clients received.
 //!
-//! The checker holds the router's rules on final answers: one answer to each command, no write executed twice or at
-//! a replica, no answer of another command, no throttled write that was executed, a bound on attempts, and no command
+//! The checker holds the router's rules on final answers: one answer to each request, no write executed twice or at
+//! a replica, no answer of another request, no throttled write that was executed, a bound on attempts, and no request
 //! within another client's transaction.
 
-use crate::command::{key, writes};
 use crate::received::Received;
+use crate::request::{key, writes};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// The most attempts that a router may make for one command, retries and hedged requests included.
+/// The most attempts that a router may make for one request, retries and hedged requests included.
 const MAX_ATTEMPTS: usize = 6;
 
 /// Something that happened at a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// The last byte of a command arrived.
+    /// The last byte of a request arrived.
     Arrived {
         /// The host's name.
         host: String,
-        /// The command.
+        /// The request.
         text: String,
     },
-    /// A command was executed.
+    /// A request was executed.
     Executed {
         /// The host's name.
         host: String,
-        /// The command.
+        /// The request.
         text: String,
         /// Whether the host was a primary at that moment.
         primary: bool,
     },
-    /// A command arrived on a connection on which another command had left a transaction open.
+    /// A request arrived on a connection on which another request had left a transaction open.
     Interleaved {
         /// The host's name.
         host: String,
-        /// The command that arrived.
+        /// The request that arrived.
         text: String,
     },
 }
@@ -44,10 +44,10 @@
 #[derive(Clone, Default)]
 pub struct Ledger(Arc<Mutex<Vec<Entry>>>);
 
-/// A command that a client sent, and every answer that it received.
+/// A request that a client sent, and every answer that it received.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// The command.
+    /// The request.
     pub text: String,
     /// The answers in order; a router that keeps the rules gives exactly one.
     pub answers: Vec<Received>,
@@ -56,12 +56,12 @@
 /// A rule that the router broke.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A command was sent on a connection on which another client's transaction was open.
+    /// A request was sent on a connection on which another client's transaction was open.
     #[error("within another's transaction at {host}: {text}")]
     Interleaved {
         /// The host's name.
         host: String,
-        /// The command that was sent.
+        /// The request that was sent.
         text: String,
     },
     /// A write was executed at a host that was no primary.
@@ -75,7 +75,7 @@
     /// A client received no final answer or several.
     #[error("{} final answers to {text}: {answers:?}", answers.len())]
     AnswerCount {
-        /// The command.
+        /// The request.
         text: String,
         /// Everything that the client received.
         answers: Vec<Received>,
@@ -88,18 +88,18 @@
         /// How often it was executed.
         executions: usize,
     },
-    /// The answer belongs to another command.
+    /// The answer belongs to another request.
     #[error("another's answer, {value:?}, to {text}")]
     ForeignAnswer {
-        /// The command.
+        /// The request.
         text: String,
-        /// The value received in place of the command's key.
+        /// The value received in place of the request's key.
         value: String,
     },
-    /// The client received a success, but no host executed the command.
+    /// The client received a success, but no host executed the request.
     #[error("answered and never run: {text}")]
     AnsweredWithoutExecution {
-        /// The command.
+        /// The request.
         text: String,
     },
     /// The client was told that nothing ran, but a host executed the write.
@@ -111,14 +111,14 @@
     /// The router made more attempts than it may.
     #[error("sent {attempts} times: {text}")]
     TooManyAttempts {
-        /// The command.
+        /// The request.
         text: String,
         /// How often it arrived at hosts.
         attempts: usize,
     },
 }
 
-/// How often the command of each key arrived and was executed.
+/// How often the request of each key arrived and was executed.
 #[derive(Default)]
 struct Counts {
     attempts: BTreeMap<String, usize>,
@@ -136,12 +136,12 @@
         self.0.lock().expect("no thread panics while it holds the lock").clone()
     }
 
-    /// How many commands arrived at hosts: the router's attempts.
+    /// How many requests arrived at hosts: the router's attempts.
     pub fn attempts(&self) -> usize {
         self.entries().iter().filter(|entry| matches!(entry, Entry::Arrived { .. })).count()
     }
 
-    /// How often the command with this key was executed.
+    /// How often the request with this key was executed.
     pub fn executions(&self, wanted: &str) -> usize {
         let matches = |entry: &&Entry| matches!(entry, Entry::Executed { text, .. } if key(text) == wanted);
         self.entries().iter().filter(matches).count()
@@ -202,7 +202,7 @@
     }
 }
 
-/// Whether an answer fits a command that was executed so many times.
+/// Whether an answer fits a request that was executed so many times.
 fn check_answer(text: &str, answer: &Received, executions: usize) -> Option<Violation> {
     match answer {
         Received::Answered(value) if value != key(text) => {
--- a/crates/comethitch-testkit/src/lib.rs
+++ b/crates/comethitch-testkit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Test doubles for what a router talks to: scripted database hosts, and clients of both protocols, on loopback.
 //!
 //! A [`Host`] listens on a loopback port and follows a script of [`HostBehavior`]s; a [`Client`] connects to a router
-//! and sends commands. All hosts of a test record what reaches them in one [`Ledger`], which then checks the answers
+//! and sends requests. All hosts of a test record what reaches them in one [`Ledger`], which then checks the answers
 //! that clients received against the router's rules. The two protocols, in [`postgres`] and [`tds`], are written from
 //! their public specifications and share no code with the router except the TDS codec.
 //!
@@ -11,7 +11,6 @@
 
 pub mod behavior;
 pub mod client;
-pub mod command;
 mod connection;
 mod engine;
 mod error;
@@ -20,12 +19,13 @@
 pub mod postgres;
 pub mod protocol;
 pub mod received;
+pub mod request;
 pub mod tds;
 
 pub use behavior::HostBehavior;
 pub use client::Client;
-pub use command::{key, writes};
 pub use host::Host;
 pub use ledger::{Exchange, Ledger, Violation};
 pub use protocol::{LONG, Protocol};
 pub use received::Received;
+pub use request::{key, writes};
--- a/crates/comethitch-testkit/src/postgres/server.rs
+++ b/crates/comethitch-testkit/src/postgres/server.rs
@@ -4,7 +4,7 @@
     TransactionStatus, command_complete, data_row, error, message, message_type, read_message,
     ready_for_query, row, row_description,
 };
-use crate::connection::{ServerError, ServerProtocol, serve_commands};
+use crate::connection::{ServerError, ServerProtocol, serve_requests};
 use crate::engine::Engine;
 use crate::error::ConnectionError;
 use std::io::{self, Read, Write};
@@ -18,12 +18,12 @@
     stream: TcpStream,
 }
 
-/// Accepts the client without a password and serves its commands.
+/// Accepts the client without a password and serves its requests.
 pub(crate) fn serve(mut stream: TcpStream, engine: &Engine) -> Result<(), ConnectionError> {
     read_startup_message(&mut stream)?;
     let authentication_ok = message(message_type::AUTHENTICATION, &[0; 4]);
     stream.write_all(&then_ready(authentication_ok))?;
-    serve_commands(PostgresServer { stream }, engine)
+    serve_requests(PostgresServer { stream }, engine)
 }
 
 fn read_startup_message(stream: &mut TcpStream) -> io::Result<()> {
@@ -53,7 +53,7 @@
         &mut self.stream
     }
 
-    fn read_command(&mut self) -> Result<Option<String>, ConnectionError> {
+    fn read_request(&mut self) -> Result<Option<String>, ConnectionError> {
         let message = read_message(&mut self.stream)?;
         if message.message_type != message_type::QUERY {
             return Ok(None);
--- a/crates/comethitch-testkit/src/received.rs
+++ b/crates/comethitch-testkit/src/received.rs
@@ -1,15 +1,15 @@
-//! What a client received in answer to a command, the same for both protocols.
+//! What a client received in answer to a request, the same for both protocols.
 
-/// The answer to one command.
+/// The answer to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// The command succeeded: the first column of the last row, or an empty text if there was no row.
+    /// The request succeeded: the first column of the last row, or an empty text if there was no row.
     Answered(String),
-    /// The router shed the command: nothing ran and the client may retry.
+    /// The router shed the request: nothing ran and the client may retry.
     Throttled,
-    /// The command failed with this SQLSTATE or error number.
+    /// The request failed with this SQLSTATE or error number.
     Failed(String),
-    /// The router rejected the request before it became a command.
+    /// The router rejected the request before it became a request.
     Rejected(String),
     /// The server acknowledged the client's cancellation.
     Cancelled,
--- a/crates/comethitch-testkit/src/tds/client.rs
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -10,7 +10,7 @@
 use comethitch_tds::types::Value;
 use std::net::TcpStream;
 
-/// The error numbers with which a router sheds a command, and rejects what became none.
+/// The error numbers with which a router sheds a request, and rejects what became none.
 const THROTTLED: i32 = 49_918;
 const REJECTED: i32 = 50_001;
 
--- a/crates/comethitch-testkit/src/tds/mod.rs
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -15,7 +15,7 @@
 /// The packet size that clients ask for and send their requests in.
 const CLIENT_PACKET_SIZE: usize = 4096;
 
-/// An attention message, which cancels the command in progress.
+/// An attention message, which cancels the request in progress.
 pub fn attention() -> Vec<u8> {
     encode(Kind::Attention, FIRST_SIZE, b"")
 }
--- a/crates/comethitch-testkit/src/tds/server.rs
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -1,7 +1,7 @@
 //! The server's end of a TDS connection: what a scripted host sends.
 
 use super::{encode, read_message, samples, write_message};
-use crate::connection::{ServerError, ServerProtocol, serve_commands};
+use crate::connection::{ServerError, ServerProtocol, serve_requests};
 use crate::engine::Engine;
 use crate::error::ConnectionError;
 use comethitch_tds::login::{Login, Prelogin, VERSION};
@@ -28,7 +28,7 @@
 const LARGE_ROW_COUNT: usize = 20;
 const COLUMNS: [(&str, Column); 1] = [("data", Column::LongText)];
 
-/// How a command was sent, which decides the DONE tokens of its answer.
+/// How a request was sent, which decides the DONE tokens of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
     Batch,
@@ -41,11 +41,11 @@
     shared: bool,
     used: bool,
     request_kind: RequestKind,
-    /// Tokens that precede every answer to the current command: the acknowledged reset, if it asked for one.
+    /// Tokens that precede every answer to the current request: the acknowledged reset, if it asked for one.
     prefix: Vec<u8>,
 }
 
-/// Logs the client in with any password and serves its commands.
+/// Logs the client in with any password and serves its requests.
 pub(crate) fn serve(mut stream: TcpStream, engine: &Engine) -> Result<(), ConnectionError> {
     exchange_prelogin(&mut stream)?;
     let login = Login::read(&read_message(&mut stream)?.payload)?;
@@ -57,7 +57,7 @@
         request_kind: RequestKind::Batch,
         prefix: Vec::new(),
     };
-    serve_commands(server, engine)
+    serve_requests(server, engine)
 }
 
 fn exchange_prelogin(stream: &mut TcpStream) -> Result<(), ConnectionError> {
@@ -139,7 +139,7 @@
         &mut self.stream
     }
 
-    fn read_command(&mut self) -> Result<Option<String>, ConnectionError> {
+    fn read_request(&mut self) -> Result<Option<String>, ConnectionError> {
         loop {
             let message = read_message(&mut self.stream)?;
             let text = self.decode(message.kind, &message.payload)?;
--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -1,6 +1,6 @@
 //! A router between stand-in hosts and clients, with one failover in the middle: `make demo`.
 //!
-//! Prints how the clients' commands were answered before, during and after the failover, and whether any rule on
+//! Prints how the clients' requests were answered before, during and after the failover, and whether any rule on
 //! attempts was broken.
 
 use async_io::Async;
@@ -20,7 +20,7 @@
 const HOST_NAMES: [&str; 3] = ["db-1", "db-2", "db-3"];
 const HOST_LATENCY: Duration = Duration::from_millis(3);
 const CLIENTS: usize = 4;
-/// Every so many commands of a client, one writes.
+/// Every so many requests of a client, one writes.
 const COMMANDS_PER_WRITE: usize = 4;
 const BEFORE_FAILOVER: Duration = Duration::from_secs(2);
 const WITHOUT_PRIMARY: Duration = Duration::from_millis(500);
@@ -37,10 +37,10 @@
         "A router at {} before three hosts; {CLIENTS} clients unlock chapters and read pages.",
         router.address
     );
-    let commands = run_clients(router.address, &hosts);
+    let requests = run_clients(router.address, &hosts);
     router.stop();
-    print_answers(&commands);
-    check_rules(&ledger, commands);
+    print_answers(&requests);
+    check_rules(&ledger, requests);
 }
 
 /// Starts the hosts, of which the first is the primary.
@@ -103,31 +103,31 @@
     }));
 }
 
-/// A command and its answer, and how long after the start it came.
-struct TimedCommand {
+/// A request and its answer, and how long after the start it came.
+struct TimedRequest {
     answered_at: Duration,
-    command: Exchange,
+    request: Exchange,
 }
 
 /// Runs all clients while the primary fails and another host takes over.
-fn run_clients(router: SocketAddr, hosts: &[Host]) -> Vec<TimedCommand> {
+fn run_clients(router: SocketAddr, hosts: &[Host]) -> Vec<TimedRequest> {
     let stop = AtomicBool::new(false);
     let started = Instant::now();
-    let commands = Mutex::new(Vec::new());
+    let requests = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let (stop, commands) = (&stop, &commands);
-            scope.spawn(move || run_client(client, router, started, stop, commands));
+            let (stop, requests) = (&stop, &requests);
+            scope.spawn(move || run_client(client, router, started, stop, requests));
         }
         fail_over(hosts, started);
         stop.store(true, Ordering::SeqCst);
     });
-    commands.into_inner().expect("no client panicked")
+    requests.into_inner().expect("no client panicked")
 }
 
 fn run_client(
     client: usize, router: SocketAddr, started: Instant, stop: &AtomicBool,
-    commands: &Mutex<Vec<TimedCommand>>,
+    requests: &Mutex<Vec<TimedRequest>>,
 ) {
     let mut connection = Client::connect(Protocol::Postgres, router);
     for number in 0.. {
@@ -136,9 +136,9 @@
         }
         let text = statement(client, number);
         let answer = connection.execute(&text);
-        let command = Exchange { text, answers: vec![answer] };
-        let command = TimedCommand { answered_at: started.elapsed(), command };
-        commands.lock().expect("no client panicked").push(command);
+        let request = Exchange { text, answers: vec![answer] };
+        let request = TimedRequest { answered_at: started.elapsed(), request };
+        requests.lock().expect("no client panicked").push(request);
     }
 }
 
@@ -162,7 +162,7 @@
 }
 
 /// Prints a table of the answers in each phase.
-fn print_answers(commands: &[TimedCommand]) {
+fn print_answers(requests: &[TimedRequest]) {
     println!("\n| | answered | throttled | failed |\n| --- | --- | --- | --- |");
     let takeover = BEFORE_FAILOVER + WITHOUT_PRIMARY;
     let phases = [
@@ -172,8 +172,8 @@
     ];
     for (name, phase) in phases {
         let count = |is_counted: fn(&Received) -> bool| {
-            let in_phase = commands.iter().filter(|command| phase.contains(&command.answered_at));
-            in_phase.filter(|command| is_counted(&command.command.answers[0])).count()
+            let in_phase = requests.iter().filter(|request| phase.contains(&request.answered_at));
+            in_phase.filter(|request| is_counted(&request.request.answers[0])).count()
         };
         let answered = count(|answer| matches!(answer, Received::Answered(_)));
         let throttled = count(|answer| *answer == Received::Throttled);
@@ -183,12 +183,12 @@
 }
 
 /// Holds the hosts' ledger against what clients were answered, and panics if a rule was broken.
-fn check_rules(ledger: &Ledger, commands: Vec<TimedCommand>) {
-    let commands: Vec<Exchange> = commands.into_iter().map(|command| command.command).collect();
-    let broken = ledger.violations(&commands);
+fn check_rules(ledger: &Ledger, requests: Vec<TimedRequest>) {
+    let requests: Vec<Exchange> = requests.into_iter().map(|request| request.request).collect();
+    let broken = ledger.violations(&requests);
     println!(
         "\n{} commands, {} dispatches, {} rules broken",
-        commands.len(),
+        requests.len(),
         ledger.attempts(),
         broken.len()
     );
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -1,4 +1,4 @@
-//! What a command costs the router's thread on each protocol, beside a plain forwarder of bytes, all on loopback
+//! What a request costs the router's thread on each protocol, beside a plain forwarder of bytes, all on loopback
 //! in one run. Prints the table of docs/measured/fronts.md:
 //!
 //!     cargo run --release -p comethitchd --example fronts
@@ -113,14 +113,14 @@
     }
 }
 
-/// What a command costs, and how many come through.
+/// What a request costs, and how many come through.
 struct Measurement {
-    /// The CPU time of the intermediary for a command, in microseconds.
+    /// The CPU time of the intermediary for a request, in microseconds.
     cpu_micros: f64,
     commands_per_second: f64,
 }
 
-/// Has all clients send their commands at once.
+/// Has all clients send their requests at once.
 fn measure(case: &Case) -> Measurement {
     let host = Host::start("p", case.protocol, true, &Ledger::default());
     let intermediary =
@@ -132,10 +132,10 @@
             scope.spawn(move || run_client(client, case.protocol, address));
         }
     });
-    let commands = (CLIENTS * COMMANDS_PER_CLIENT) as f64;
-    let commands_per_second = commands / began.elapsed().as_secs_f64();
+    let requests = (CLIENTS * COMMANDS_PER_CLIENT) as f64;
+    let commands_per_second = requests / began.elapsed().as_secs_f64();
     intermediary.stop.close();
-    let cpu_micros = intermediary.thread.join().expect("no panic") / commands;
+    let cpu_micros = intermediary.thread.join().expect("no panic") / requests;
     Measurement { cpu_micros, commands_per_second }
 }
 
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -100,16 +100,16 @@
         let files = ConfigFiles { configuration: self.configuration, statements: self.statements };
         let config = files.load()?;
         choose_protocol(self.tds.as_deref(), &config)?;
-        let groups = config.groups.len();
+        let classes = config.classes.len();
         let hosts = config.known.entries.len();
         println!(
-            "{} would listen on {}: {groups} command groups, {hosts} hosts known",
+            "{} would listen on {}: {classes} command groups, {hosts} hosts known",
             config.name, config.listen
         );
         if let Some(rules) = &config.statements {
-            let groups = rules.groups.len();
+            let classes = rules.classes.len();
             let keys = rules.keys.len();
-            println!("statements would be judged by {groups} rules for command groups and {keys} for keys");
+            println!("statements would be judged by {classes} rules for command groups and {keys} for keys");
         }
         Ok(())
     }
--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -1,14 +1,14 @@
-//! One attempt of a command: starts its task, runs the protocol's exchange with the host in it, and reports the end to
+//! One attempt of a request: starts its task, runs the protocol's exchange with the host in it, and reports the end to
 //! the policy.
 
 use crate::protocols::streamed_answer::StreamedAnswer;
 use crate::stages::policy_driver;
-use crate::state::pending_commands::Statement;
+use crate::state::pending_requests::Statement;
 use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use crate::state::socket::Socket;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{AttemptOutcome, CommandId, Host, SendRefusal};
+use comethitch_policy::{AttemptOutcome, Host, RequestId, SendRefusal};
 use std::future::Future;
 use std::rc::{Rc, Weak};
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// One attempt of a command.
+/// One attempt of a request.
 pub struct Attempt {
     /// The router.
     pub state: Rc<RouterState>,
@@ -45,12 +45,12 @@
     pub host: Host,
     /// When its client stops waiting.
     pub deadline: Timestamp,
-    /// The command's statement.
+    /// The request's statement.
     pub statement: Rc<Statement>,
     /// The host's answer, if it becomes large.
     pub streamed_answer: StreamedAnswer,
     client: Weak<Socket>,
-    command: CommandId,
+    request: RequestId,
     number: u16,
 }
 
@@ -71,7 +71,7 @@
             return Err(SendRefused::ClientGone);
         }
         let router = self.state.router.borrow();
-        let handle = router.handle(self.command).ok_or(SendRefusal::CommandFinished)?;
+        let handle = router.handle(self.request).ok_or(SendRefusal::RequestFinished)?;
         Ok(handle.check_send(&router, self.number, self.state.clock.now())?)
     }
 
@@ -79,7 +79,7 @@
     /// been held up in between.
     pub fn verify_sent(&self) {
         let router = self.state.router.borrow();
-        let handle = router.handle(self.command);
+        let handle = router.handle(self.request);
         let violation =
             handle.and_then(|handle| handle.violation_of_sent(&router, self.number, self.state.clock.now()));
         if let Some(violation) = violation {
@@ -91,7 +91,7 @@
         self.state.endpoints.borrow().name(self.host).to_string()
     }
 
-    /// Logs its start, for whoever follows a command's id.
+    /// Logs its start, for whoever follows a request's id.
     fn log_start(&self) {
         let id = &self.statement.client_id;
         log::debug!(id, host = self.host_name().as_str(), attempt = self.number; "attempt started");
@@ -111,17 +111,17 @@
     }
 }
 
-/// Starts the command's next attempt, with the protocol's exchange as `send`. An attempt whose timeout has already
+/// Starts the request's next attempt, with the protocol's exchange as `send`. An attempt whose timeout has already
 /// passed, as after a stall of the event loop, is not sent, and its number is returned: the host is not to blame for it.
 pub fn start<F: Future<Output = AttemptResult> + 'static>(
-    state: &Rc<RouterState>, command: CommandId, host: Host, timeout: Duration,
+    state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
     send: impl FnOnce(Rc<Attempt>) -> F + 'static,
 ) -> Option<u16> {
-    let mut commands = state.commands.borrow_mut();
-    let statement = commands.statement(command)?;
-    let number = commands.next_attempt(command);
+    let mut requests = state.requests.borrow_mut();
+    let statement = requests.statement(request)?;
+    let number = requests.next_attempt(request);
     if timeout == Duration::ZERO {
-        commands.record_attempt(command, None);
+        requests.record_attempt(request, None);
         return Some(number);
     }
     let attempt = Rc::new(Attempt {
@@ -129,14 +129,14 @@
         host,
         deadline: state.clock.now() + timeout,
         statement,
-        streamed_answer: StreamedAnswer::new(state, command, number),
-        client: commands.client(command),
-        command,
+        streamed_answer: StreamedAnswer::new(state, request, number),
+        client: requests.client(request),
+        request,
         number,
     });
     let task = state.tasks.spawn(run(attempt.clone(), send));
-    commands.record_attempt(command, Some(task));
-    drop(commands);
+    requests.record_attempt(request, Some(task));
+    drop(requests);
     attempt.log_start();
     None
 }
@@ -152,6 +152,6 @@
         state.record_statement_latency(shape, state.clock.now() - started);
     }
     attempt.log_end(result.outcome());
-    state.record_host_outcome(attempt.host, result.outcome(), result.note.role);
-    policy_driver::attempt_ended(&state, attempt.command, attempt.number, result);
+    state.record_host_outcome(attempt.host, result.outcome(), result.trailer.role);
+    policy_driver::attempt_ended(&state, attempt.request, attempt.number, result);
 }
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -1,27 +1,27 @@
 //! A client's connection, whatever its protocol: its registration, admission of its statements, writing to
 //! it, and closing it.
 //!
-//! [`waiting`] holds the waits for input and for the end of a command, [`disconnect`] the reasons to close.
+//! [`waiting`] holds the waits for input and for the end of a request, [`disconnect`] the reasons to close.
 
 mod disconnect;
 mod waiting;
 
 pub use disconnect::{ClosingError, Disconnect};
 
-use crate::stages::admit::{AdmissionError, AdmittedCommand, StatementError, StatementRequest, admit};
+use crate::stages::admit::{AdmissionError, AdmittedRequest, StatementError, StatementRequest, admit};
 use crate::stages::policy_driver;
 use crate::state::arrivals::Arrivals;
 use crate::state::buffer::Buffer;
 use crate::state::client_registry::ConnectionPhase;
 use crate::state::clock::after;
 use crate::state::descriptors::DescriptorPermit;
-use crate::state::pending_commands::Reply;
+use crate::state::pending_requests::Reply;
 use crate::state::router_state::RouterState;
 use crate::state::signals::{CloseRequest, ConnectionSignal};
 use crate::state::socket::Socket;
 use async_channel::Receiver;
 use async_io::Async;
-use comethitch_policy::CommandId;
+use comethitch_policy::RequestId;
 use comethitch_policy::time::Timestamp;
 use comethitch_statement::assign::Arguments;
 use futures_lite::{AsyncWriteExt, FutureExt};
@@ -45,10 +45,10 @@
     pub buffer: Buffer,
     /// The connection's number in the registry of clients.
     pub number: u32,
-    /// Asks this connection to close, or cancels its command.
+    /// Asks this connection to close, or cancels its request.
     pub signal: Rc<ConnectionSignal>,
     stream: Rc<Socket>,
-    /// An answer is owed to a command that was submitted.
+    /// An answer is owed to a request that was submitted.
     owes_answer: Cell<bool>,
     /// A number for the client's machine, whose connections share one budget for parsing.
     origin: u64,
@@ -56,9 +56,9 @@
     arrived: Timestamp,
     arrivals: Arrivals,
     _permit: DescriptorPermit,
-    /// A command was answered here, so that the connection may be closed while it is idle.
+    /// A request was answered here, so that the connection may be closed while it is idle.
     has_been_answered: bool,
-    /// Invalid statements since the last command that was answered.
+    /// Invalid statements since the last request that was answered.
     rejected_in_row: u32,
     /// The connection was asked to close before the last bytes were read: they cross the close.
     closing_at_last_read: bool,
@@ -66,8 +66,8 @@
 
 /// What became of a statement that a client wants run.
 pub enum Admission {
-    /// It is a command, to be submitted to the policy.
-    Admitted(AdmittedCommand),
+    /// It is a request, to be submitted to the policy.
+    Admitted(AdmittedRequest),
     /// It must be answered as throttled.
     Throttled,
     /// It must be answered with this error.
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Records that a command was answered.
+    /// Records that a request was answered.
     pub fn record_answer(&mut self) {
         self.has_been_answered = true;
         self.owes_answer.set(false);
@@ -138,7 +138,7 @@
             }
         };
         // A hard limit, which the policy has no say in.
-        if self.state.at_command_limit() {
+        if self.state.at_request_limit() {
             self.state.metrics.throttled_at_limit.increment();
             self.state.log_rejection(&admitted.client_id, "at_limit");
             return Ok(Admission::Throttled);
@@ -149,13 +149,13 @@
         Ok(Admission::Admitted(admitted))
     }
 
-    /// Hands a command of this client to the policy; see [`policy_driver::submit`].
+    /// Hands a request of this client to the policy; see [`policy_driver::submit`].
     pub fn submit(
-        &self, command: AdmittedCommand, text: Vec<u8>, message_kind: u8,
-    ) -> (CommandId, Receiver<Reply>) {
+        &self, request: AdmittedRequest, text: Vec<u8>, message_kind: u8,
+    ) -> (RequestId, Receiver<Reply>) {
         self.set_phase(ConnectionPhase::Busy);
         self.owes_answer.set(true);
-        policy_driver::submit(&self.state, command, text, message_kind, Rc::downgrade(&self.stream))
+        policy_driver::submit(&self.state, request, text, message_kind, Rc::downgrade(&self.stream))
     }
 
     fn set_phase(&self, phase: ConnectionPhase) {
@@ -208,7 +208,7 @@
         self.state.clients.unregister(self.number);
     }
 
-    /// Counts a close of the router's own that leaves a command without its answer, unless the answer was being
+    /// Counts a close of the router's own that leaves a request without its answer, unless the answer was being
     /// streamed: its client sees that it is not whole.
     fn check_close(&self, disconnect: &Disconnect) {
         let own_close = match disconnect {
--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -1,4 +1,4 @@
-//! Waiting at a client's connection: for its next request, or for the end of its command, in which case a disconnect of
+//! Waiting at a client's connection: for its next request, or for the end of its request, in which case a disconnect of
 //! the client or an interruption by it ends the wait.
 
 use super::{ClientConnection, Disconnect};
@@ -11,15 +11,15 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Once this much of further requests is buffered, no more is read while a command is in progress.
+/// Once this much of further requests is buffered, no more is read while a request is in progress.
 const MAX_PIPELINED_BYTES: usize = 8 * 1024;
 /// While nothing is read, whether the client has disconnected is looked at this often. An attempt that begins a tenth
 /// of a second after the client went is too late.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl ClientConnection {
-    /// Waits for more bytes between two messages or within one, while no command is in progress. How long that may take
-    /// is limited by the registry of clients, so that a command needs no timer here.
+    /// Waits for more bytes between two messages or within one, while no request is in progress. How long that may take
+    /// is limited by the registry of clients, so that a request needs no timer here.
     ///
     /// # Errors
     /// If the connection ends before more bytes come.
@@ -102,10 +102,10 @@
         let mut event = pin!(event);
         let mut out_of_memory = false;
         loop {
-            // A router that stops answers what it has read, and reads no more commands.
-            let no_more_commands = self.closing_at_last_read && is_interruption.is_none();
+            // A router that stops answers what it has read, and reads no more requests.
+            let no_more_requests = self.closing_at_last_read && is_interruption.is_none();
             let is_full = self.buffer.unread().len() >= MAX_PIPELINED_BYTES;
-            let may_read = !out_of_memory && !is_full && !no_more_commands;
+            let may_read = !out_of_memory && !is_full && !no_more_requests;
             let event_came = async { Ok(event.as_mut().await) };
             let input_came = async { Err(self.read_or_wait_for_disconnect(may_read).await) };
             match event_came.or(input_came).await {
@@ -116,7 +116,7 @@
                         return Ok(None);
                     }
                 }
-                // That there is no memory to read what comes next is no reason to give up the command in progress.
+                // That there is no memory to read what comes next is no reason to give up the request in progress.
                 Err(Err(error)) if error.kind() == io::ErrorKind::OutOfMemory => out_of_memory = true,
                 Err(_) => return Err(Disconnect::ClientGone),
             }
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -4,7 +4,7 @@
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
 use crate::state::router_state::RouterState;
 use crate::state::step_times::EventLoopStep;
-use comethitch_policy::{Host, HostReport};
+use comethitch_policy::{Host, LoadReport};
 use std::future::Future;
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
     /// Whether the host gave a usable answer, or why not.
     pub completion: Result<(), ConnectionError>,
     /// What the host reported.
-    pub report: HostReport,
+    pub report: LoadReport,
 }
 
 /// Starts a health check of a host, with the protocol's exchange as `check`.
--- a/crates/comethitchd/src/protocols/mod.rs
+++ b/crates/comethitchd/src/protocols/mod.rs
@@ -1,4 +1,4 @@
-//! The wire protocols on sockets. Each protocol has a client side, which turns what clients send into commands and
+//! The wire protocols on sockets. Each protocol has a client side, which turns what clients send into requests and
 //! writes their answers, and a backend side, which sends attempts to hosts and checks their health.
 //!
 //! What all protocols share: `client_connection` for clients; `attempt`, `health_check`, `connect`, `exchange`
--- a/crates/comethitchd/src/protocols/postgres/backend.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -8,13 +8,13 @@
 use crate::state::buffer::Buffer;
 use crate::state::host_connection::{ConnectionError, HostConnection, HostErrorCode, SessionState};
 use crate::state::memory_budget::Reservation;
-use crate::state::pending_commands::Statement;
+use crate::state::pending_requests::Statement;
 use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use crate::wire::host_report;
 use crate::wire::postgres::{self, HostResponse, MAX_MESSAGE_BYTES, ResponseError, ResponseShape};
 use comethitch_policy::time::Duration;
-use comethitch_policy::{AttemptOutcome, CommandId, Host};
+use comethitch_policy::{AttemptOutcome, Host, RequestId};
 use futures_lite::AsyncWriteExt;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
         };
         let load_report = response.parameters.load_report.as_deref();
         AttemptResult {
-            note: host_report::from_parameters(&response.parameters),
+            trailer: host_report::from_parameters(&response.parameters),
             report: load_report.map(host_report::parse_load_report).unwrap_or_default(),
             completion: match response.error_code {
                 Some(code) => Err(ConnectionError::HostError(HostErrorCode::Postgres(code))),
@@ -45,11 +45,11 @@
     }
 }
 
-/// Starts the command's next attempt; see [`attempt::start`].
+/// Starts the request's next attempt; see [`attempt::start`].
 pub fn start_attempt(
-    state: &Rc<RouterState>, command: CommandId, host: Host, timeout: Duration,
+    state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
 ) -> Option<u16> {
-    attempt::start(state, command, host, timeout, |attempt| async move {
+    attempt::start(state, request, host, timeout, |attempt| async move {
         let encode = || encode_query(&attempt.statement, attempt.time_left());
         run(&Exchange::for_attempt(&attempt), encode).await.into()
     })
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -3,10 +3,10 @@
 //! Only simple queries are supported; messages of the extended query protocol are answered with an error.
 
 use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
-use crate::stages::admit::{AdmittedCommand, session_statement};
+use crate::stages::admit::{AdmittedRequest, session_statement};
 use crate::stages::policy_driver;
 use crate::state::descriptors::DescriptorPermit;
-use crate::state::pending_commands::{Reply, ValuePart};
+use crate::state::pending_requests::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
 use crate::wire::postgres::message_type::frontend;
 use crate::wire::postgres::{self, ErrorFields, MAX_MESSAGE_BYTES, StartupRequest};
@@ -26,7 +26,7 @@
     pub const PROTOCOL_VIOLATION: &str = "08P01";
     /// feature_not_supported.
     pub const NOT_SUPPORTED: &str = "0A000";
-    /// statement_completion_unknown: the command has failed, and may have run.
+    /// statement_completion_unknown: the request has failed, and may have run.
     pub const FAILED: &str = "40003";
     /// too_many_connections: throttled, nothing has run.
     pub const THROTTLED: &str = "53300";
@@ -67,7 +67,7 @@
 }
 
 impl Session {
-    /// Carries out the startup, or a request to cancel another session's command.
+    /// Carries out the startup, or a request to cancel another session's request.
     async fn start(&mut self) -> Result<(), Disconnect> {
         loop {
             let unread = self.connection.buffer.unread();
@@ -77,7 +77,7 @@
             };
             match request {
                 StartupRequest::Cancel => {
-                    self.cancel_command(length);
+                    self.cancel_request(length);
                     return Err(Disconnect::ClientGone);
                 }
                 StartupRequest::Encryption => {
@@ -92,11 +92,11 @@
         }
     }
 
-    /// Cancels another session's command. By the protocol, no reply is sent to whoever requests it.
-    fn cancel_command(&self, length: usize) {
+    /// Cancels another session's request. By the protocol, no reply is sent to whoever requests it.
+    fn cancel_request(&self, length: usize) {
         let request = &self.connection.buffer.unread()[..length];
         if let Some(target) = postgres::cancel_target(request) {
-            self.connection.state.clients.cancel_command(target.connection, target.key);
+            self.connection.state.clients.cancel_request(target.connection, target.key);
         }
     }
 
@@ -182,10 +182,10 @@
         self.connection.write(&out).await
     }
 
-    /// Runs a statement as a command, if it is admitted, and writes its answer to `out`.
+    /// Runs a statement as a request, if it is admitted, and writes its answer to `out`.
     async fn run_statement(&mut self, text: Vec<u8>, out: &mut Vec<u8>) -> Result<(), Disconnect> {
         match self.connection.admit(&text, &[])? {
-            Admission::Admitted(command) => self.run_command(command, text, out).await?,
+            Admission::Admitted(request) => self.run_request(request, text, out).await?,
             Admission::Throttled => put_reply(out, Reply::Throttled(None)),
             Admission::Invalid(error) => {
                 let text = error.to_string();
@@ -196,13 +196,13 @@
         Ok(())
     }
 
-    async fn run_command(
-        &mut self, command: AdmittedCommand, text: Vec<u8>, out: &mut Vec<u8>,
+    async fn run_request(
+        &mut self, request: AdmittedRequest, text: Vec<u8>, out: &mut Vec<u8>,
     ) -> Result<(), Disconnect> {
         let signal = self.connection.signal.clone();
         signal.reset_cancel();
         let state = self.connection.state.clone();
-        let (id, reply) = self.connection.submit(command, text, frontend::QUERY);
+        let (id, reply) = self.connection.submit(request, text, frontend::QUERY);
         let cancelled = async {
             signal.wait_for_cancel().await;
             Ok(Reply::Cancelled)
@@ -242,7 +242,7 @@
     text.iter().all(|b| b.is_ascii_whitespace() || *b == b';')
 }
 
-/// Writes a command's answer, short of ReadyForQuery.
+/// Writes a request's answer, short of ReadyForQuery.
 fn put_reply(out: &mut Vec<u8>, reply: Reply) {
     match reply {
         Reply::Value(value) if out.is_empty() => *out = value,
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -10,7 +10,7 @@
 use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
-use comethitch_policy::{CommandId, Host};
+use comethitch_policy::{Host, RequestId};
 use std::net::TcpStream;
 use std::rc::Rc;
 
@@ -27,7 +27,7 @@
 
 impl BackendProtocol<RouterState> for Postgres {
     fn send_attempt(
-        &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
+        &self, state: &Rc<RouterState>, id: RequestId, host: Host, timeout: Duration,
     ) -> Option<u16> {
         backend::start_attempt(state, id, host, timeout)
     }
--- a/crates/comethitchd/src/protocols/streamed_answer.rs
+++ b/crates/comethitchd/src/protocols/streamed_answer.rs
@@ -2,16 +2,16 @@
 //! from the host, each once the part before it is written. Memory stays bounded however large the answer is and however
 //! slow its client.
 //!
-//! The first part is the command's final answer: the policy is notified that the command was answered, and no other attempt
+//! The first part is the request's final answer: the policy is notified that the request was answered, and no other attempt
 //! is sent for it. If the host fails midway, the client's connection is closed.
 
 use crate::stages::{policy_driver, reply};
 use crate::state::host_connection::ConnectionError;
-use crate::state::pending_commands::{Reply, ValuePart};
+use crate::state::pending_requests::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
 use async_channel::{Sender, bounded};
 use async_io::Timer;
-use comethitch_policy::CommandId;
+use comethitch_policy::RequestId;
 use comethitch_policy::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 /// The answer to one attempt, streamed if it becomes large.
 pub struct StreamedAnswer {
     state: Rc<RouterState>,
-    command: CommandId,
+    request: RequestId,
     attempt: u16,
     /// Where further parts go, once the first one is sent.
     parts: RefCell<Option<Sender<ValuePart>>>,
@@ -32,10 +32,10 @@
 
 impl StreamedAnswer {
     /// The answer to this attempt, of which nothing is sent yet.
-    pub fn new(state: &Rc<RouterState>, command: CommandId, attempt: u16) -> StreamedAnswer {
+    pub fn new(state: &Rc<RouterState>, request: RequestId, attempt: u16) -> StreamedAnswer {
         StreamedAnswer {
             state: state.clone(),
-            command,
+            request,
             attempt,
             parts: RefCell::default(),
             last_progress: Cell::new(state.clock.now()),
@@ -50,7 +50,7 @@
     /// Sends a part to the client, once the part before it is written.
     ///
     /// # Errors
-    /// [`ConnectionError::Cancelled`] if the command has another answer or no client any more.
+    /// [`ConnectionError::Cancelled`] if the request has another answer or no client any more.
     pub async fn send_part(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         let parts = self.parts.borrow().clone();
         match parts {
@@ -63,18 +63,18 @@
 
     fn start(&self, first_part: Vec<u8>) -> Result<(), ConnectionError> {
         let (sender, receiver) = bounded(1);
-        if !reply::answer(&self.state, self.command, Reply::Streaming(first_part, receiver)) {
+        if !reply::answer(&self.state, self.request, Reply::Streaming(first_part, receiver)) {
             return Err(ConnectionError::Cancelled);
         }
         *self.parts.borrow_mut() = Some(sender);
-        policy_driver::answer_started(&self.state, self.command, self.attempt);
+        policy_driver::answer_started(&self.state, self.request, self.attempt);
         Ok(())
     }
 
     /// Sends the last part.
     ///
     /// # Errors
-    /// [`ConnectionError::Cancelled`] if the command has another answer or no client any more.
+    /// [`ConnectionError::Cancelled`] if the request has another answer or no client any more.
     pub async fn finish(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         self.send_part(bytes).await?;
         let parts = self.parts.borrow().clone();
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -13,7 +13,7 @@
 use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{AttemptOutcome, CommandId, Host, HostReport, Role};
+use comethitch_policy::{AttemptOutcome, Host, LoadReport, RequestId, Role};
 use comethitch_tds::packet::{FIRST_SIZE, Kind, LARGEST_SIZE, put_parts, status};
 use comethitch_tds::request::Batch;
 use comethitch_tds::types::Value;
@@ -29,7 +29,7 @@
 impl Request<'_> {
     /// The message's packets on this connection.
     fn encode(&self, connection: &HostConnection) -> Vec<u8> {
-        // What another client's command left in the session is reset before this one runs.
+        // What another client's request left in the session is reset before this one runs.
         let status = if connection.session.reused { status::RESET } else { 0 };
         let mut packets = Vec::with_capacity(self.payload.len() + self.payload.len() / 64 + 16);
         put_parts(&mut packets, self.kind, connection.session.packet_size, self.payload, status, true);
@@ -37,12 +37,12 @@
     }
 }
 
-/// Starts the command's next attempt; see [`attempt::start`].
+/// Starts the request's next attempt; see [`attempt::start`].
 pub fn start_attempt(
-    state: &Rc<RouterState>, settings: &Rc<TdsSettings>, command: CommandId, host: Host, timeout: Duration,
+    state: &Rc<RouterState>, settings: &Rc<TdsSettings>, request: RequestId, host: Host, timeout: Duration,
 ) -> Option<u16> {
     let settings = settings.clone();
-    attempt::start(state, command, host, timeout, |attempt| async move {
+    attempt::start(state, request, host, timeout, |attempt| async move {
         let kind = Kind::of(attempt.statement.message_kind).unwrap_or(Kind::Batch);
         let request = Request { kind, payload: &attempt.statement.text };
         run(&Exchange::for_attempt(&attempt), &settings, &request).await.into()
@@ -57,8 +57,8 @@
         };
         AttemptResult {
             completion: response.error.map_or(Ok(()), |code| Err(ConnectionError::HostError(code))),
-            note: HostReport::default(),
-            report: HostReport::default(),
+            trailer: LoadReport::default(),
+            report: LoadReport::default(),
             payload: response.tokens,
             already_reported: false,
         }
@@ -85,7 +85,7 @@
 }
 
 /// The role and the position, in milliseconds, that the row of a health check gives.
-fn parse_report(row: &FirstRow, primary: &str) -> HostReport {
+fn parse_report(row: &FirstRow, primary: &str) -> LoadReport {
     let is_primary = match &row.first {
         Value::Text(role) => Some(role.trim().eq_ignore_ascii_case(primary)),
         Value::Integer(role) => Some(role.to_string() == primary),
@@ -97,7 +97,7 @@
         Value::Text(ms) => ms.trim().parse().ok(),
         _ => None,
     };
-    HostReport {
+    LoadReport {
         role: is_primary.map(|is_primary| if is_primary { Role::Primary } else { Role::Replica }),
         // A position may have been rounded up by less than its unit; one of zero is none.
         position: position_ms.and_then(|ms| ms.checked_sub(1)).map(Timestamp::from_millis),
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -19,14 +19,14 @@
 const LOGIN_FAILED: i32 = 18_456;
 
 impl Session {
-    /// Carries the login out, up to the point from which commands may come.
+    /// Carries the login out, up to the point from which requests may come.
     pub(super) async fn log_in(&mut self) -> Result<(), Disconnect> {
         self.answer_prelogin().await?;
         let login = self.read_login().await?;
         if login.integrated {
             return self.reject_login().await;
         }
-        // Until an endpoint list is held, no command could be served.
+        // Until an endpoint list is held, no request could be served.
         let state = self.connection.state.clone();
         self.connection.wait_while_connected(state.ready.wait()).await?;
         let packet_size = self.negotiate_packet_size(&login);
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -1,4 +1,4 @@
-//! A TDS client's session, from its PRELOGIN to its end: reads messages, runs commands, and writes answers.
+//! A TDS client's session, from its PRELOGIN to its end: reads messages, runs requests, and writes answers.
 //!
 //! [`login`] opens the session, [`request`] tells what a message asks for, and [`reply`] encodes answers.
 
@@ -9,11 +9,11 @@
 use super::prepared::PreparedStatements;
 use super::settings::TdsSettings;
 use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
-use crate::stages::admit::AdmittedCommand;
+use crate::stages::admit::AdmittedRequest;
 use crate::stages::policy_driver;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::memory_budget::Reservation;
-use crate::state::pending_commands::{Reply, ValuePart};
+use crate::state::pending_requests::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
 use async_channel::Receiver;
 use async_io::Async;
@@ -47,7 +47,7 @@
     payload: Vec<u8>,
 }
 
-/// How a command ended for its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CommandEnd {
     /// Its answer stands in the tokens to be written.
@@ -155,7 +155,7 @@
         Ok(CommandEnd::Answered)
     }
 
-    /// Tells the client that its command is cancelled.
+    /// Tells the client that its request is cancelled.
     async fn acknowledge_attention(&mut self) -> Result<(), Disconnect> {
         let mut tokens = Vec::new();
         reply::put_attention_acknowledgement(&mut tokens);
@@ -170,13 +170,13 @@
         self.connection.record_rejection(reason)
     }
 
-    /// Runs a statement as a command, if it is admitted, and writes its answer to `tokens`.
+    /// Runs a statement as a request, if it is admitted, and writes its answer to `tokens`.
     async fn run_statement(
         &mut self, statement: Statement, tokens: &mut Vec<u8>,
     ) -> Result<CommandEnd, Disconnect> {
         let framing = statement.framing;
         match self.connection.admit(statement.text.as_bytes(), &statement.arguments)? {
-            Admission::Admitted(command) => return self.run_command(command, statement, tokens).await,
+            Admission::Admitted(request) => return self.run_request(request, statement, tokens).await,
             Admission::Throttled => {
                 let encoder = self.reply_encoder(framing, true);
                 encoder.put(tokens, Reply::Throttled(None));
@@ -190,14 +190,14 @@
         ReplyEncoder { numbers: self.settings.numbers, framing, is_idempotent }
     }
 
-    async fn run_command(
-        &mut self, command: AdmittedCommand, statement: Statement, tokens: &mut Vec<u8>,
+    async fn run_request(
+        &mut self, request: AdmittedRequest, statement: Statement, tokens: &mut Vec<u8>,
     ) -> Result<CommandEnd, Disconnect> {
         let state = self.connection.state.clone();
         let framing = statement.framing;
-        let shape = command.shape.as_ref();
+        let shape = request.shape.as_ref();
         let is_idempotent = shape.is_some_and(|shape| shape.verdict.effect.may_repeat());
-        let (id, reply) = self.connection.submit(command, statement.payload, statement.kind.code());
+        let (id, reply) = self.connection.submit(request, statement.payload, statement.kind.code());
         let is_attention = |unread: &[u8]| unread.first() == Some(&Kind::Attention.code());
         let waited = self.connection.wait_until_interrupted(reply.recv(), Some(is_attention)).await;
         let end = match waited {
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -1,7 +1,7 @@
 //! Encodes answers to clients as tokens and packets.
 
 use crate::protocols::tds::settings::{ErrorNumbers, RETRIED_BY_DRIVERS};
-use crate::state::pending_commands::Reply;
+use crate::state::pending_requests::Reply;
 use comethitch_tds::packet::{HEADER, Kind, put_message};
 use comethitch_tds::token::{Message, Token, Tokens, code, done};
 use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
@@ -93,7 +93,7 @@
     tokens.extend(last);
 }
 
-/// Encodes the final answer to a command.
+/// Encodes the final answer to a request.
 pub struct ReplyEncoder {
     /// The numbers of the router's own errors.
     pub numbers: ErrorNumbers,
--- a/crates/comethitchd/src/protocols/tds/client/request.rs
+++ b/crates/comethitchd/src/protocols/tds/client/request.rs
@@ -1,4 +1,4 @@
-//! Parses what a client's message asks for: a statement to be run as a command, something that the router answers by
+//! Parses what a client's message asks for: a statement to be run as a request, something that the router answers by
 //! itself, or something that is not supported.
 
 use super::reply::{ReplyFraming, put_handle};
@@ -86,7 +86,7 @@
     if batch.headers.transaction != 0 {
         return Ok(rejected(ReplyFraming::Batch, NO_TRANSACTION));
     }
-    // Options of a session have no effect here: each command runs in a session that was reset.
+    // Options of a session have no effect here: each request runs in a session that was reset.
     if is_empty_or_settings(&batch.text) {
         let mut tokens = Vec::new();
         put_done(&mut tokens, code::DONE, 0, 0);
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -15,7 +15,7 @@
 use crate::state::router_state::RouterState;
 use async_io::Async;
 use comethitch_policy::time::Duration;
-use comethitch_policy::{CommandId, Host};
+use comethitch_policy::{Host, RequestId};
 use settings::TdsSettings;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 
 impl BackendProtocol<RouterState> for Tds {
     fn send_attempt(
-        &self, state: &Rc<RouterState>, id: CommandId, host: Host, timeout: Duration,
+        &self, state: &Rc<RouterState>, id: RequestId, host: Host, timeout: Duration,
     ) -> Option<u16> {
         backend::start_attempt(state, &self.0, id, host, timeout)
     }
--- a/crates/comethitchd/src/protocols/tds/settings.rs
+++ b/crates/comethitchd/src/protocols/tds/settings.rs
@@ -77,7 +77,7 @@
     pub throttled: i32,
     /// Failed, and whether the statement ran is unknown: must be a number that no driver retries on.
     pub failed: i32,
-    /// A statement that is rejected before it becomes a command.
+    /// A statement that is rejected before it becomes a request.
     pub refused: i32,
 }
 
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -4,10 +4,10 @@
 use crate::state::config::{ConfigError, in_file, random_secret, read_rules};
 use argh::FromArgs;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{CommandGroup, Consistency, DeduplicationScope, Idempotency};
+use comethitch_policy::{Consistency, DeduplicationScope, Idempotency, RequestClass};
 use comethitch_statement::RulesError;
 use comethitch_statement::admission::{StatementAdmission, StatementHints, StatementRejection};
-use comethitch_statement::rules::{CacheSize, Disagreement, GroupRule, Parsing};
+use comethitch_statement::rules::{CacheSize, ClassRule, Disagreement, Parsing};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -30,7 +30,7 @@
     /// the rules for statements, as in deploy/statements.json
     #[argh(option)]
     rules: Option<PathBuf>,
-    /// the configuration whose command groups the rules are checked against
+    /// the configuration whose request classes the rules are checked against
     #[argh(option)]
     configuration: Option<PathBuf>,
 }
@@ -41,7 +41,7 @@
     /// The rules or the configuration can't be read, or have a fault.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The rules do not fit the command groups.
+    /// The rules do not fit the request classes.
     #[error("{rules}: {source}")]
     Rules {
         /// Where the rules are from.
@@ -77,7 +77,8 @@
         effect: &'static str,
         replica: bool,
         shape: String,
-        group: Option<String>,
+        #[serde(rename = "group")]
+        class: Option<String>,
         hosts: Option<u16>,
         cost: f64,
         why: String,
@@ -109,16 +110,16 @@
         let has_rules = given.is_some();
         let mut rules = given.unwrap_or_else(|| default_rules(self.dialect.unwrap_or(Dialect::Postgres)));
         rules.dialect = self.dialect.unwrap_or(rules.dialect);
-        let (groups, group_names) = match &self.configuration {
+        let (classes, class_names) = match &self.configuration {
             Some(path) => {
                 let config = load_config(path)?;
-                (config.deployment.groups, config.groups)
+                (config.deployment.classes, config.classes)
             }
             None => groups_of(&rules),
         };
-        let admission = StatementAdmission::unlimited(rules, &groups, &group_names, random_secret())
+        let admission = StatementAdmission::unlimited(rules, &classes, &class_names, random_secret())
             .map_err(|error| ClassifyError::Rules { rules: self.rules_name(), source: error })?;
-        Ok(LineClassifier { admission, group_names, has_rules })
+        Ok(LineClassifier { admission, class_names, has_rules })
     }
 
     fn rules_name(&self) -> String {
@@ -128,8 +129,8 @@
 
 /// Rules that classify statements and no more.
 fn default_rules(dialect: Dialect) -> Rules {
-    let rule = |group: &str, effects: &[Effect]| GroupRule {
-        group: group.into(),
+    let rule = |class: &str, effects: &[Effect]| ClassRule {
+        class: class.into(),
         effects: effects.to_vec(),
         tables: None,
         from_ms: None,
@@ -139,7 +140,7 @@
         dialect,
         disagreement: Disagreement::Refuse,
         commentless: None,
-        groups: vec![
+        classes: vec![
             rule("read", &[Effect::Read]),
             rule("write", &[Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write]),
         ],
@@ -151,15 +152,15 @@
     }
 }
 
-/// The command groups that rules name, each as strict as its effects ask for, and their names.
-fn groups_of(rules: &Rules) -> (Vec<CommandGroup>, Vec<String>) {
-    let mut names: Vec<String> = rules.groups.iter().map(|rule| rule.group.clone()).collect();
+/// The request classes that rules name, each as strict as its effects ask for, and their names.
+fn groups_of(rules: &Rules) -> (Vec<RequestClass>, Vec<String>) {
+    let mut names: Vec<String> = rules.classes.iter().map(|rule| rule.class.clone()).collect();
     names.sort();
     names.dedup();
-    let group = |name: &String| {
-        let own_rules = rules.groups.iter().filter(|rule| rule.group == *name);
+    let class = |name: &String| {
+        let own_rules = rules.classes.iter().filter(|rule| rule.class == *name);
         let only_reads = own_rules.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
-        CommandGroup {
+        RequestClass {
             latency_objective: Duration::from_micros(1),
             timeout: Duration::from_micros(1),
             priority_weight: 1.0,
@@ -169,14 +170,14 @@
             consistency: if only_reads { Consistency::Eventual } else { Consistency::Write },
         }
     };
-    (names.iter().map(group).collect(), names)
+    (names.iter().map(class).collect(), names)
 }
 
 /// Classifies one line of the input after the other.
 struct LineClassifier {
     admission: StatementAdmission,
-    group_names: Vec<String>,
-    /// The operator gave rules: verdicts name the command group and the shard.
+    class_names: Vec<String>,
+    /// The operator gave rules: verdicts name the request class and the shard.
     has_rules: bool,
 }
 
@@ -197,10 +198,10 @@
             .assign(judged, StatementHints::default(), text, &[])
             .map_err(StatementRejection::Refused);
         let verdict = &known.verdict;
-        let (group, hosts, why) = match placed {
+        let (class, hosts, why) = match placed {
             Ok(passed) if self.has_rules => {
-                let group = self.group_names[passed.assigned.group].clone();
-                (Some(group), Some(passed.assigned.shard), verdict.why.to_string())
+                let class = self.class_names[passed.assigned.class].clone();
+                (Some(class), Some(passed.assigned.shard), verdict.why.to_string())
             }
             Err(StatementRejection::Refused(refusal)) if self.has_rules => (None, None, refusal.to_string()),
             _ => (None, None, verdict.why.to_string()),
@@ -209,7 +210,7 @@
             effect: verdict.effect.name(),
             replica: verdict.effect.on_replica(),
             shape: key.to_string(),
-            group,
+            class,
             hosts,
             cost: (verdict.features.guess() * 100.0).round() / 100.0,
             why,
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -184,7 +184,7 @@
             entry.name,
             entry.dial,
             endpoint.lifecycle,
-            endpoint.shard
+            endpoint.shard_id
         );
     }
 }
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -24,7 +24,7 @@
 
 /// With an endpoint list from its configuration a router waits this long for discovery's own, then serves with that.
 const KNOWN_LIST_WAIT: Duration = Duration::from_secs(1);
-/// Without one it waits longer, and is then ready all the same: it throttles commands until a list comes. A router
+/// Without one it waits longer, and is then ready all the same: it throttles requests until a list comes. A router
 /// counts as restarted well only if it is ready within ten seconds, and discovery may be down for longer.
 const FIRST_LIST_WAIT: Duration = Duration::from_secs(5);
 /// New connections still come for up to 0.4 s after the signal to stop, and are accepted for this long.
@@ -93,14 +93,14 @@
     let work = async {
         stop.or(accept_all(&state, &protocol, &listeners)).await;
         let connections = state.clients.len();
-        log::info!("shutting down: {connections} connections, {} commands", commands_in_progress(&state));
+        log::info!("shutting down: {connections} connections, {} commands", requests_in_progress(&state));
         // The listeners close only after this: connections that wait to be accepted would be reset.
         accept_all(&state, &protocol, &listeners).or(after(ACCEPT_AFTER_STOP, ())).await;
         drop(listeners);
         state.clients.close_all();
-        all_clients_closed(&state).or(reject_remaining_commands(&state)).await;
+        all_clients_closed(&state).or(reject_remaining_requests(&state)).await;
         log_metrics(&state);
-        log::info!("stopped with {} commands in progress", commands_in_progress(&state));
+        log::info!("stopped with {} commands in progress", requests_in_progress(&state));
     };
     state.tasks.run(work).await;
 }
@@ -130,8 +130,8 @@
     state.tasks.spawn(ready).detach();
 }
 
-fn commands_in_progress(state: &RouterState) -> usize {
-    state.commands.borrow().len()
+fn requests_in_progress(state: &RouterState) -> usize {
+    state.requests.borrow().len()
 }
 
 async fn all_clients_closed(state: &RouterState) {
@@ -141,8 +141,8 @@
 }
 
 /// Rejects what is still in progress as the time to shut down ends, and leaves a moment for the answers. A client may
-/// wait longer than its command group says: it is answered while there is time to.
-async fn reject_remaining_commands(state: &Rc<RouterState>) {
+/// wait longer than its request class says: it is answered while there is time to.
+async fn reject_remaining_requests(state: &Rc<RouterState>) {
     let granted = state.longest_timeout.to_std().min(LONGEST_TIMEOUT_GRANTED);
     let limit = granted + SHUTDOWN_GRACE - ACCEPT_AFTER_STOP;
     Timer::after(limit.saturating_sub(LAST_WRITES)).await;
@@ -173,7 +173,7 @@
     let mut failures_in_row = 0;
     loop {
         let Some(permit) = state.acquire_client_descriptor() else {
-            // Nobody is closed that may yet send a command, unless somebody waits for the place.
+            // Nobody is closed that may yet send a request, unless somebody waits for the place.
             if listener.readable().await.is_ok() {
                 state.make_room_for_waiting_client();
             }
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -1,7 +1,7 @@
 //! The log: one line for each record on standard error, as text or as JSON, with times of RFC 3339 in UTC.
 //!
 //! A line that can't be written (the disk is full, nobody reads any more) is counted and dropped: the log is no reason to
-//! lose a command.
+//! lose a request.
 
 use crate::state::log_fields::record_dropped_line;
 use log::LevelFilter;
--- a/crates/comethitchd/src/service/mod.rs
+++ b/crates/comethitchd/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: the command lines, the log, the watch of the endpoint list, and listening until a signal; and the
+//! Start and stop: the request lines, the log, the watch of the endpoint list, and listening until a signal; and the
 //! tools `classify` and `trail`.
 
 pub mod bind;
--- a/crates/comethitchd/src/service/startup.rs
+++ b/crates/comethitchd/src/service/startup.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// If the rules for statements do not fit the command groups.
+/// If the rules for statements do not fit the request classes.
 pub fn start(
     mut config: Config, clock: Clock, backend: Box<dyn BackendProtocol<RouterState>>,
 ) -> Result<Rc<RouterState>, ConfigError> {
--- a/crates/comethitchd/src/service/trail.rs
+++ b/crates/comethitchd/src/service/trail.rs
@@ -1,8 +1,8 @@
-//! `trail`: sums the logs of many routers, to show why commands were rejected and what each answered command cost in
+//! `trail`: sums the logs of many routers, to show why requests were rejected and what each answered request cost in
 //! health checks and connections; or follows one request's id through them all.
 //!
 //! [`Trail::read`] is a pure fold over lines, of either form that `--log-form` writes, and of earlier versions too
-//! (`aliases`); the command around it only opens files. A line that is neither form is skipped and counted, never
+//! (`aliases`); the request around it only opens files. A line that is neither form is skipped and counted, never
 //! fatal: a log cut off by a crash still adds up.
 //!
 //! ```
@@ -84,11 +84,11 @@
 /// What was read so far: sums over all routers, and by router.
 #[derive(Debug, Default)]
 pub struct Trail {
-    /// Rejected commands, by the reason and the final answer.
+    /// Rejected requests, by the reason and the final answer.
     pub reasons: BTreeMap<(String, String), u64>,
     /// Each field of the `counts` lines, summed over every line of every router.
     pub counts: BTreeMap<String, u64>,
-    /// Rejected commands, by router (the name that the log was read under).
+    /// Rejected requests, by router (the name that the log was read under).
     pub by_router: BTreeMap<String, u64>,
     /// The lines that name the id followed, where one is followed.
     pub followed: Vec<FollowedLine>,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A count summed over the fleet, for each answered command; none if nothing was answered.
+    /// A count summed over the fleet, for each answered request; none if nothing was answered.
     pub fn per_answered(&self, count: &str) -> Option<f64> {
         let answered = *self.counts.get("answered")?;
         let number = self.counts.get(aliases::current_count(count).as_ref()).copied().unwrap_or(0);
--- a/crates/comethitchd/src/service/trail/aliases.rs
+++ b/crates/comethitchd/src/service/trail/aliases.rs
@@ -9,7 +9,7 @@
 
 const FIELDS: [Alias; 1] = [("why", "reason")];
 
-/// Reasons for which the policy rejects a command.
+/// Reasons for which the policy rejects a request.
 const REASONS: [Alias; 5] = [
     ("time_up", "deadline_exceeded"),
     ("long_in_line", "queued_too_long"),
@@ -37,7 +37,7 @@
     ("dispatches_miss", "attempts_not_primary"),
 ];
 
-/// Counts of rejected commands have these prefixes before the reason.
+/// Counts of rejected requests have these prefixes before the reason.
 const REJECTED_PREFIX: Alias = ("given_up_", "rejected_");
 
 /// The present name of a log message.
@@ -50,7 +50,7 @@
     current(&FIELDS, name)
 }
 
-/// The present name of a reason for which a command was rejected.
+/// The present name of a reason for which a request was rejected.
 pub(super) fn current_reason(name: &str) -> &str {
     current(&REASONS, name)
 }
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,8 +1,8 @@
-//! Admission: makes a command of a statement, by its comment alone or, with rules for statements, also by its text.
+//! Admission: makes a request of a statement, by its comment alone or, with rules for statements, also by its text.
 
 use crate::state::router_state::RouterState;
 use crate::wire::statement::{self, CommentError, CommentFields};
-use comethitch_policy::Shard;
+use comethitch_policy::ShardId;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::StatementAdmission;
 use comethitch_statement::admission::{KnownShape, StatementHints, StatementRejection};
@@ -25,19 +25,19 @@
     pub origin: u64,
 }
 
-/// A command as it is handed to the policy, but for its statement.
-pub struct AdmittedCommand {
+/// A request as it is handed to the policy, but for its statement.
+pub struct AdmittedRequest {
     /// The id that its client gave it, or a generated one.
     pub client_id: String,
     /// Where the text holds the client's timeout, if it does.
     pub timeout_range: Option<Range<usize>>,
     /// What is known of its shape, where statements are classified by their text.
     pub shape: Option<Rc<KnownShape>>,
-    /// Its command group, by index.
-    pub group: usize,
+    /// Its request class, by index.
+    pub class: usize,
     /// Its shard.
-    pub shard: Shard,
-    /// A number for its session, whose commands may stay at one host.
+    pub shard: ShardId,
+    /// A number for its session, whose requests may stay at one host.
     pub session: u64,
     /// The commit that it must see.
     pub after: Option<Timestamp>,
@@ -45,7 +45,7 @@
     pub deadline: Timestamp,
 }
 
-/// Why a statement is no valid command. The texts are for clients.
+/// Why a statement is no valid request. The texts are for clients.
 #[derive(Debug, thiserror::Error)]
 pub enum StatementError {
     /// The comment is missing or malformed, or what follows it is no statement that hosts take.
@@ -54,13 +54,13 @@
     /// The comment leaves out what the rules for statements do not supply.
     #[error("the statement's comment must hold id, c, d and cluster: the rules admit none without")]
     CommentIncomplete,
-    /// No command group has this name.
+    /// No request class has this name.
     #[error("unknown command group {name:?}")]
-    UnknownGroup {
+    UnknownClass {
         /// The name in the comment.
         name: String,
     },
-    /// A command with this id is in progress.
+    /// A request with this id is in progress.
     #[error("a command of the id {id} is in hand")]
     IdInUse {
         /// The id in the comment.
@@ -82,7 +82,7 @@
     pub fn sqlstate(&self) -> &'static str {
         match self {
             StatementError::Comment(_) | StatementError::CommentIncomplete => "42601",
-            StatementError::UnknownGroup { .. } | StatementError::TimeoutTooLong { .. } => "22023",
+            StatementError::UnknownClass { .. } | StatementError::TimeoutTooLong { .. } => "22023",
             StatementError::IdInUse { .. } => "42710",
             StatementError::Refused(refusal) => refusal.code(),
         }
@@ -92,7 +92,7 @@
 /// Why a statement is not admitted.
 #[derive(Debug, thiserror::Error)]
 pub enum AdmissionError {
-    /// It is no valid command.
+    /// It is no valid request.
     #[error(transparent)]
     Invalid(#[from] StatementError),
     /// Its client's budget for parsing statements is spent; a retry is harmless.
@@ -104,8 +104,8 @@
 ///
 /// # Errors
 ///
-/// If the statement is no valid command, or its client's budget for parsing statements is spent.
-pub fn admit(state: &RouterState, request: &StatementRequest<'_>) -> Result<AdmittedCommand, AdmissionError> {
+/// If the statement is no valid request, or its client's budget for parsing statements is spent.
+pub fn admit(state: &RouterState, request: &StatementRequest<'_>) -> Result<AdmittedRequest, AdmissionError> {
     match &mut *state.admission.borrow_mut() {
         None => Ok(admit_by_comment(state, request)?),
         Some(admission) => admit_by_text(state, admission, request),
@@ -114,12 +114,12 @@
 
 fn admit_by_comment(
     state: &RouterState, request: &StatementRequest<'_>,
-) -> Result<AdmittedCommand, StatementError> {
+) -> Result<AdmittedRequest, StatementError> {
     let comment = statement::parse_command(request.text)?;
-    let group = find_group(state, comment.group)?;
+    let class = find_class(state, comment.class)?;
     check_id_and_timeout(state, comment.id, comment.wait_ms)?;
-    Ok(AdmittedCommand {
-        group,
+    Ok(AdmittedRequest {
+        class,
         shard: comment.shard,
         session: statement::session_key(request.text),
         after: comment.after_ms.map(Timestamp::from_millis),
@@ -133,14 +133,14 @@
 /// The rules supply what the comment leaves out; what it says must not be less strict than the text.
 fn admit_by_text(
     state: &RouterState, admission: &mut StatementAdmission, request: &StatementRequest<'_>,
-) -> Result<AdmittedCommand, AdmissionError> {
+) -> Result<AdmittedRequest, AdmissionError> {
     let StatementRequest { text, arguments, .. } = *request;
     let fields = comment_fields(text)?;
     let timeout_ms = timeout_ms(admission, &fields)?;
-    let group = fields.group.map(|name| find_group(state, name)).transpose()?;
-    let client_id = fields.id.map_or_else(|| state.commands.borrow_mut().generate_id(), String::from);
+    let class = fields.class.map(|name| find_class(state, name)).transpose()?;
+    let client_id = fields.id.map_or_else(|| state.requests.borrow_mut().generate_id(), String::from);
     check_id_and_timeout(state, &client_id, timeout_ms)?;
-    let hints = StatementHints { group, shard: fields.shard };
+    let hints = StatementHints { class, shard: fields.shard };
     let clock = || state.clock.now();
     let passed =
         admission.admit_with(text, arguments, hints, request.origin, &clock).map_err(|rejection| {
@@ -149,8 +149,8 @@
                 StatementRejection::Throttled => AdmissionError::Throttled,
             }
         })?;
-    Ok(AdmittedCommand {
-        group: passed.assigned.group,
+    Ok(AdmittedRequest {
+        class: passed.assigned.class,
         shard: passed.assigned.shard,
         session: passed.assigned.session.unwrap_or_else(|| statement::session_key(text)),
         after: fields.after_ms.map(Timestamp::from_millis),
@@ -173,7 +173,7 @@
 /// The client's timeout in milliseconds: by its comment, or by the rules where these admit an incomplete comment.
 fn timeout_ms(admission: &StatementAdmission, fields: &CommentFields<'_>) -> Result<u64, StatementError> {
     let given = fields.wait.as_ref().map(|wait| wait.ms);
-    let complete = fields.id.is_some() && fields.group.is_some() && fields.shard.is_some();
+    let complete = fields.id.is_some() && fields.class.is_some() && fields.shard.is_some();
     match (given, &admission.rules().commentless) {
         (Some(timeout_ms), _) if complete => Ok(timeout_ms),
         (given, Some(commentless)) => Ok(given.unwrap_or(commentless.wait_ms)),
@@ -181,13 +181,13 @@
     }
 }
 
-fn find_group(state: &RouterState, name: &str) -> Result<usize, StatementError> {
-    let group = state.config.groups.iter().position(|known| known == name);
-    group.ok_or_else(|| StatementError::UnknownGroup { name: name.to_string() })
+fn find_class(state: &RouterState, name: &str) -> Result<usize, StatementError> {
+    let class = state.config.classes.iter().position(|known| known == name);
+    class.ok_or_else(|| StatementError::UnknownClass { name: name.to_string() })
 }
 
 fn check_id_and_timeout(state: &RouterState, id: &str, timeout_ms: u64) -> Result<(), StatementError> {
-    if state.commands.borrow().is_unanswered(id) {
+    if state.requests.borrow().is_unanswered(id) {
         return Err(StatementError::IdInUse { id: id.to_string() });
     }
     if timeout_ms > MAX_TIMEOUT_MS {
--- a/crates/comethitchd/src/stages/attempt_end.rs
+++ b/crates/comethitchd/src/stages/attempt_end.rs
@@ -1,14 +1,14 @@
-//! Records how an attempt ended: its count, its value or its host's error, and whether its command is finished.
+//! Records how an attempt ended: its count, its value or its host's error, and whether its request is finished.
 
 use crate::stages::reply;
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
-use crate::state::pending_commands::Reply;
+use crate::state::pending_requests::Reply;
 use crate::state::router_state::RouterState;
-use comethitch_policy::{AttemptOutcome, CommandId};
+use comethitch_policy::{AttemptOutcome, RequestId};
 
-/// Records the end of an attempt; true if its command has its final answer. The first complete value is that answer.
+/// Records the end of an attempt; true if its request has its final answer. The first complete value is that answer.
 pub fn record(
-    state: &RouterState, id: CommandId, attempt: u16, completion: &Result<(), ConnectionError>,
+    state: &RouterState, id: RequestId, attempt: u16, completion: &Result<(), ConnectionError>,
     payload: Vec<u8>,
 ) -> bool {
     let outcome = attempt_outcome(completion);
@@ -16,13 +16,13 @@
     if completion.is_ok() {
         reply::answer(state, id, Reply::Value(payload));
     } else if outcome == AttemptOutcome::Error && !payload.is_empty() {
-        state.commands.borrow_mut().record_host_error(id, payload);
+        state.requests.borrow_mut().record_host_error(id, payload);
     }
-    let mut commands = state.commands.borrow_mut();
-    if let Some(task) = commands.take_attempt(id, attempt) {
+    let mut requests = state.requests.borrow_mut();
+    if let Some(task) = requests.take_attempt(id, attempt) {
         task.detach();
     }
-    let answered = commands.is_answered(id);
-    commands.remove_if_finished(id);
+    let answered = requests.is_answered(id);
+    requests.remove_if_finished(id);
     answered
 }
--- a/crates/comethitchd/src/stages/mod.rs
+++ b/crates/comethitchd/src/stages/mod.rs
@@ -1,4 +1,4 @@
-//! The path of a command, whatever protocol it came by: [`admit`] makes a command of a statement, [`policy_driver`]
+//! The path of a request, whatever protocol it came by: [`admit`] makes a request of a statement, [`policy_driver`]
 //! hands it to the policy and carries out the policy's actions, [`attempt_end`] records how an attempt ended, and
 //! [`reply`] gives the final answer. [`updates`] applies endpoint lists and configuration reloads.
 
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -1,9 +1,9 @@
 //! Calls into the policy, and carries out the actions that it returns once the call is over.
 
-use crate::stages::admit::AdmittedCommand;
+use crate::stages::admit::AdmittedRequest;
 use crate::stages::{attempt_end, reply};
 use crate::state::host_connection::ConnectionError;
-use crate::state::pending_commands::{Reply, Statement};
+use crate::state::pending_requests::{Reply, Statement};
 use crate::state::protocol::AttemptResult;
 use crate::state::router_state::RouterState;
 use crate::state::socket::Socket;
@@ -12,8 +12,8 @@
 use async_io::Timer;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{
-    Action, ActionQueue, Actions, AttemptEnd, AttemptOutcome, CommandId, CommandRequest, Host, HostReport,
-    RejectionReason, Router,
+    Action, ActionQueue, Actions, AttemptEnd, AttemptOutcome, Host, LoadReport, RejectionReason, Request,
+    RequestId, Router,
 };
 use std::rc::{Rc, Weak};
 
@@ -30,7 +30,7 @@
 
 /// An attempt that ended while the actions were carried out.
 struct EndedAttempt {
-    command: CommandId,
+    request: RequestId,
     attempt: u16,
     error: ConnectionError,
 }
@@ -41,21 +41,21 @@
     let mut ended = Vec::new();
     for action in queue.actions {
         match action {
-            Action::SendAttempt { command, host, timeout } => {
-                let expired = state.backend.send_attempt(state, command, host, timeout);
+            Action::SendAttempt { request, host, timeout } => {
+                let expired = state.backend.send_attempt(state, request, host, timeout);
                 let error = ConnectionError::NotSent;
-                ended.extend(expired.map(|attempt| EndedAttempt { command, attempt, error }));
+                ended.extend(expired.map(|attempt| EndedAttempt { request, attempt, error }));
             }
-            Action::CancelAttempt { command, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 // Dropping the task closes its connection.
-                let task = state.commands.borrow_mut().take_attempt(command, attempt);
+                let task = state.requests.borrow_mut().take_attempt(request, attempt);
                 let error = ConnectionError::Cancelled;
-                ended.extend(task.map(|_| EndedAttempt { command, attempt, error }));
+                ended.extend(task.map(|_| EndedAttempt { request, attempt, error }));
             }
-            Action::Throttle { command, retry_after, reason } => {
-                reject(state, command, Reply::Throttled(retry_after), reason, "throttled");
+            Action::Throttle { request, retry_after, reason } => {
+                reject(state, request, Reply::Throttled(retry_after), reason, "throttled");
             }
-            Action::Fail { command, reason } => reject(state, command, Reply::Failed, reason, "failed"),
+            Action::Fail { request, reason } => reject(state, request, Reply::Failed, reason, "failed"),
             Action::CheckHealth(host) => state.backend.check_health(state, host),
             Action::CloseIdleConnections(host) => close_idle_connections(state, host),
             Action::WakeAfter(delay) => wake_after(state, delay),
@@ -63,17 +63,17 @@
             Action::WatchEndpoints => {}
         }
     }
-    for EndedAttempt { command, attempt, error } in ended {
-        attempt_ended(state, command, attempt, AttemptResult::failed(error));
+    for EndedAttempt { request, attempt, error } in ended {
+        attempt_ended(state, request, attempt, AttemptResult::failed(error));
     }
 }
 
 /// Gives a final answer that is no host's, and logs the policy's reason for it.
 fn reject(
-    state: &RouterState, command: CommandId, rejection: Reply, reason: RejectionReason, answer: &'static str,
+    state: &RouterState, request: RequestId, rejection: Reply, reason: RejectionReason, answer: &'static str,
 ) {
-    let statement = state.commands.borrow().statement(command);
-    if reply::answer(state, command, rejection) {
+    let statement = state.requests.borrow().statement(request);
+    if reply::answer(state, request, rejection) {
         state.metrics.rejections.increment(reason.name());
         let id = statement.map(|statement| statement.client_id.clone()).unwrap_or_default();
         log::info!(id, reason = reason.name(), answer; "request rejected");
@@ -100,28 +100,28 @@
 }
 
 /// An answer has begun to be streamed to the client: for the policy, its attempt has ended with that.
-pub fn answer_started(state: &Rc<RouterState>, id: CommandId, attempt: u16) {
+pub fn answer_started(state: &Rc<RouterState>, id: RequestId, attempt: u16) {
     let end = AttemptEnd {
         attempt,
         outcome: AttemptOutcome::Answered,
-        command_finished: true,
-        note: HostReport::default(),
-        report: HostReport::default(),
+        request_finished: true,
+        trailer: LoadReport::default(),
+        report: LoadReport::default(),
     };
     report_attempt_end(state, id, end);
 }
 
 /// An attempt has ended: it is recorded, and reported to the policy.
-pub fn attempt_ended(state: &Rc<RouterState>, id: CommandId, attempt: u16, result: AttemptResult) {
+pub fn attempt_ended(state: &Rc<RouterState>, id: RequestId, attempt: u16, result: AttemptResult) {
     let outcome = result.outcome();
-    let AttemptResult { completion, note, report, payload, already_reported } = result;
-    let command_finished = attempt_end::record(state, id, attempt, &completion, payload);
+    let AttemptResult { completion, trailer, report, payload, already_reported } = result;
+    let request_finished = attempt_end::record(state, id, attempt, &completion, payload);
     if !already_reported {
-        report_attempt_end(state, id, AttemptEnd { attempt, outcome, command_finished, note, report });
+        report_attempt_end(state, id, AttemptEnd { attempt, outcome, request_finished, trailer, report });
     }
 }
 
-fn report_attempt_end(state: &Rc<RouterState>, id: CommandId, end: AttemptEnd) {
+fn report_attempt_end(state: &Rc<RouterState>, id: RequestId, end: AttemptEnd) {
     call(state, EventLoopStep::AttemptEnded, |router, actions| {
         if let Some(handle) = router.handle(id) {
             handle.attempt_ended(router, end, actions);
@@ -129,31 +129,31 @@
     });
 }
 
-/// Hands a command to the policy; its final answer comes through the channel. `text` and `message_kind` are the
+/// Hands a request to the policy; its final answer comes through the channel. `text` and `message_kind` are the
 /// statement as the backend protocol sends it; nothing leaves for it once `client` has ended.
 pub fn submit(
-    state: &Rc<RouterState>, admitted: AdmittedCommand, text: Vec<u8>, message_kind: u8, client: Weak<Socket>,
-) -> (CommandId, Receiver<Reply>) {
+    state: &Rc<RouterState>, admitted: AdmittedRequest, text: Vec<u8>, message_kind: u8, client: Weak<Socket>,
+) -> (RequestId, Receiver<Reply>) {
     state.metrics.requests_received.increment();
-    let AdmittedCommand { client_id, timeout_range, shape, group, shard, session, after, deadline } =
+    let AdmittedRequest { client_id, timeout_range, shape, class, shard: shard_id, session, after, deadline } =
         admitted;
     let statement = Statement { text, message_kind, client_id, timeout_range, shape };
-    let (id, reply) = state.commands.borrow_mut().register(statement, client);
+    let (id, reply) = state.requests.borrow_mut().register(statement, client);
     call(state, EventLoopStep::Submit, |router, actions| {
         let now = actions.now();
         let timeout = deadline - now;
-        router.submit(CommandRequest { id, group, shard, session, after, timeout }, actions);
+        router.submit(Request { id, class, shard_id, session, after, timeout }, actions);
     });
     (id, reply)
 }
 
-/// The client has disconnected, or has cancelled its command: the command needs no answer any more.
-pub fn client_disconnected(state: &Rc<RouterState>, id: CommandId) {
+/// The client has disconnected, or has cancelled its request: the request needs no answer any more.
+pub fn client_disconnected(state: &Rc<RouterState>, id: RequestId) {
     state.metrics.clients_disconnected.increment();
-    if let Some(statement) = state.commands.borrow().statement(id) {
+    if let Some(statement) = state.requests.borrow().statement(id) {
         log::debug!(id = statement.client_id; "client disconnected or cancelled");
     }
-    state.commands.borrow_mut().abandon(id);
+    state.requests.borrow_mut().abandon(id);
     call(state, EventLoopStep::ClientDisconnected, |router, actions| {
         if let Some(handle) = router.handle(id) {
             handle.client_disconnected(router, actions);
--- a/crates/comethitchd/src/stages/reply.rs
+++ b/crates/comethitchd/src/stages/reply.rs
@@ -1,26 +1,26 @@
-//! The one final answer to a command.
+//! The one final answer to a request.
 
 use crate::state::metrics::Counter;
-use crate::state::pending_commands::Reply;
+use crate::state::pending_requests::Reply;
 use crate::state::router_state::RouterState;
-use comethitch_policy::CommandId;
+use comethitch_policy::RequestId;
 
-/// Gives a command its final answer if it has none yet; whether it was this one. A failure carries the error that a
+/// Gives a request its final answer if it has none yet; whether it was this one. A failure carries the error that a
 /// host answered the latest attempt with, if there is one.
-pub fn answer(state: &RouterState, id: CommandId, reply: Reply) -> bool {
+pub fn answer(state: &RouterState, id: RequestId, reply: Reply) -> bool {
     let reply = with_host_error(state, id, reply);
     let counter = counter_of(state, &reply);
-    let delivered = state.commands.borrow_mut().answer(id, reply);
+    let delivered = state.requests.borrow_mut().answer(id, reply);
     if delivered {
         counter.increment();
     }
     delivered
 }
 
-fn with_host_error(state: &RouterState, id: CommandId, reply: Reply) -> Reply {
+fn with_host_error(state: &RouterState, id: RequestId, reply: Reply) -> Reply {
     match reply {
         Reply::Failed => {
-            let host_error = state.commands.borrow_mut().take_host_error(id);
+            let host_error = state.requests.borrow_mut().take_host_error(id);
             host_error.map_or(Reply::Failed, Reply::FailedWithHostError)
         }
         reply => reply,
--- a/crates/comethitchd/src/stages/updates.rs
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -1,4 +1,4 @@
-//! Changes to a running router that are not commands: endpoint lists from discovery, and a reloaded configuration.
+//! Changes to a running router that are not requests: endpoint lists from discovery, and a reloaded configuration.
 
 use crate::stages::policy_driver;
 use crate::state::config::{Config, ConfigError};
@@ -61,7 +61,7 @@
     state.discovery.replace(config.discovery);
 }
 
-/// Replaces the rules for statements if they have changed. They are made for the command groups that this router runs
+/// Replaces the rules for statements if they have changed. They are made for the request classes that this router runs
 /// with; what was known of statement shapes is dropped with the rules that it was found by.
 fn reload_statement_rules(state: &RouterState, config: &Config) -> Result<(), ReloadError> {
     let mut admission = state.admission.borrow_mut();
--- a/crates/comethitchd/src/state/client_registry.rs
+++ b/crates/comethitchd/src/state/client_registry.rs
@@ -9,7 +9,7 @@
 use std::hash::{BuildHasher, Hasher};
 use std::rc::Rc;
 
-/// With no descriptor left, a connection may be evicted before its first command after this part of the shortened
+/// With no descriptor left, a connection may be evicted before its first request after this part of the shortened
 /// timeout.
 const LAST_RESORT_DIVISOR: u64 = 8;
 
@@ -18,11 +18,11 @@
 pub enum ConnectionPhase {
     /// It was sent an error that ends it; what it still sends is discarded.
     Closing,
-    /// Its first command, or the rest of a command that has begun, is awaited.
+    /// Its first request, or the rest of a request that has begun, is awaited.
     Reading,
-    /// Its last command was answered, and no other has begun.
+    /// Its last request was answered, and no other has begun.
     Idle,
-    /// A command of its own is in progress.
+    /// A request of its own is in progress.
     Busy,
 }
 
@@ -95,12 +95,12 @@
 
 /// How long a connection may stay in a phase.
 pub struct IdleTimeouts {
-    /// For reading a complete command, and for discarding what is sent after an error. A connection that is idle for
+    /// For reading a complete request, and for discarding what is sent after an error. A connection that is idle for
     /// as long may be evicted.
-    pub command: Duration,
+    pub request: Duration,
     /// Until an idle connection is closed in any case.
     pub idle: Duration,
-    /// In place of `command` while descriptors are short or the router stops.
+    /// In place of `request` while descriptors are short or the router stops.
     pub shortened: Duration,
 }
 
@@ -136,8 +136,8 @@
         (number, signal)
     }
 
-    /// Cancels the command in progress on a connection, if the caller knows its cancel key.
-    pub fn cancel_command(&self, number: u32, cancel_key: u32) {
+    /// Cancels the request in progress on a connection, if the caller knows its cancel key.
+    pub fn cancel_request(&self, number: u32, cancel_key: u32) {
         let open = self.open.borrow();
         if let Some(connection) =
             open.by_number.get(&number).filter(|open| open.signal.cancel_key == cancel_key)
@@ -156,9 +156,9 @@
         self.open.borrow_mut().set_phase(number, phase, now);
     }
 
-    /// Asks one connection to close, to free its descriptor: one that was sent an error, or has sent no command for a
+    /// Asks one connection to close, to free its descriptor: one that was sent an error, or has sent no request for a
     /// while, or has long been idle. With no descriptor left (`exhausted`), also one that hardly had the time to send
-    /// a command; and any idle one only if no connection is new.
+    /// a request; and any idle one only if no connection is new.
     pub fn evict_idle(&self, now: Timestamp, exhausted: bool) {
         let mut open = self.open.borrow_mut();
         if let Some(number) = self.next_to_evict(&open, now, exhausted) {
@@ -168,14 +168,14 @@
 
     /// The connection that is evicted first; none if no connection may be evicted.
     fn next_to_evict(&self, open: &OpenConnections, now: Timestamp, exhausted: bool) -> Option<u32> {
-        let IdleTimeouts { command, shortened, .. } = self.timeouts;
+        let IdleTimeouts { request, shortened, .. } = self.timeouts;
         let longest_in = |phase, at_least: Duration| {
             let (since, number) = open.longest_in(phase)?;
             (now - since >= at_least).then_some(number)
         };
         let closing = longest_in(ConnectionPhase::Closing, shortened);
         let reading = || longest_in(ConnectionPhase::Reading, shortened);
-        let idle = || longest_in(ConnectionPhase::Idle, command);
+        let idle = || longest_in(ConnectionPhase::Idle, request);
         let usual = closing.or_else(reading).or_else(idle);
         if usual.is_some() || !exhausted {
             return usual;
@@ -187,8 +187,8 @@
 
     /// Asks connections to close that have been in one phase for too long.
     pub fn close_expired(&self, now: Timestamp) {
-        let IdleTimeouts { command, idle, shortened } = self.timeouts;
-        let reading = if self.stopping.get() { shortened } else { command };
+        let IdleTimeouts { request, idle, shortened } = self.timeouts;
+        let reading = if self.stopping.get() { shortened } else { request };
         let limits = [
             (ConnectionPhase::Closing, reading),
             (ConnectionPhase::Reading, reading),
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Asks every connection to close once it has no command in progress.
+    /// Asks every connection to close once it has no request in progress.
     pub fn close_all(&self) {
         self.stopping.set(true);
         let open = self.open.borrow();
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -47,8 +47,8 @@
     pub known: EndpointList,
     /// The policy's settings.
     pub deployment: Deployment,
-    /// The names of the command groups, in the policy's order.
-    pub groups: Vec<String>,
+    /// The names of the request classes, in the policy's order.
+    pub classes: Vec<String>,
     /// The names of the zones, in the policy's order.
     pub zones: Vec<String>,
     /// After this long a host closes an idle connection.
@@ -80,7 +80,7 @@
         let seed = keys.text("seed")?;
         let zones = keys.names("settings.dcs")?;
         let known = reader.known_hosts(&zones)?;
-        let groups = reader.command_groups()?;
+        let classes = reader.request_classes()?;
         Ok(Config {
             name: reader.text("name", "RELAY_NAME")?,
             listen: reader.address("listen", "RELAY_LISTEN")?,
@@ -90,7 +90,7 @@
             sockets: keys.number_or("limits.sockets", MIN_SOCKETS, DEFAULT_SOCKETS)? as usize,
             known,
             deployment,
-            groups,
+            classes,
             zones,
             host_idle: Duration::from_micros(keys.number_or(
                 "settings.permissions.conn_idle_us",
@@ -110,7 +110,7 @@
             ("limits.sockets", self.sockets != other.sockets),
             (
                 "settings.classes",
-                self.groups != other.groups || self.deployment.groups != other.deployment.groups,
+                self.classes != other.classes || self.deployment.classes != other.deployment.classes,
             ),
             ("settings.dcs", self.zones != other.zones),
             ("settings", self.deployment != other.deployment || self.host_idle != other.host_idle),
@@ -118,7 +118,7 @@
         changed.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
     }
 
-    /// Adds the rules for statements from a file, checked against the command groups and the memory limit.
+    /// Adds the rules for statements from a file, checked against the request classes and the memory limit.
     ///
     /// # Errors
     ///
@@ -147,18 +147,18 @@
     ///
     /// # Errors
     ///
-    /// If the rules do not fit the command groups.
+    /// If the rules do not fit the request classes.
     pub fn admission(&self, now: Timestamp) -> Result<Option<StatementAdmission>, ConfigError> {
         self.statements.clone().map(|rules| self.admission_by(rules, now)).transpose()
     }
 
-    /// The same by other rules, for the command groups of this configuration.
+    /// The same by other rules, for the request classes of this configuration.
     ///
     /// # Errors
     ///
-    /// If the rules do not fit the command groups.
+    /// If the rules do not fit the request classes.
     pub fn admission_by(&self, rules: Rules, now: Timestamp) -> Result<StatementAdmission, ConfigError> {
-        StatementAdmission::new(rules, &self.deployment.groups, &self.groups, random_secret(), now)
+        StatementAdmission::new(rules, &self.deployment.classes, &self.classes, random_secret(), now)
             .map_err(ConfigError::Rules)
     }
 }
@@ -239,12 +239,12 @@
         }
     }
 
-    fn command_groups(&self) -> Result<Vec<String>, ConfigError> {
-        let groups = self.keys.names_under("settings.classes", "name")?;
-        if groups.is_empty() {
-            return Err(ConfigError::NoCommandGroups);
+    fn request_classes(&self) -> Result<Vec<String>, ConfigError> {
+        let classes = self.keys.names_under("settings.classes", "name")?;
+        if classes.is_empty() {
+            return Err(ConfigError::NoRequestClasses);
         }
-        Ok(groups)
+        Ok(classes)
     }
 }
 
@@ -263,9 +263,9 @@
         ("permissions.connect_timeout_us".into(), deployment.connect_timeout),
         ("rules.fall_us".into(), deployment.slow_start.window),
     ];
-    for (i, group) in deployment.groups.iter().enumerate() {
-        durations.push((format!("classes.{i}.target_us"), group.latency_objective));
-        durations.push((format!("classes.{i}.deadline_us"), group.timeout));
+    for (i, class) in deployment.classes.iter().enumerate() {
+        durations.push((format!("classes.{i}.target_us"), class.latency_objective));
+        durations.push((format!("classes.{i}.deadline_us"), class.timeout));
     }
     if let Some((key, _)) = durations.iter().find(|(_, duration)| *duration == Duration::ZERO) {
         return Err(ConfigError::Required { key: format!("settings.{key}"), expected: "1 or more" });
--- a/crates/comethitchd/src/state/config/error.rs
+++ b/crates/comethitchd/src/state/config/error.rs
@@ -63,9 +63,9 @@
         /// What is accepted.
         expected: &'static str,
     },
-    /// The list of command groups is empty.
+    /// The list of request classes is empty.
     #[error("settings.classes must name one command group or more")]
-    NoCommandGroups,
+    NoRequestClasses,
     /// The policy does not accept its settings; the error begins with the key.
     #[error("settings.{0}")]
     Settings(#[source] DeploymentError),
@@ -83,7 +83,7 @@
     /// Something stands behind the rules for statements.
     #[error("behind the rules: {0}")]
     AfterRules(#[source] serde_json::Error),
-    /// The rules for statements do not fit the command groups; the error begins with the key.
+    /// The rules for statements do not fit the request classes; the error begins with the key.
     #[error("{0}")]
     Rules(#[source] RulesError),
     /// The cache of statement shapes takes too much of the memory limit.
--- a/crates/comethitchd/src/state/descriptors.rs
+++ b/crates/comethitchd/src/state/descriptors.rs
@@ -8,7 +8,7 @@
 const RESERVED_DESCRIPTORS: usize = 20;
 /// Of the others, clients get this part and hosts the rest, so that neither waits for what the other holds.
 const CLIENT_DESCRIPTORS_PART: (usize, usize) = (5, 8);
-/// Commands may be in progress on this part of the clients' connections.
+/// Requests may be in progress on this part of the clients' connections.
 const BUSY_CLIENTS_PART: (usize, usize) = (4, 5);
 /// While less than one part in so many of the clients' descriptors is free, idle connections are evicted.
 const FREE_CLIENTS_DIVISOR: usize = 8;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// How many commands may be in progress.
-    pub fn max_commands(&self) -> usize {
+    /// How many requests may be in progress.
+    pub fn max_requests(&self) -> usize {
         self.clients.limit() * BUSY_CLIENTS_PART.0 / BUSY_CLIENTS_PART.1
     }
 
--- a/crates/comethitchd/src/state/host_connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -25,7 +25,7 @@
 pub struct SessionState {
     /// The negotiated packet size in bytes, in protocols with packets.
     pub packet_size: usize,
-    /// It was used before: the session must be reset before the next command.
+    /// It was used before: the session must be reset before the next request.
     pub reused: bool,
 }
 
@@ -61,7 +61,7 @@
                 "53300" => AttemptOutcome::Overloaded,
                 _ => AttemptOutcome::Error,
             },
-            // The database is read-only, or this replica takes no such commands. Behind another statement of
+            // The database is read-only, or this replica takes no such requests. Behind another statement of
             // the batch it would say nothing of that one.
             HostErrorCode::Tds { number: 3906 | 3908 | 976 | 978 | 979 | 982 | 983, first: true, .. } => {
                 AttemptOutcome::NotPrimary
--- a/crates/comethitchd/src/state/metrics.rs
+++ b/crates/comethitchd/src/state/metrics.rs
@@ -44,19 +44,19 @@
 /// The counters of a router.
 #[derive(Default)]
 pub struct Metrics {
-    /// Commands handed to the policy.
+    /// Requests handed to the policy.
     pub requests_received: Counter,
-    /// Commands answered with a value.
+    /// Requests answered with a value.
     pub answered: Counter,
-    /// Commands throttled, by the policy or by a client's budget for parsing statements.
+    /// Requests throttled, by the policy or by a client's budget for parsing statements.
     pub throttled: Counter,
-    /// Commands throttled at the limit of commands in progress, and connections ended for lack of memory.
+    /// Requests throttled at the limit of requests in progress, and connections ended for lack of memory.
     pub throttled_at_limit: Counter,
-    /// Commands failed.
+    /// Requests failed.
     pub failed: Counter,
-    /// Clients that disconnected with a command in progress, or cancelled it.
+    /// Clients that disconnected with a request in progress, or cancelled it.
     pub clients_disconnected: Counter,
-    /// Statements that are no valid command, and connections that broke their protocol.
+    /// Statements that are no valid request, and connections that broke their protocol.
     pub invalid_requests: Counter,
     /// Health checks sent.
     pub health_checks: Counter,
@@ -72,7 +72,7 @@
     pub sends_refused: CounterByKind<&'static str>,
     /// Rules that the router found broken by itself, by name.
     pub violations: CounterByKind<&'static str>,
-    /// Commands that the policy rejected, by the name of its reason.
+    /// Requests that the policy rejected, by the name of its reason.
     pub rejections: CounterByKind<&'static str>,
     /// Attempts and health checks that were neither answered nor cancelled, by host.
     pub host_faults: CounterByKind<(Host, AttemptOutcome)>,
--- a/crates/comethitchd/src/state/metrics_report.rs
+++ b/crates/comethitchd/src/state/metrics_report.rs
@@ -27,7 +27,7 @@
         return;
     }
     let gauges = [
-        ("now_commands_in_progress", state.commands.borrow().len()),
+        ("now_commands_in_progress", state.requests.borrow().len()),
         ("now_client_connections", state.clients.len()),
         ("now_idle_host_connections", state.pool.borrow().len()),
         ("now_host_connections", state.descriptors.hosts.in_use()),
--- a/crates/comethitchd/src/state/mod.rs
+++ b/crates/comethitchd/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a running router holds: its configuration, buffers, connections, commands in progress, the endpoint list and
+//! What a running router holds: its configuration, buffers, connections, requests in progress, the endpoint list and
 //! its counts.
 //!
 //! [`router_state::RouterState`] owns all of it.
@@ -17,7 +17,7 @@
 pub mod memory_budget;
 pub mod metrics;
 pub mod metrics_report;
-pub mod pending_commands;
+pub mod pending_requests;
 pub mod protocol;
 pub mod router_state;
 pub mod signals;
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -12,7 +12,7 @@
 use crate::state::endpoints::EndpointDirectory;
 use crate::state::memory_budget::MemoryBudget;
 use crate::state::metrics::Metrics;
-use crate::state::pending_commands::PendingCommands;
+use crate::state::pending_requests::PendingRequests;
 use crate::state::protocol::BackendProtocol;
 use crate::state::signals::OneShotEvent;
 use crate::state::stall_detector::StallDetector;
@@ -30,11 +30,11 @@
 const OTHER_MEMORY: u64 = 12 << 20;
 /// The part of the remaining memory that buffers get, as what they hold is copied once.
 const BUFFER_MEMORY_DIVISOR: usize = 2;
-/// A client connection with no command in progress may be closed after this long.
+/// A client connection with no request in progress may be closed after this long.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Of client connections: one that sends no complete command is closed within 3 s, checks included.
+/// Of client connections: one that sends no complete request is closed within 3 s, checks included.
 const IDLE_TIMEOUTS: IdleTimeouts = IdleTimeouts {
-    command: COMMAND_TIMEOUT,
+    request: COMMAND_TIMEOUT,
     idle: Duration::from_micros(COMMAND_TIMEOUT.as_micros() * 5),
     shortened: Duration::from_micros(COMMAND_TIMEOUT.as_micros() / 32),
 };
@@ -53,8 +53,8 @@
     pub router: RefCell<Router>,
     /// The protocol spoken with hosts.
     pub backend: Box<dyn BackendProtocol<RouterState>>,
-    /// Commands in progress.
-    pub commands: RefCell<PendingCommands>,
+    /// Requests in progress.
+    pub requests: RefCell<PendingRequests>,
     /// Idle connections to hosts.
     pub pool: RefCell<ConnectionPool>,
     /// Names and addresses of hosts.
@@ -81,7 +81,7 @@
     pub stalls: StallDetector,
     /// How long the event loop's steps take.
     pub steps: StepTimes,
-    /// The longest timeout of any command group.
+    /// The longest timeout of any request class.
     pub longest_timeout: Duration,
 }
 
@@ -90,18 +90,18 @@
     ///
     /// # Errors
     ///
-    /// If the rules for statements do not fit the command groups.
+    /// If the rules for statements do not fit the request classes.
     pub fn new(
         config: Config, clock: Clock, router: Router, backend: Box<dyn BackendProtocol<RouterState>>,
     ) -> Result<Rc<RouterState>, ConfigError> {
         let admission = config.admission(clock.now())?;
-        let timeouts = config.deployment.groups.iter().map(|group| group.timeout);
+        let timeouts = config.deployment.classes.iter().map(|class| class.timeout);
         Ok(Rc::new(RouterState {
             clock,
             tasks: LocalExecutor::new(),
             router: RefCell::new(router),
             backend,
-            commands: RefCell::default(),
+            requests: RefCell::default(),
             pool: RefCell::new(ConnectionPool::new(config.host_idle)),
             endpoints: RefCell::default(),
             clients: ClientRegistry::new(IDLE_TIMEOUTS),
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Logs a command that was throttled before the policy saw it: `at_limit` where
-    /// [`RouterState::at_command_limit`], `statement_budget` where its client's budget for parsing statements was
+    /// Logs a request that was throttled before the policy saw it: `at_limit` where
+    /// [`RouterState::at_request_limit`], `statement_budget` where its client's budget for parsing statements was
     /// spent (its id is not read yet: empty). Counted by the caller, as `throttled_at_limit` or `throttled`.
     pub fn log_rejection(&self, id: &str, reason: &'static str) {
         log::info!(id, reason, answer = "throttled"; "request rejected");
@@ -163,10 +163,10 @@
         log::error!(rule, subject; "rule broken");
     }
 
-    /// Whether as many commands are in progress as connections allow. Past that, clients' connections are still
-    /// accepted, and their commands throttled at once.
-    pub fn at_command_limit(&self) -> bool {
-        self.commands.borrow().len() >= self.descriptors.max_commands()
+    /// Whether as many requests are in progress as connections allow. Past that, clients' connections are still
+    /// accepted, and their requests throttled at once.
+    pub fn at_request_limit(&self) -> bool {
+        self.requests.borrow().len() >= self.descriptors.max_requests()
     }
 
     /// A descriptor for one more client. As they run short, clients that have long been idle are evicted.
--- a/crates/comethitchd/src/state/signals.rs
+++ b/crates/comethitchd/src/state/signals.rs
@@ -1,5 +1,5 @@
 //! Signals between tasks of the one thread: a one-shot event, and the requests to close a client's connection or to
-//! cancel its command.
+//! cancel its request.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
@@ -43,7 +43,7 @@
     /// It may stay open.
     #[default]
     Never,
-    /// Once no command is in progress or has begun to come in.
+    /// Once no request is in progress or has begun to come in.
     WhenIdle,
     /// At once.
     Now,
@@ -53,7 +53,7 @@
 /// life, so that waiting costs nothing while nothing is requested.
 #[derive(Default)]
 pub struct ConnectionSignal {
-    /// Whoever presents this key may cancel the connection's command.
+    /// Whoever presents this key may cancel the connection's request.
     pub cancel_key: u32,
     close: Cell<CloseRequest>,
     cancelled: Cell<bool>,
@@ -72,18 +72,18 @@
         self.wake();
     }
 
-    /// A new command begins: a cancellation of an earlier one does not concern it.
+    /// A new request begins: a cancellation of an earlier one does not concern it.
     pub fn reset_cancel(&self) {
         self.cancelled.set(false);
     }
 
-    /// Cancels the command in progress, if there is one.
+    /// Cancels the request in progress, if there is one.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         self.wake();
     }
 
-    /// Waits until the command in progress is cancelled.
+    /// Waits until the request in progress is cancelled.
     pub async fn wait_for_cancel(&self) {
         self.wait_until(|| self.cancelled.get()).await;
     }
--- a/crates/comethitchd/src/state/step_times.rs
+++ b/crates/comethitchd/src/state/step_times.rs
@@ -7,7 +7,7 @@
 /// Work that the event loop does in one go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventLoopStep {
-    /// A command is handed to the policy.
+    /// A request is handed to the policy.
     Submit,
     /// The end of an attempt is reported to the policy.
     AttemptEnded,
--- a/crates/comethitchd/src/state/transition_log.rs
+++ b/crates/comethitchd/src/state/transition_log.rs
@@ -1,27 +1,27 @@
-//! Logs what changed of the policy's view of the fleet: the states of groups of hosts, and how the router's clock stands to
+//! Logs what changed of the policy's view of the fleet: the states of shards, and how the router's clock stands to
 //! the hosts'.
 
-use comethitch_policy::{ClockState, GroupState, Router, Shard};
+use comethitch_policy::{ClockState, Router, ShardId, ShardState};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
 /// The view that was logged last.
 #[derive(Default)]
 pub struct TransitionLog {
-    groups: RefCell<BTreeMap<Shard, (GroupState, u32)>>,
+    groups: RefCell<BTreeMap<ShardId, (ShardState, u32)>>,
     clock: Cell<ClockState>,
 }
 
 impl TransitionLog {
     /// Logs what has changed since the last call. Changes that came and went in between are not seen.
     pub fn log_changes(&self, router: &Router) {
-        self.log_groups(router);
+        self.log_shards(router);
         self.log_clock(router.clock_state());
     }
 
-    fn log_groups(&self, router: &Router) {
+    fn log_shards(&self, router: &Router) {
         let mut groups = self.groups.borrow_mut();
-        for (shard, state, serial) in router.group_states() {
+        for (shard, state, serial) in router.shard_states() {
             let before = groups.insert(shard, (state, serial)).unwrap_or_default();
             if before != (state, serial) {
                 log::info!(group = shard, serial; "group {shard} went from {:?} to {state:?}", before.0);
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -172,7 +172,7 @@
         endpoint: Endpoint {
             host: host_id(&raw.host),
             zone: zone_index(&raw.site, zones),
-            shard,
+            shard_id: shard,
             lifecycle,
             is_primary: raw.rank == "source",
             capacity: raw.share.unwrap_or(1.0),
--- a/crates/comethitchd/src/wire/host_report.rs
+++ b/crates/comethitchd/src/wire/host_report.rs
@@ -4,14 +4,14 @@
 
 use crate::wire::postgres::HostParameters;
 use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{HostReport, Role};
+use comethitch_policy::{LoadReport, Role};
 
 /// Hosts print positions in milliseconds, possibly rounded up.
 const POSITION_RESOLUTION: Duration = Duration::from_micros(1_000);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// The role and position that a host had as it answered, from the parameters of its answer.
-pub fn from_parameters(parameters: &HostParameters) -> HostReport {
+pub fn from_parameters(parameters: &HostParameters) -> LoadReport {
     let role = match parameters.role.as_deref() {
         Some("source") => Some(Role::Primary),
         Some("copy") => Some(Role::Replica),
@@ -19,7 +19,7 @@
     };
     let position_ms = parameters.position.as_deref().and_then(|text| text.parse::<u64>().ok());
     let position = position_ms.filter(|ms| *ms > 0).map(Timestamp::from_millis);
-    HostReport { role, position, queue: None }
+    LoadReport { role, position, queue: None }
 }
 
 /// Parses a load report such as `x0=1767225600.123,x1=1,queue=4`: `x0` is the position in seconds of Unix time, `x1`
@@ -32,16 +32,16 @@
 /// assert_eq!((report.role, report.queue), (Some(Role::Primary), Some(4.0)));
 /// // A host that has made no report yet says zero; that is no position, and no role either.
 /// let none = comethitchd::wire::host_report::parse_load_report("x0=0.000,x1=0,queue=0");
-/// assert_eq!(none, comethitch_policy::HostReport::default());
+/// assert_eq!(none, comethitch_policy::LoadReport::default());
 /// ```
-pub fn parse_load_report(text: &str) -> HostReport {
+pub fn parse_load_report(text: &str) -> LoadReport {
     let fields = || text.split(',').filter_map(|field| field.trim().split_once('='));
     let value = |wanted: &str| fields().find(|(name, _)| *name == wanted).map(|(_, value)| value);
     let role = value("x1").and_then(|x1| x1.parse::<f64>().ok()).map(role_from);
     let queue = value("queue").and_then(|queue| queue.parse().ok()).filter(|queue: &f64| *queue >= 0.0);
     match value("x0").map(parse_position) {
-        Some(None) => HostReport::default(),
-        position => HostReport { role, position: position.flatten(), queue },
+        Some(None) => LoadReport::default(),
+        position => LoadReport { role, position: position.flatten(), queue },
     }
 }
 
--- a/crates/comethitchd/src/wire/statement.rs
+++ b/crates/comethitchd/src/wire/statement.rs
@@ -1,6 +1,6 @@
 //! The comment that a client's statement begins with, and the forms of statement that hosts support.
 //!
-//! Admission (`stages::admit`) turns what is parsed here into a command.
+//! Admission (`stages::admit`) turns what is parsed here into a request.
 
 use std::ops::Range;
 
@@ -80,11 +80,11 @@
 
 /// What a complete comment says. The statement itself is forwarded as it came, but for the value of `d`.
 #[derive(Debug, PartialEq, Eq)]
-pub struct CommandComment<'a> {
-    /// The command's id, `id`.
+pub struct RequestComment<'a> {
+    /// The request's id, `id`.
     pub id: &'a str,
-    /// The name of the command group, `c`.
-    pub group: &'a str,
+    /// The name of the request class, `c`.
+    pub class: &'a str,
     /// For how many milliseconds the client waits, `d`.
     pub wait_ms: u64,
     /// Where the value of `d` stands in the statement.
@@ -102,22 +102,22 @@
 /// use comethitchd::wire::statement::parse_command;
 /// let text = b"/* d=480,id=9b1f,cluster=2,c=basket,x=1 */ SELECT data FROM facts WHERE code = 'k'";
 /// let comment = parse_command(text).unwrap();
-/// assert_eq!((comment.group, comment.shard, &text[comment.wait_at]), ("basket", 2, &b"480"[..]));
+/// assert_eq!((comment.class, comment.shard, &text[comment.wait_at]), ("basket", 2, &b"480"[..]));
 /// ```
 ///
 /// # Errors
 /// If a field is missing or wrong, or the statement has another form.
-pub fn parse_command(text: &[u8]) -> Result<CommandComment<'_>, CommentError> {
+pub fn parse_command(text: &[u8]) -> Result<RequestComment<'_>, CommentError> {
     let fields = parse_comment(text)?;
     let id = fields.id.ok_or(CommentError::MissingField("id"))?;
     let wait = fields.wait.ok_or(CommentError::MissingField("d"))?;
-    let group = fields.group.ok_or(CommentError::MissingField("c"))?;
+    let class = fields.class.ok_or(CommentError::MissingField("c"))?;
     let shard = fields.shard.ok_or(CommentError::MissingField("cluster"))?;
     let statement = &text[fields.end..];
     if !matches_form(statement, &READ) && !matches_form(statement, &WRITE) {
         return Err(CommentError::UnsupportedStatement);
     }
-    Ok(CommandComment { id, group, wait_ms: wait.ms, wait_at: wait.range, shard, after_ms: fields.after_ms })
+    Ok(RequestComment { id, class, wait_ms: wait.ms, wait_at: wait.range, shard, after_ms: fields.after_ms })
 }
 
 /// The field `d`: how long the client waits.
@@ -132,10 +132,10 @@
 /// The known fields of a comment, whatever statement follows it.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct CommentFields<'a> {
-    /// The command's id.
+    /// The request's id.
     pub id: Option<&'a str>,
-    /// The name of the command group.
-    pub group: Option<&'a str>,
+    /// The name of the request class.
+    pub class: Option<&'a str>,
     /// How long the client waits.
     pub wait: Option<WaitField>,
     /// The shard.
@@ -180,7 +180,7 @@
         let (name, value) = part.trim().split_once('=').unwrap_or_default();
         match name {
             "id" => self.id = Some(value),
-            "c" => self.group = Some(value),
+            "c" => self.class = Some(value),
             "d" => {
                 let indent = part.len() - part.trim_start().len();
                 let from = at + indent + "d=".len();
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Enough commands that the router stops reading before the end of the connection can be read.
-fn pipelined_commands(from: u32) -> Vec<u8> {
+/// Enough requests that the router stops reading before the end of the connection can be read.
+fn pipelined_requests(from: u32) -> Vec<u8> {
     (from..from + 400).flat_map(|id| query(&write(id, 5_000))).collect()
 }
 
@@ -70,7 +70,7 @@
         let mut client = Client::connect(router.address);
         client.0.write_all(&query(&write(1, 5_000))).expect("sent");
         assert!(matches!(primary.next(), HostEvent::Query(_)), "the first is out");
-        client.0.write_all(&pipelined_commands(2)).expect("sent");
+        client.0.write_all(&pipelined_requests(2)).expect("sent");
         let (gone, _held) = (Instant::now(), exit.apply(client));
         assert_eq!(primary.next(), HostEvent::Ended, "{exit:?}: the first is called off");
         let took = gone.elapsed();
@@ -147,7 +147,7 @@
         let router = Router::start(all);
         let mut client = Client::connect(router.address);
         client.0.write_all(&query(&write(1, 5_000))).expect("sent");
-        // The router attempts a connection for the command, and probes: both have their startup message out before it goes.
+        // The router attempts a connection for the request, and probes: both have their startup message out before it goes.
         sleep(EXIT_GRACE);
         let _held = exit.apply(client);
         sleep(EXIT_GRACE * 2);
@@ -172,7 +172,7 @@
     let primary = host(true, |nth, _| answer(&format!("value {nth}")));
     let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
-    // Its last answer waits unread, and the next command comes in the moment in which it is closed.
+    // Its last answer waits unread, and the next request comes in the moment in which it is closed.
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
     assert!(matches!(primary.next(), HostEvent::Query(_)));
     router.ask_to_stop();
@@ -260,7 +260,7 @@
     assert!(matches!(client.receive(), ClientReply::Value(_)));
 }
 
-/// Whatever a configuration that is read again does to the command groups, a command ends under what it came in under.
+/// Whatever a configuration that is read again does to the request classes, a request ends under what it came in under.
 #[test]
 fn a_reload_that_reorders_command_groups_changes_nothing_for_commands_in_hand() {
     let (tell, go) = channel::<()>();
@@ -433,7 +433,7 @@
     let last = others.last_mut().expect("clients");
     let turned_away = [last.receive(), last.receive()].contains(&ClientReply::Error("53300".into()));
     assert!(turned_away, "there is no room left");
-    client.0.write_all(&pipelined_commands(2)[..6_000]).expect("sent");
+    client.0.write_all(&pipelined_requests(2)[..6_000]).expect("sent");
     sleep(EXIT_GRACE);
     tell.send(()).expect("told");
     assert_eq!(client.receive(), ClientReply::Value(b"value".to_vec()));
@@ -498,7 +498,7 @@
         other.0.write_all(&request).expect("sent");
         assert_eq!(other.receive(), ClientReply::Closed, "whoever asks learns nothing");
     };
-    // Between two commands there is nothing to cancel.
+    // Between two requests there is nothing to cancel.
     cancel(key);
     client.0.write_all(&query(&write(1, 5_000))).expect("sent");
     assert!(matches!(primary.next(), HostEvent::Query(_)));
@@ -547,7 +547,7 @@
         (group["target_us"], group["deadline_us"]) = (10_000.into(), 20_000.into());
     }
     let program = Program::start("moment", &all);
-    // A command in hand that would wait for longer keeps the router up to the end of its time.
+    // A request in hand that would wait for longer keeps the router up to the end of its time.
     let mut client = Client::connect(program.address);
     client.0.write_all(&query(&write(1, 60_000))).expect("sent");
     assert!(matches!(primary.next(), HostEvent::Query(_)));
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -157,7 +157,7 @@
     }
 }
 
-/// The first command that comes from now on is treated so by the host, and the others are answered.
+/// The first request that comes from now on is treated so by the host, and the others are answered.
 fn once(behavior: HostBehavior) -> impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static {
     let met = std::sync::atomic::AtomicBool::new(false);
     move |_, _| {
--- a/crates/comethitchd/tests/large_fleet.rs
+++ b/crates/comethitchd/tests/large_fleet.rs
@@ -1,6 +1,6 @@
 //! A router that has a small part of a core, in front of thousands of hosts of which six in ten are replaced within
 //! seconds. What it does for each event must not grow with the hosts that the event has nothing to do with: else it falls
-//! behind, and commands get their final answers too late.
+//! behind, and requests get their final answers too late.
 
 mod support;
 
@@ -17,9 +17,9 @@
 const CORE_PARTS: u32 = if cfg!(debug_assertions) { 3 } else { 20 };
 /// Hosts in all. A group of them has one primary, and replicas besides.
 const HOSTS: usize = 3_200;
-/// How long a host takes for a command.
+/// How long a host takes for a request.
 const WORK: Duration = Duration::from_millis(30);
-/// Clients, each with one command at a time, and how long each waits between two.
+/// Clients, each with one request at a time, and how long each waits between two.
 const CLIENTS: u32 = 24;
 const PAUSE: Duration = Duration::from_millis(500);
 /// How long a client waits for an answer.
@@ -43,7 +43,7 @@
 struct Fleet {
     primaries: SocketAddr,
     replicas: SocketAddr,
-    group_size: usize,
+    shard_size: usize,
     endpoints: Mutex<Endpoints>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Fleet {
-    fn start(group_size: usize) -> Arc<Fleet> {
+    fn start(shard_size: usize) -> Arc<Fleet> {
         let serve = |_: usize, _: &str| {
             sleep(WORK);
             HostAction::Answer(row(b"value"))
@@ -60,7 +60,7 @@
         let fleet = Fleet {
             primaries: host(true, serve).address,
             replicas: host(false, serve).address,
-            group_size,
+            shard_size,
             endpoints: Mutex::new(Endpoints { hosts: Vec::new(), changes: Vec::new() }),
         };
         let hosts = (0..HOSTS).map(|index| fleet.entry(index, 0, "ready")).collect();
@@ -70,17 +70,17 @@
 
     /// The host at a place in the fleet, as it was first or as its `generation`th replacement.
     fn entry(&self, index: usize, generation: u32, health: &str) -> Value {
-        let is_primary = index.is_multiple_of(self.group_size);
+        let is_primary = index.is_multiple_of(self.shard_size);
         let address = if is_primary { self.primaries } else { self.replicas };
         let mut entry = entry(&format!("db-{index}-{generation}"), address, is_primary, health);
-        entry["block"] = (index / self.group_size).into();
+        entry["block"] = (index / self.shard_size).into();
         entry["born_ms"] = if generation == 0 { 0 } else { unix_ms() }.into();
         entry
     }
 
     /// Replaces six in ten of the replicas, a few of all groups at each step.
     fn replace_hosts(&self) {
-        let is_replaced = |index: &usize| !index.is_multiple_of(self.group_size) && index % 5 < 3;
+        let is_replaced = |index: &usize| !index.is_multiple_of(self.shard_size) && index % 5 < 3;
         let replaced: Vec<usize> = (0..HOSTS).filter(is_replaced).collect();
         for step in 0..STEPS {
             let indices = replaced.iter().skip(step).step_by(STEPS);
@@ -145,16 +145,16 @@
     }
 }
 
-/// What became of a client's commands.
+/// What became of a client's requests.
 #[derive(Debug, Default)]
 struct Outcomes {
     answered: u32,
     rejected: u32,
-    /// Answers that came too late, by how long after the command was sent.
+    /// Answers that came too late, by how long after the request was sent.
     lost: Vec<Duration>,
 }
 
-/// Sends one command after the other, each to a group drawn evenly.
+/// Sends one request after the other, each to a group drawn evenly.
 fn run_client(address: SocketAddr, groups: usize, ids: &AtomicU32, done: &AtomicBool) -> Outcomes {
     let mut client = Client::connect(address);
     let mut outcomes = Outcomes::default();
@@ -185,7 +185,7 @@
         let clients: Vec<_> = (0..CLIENTS)
             .map(|_| {
                 sleep(PAUSE / CLIENTS);
-                threads.spawn(|| run_client(router, HOSTS / fleet.group_size, &ids, &done))
+                threads.spawn(|| run_client(router, HOSTS / fleet.shard_size, &ids, &done))
             })
             .collect();
         fleet.replace_hosts();
@@ -213,9 +213,9 @@
     all
 }
 
-/// Plays a fleet of groups of this size, of which no command may be lost and most must be answered.
-fn play_fleet(name: &str, group_size: usize) {
-    let fleet = Fleet::start(group_size);
+/// Plays a fleet of groups of this size, of which no request may be lost and most must be answered.
+fn play_fleet(name: &str, shard_size: usize) {
+    let fleet = Fleet::start(shard_size);
     let all = fleet_configuration(&fleet);
     let mut program = Program::start_with_faults(name, &all, &format!("share={CORE_PARTS},from_ms=2000"));
     let broken_rules = program.collect_log("rule broken");
