--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -54,8 +54,8 @@
     all
 }
 
-/// The text of what was received, if the command with this id is in it.
-fn command_in(received: &[Vec<u8>], id: u32) -> Option<String> {
+/// The text of what was received, if the request with this id is in it.
+fn request_in(received: &[Vec<u8>], id: u32) -> Option<String> {
     let texts = received.iter().map(|bytes| String::from_utf8_lossy(bytes).into_owned());
     texts.into_iter().find(|text| text.contains(&format!("id={id},")))
 }
@@ -72,7 +72,7 @@
     let passed_ms = sent_at.elapsed().as_millis() as u32;
     host.greet.send(()).expect("told");
     let received: Vec<Vec<u8>> = host.received.iter().collect();
-    let text = command_in(&received, 1).expect("the command was sent");
+    let text = request_in(&received, 1).expect("the command was sent");
     let told = text.split(",d=").nth(1).and_then(|rest| rest.split(',').next()).expect("d");
     let told_ms: u32 = told.parse().expect("a number");
     assert!(told_ms <= WAIT_MS - passed_ms, "told {told_ms} ms, {passed_ms} of {WAIT_MS} had passed");
@@ -98,7 +98,7 @@
     program.signal("CONT");
     let received: Vec<Vec<u8>> = host.received.iter().collect();
     assert!(!received.is_empty(), "a connection was attempted");
-    assert_eq!(command_in(&received, 1), None, "nothing begins for a client that has gone");
+    assert_eq!(request_in(&received, 1), None, "nothing begins for a client that has gone");
     program.signal("TERM");
     program.ends();
 }
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -379,7 +379,7 @@
     let primary = host(true, |_, _| answer("value"));
     let hosts = [entry("p", primary.address, true, "ready")];
     let mut all = configuration(&hosts, None, 64);
-    // With a long latency objective a command waits long for hosts that are not there.
+    // With a long latency objective a request waits long for hosts that are not there.
     all["settings"]["classes"][2]["target_us"] = 60_000_000.into();
     all["settings"]["permissions"]["connect_timeout_us"] = 10_000_000.into();
     let router = Router::start(all);
@@ -450,7 +450,7 @@
     let (release, held) = channel::<()>();
     let held = std::sync::Mutex::new(held);
     let primary = host(true, move |nth, _| {
-        // The first command is answered only once the second one has come, after the signal.
+        // The first request is answered only once the second one has come, after the signal.
         match nth {
             0 => drop(held.lock().expect("one host").recv_timeout(LONG)),
             _ => release.send(()).expect("the first one waits"),
@@ -479,9 +479,9 @@
     assert_eq!(client.ask(""), ClientReply::Empty);
     assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"value".to_vec()));
     std::fs::write(&program.file, "{\"settings\": {}}").expect("written");
-    for command in ["serve", "check"] {
+    for request in ["serve", "check"] {
         let out = Command::new(env!("CARGO_BIN_EXE_comethitchd"))
-            .args([command, "--configuration"])
+            .args([request, "--configuration"])
             .arg(&program.file)
             .output()
             .expect("an end");
--- a/crates/comethitchd/tests/soak.rs
+++ b/crates/comethitchd/tests/soak.rs
@@ -5,7 +5,7 @@
 use comethitch_lab::soak;
 use std::path::Path;
 
-/// Trials with restarts, signals in series, a crowd, many groups of hosts, and failing system calls among them.
+/// Trials with restarts, signals in series, a crowd, many shards, and failing system calls among them.
 const SEEDS: [u64; 5] = [1, 2, 4, 5, 6];
 /// How long clients send in each.
 const SECONDS: u64 = 5;
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -77,7 +77,7 @@
     )
 }
 
-/// Sends every statement of the corpus bare, and with comments that claim each command group.
+/// Sends every statement of the corpus bare, and with comments that claim each request class.
 fn send_corpus(router: &Router, rows: &[Row]) {
     let mut client = Client::connect(router.address);
     for (nth, row) in rows.iter().enumerate() {
@@ -129,7 +129,7 @@
     send_corpus(&router, &corpus());
     router.wait();
     for row in corpus().iter().filter(|row| !matches!(&*row.effect, "read" | "locking_read")) {
-        // Bare, and under three claims: four commands, and no more attempts than that.
+        // Bare, and under three claims: four requests, and no more attempts than that.
         let often = at_primary.count(&row.sql) + at_replica.count(&row.sql);
         let alike = corpus().iter().filter(|other| other.sql == row.sql).count();
         assert!(often <= 4 * alike, "{} came {often} times", row.sql);
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// A host that answers health checks as primary or replica, and commands by the script; `nth` counts commands.
+/// A host that answers health checks as primary or replica, and requests by the script; `nth` counts requests.
 pub fn host(primary: bool, script: impl Fn(usize, &str) -> HostAction + Send + Sync + 'static) -> Host {
     host_since(primary, script, None)
 }
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -97,7 +97,7 @@
     std::thread::sleep(FULL_FROM);
     let mut client = Client::connect(program.address);
     for id in 1..=10 {
-        // There is no such group of hosts: it is throttled, which is logged.
+        // There is no such shard: it is throttled, which is logged.
         let elsewhere = write(id, 300).replace("cluster=0", "cluster=1");
         assert_eq!(client.ask(&elsewhere), ClientReply::Error("53300".into()), "command {id}");
         assert_eq!(client.ask(&write(100 + id, 2_000)), ClientReply::Value(b"value".to_vec()));
@@ -110,7 +110,7 @@
 fn a_rule_broken_by_a_process_held_up_behind_the_check_is_counted() {
     let primary = host(true, |_, _| answer("value"));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
-    // Each write is held up for longer than the command's client waits: it leaves after its deadline.
+    // Each write is held up for longer than the request's client waits: it leaves after its deadline.
     let mut program = Program::start_with_faults("held-up", &all, "seed=1,hold=1,hold_ms=300,from_ms=1000");
     let done = program.ends_after(LONG);
     let mut client = Client::connect(program.address);
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -158,7 +158,7 @@
     primary.script(|nth, _| if nth == 0 { HostBehavior::HangAfter } else { HostBehavior::Answer });
     let mut client = Client::connect(Protocol::Tds, router.address);
     client.send("INSERT INTO t VALUES ('a')");
-    assert!(primary.next_command().contains("'a'"));
+    assert!(primary.next_request().contains("'a'"));
     client.stream.write_all(&attention()).expect("sent");
     assert_eq!(client.receive(), Received::Cancelled);
     assert!(client.is_quiet(), "one acknowledgement");
@@ -172,7 +172,7 @@
         let text = format!("INSERT INTO t VALUES ('c{nth}')");
         client.send(&text);
         if nth % 2 == 0 {
-            primary.next_command();
+            primary.next_request();
         }
         client.stream.write_all(&attention()).expect("sent");
         let mut got = client.receive();
@@ -259,7 +259,7 @@
     };
     let told = send(&mut client, &execute(1));
     assert!(told.contains(&Token::Row) && told.contains(&Token::ReturnStatus(0)), "{told:?}");
-    assert_eq!(primary.next_command(), statement);
+    assert_eq!(primary.next_request(), statement);
     // Prepared and executed in one: the handle comes back with the answer.
     let mut payload = Vec::new();
     let both = CallWriter::known(&mut payload, Known::PrepareExecute).out("@handle").text("", "@a int");
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -125,7 +125,7 @@
 fn comments_are_read_or_say_what_is_wrong() {
     let good = b"  /* x=1, after=17,cluster=65535,c=order,d=480,id=9b */ INSERT INTO f (code, data) VALUES('k', '\\x9f')RETURNING data";
     let comment = statement::parse_command(good).expect("a comment");
-    assert_eq!((comment.group, comment.shard, comment.after_ms), ("order", 65_535, Some(17)));
+    assert_eq!((comment.class, comment.shard, comment.after_ms), ("order", 65_535, Some(17)));
     assert_eq!(&good[comment.wait_at], b"480");
     assert_eq!(statement::session_key(good), statement::session_key(b"SELECT 'k'"));
     assert_eq!(statement::session_key(b"SELECT 'k"), 0, "a quote without an end names nothing");
@@ -224,7 +224,7 @@
         let _ = host_report::parse_load_report(&String::from_utf8_lossy(&bytes));
     }
     for odd in ["x0=.5", "x0=1.x", "x0=99999999999999999999", "x0=-1", "=", "x0", "x0=1e9,x1=?"] {
-        assert_eq!(host_report::parse_load_report(odd), comethitch_policy::HostReport::default(), "{odd}");
+        assert_eq!(host_report::parse_load_report(odd), comethitch_policy::LoadReport::default(), "{odd}");
     }
 }
 
