--- a/crates/comethitch-adapter/src/error.rs
+++ b/crates/comethitch-adapter/src/error.rs
@@ -6,7 +6,7 @@
 
 /// Why the adapter stops: the input is malformed, or a stream fails.
 #[derive(Debug, Error)]
-pub enum AdapterError {
+pub(crate) enum AdapterError {
     /// Standard input fails.
     #[error("cannot read the batch: {0}")]
     Read(#[source] io::Error),
@@ -35,7 +35,7 @@
 
 /// Which length of a frame does not fit.
 #[derive(Debug, Error)]
-pub enum ShortFrame {
+pub(crate) enum ShortFrame {
     /// The input ends within the header.
     #[error("{found} bytes of a header of {header}")]
     Header {
@@ -70,7 +70,7 @@
 
 /// What is wrong with a record.
 #[derive(Debug, Error)]
-pub enum RecordError {
+pub(crate) enum RecordError {
     /// A field past the end of its record or entry.
     #[error("a field at byte {offset} lies past the end")]
     PastEnd {
--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -11,9 +11,9 @@
 };
 
 /// The length of a record.
-pub const RECORD_SIZE: usize = 48;
+pub(crate) const RECORD_SIZE: usize = 48;
 /// The length of an entry of an endpoint list.
-pub const ENTRY_SIZE: usize = 27;
+pub(crate) const ENTRY_SIZE: usize = 27;
 
 /// Where every record has its code, and all but [`EventCode::ListDefined`] their instance.
 const CODE: usize = 0;
@@ -26,7 +26,7 @@
 
 /// The codes of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventCode {
+pub(crate) enum EventCode {
     /// An instance ends.
     InstanceStopped,
     /// A request's client has disconnected.
@@ -53,7 +53,7 @@
 
 impl EventCode {
     /// The code of a record.
-    pub fn of(record: RecordReader) -> Result<EventCode, RecordError> {
+    pub(crate) fn of(record: RecordReader) -> Result<EventCode, RecordError> {
         match record.u8(CODE)? {
             16 => Ok(EventCode::InstanceStopped),
             17 => Ok(EventCode::ClientDisconnected),
@@ -72,12 +72,12 @@
 }
 
 /// The instance that a record concerns.
-pub fn instance(record: RecordReader) -> Result<u16, RecordError> {
+pub(crate) fn instance(record: RecordReader) -> Result<u16, RecordError> {
     record.u16(INSTANCE)
 }
 
 /// An instance's seed and deployment.
-pub struct InstanceStart {
+pub(crate) struct InstanceStart {
     /// The seed of its random draws.
     pub seed: u64,
     /// Its settings.
@@ -86,7 +86,7 @@
 
 impl InstanceStart {
     /// Decodes a record of [`EventCode::InstanceStarted`].
-    pub fn decode(record: RecordReader, tail: RecordReader) -> Result<InstanceStart, RecordError> {
+    pub(crate) fn decode(record: RecordReader, tail: RecordReader) -> Result<InstanceStart, RecordError> {
         const SEED: usize = 3;
         const DEPLOYMENT: usize = 11;
         let text = tail.part_named_by(record, DEPLOYMENT, 1)?;
@@ -97,7 +97,7 @@
 }
 
 /// An endpoint list and its number.
-pub struct ListDefinition<'a> {
+pub(crate) struct ListDefinition<'a> {
     /// The number.
     pub list: u32,
     /// Entries of [`ENTRY_SIZE`] bytes.
@@ -106,7 +106,9 @@
 
 impl<'a> ListDefinition<'a> {
     /// Decodes a record of [`EventCode::ListDefined`].
-    pub fn decode(record: RecordReader, tail: RecordReader<'a>) -> Result<ListDefinition<'a>, RecordError> {
+    pub(crate) fn decode(
+        record: RecordReader, tail: RecordReader<'a>,
+    ) -> Result<ListDefinition<'a>, RecordError> {
         const LIST: usize = 1;
         const ENTRIES: usize = 5;
         let entries = tail.part_named_by(record, ENTRIES, ENTRY_SIZE)?;
@@ -115,7 +117,7 @@
 }
 
 /// A change of the endpoint list.
-pub enum EndpointsChange {
+pub(crate) enum EndpointsChange {
     /// The list cannot be read.
     Unavailable,
     /// The list with this number.
@@ -124,7 +126,7 @@
 
 impl EndpointsChange {
     /// Decodes a record of [`EventCode::EndpointsChanged`].
-    pub fn decode(record: RecordReader) -> Result<EndpointsChange, RecordError> {
+    pub(crate) fn decode(record: RecordReader) -> Result<EndpointsChange, RecordError> {
         const SCOPE: usize = 3;
         const LIST: usize = 12;
         const PARTIAL: u8 = 0;
@@ -140,7 +142,7 @@
 }
 
 /// The end of a health check.
-pub struct HealthCheckEnd {
+pub(crate) struct HealthCheckEnd {
     pub host: Host,
     pub outcome: AttemptOutcome,
     pub report: LoadReport,
@@ -148,7 +150,9 @@
 
 impl HealthCheckEnd {
     /// Decodes a record of [`EventCode::HealthChecked`].
-    pub fn decode(record: RecordReader, deployment: &Deployment) -> Result<HealthCheckEnd, RecordError> {
+    pub(crate) fn decode(
+        record: RecordReader, deployment: &Deployment,
+    ) -> Result<HealthCheckEnd, RecordError> {
         const HOST: usize = 7;
         const OUTCOME: usize = 13;
         const REPORT: usize = 15;
@@ -158,7 +162,7 @@
 }
 
 /// Decodes a record of [`EventCode::RequestSubmitted`].
-pub fn request(
+pub(crate) fn request(
     record: RecordReader, deployment: &Deployment, now: Timestamp,
 ) -> Result<Request, RecordError> {
     const ID: usize = 3;
@@ -190,20 +194,20 @@
 }
 
 /// The request whose client has disconnected, in a record of [`EventCode::ClientDisconnected`].
-pub fn disconnected_request(record: RecordReader) -> Result<RequestId, RecordError> {
+pub(crate) fn disconnected_request(record: RecordReader) -> Result<RequestId, RecordError> {
     const COMMAND: usize = 3;
     record.u32(COMMAND)
 }
 
 /// The end of an attempt, and its request.
-pub struct EndedAttempt {
+pub(crate) struct EndedAttempt {
     pub request: RequestId,
     pub end: AttemptEnd,
 }
 
 impl EndedAttempt {
     /// Decodes a record of [`EventCode::AttemptEnded`].
-    pub fn decode(record: RecordReader, deployment: &Deployment) -> Result<EndedAttempt, RecordError> {
+    pub(crate) fn decode(record: RecordReader, deployment: &Deployment) -> Result<EndedAttempt, RecordError> {
         const COMMAND: usize = 3;
         const ATTEMPT: usize = 7;
         const COMMAND_FINISHED: usize = 19;
@@ -222,7 +226,7 @@
 }
 
 /// Decodes the entries of an endpoint list.
-pub fn endpoints(entries: &[u8]) -> Result<Vec<Endpoint>, RecordError> {
+pub(crate) fn endpoints(entries: &[u8]) -> Result<Vec<Endpoint>, RecordError> {
     entries.chunks_exact(ENTRY_SIZE).map(|entry| endpoint(RecordReader(entry))).collect()
 }
 
--- a/crates/comethitch-adapter/src/main.rs
+++ b/crates/comethitch-adapter/src/main.rs
@@ -2,8 +2,6 @@
 //!
 //! The input is a sequence of frames, one a batch of events; the output is one frame of actions for each.
 
-#![warn(missing_docs)]
-
 mod error;
 mod event;
 mod record;
--- a/crates/comethitch-adapter/src/record.rs
+++ b/crates/comethitch-adapter/src/record.rs
@@ -10,7 +10,7 @@
 
 /// The bytes of a header, a record, a list entry or a tail.
 #[derive(Clone, Copy)]
-pub struct RecordReader<'a>(pub &'a [u8]);
+pub(crate) struct RecordReader<'a>(pub &'a [u8]);
 
 impl<'a> RecordReader<'a> {
     fn bytes<const N: usize>(self, offset: usize) -> Result<[u8; N], RecordError> {
@@ -19,38 +19,38 @@
     }
 
     /// The byte at an offset.
-    pub fn u8(self, offset: usize) -> Result<u8, RecordError> {
+    pub(crate) fn u8(self, offset: usize) -> Result<u8, RecordError> {
         self.bytes(offset).map(u8::from_le_bytes)
     }
 
     /// The 16-bit number at an offset.
-    pub fn u16(self, offset: usize) -> Result<u16, RecordError> {
+    pub(crate) fn u16(self, offset: usize) -> Result<u16, RecordError> {
         self.bytes(offset).map(u16::from_le_bytes)
     }
 
     /// The 32-bit number at an offset.
-    pub fn u32(self, offset: usize) -> Result<u32, RecordError> {
+    pub(crate) fn u32(self, offset: usize) -> Result<u32, RecordError> {
         self.bytes(offset).map(u32::from_le_bytes)
     }
 
     /// The 64-bit number at an offset.
-    pub fn u64(self, offset: usize) -> Result<u64, RecordError> {
+    pub(crate) fn u64(self, offset: usize) -> Result<u64, RecordError> {
         self.bytes(offset).map(u64::from_le_bytes)
     }
 
     /// The 32-bit float at an offset.
-    pub fn f32(self, offset: usize) -> Result<f32, RecordError> {
+    pub(crate) fn f32(self, offset: usize) -> Result<f32, RecordError> {
         self.bytes(offset).map(f32::from_le_bytes)
     }
 
     /// The host at an offset: address, then port.
-    pub fn host(self, offset: usize) -> Result<Host, RecordError> {
+    pub(crate) fn host(self, offset: usize) -> Result<Host, RecordError> {
         Ok(Host { address: self.bytes(offset)?, port: self.u16(offset + PORT_OFFSET)? })
     }
 
     /// The part of this tail that a record refers to: at `offset` its start in bytes, then its length in items of
     /// `item_size` bytes.
-    pub fn part_named_by(
+    pub(crate) fn part_named_by(
         self, record: RecordReader, offset: usize, item_size: usize,
     ) -> Result<&'a [u8], RecordError> {
         let start = record.u32(offset)? as usize;
--- a/crates/comethitch-adapter/src/reply.rs
+++ b/crates/comethitch-adapter/src/reply.rs
@@ -29,7 +29,7 @@
 
 /// The reply to one batch, as it grows. Its buffers are reused for every batch.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     frame: Vec<u8>,
     tail: Vec<u8>,
     count: u32,
@@ -39,7 +39,7 @@
 
 impl Reply {
     /// Begins the reply to a batch of this time.
-    pub fn start(&mut self, now: Timestamp) {
+    pub(crate) fn start(&mut self, now: Timestamp) {
         self.frame.clear();
         self.frame.resize(HEADER_SIZE, 0);
         self.tail.clear();
@@ -48,13 +48,13 @@
     }
 
     /// The actions that follow are this instance's.
-    pub fn for_instance(&mut self, instance: u16) -> &mut Reply {
+    pub(crate) fn for_instance(&mut self, instance: u16) -> &mut Reply {
         self.instance = instance;
         self
     }
 
     /// Completes the header and the tail; returns the frame.
-    pub fn finish(&mut self) -> &[u8] {
+    pub(crate) fn finish(&mut self) -> &[u8] {
         self.frame.extend_from_slice(&self.tail);
         let length = self.frame.len() as u32;
         self.frame[..COUNT_OFFSET].copy_from_slice(&length.to_le_bytes());
@@ -63,7 +63,7 @@
     }
 
     /// Reports that the present instance has failed and takes no more events.
-    pub fn instance_failed(&mut self, text: &str) {
+    pub(crate) fn instance_failed(&mut self, text: &str) {
         let start = self.tail.len() as u32;
         let length = text.len() as u32;
         self.tail.extend_from_slice(text.as_bytes());
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -14,11 +14,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// The length of a batch's header: the number of records, the frame's length, and the time in microseconds.
-pub const HEADER_SIZE: usize = 16;
+pub(crate) const HEADER_SIZE: usize = 16;
 /// Where the number of records stands in the header.
 const COUNT_OFFSET: usize = 0;
 /// Where the frame's length stands.
-pub const LENGTH_OFFSET: usize = 4;
+pub(crate) const LENGTH_OFFSET: usize = 4;
 /// Where the time stands.
 const TIME_OFFSET: usize = 8;
 
@@ -27,7 +27,7 @@
 
 /// The routers hosted here, which share nothing but the endpoint lists that the wire numbers.
 #[derive(Default)]
-pub struct Session {
+pub(crate) struct Session {
     routers: BTreeMap<u16, Router>,
     lists: Lists,
     reply: Reply,
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// A record that cannot be read. Nothing is replied then.
-    pub fn reply_to(&mut self, frame: &[u8]) -> Result<&[u8], AdapterError> {
+    pub(crate) fn reply_to(&mut self, frame: &[u8]) -> Result<&[u8], AdapterError> {
         let header = RecordReader(frame);
         let count = header.u32(COUNT_OFFSET).map_err(AdapterError::Header)? as usize;
         let tail_start = tail_start(count, frame.len())?;
--- a/crates/comethitch-fleet/src/lib.rs
+++ b/crates/comethitch-fleet/src/lib.rs
@@ -23,8 +23,6 @@
 //! assert!((subset[0].router_share - 3.0 / 22.0).abs() < 1e-9, "the share of all routers that use this host too");
 //! ```
 
-#![warn(missing_docs)]
-
 pub mod concurrency_limit;
 pub mod connection_slots;
 pub mod decaying_counter;
--- a/crates/comethitch-lab/src/arguments.rs
+++ b/crates/comethitch-lab/src/arguments.rs
@@ -5,14 +5,14 @@
 
 /// Plays fleets of routers in simulated time and tells how evenly hosts were loaded, and whether every rule held.
 #[derive(FromArgs)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     #[argh(subcommand)]
     pub subcommand: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-pub enum Subcommand {
+pub(crate) enum Subcommand {
     Run(Run),
     Sizes(Sizes),
     Live(LiveRun),
@@ -24,7 +24,7 @@
 /// Plays one trial, beside the baseline with perfect knowledge; ends with 1 if a rule was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
-pub struct Run {
+pub(crate) struct Run {
     /// the trial's file
     #[argh(positional)]
     pub file: String,
@@ -36,7 +36,7 @@
 /// Plays one trial with real processes, in real time; ends with 1 if a rule was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "live")]
-pub struct LiveRun {
+pub(crate) struct LiveRun {
     /// the trial's file
     #[argh(positional)]
     pub file: String,
@@ -61,7 +61,7 @@
 /// differs from the first, with the standard error over the pairs.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "compare")]
-pub struct Compare {
+pub(crate) struct Compare {
     /// the first trial's file
     #[argh(positional)]
     pub one: String,
@@ -79,7 +79,7 @@
 /// Plays one trial with 30, 100, 300 and 1,000 routers under the same load: a table as CSV.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sizes")]
-pub struct Sizes {
+pub(crate) struct Sizes {
     /// the trial's file
     #[argh(positional)]
     pub file: String,
@@ -91,7 +91,7 @@
 /// Plays random trials with real processes, a seed each; ends with 1 if a rule was broken.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
-pub struct Soak {
+pub(crate) struct Soak {
     /// seeds, parted by commas, or the first and the last one, parted by two dots
     #[argh(option, default = "String::from(\"1..5\")")]
     pub seeds: String,
@@ -112,4 +112,4 @@
 /// Prints the schema of a trial's file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "schema")]
-pub struct Schema {}
+pub(crate) struct Schema {}
--- a/crates/comethitch-lab/src/fleet/events.rs
+++ b/crates/comethitch-lab/src/fleet/events.rs
@@ -34,7 +34,7 @@
 
 impl HostResult {
     /// What the policy is told of it.
-    pub fn outcome(self) -> AttemptOutcome {
+    pub(super) fn outcome(self) -> AttemptOutcome {
         match self {
             HostResult::Answered => AttemptOutcome::Answered,
             HostResult::QueueFull => AttemptOutcome::Overloaded,
@@ -115,7 +115,7 @@
 
 impl Event {
     /// The router that an event is meant for. If that incarnation has ended, the event is void.
-    pub fn recipient(&self) -> Option<RouterId> {
+    pub(super) fn recipient(&self) -> Option<RouterId> {
         match self {
             Event::AttemptReturns { attempt, .. } | Event::AttemptTimesOut { attempt } => {
                 Some(attempt.router)
@@ -171,13 +171,13 @@
 
 impl EventQueue {
     /// Schedules an event; of those at one time the first scheduled comes first.
-    pub fn push(&mut self, at: Timestamp, event: Event) {
+    pub(super) fn push(&mut self, at: Timestamp, event: Event) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
     /// Takes the next event, and its time.
-    pub fn pop(&mut self) -> Option<(Timestamp, Event)> {
+    pub(super) fn pop(&mut self) -> Option<(Timestamp, Event)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 }
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -40,7 +40,7 @@
 
 impl RequestInFlight {
     /// A request of which nothing was sent yet.
-    pub fn new(number: u64, request: ClientRequest, retries: u8) -> RequestInFlight {
+    pub(super) fn new(number: u64, request: ClientRequest, retries: u8) -> RequestInFlight {
         RequestInFlight { number, request, retries, attempts: Vec::new(), finished: false }
     }
 
@@ -88,7 +88,7 @@
 
 impl SimulatedRouter {
     /// A router that is not running yet.
-    pub fn new(arrival_rate: f64) -> SimulatedRouter {
+    pub(super) fn new(arrival_rate: f64) -> SimulatedRouter {
         SimulatedRouter {
             router: None,
             incarnation: 0,
@@ -100,26 +100,26 @@
     }
 
     /// Whether it is up.
-    pub fn is_running(&self) -> bool {
+    pub(super) fn is_running(&self) -> bool {
         self.router.is_some()
     }
 
     /// Adds a request under an id of its own.
-    pub fn add_request(&mut self, request: RequestInFlight) -> RequestId {
+    pub(super) fn add_request(&mut self, request: RequestInFlight) -> RequestId {
         self.last_request += 1;
         self.requests.insert(self.last_request, request);
         self.last_request
     }
 
     /// Forgets a request that has its final answer and no attempt in flight.
-    pub fn forget_if_complete(&mut self, id: RequestId) {
+    pub(super) fn forget_if_complete(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(RequestInFlight::is_complete) {
             self.requests.remove(&id);
         }
     }
 
     /// Kills it; returns the requests that it had in flight.
-    pub fn kill(&mut self) -> BTreeMap<RequestId, RequestInFlight> {
+    pub(super) fn kill(&mut self) -> BTreeMap<RequestId, RequestInFlight> {
         self.router = None;
         self.incarnation += 1;
         self.connections.clear();
--- a/crates/comethitch-lab/src/ledger/evenness.rs
+++ b/crates/comethitch-lab/src/ledger/evenness.rs
@@ -42,12 +42,12 @@
 
 impl LoadByHost {
     /// Adds load to a host in a second; 0 notes the host itself.
-    pub fn add(&mut self, second: u64, host: usize, load: f64) {
+    pub(super) fn add(&mut self, second: u64, host: usize, load: f64) {
         *self.by_second.entry(second).or_default().entry(host).or_insert(0.0) += load;
     }
 
     /// Adds up all seconds, counting only hosts that were usable throughout a second.
-    pub fn summary(&self, usable: &dyn Fn(u64, usize) -> bool) -> Evenness {
+    pub(super) fn summary(&self, usable: &dyn Fn(u64, usize) -> bool) -> Evenness {
         let mut evenness = Evenness::default();
         let mut idle: BTreeMap<usize, IdleSeconds> = BTreeMap::new();
         for (second, loads) in &self.by_second {
@@ -81,12 +81,12 @@
 
 impl Evenness {
     /// The coefficient of variation, mean over the seconds.
-    pub fn mean_variation(&self) -> f64 {
+    pub(super) fn mean_variation(&self) -> f64 {
         self.mean(|spread| spread.variation)
     }
 
     /// The greatest load over the mean, mean over the seconds.
-    pub fn mean_greatest(&self) -> f64 {
+    pub(super) fn mean_greatest(&self) -> f64 {
         self.mean(|spread| spread.greatest)
     }
 
--- a/crates/comethitch-lab/src/ledger/tests.rs
+++ b/crates/comethitch-lab/src/ledger/tests.rs
@@ -29,7 +29,7 @@
     found(
         &|l| {
             answer(l, 50);
-            l.check_attempt_allowed(1, Timestamp::from_micros(60))
+            l.check_attempt_allowed(1, Timestamp::from_micros(60));
         },
         "after its final answer",
     );
@@ -48,7 +48,7 @@
         l.attempt_never_ran(1);
         l.check_attempt_allowed(1, Timestamp::from_micros(60));
         l.attempt_may_run(1);
-        answer(l, 90)
+        answer(l, 90);
     });
     assert_eq!(unsent, Vec::<String>::new(), "what surely did not run may go again");
     let told = |l: &mut Ledger, ms| {
--- a/crates/comethitch-lab/src/lib.rs
+++ b/crates/comethitch-lab/src/lib.rs
@@ -17,8 +17,6 @@
 //! assert_eq!(report.to_string(), fleet::play(&trial).unwrap().to_string());
 //! ```
 
-#![warn(missing_docs)]
-
 pub mod chart;
 pub mod clients;
 pub mod compare;
--- a/crates/comethitch-lab/src/live/process_table.rs
+++ b/crates/comethitch-lab/src/live/process_table.rs
@@ -86,7 +86,9 @@
 
 impl RouterProcesses {
     /// None is running yet. Files and logs are kept in `logs`, if it is given.
-    pub fn new(daemon: &Path, routers: usize, logs: Option<&Path>) -> Result<RouterProcesses, PlayError> {
+    pub(super) fn new(
+        daemon: &Path, routers: usize, logs: Option<&Path>,
+    ) -> Result<RouterProcesses, PlayError> {
         let holder = TcpListener::bind("127.0.0.1:0").map_err(PlayError::ClientPort)?;
         let client_port = holder.local_addr().map_err(PlayError::ClientPort)?.port();
         let folder = match logs {
@@ -109,7 +111,7 @@
     }
 
     /// Lets system calls of the routers that are started from now on fail by these settings.
-    pub fn let_system_calls_fail(&mut self, settings: &[String]) -> Result<(), PlayError> {
+    pub(super) fn let_system_calls_fail(&mut self, settings: &[String]) -> Result<(), PlayError> {
         if settings.iter().any(|settings| !settings.is_empty()) {
             let library = SystemCallFaults::compile(&self.folder).map_err(PlayError::SystemCalls)?;
             self.system_calls = Some(library);
@@ -120,7 +122,7 @@
 
     /// How late a router's answers may come for what its settings of failing calls do to it. Deadlines allow for writes
     /// that are held up, of which several may come in a row: up to where an answer counts as lost.
-    pub fn lateness_allowed(&self, router: usize) -> Duration {
+    pub(super) fn lateness_allowed(&self, router: usize) -> Duration {
         let count = self.system_call_settings.len().max(1);
         let settings = self.system_call_settings.get(router % count);
         let is_held_up = settings.is_some_and(|settings| settings.contains(HELD_UP_SETTING));
@@ -128,48 +130,48 @@
     }
 
     /// Where clients reach a router.
-    pub fn client_address(&self, router: usize) -> SocketAddr {
+    pub(super) fn client_address(&self, router: usize) -> SocketAddr {
         (address(router, Purpose::Clients), self.client_port).into()
     }
 
     /// The routers that take commands.
-    pub fn serving(&self) -> Vec<usize> {
+    pub(super) fn serving(&self) -> Vec<usize> {
         (0..self.processes.len()).filter(|router| self.processes[*router].is_serving()).collect()
     }
 
     /// A router's present incarnation.
-    pub fn current(&self, router: usize) -> RouterIncarnation {
+    pub(super) fn current(&self, router: usize) -> RouterIncarnation {
         let RouterProcess { incarnation, losses, .. } = self.processes[router];
         RouterIncarnation { router, incarnation, losses }
     }
 
     /// Whether a router has neither been killed nor stopped since.
-    pub fn is_current(&self, router: RouterIncarnation) -> bool {
+    pub(super) fn is_current(&self, router: RouterIncarnation) -> bool {
         self.current(router.router) == router
     }
 
     /// Whether a router owes answers to what it was sent then: it was neither killed nor stopped since.
-    pub fn owes(&self, router: RouterIncarnation) -> bool {
+    pub(super) fn owes(&self, router: RouterIncarnation) -> bool {
         self.processes[router.router].losses == router.losses
     }
 
     /// Whether a router was told to end and has not ended.
-    pub fn is_ending(&self, router: usize) -> bool {
+    pub(super) fn is_ending(&self, router: usize) -> bool {
         self.processes[router].ending
     }
 
     /// Counts a command as in flight at a router.
-    pub fn request_sent(&mut self, router: usize, command: u64) {
+    pub(super) fn request_sent(&mut self, router: usize, command: u64) {
         self.processes[router].requests_in_flight.insert(command);
     }
 
     /// A command is no longer in flight.
-    pub fn request_ended(&mut self, router: usize, command: u64) {
+    pub(super) fn request_ended(&mut self, router: usize, command: u64) {
         self.processes[router].requests_in_flight.remove(&command);
     }
 
     /// Kills a router; returns the commands that it had in flight.
-    pub fn kill(&mut self, router: usize) -> BTreeSet<u64> {
+    pub(super) fn kill(&mut self, router: usize) -> BTreeSet<u64> {
         let process = &mut self.processes[router];
         if let Some(mut child) = process.child.take() {
             let _ = child.kill();
@@ -181,13 +183,13 @@
     }
 
     /// Tells a router to end (SIGTERM); it owes what it has taken.
-    pub fn terminate(&mut self, router: usize) {
+    pub(super) fn terminate(&mut self, router: usize) {
         self.signal(router, Signal::TERM);
         self.processes[router].ending = true;
     }
 
     /// How a router that was told to end has ended, once it has. Its clients still find out what it owed them.
-    pub fn take_end(&mut self, router: usize) -> Option<ExitStatus> {
+    pub(super) fn take_end(&mut self, router: usize) -> Option<ExitStatus> {
         let process = &mut self.processes[router];
         let status = process.child.as_mut()?.try_wait().ok()??;
         process.child = None;
@@ -199,23 +201,23 @@
     }
 
     /// Whether a process of a router runs.
-    pub fn is_running(&self, router: usize) -> bool {
+    pub(super) fn is_running(&self, router: usize) -> bool {
         self.processes[router].child.is_some()
     }
 
     /// Whether a router runs, and was neither stopped nor told to end.
-    pub fn is_undisturbed(&self, router: usize) -> bool {
+    pub(super) fn is_undisturbed(&self, router: usize) -> bool {
         let process = &self.processes[router];
         process.child.is_some() && process.is_serving()
     }
 
     /// Tells a router to read its configuration again (SIGHUP).
-    pub fn reload(&mut self, router: usize) {
+    pub(super) fn reload(&mut self, router: usize) {
         self.signal(router, Signal::HUP);
     }
 
     /// What the routers' own checks found, line by line, with the router's number.
-    pub fn own_violations(&self) -> Vec<(usize, String)> {
+    pub(super) fn own_violations(&self) -> Vec<(usize, String)> {
         let mut found = Vec::new();
         for router in 0..self.processes.len() {
             let log = std::fs::read_to_string(self.folder.join(format!("r{router}.log"))).unwrap_or_default();
@@ -226,7 +228,7 @@
     }
 
     /// Stops a router (SIGSTOP); returns the commands that it has in flight.
-    pub fn stop(&mut self, router: usize) -> BTreeSet<u64> {
+    pub(super) fn stop(&mut self, router: usize) -> BTreeSet<u64> {
         self.signal(router, Signal::STOP);
         let process = &mut self.processes[router];
         process.stopped = true;
@@ -234,7 +236,7 @@
     }
 
     /// Lets a stopped router go on (SIGCONT).
-    pub fn resume(&mut self, router: usize) {
+    pub(super) fn resume(&mut self, router: usize) {
         self.signal(router, Signal::CONT);
         self.processes[router].stopped = false;
     }
@@ -247,7 +249,7 @@
     }
 
     /// The routers that ended by themselves since the last call.
-    pub fn take_exits(&mut self) -> Vec<Exit> {
+    pub(super) fn take_exits(&mut self) -> Vec<Exit> {
         let mut exits = Vec::new();
         let running = self.processes.iter_mut().enumerate().filter(|(_, process)| !process.ending);
         for (router, process) in running {
@@ -262,7 +264,7 @@
     }
 
     /// Ends all: however a trial ends, it leaves no process, and no file that is not to be kept.
-    pub fn end_all(&mut self) {
+    pub(super) fn end_all(&mut self) {
         for router in 0..self.processes.len() {
             self.kill(router);
         }
@@ -272,12 +274,12 @@
     }
 
     /// Marks a router as ready for clients, unless it was restarted or stopped since.
-    pub fn mark_ready(&mut self, router: RouterIncarnation) {
+    pub(super) fn mark_ready(&mut self, router: RouterIncarnation) {
         self.processes[router.router].ready = self.is_current(router);
     }
 
     /// Writes a router's configuration, and starts a process with it whose log goes to a file.
-    pub fn spawn(&mut self, router: usize, configuration: &Value) -> io::Result<()> {
+    pub(super) fn spawn(&mut self, router: usize, configuration: &Value) -> io::Result<()> {
         let path = self.folder.join(format!("r{router}.json"));
         let log = self.folder.join(format!("r{router}.log"));
         std::fs::write(&path, configuration.to_string())?;
--- a/crates/comethitch-lab/src/live/state.rs
+++ b/crates/comethitch-lab/src/live/state.rs
@@ -62,7 +62,7 @@
 
 impl LiveFleet {
     /// A fleet without hosts and running routers.
-    pub fn new(
+    pub(super) fn new(
         trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
     ) -> SharedFleet {
         Rc::new(LiveFleet {
@@ -87,31 +87,31 @@
     }
 
     /// Runs a task beside all others.
-    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+    pub(super) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(task).detach();
         }
     }
 
     /// Takes the ledger out at the end of the trial.
-    pub fn take_ledger(&self) -> Ledger {
+    pub(super) fn take_ledger(&self) -> Ledger {
         self.ledger.replace(empty_ledger(&self.trial))
     }
 
     /// A random number from 0 to 1.
-    pub fn draw(&self) -> f64 {
+    pub(super) fn draw(&self) -> f64 {
         self.rng.borrow_mut().random_range(0.0..1.0)
     }
 
     /// This fraction of the candidates, drawn for a fault.
-    pub fn draw_for_fault(&self, mut candidates: Vec<usize>, fraction: f64) -> Vec<usize> {
+    pub(super) fn draw_for_fault(&self, mut candidates: Vec<usize>, fraction: f64) -> Vec<usize> {
         let count = (candidates.len() as f64 * fraction).round() as usize;
         let mut rng = self.fault_rng.borrow_mut();
         (0..count).map(|_| candidates.swap_remove(rng.random_range(0..candidates.len()))).collect()
     }
 
     /// Waits as long as a message is on its link. `false` if the connection breaks instead.
-    pub async fn transmit(&self, router: usize, host: usize, destination: Destination) -> bool {
+    pub(super) async fn transmit(&self, router: usize, host: usize, destination: Destination) -> bool {
         let draw = self.draw();
         let fate = || self.links.borrow().fate(router, host, destination, draw);
         match fate() {
@@ -132,24 +132,24 @@
     }
 
     /// The number of the present second of the trial.
-    pub fn second(&self) -> u64 {
+    pub(super) fn second(&self) -> u64 {
         (now() - self.start.get()).as_micros() / 1_000_000
     }
 
     /// The next number of a request or a request.
-    pub fn next_number(&self) -> u64 {
+    pub(super) fn next_number(&self) -> u64 {
         self.last_number.set(self.last_number.get() + 1);
         self.last_number.get()
     }
 
     /// The next number of a job.
-    pub fn next_job(&self) -> u32 {
+    pub(super) fn next_job(&self) -> u32 {
         self.last_job.set(self.last_job.get().wrapping_add(1));
         self.last_job.get()
     }
 
     /// Runs a job on a core of its host, and then the next one from the queue.
-    pub fn run_job(self: &Rc<LiveFleet>, host: usize, started: StartedJob) {
+    pub(super) fn run_job(self: &Rc<LiveFleet>, host: usize, started: StartedJob) {
         let fleet = self.clone();
         self.spawn(async move {
             sleep(started.duration).await;
@@ -170,19 +170,19 @@
     }
 
     /// Requests whose router was killed or stopped: no answer is owed.
-    pub fn record_lost(&self, requests: BTreeSet<u64>) {
+    pub(super) fn record_lost(&self, requests: BTreeSet<u64>) {
         for request in requests {
             self.ledger.borrow_mut().router_lost(request);
         }
     }
 
     /// Records a violation of a rule.
-    pub fn record_violation(&self, rule: Rule, description: String) {
+    pub(super) fn record_violation(&self, rule: Rule, description: String) {
         self.ledger.borrow_mut().record_violation(rule, description);
     }
 
     /// Publishes a change of the endpoint list.
-    pub fn publish_endpoints(&self) {
+    pub(super) fn publish_endpoints(&self) {
         self.endpoints_version.set(self.endpoints_version.get() + 1);
     }
 }
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -17,7 +17,7 @@
 
 /// A database host as this router sees it.
 #[derive(Default)]
-pub struct HostState {
+pub(crate) struct HostState {
     pub host: Host,
     /// The number of its zone.
     pub zone: u8,
@@ -83,7 +83,7 @@
 
 impl HostState {
     /// A host that was just listed for the first time. `relative_latency` is to be empty.
-    pub fn new(endpoint: &Endpoint, relative_latency: Histogram, now: Timestamp) -> HostState {
+    pub(crate) fn new(endpoint: &Endpoint, relative_latency: Histogram, now: Timestamp) -> HostState {
         HostState {
             host: endpoint.host,
             shard_id: endpoint.shard_id,
@@ -95,7 +95,7 @@
     }
 
     /// Records how the endpoint list has it now.
-    pub fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Timestamp) {
+    pub(crate) fn apply_endpoint(&mut self, endpoint: &Endpoint, now: Timestamp) {
         self.zone = endpoint.zone;
         self.capacity = endpoint.capacity.max(MIN_CAPACITY);
         self.started = self.started.max(endpoint.started);
@@ -108,7 +108,7 @@
     }
 
     /// Records a report that came now, and how far behind its position seemed.
-    pub fn apply_position(&mut self, lag: Duration, report: &LoadReport, now: Timestamp) {
+    pub(crate) fn apply_position(&mut self, lag: Duration, report: &LoadReport, now: Timestamp) {
         self.lag = lag;
         self.lag_reported_at = now;
         self.queue_length = report.queue.unwrap_or_default();
@@ -116,7 +116,7 @@
 
     /// Records the note on an answer to what was sent at that time of the hosts, if it is known. A primary has all
     /// commits when it answers, so at the least those up to the moment of the send.
-    pub fn apply_trailer(&mut self, trailer: &LoadReport, sent_at: Option<Timestamp>) {
+    pub(crate) fn apply_trailer(&mut self, trailer: &LoadReport, sent_at: Option<Timestamp>) {
         if trailer.role == Some(Role::Primary) {
             let noted = trailer.position.map(|position| position - TRAILER_RESOLUTION);
             self.position = self.position.max(noted.max(sent_at).unwrap_or_default());
@@ -124,7 +124,7 @@
     }
 
     /// Whether it drops a request as a duplicate that ran at another host, by the scope of idempotency keys.
-    pub fn shares_keys(&self, other: &HostState, scope: DeduplicationScope) -> bool {
+    pub(crate) fn shares_keys(&self, other: &HostState, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::Everywhere => true,
             DeduplicationScope::Zone => self.zone == other.zone,
@@ -133,14 +133,14 @@
     }
 
     /// Records that it was asked something, unless it already owes an answer.
-    pub fn expect_answer(&mut self, now: Timestamp) {
+    pub(crate) fn expect_answer(&mut self, now: Timestamp) {
         if self.awaiting_since <= self.last_sign_of_life {
             self.awaiting_since = now;
         }
     }
 
     /// For how long it has owed an answer without any sign of life.
-    pub fn silent_for(&self, now: Timestamp) -> Duration {
+    pub(crate) fn silent_for(&self, now: Timestamp) -> Duration {
         if self.awaiting_since > self.last_sign_of_life { now - self.awaiting_since } else { Duration::ZERO }
     }
 }
--- a/crates/comethitch-policy/src/host_table.rs
+++ b/crates/comethitch-policy/src/host_table.rs
@@ -7,11 +7,11 @@
 use std::ops::{Index, IndexMut, Range};
 
 /// The place of a host in the table.
-pub type HostIndex = usize;
+pub(crate) type HostIndex = usize;
 
 /// All hosts that the router knows, and the entries that are free.
 #[derive(Default)]
-pub struct HostTable {
+pub(crate) struct HostTable {
     entries: Vec<HostState>,
     free: Vec<HostIndex>,
     index_of: BTreeMap<Host, HostIndex>,
@@ -19,27 +19,27 @@
 
 impl HostTable {
     /// How many entries are allocated, in use or free.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
     /// All indices, also those of free entries.
-    pub fn indices(&self) -> Range<HostIndex> {
+    pub(crate) fn indices(&self) -> Range<HostIndex> {
         0..self.entries.len()
     }
 
     /// Where a host is, if it is in the table.
-    pub fn index_of(&self, host: Host) -> Option<HostIndex> {
+    pub(crate) fn index_of(&self, host: Host) -> Option<HostIndex> {
         self.index_of.get(&host).copied()
     }
 
     /// Whether this entry is in use.
-    pub fn is_used(&self, index: HostIndex) -> bool {
+    pub(crate) fn is_used(&self, index: HostIndex) -> bool {
         self.index_of(self.entries[index].host) == Some(index)
     }
 
     /// Adds a host that is not in the table.
-    pub fn insert(&mut self, host: HostState) -> HostIndex {
+    pub(crate) fn insert(&mut self, host: HostState) -> HostIndex {
         let index = self.free.pop().unwrap_or(self.entries.len());
         self.index_of.insert(host.host, index);
         self.entries.resize_with(self.entries.len().max(index + 1), HostState::default);
@@ -48,7 +48,7 @@
     }
 
     /// Frees an entry that is in use. What it holds stays until the entry is used again.
-    pub fn release(&mut self, index: HostIndex) {
+    pub(crate) fn release(&mut self, index: HostIndex) {
         self.index_of.remove(&self.entries[index].host);
         self.free.push(index);
     }
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -10,8 +10,6 @@
 //! - `router`, `request_state`, `host_state`, `host_table`, `shard`, `waiting_requests`, `estimates`: the state that decisions are made from,
 //! - [`histogram`], [`random`], [`session_commits`]: data structures that know nothing of databases.
 
-#![warn(missing_docs)]
-
 pub mod actions;
 pub mod deployment;
 mod estimates;
--- a/crates/comethitch-policy/src/policy/admission.rs
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -1,6 +1,9 @@
 //! Admission: requests are sent, queued for capacity, or rejected, at once or when their time runs out.
 
-use super::*;
+use super::{
+    Actions, DeduplicationScope, Duration, Estimate, HEALTH_CHECK_INTERVAL, Idempotency, RejectionReason,
+    RequestId, RequestState, Router, Selection, ShardId, ShardState, Timestamp, WaitingFor, health,
+};
 
 /// For so many shards, one after the other, waiting requests are tried at a tick: capacity may have come with
 /// the time alone. What waits for others has its turn at the next tick, and at each event of its own group.
@@ -18,7 +21,7 @@
             Selection::Rejected => self.reject(id, RejectionReason::NoPrimary, out),
             // Too short a time to wait in a queue: the next review could come after its client timeout.
             _ if deadline <= out.now() + self.tick_interval + self.answer_margin() => {
-                self.reject(id, RejectionReason::DeadlineTooClose, out)
+                self.reject(id, RejectionReason::DeadlineTooClose, out);
             }
             _ => self.enqueue(id, if first { WaitingFor::FirstAttempt } else { WaitingFor::Retry }),
         }
--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -1,6 +1,9 @@
 //! The life of an attempt: it is sent, and ends or is cancelled.
 
-use super::*;
+use super::{
+    Actions, Attempt, AttemptOutcome, Consistency, Handle, HostIndex, RejectionReason, RequestId, Router,
+    Timestamp, health,
+};
 use crate::AttemptEnd;
 
 impl Handle {
--- a/crates/comethitch-policy/src/policy/check_schedule.rs
+++ b/crates/comethitch-policy/src/policy/check_schedule.rs
@@ -2,7 +2,10 @@
 //! the hosts.
 
 use super::health::HEALTH_CHECK_RETRY;
-use super::*;
+use super::{
+    Actions, Duration, HEALTH_CHECK_INTERVAL, HostIndex, RECENT_COMMANDS_WINDOW, Role, Router, Shard,
+    ShardId, ShardState, Timestamp,
+};
 
 /// A group of which fewer recent requests are left than this is not checked.
 pub(super) const MIN_RECENT_COMMANDS: f64 = 0.5;
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -1,6 +1,8 @@
 //! The endpoint list: hosts that are added, drained, restarted, named primary or removed.
 
-use super::*;
+use super::{
+    Actions, Duration, HEALTH_CHECK_INTERVAL, Histogram, HostIndex, HostState, Router, ShardId, Timestamp,
+};
 use crate::router::RemovedHost;
 use crate::{Endpoint, EndpointUpdate, Host, Lifecycle};
 use std::collections::BTreeSet;
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -3,7 +3,10 @@
 //! Healthy becomes Unhealthy at the primary's first fault, Unhealthy becomes Failover when the primary is
 //! surely lost, and a member that proves itself primary ends both.
 
-use super::*;
+use super::{
+    Actions, Duration, HELD_UP, HostIndex, LoadReport, Role, Router, SILENCE_TIMEOUT, Shard, ShardId,
+    ShardState, Timestamp,
+};
 
 /// How long a group stays Unhealthy at the least before it goes to Failover, from the design page.
 const FAILOVER_DELAY: Duration = Duration::from_secs(3);
@@ -118,7 +121,7 @@
             ShardState::Healthy if self.past_drain_grace(primary, now) => self.fail_over(shard_id, out),
             ShardState::Healthy if silent => self.mark_unhealthy(primary, now),
             ShardState::Unhealthy if self.is_failover_due(primary, shard, now) => {
-                self.fail_over(shard_id, out)
+                self.fail_over(shard_id, out);
             }
             _ => {}
         }
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -1,7 +1,10 @@
 //! The ends of health checks, who pays for them, and what makes a host unreachable, unresponsive or ejected.
 
 use super::check_schedule::MIN_RECENT_COMMANDS;
-use super::*;
+use super::{
+    Actions, AttemptOutcome, Duration, HostState, LoadReport, RECENT_COMMANDS_WINDOW, Router,
+    SILENCE_TIMEOUT, ShardId, Timestamp,
+};
 use crate::Host;
 
 /// Points of service that each request spends on health checks: quiet routers pay more than once for each.
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -7,7 +7,7 @@
 //! started. While no primary has reported, neither is known, and nothing rests on the router's own clock; if none does
 //! for half a second, as primaries are out of reach, replicas whose positions agree with that clock stand in.
 
-use super::*;
+use super::{Actions, Duration, HostIndex, LoadReport, Role, Router, StalenessCheck, Timestamp, health};
 use std::collections::VecDeque;
 
 /// How many reports are remembered, of primaries and of all hosts.
--- a/crates/comethitch-policy/src/policy/lateness.rs
+++ b/crates/comethitch-policy/src/policy/lateness.rs
@@ -3,7 +3,7 @@
 //! A tick waits in the same loop as everything else, so that the time by which it comes late is what an answer that is
 //! decided on now will wait until it is written.
 
-use super::*;
+use super::{Duration, Router, Timestamp};
 
 /// More than this is no lateness of the loop but a process that was stopped, and tells nothing of what comes next.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
--- a/crates/comethitch-policy/src/policy/load.rs
+++ b/crates/comethitch-policy/src/policy/load.rs
@@ -3,7 +3,10 @@
 //! Work is the time that a host needs for a request. Limits shrink with late answers; a host in slow start
 //! gets a budget for each window besides.
 
-use super::*;
+use super::{
+    Attempt, AttemptOutcome, Duration, Estimate, HostIndex, Member, RECENT_COMMANDS_WINDOW, Router,
+    Timestamp, retries,
+};
 use comethitch_fleet::concurrency_limit::EndedWork;
 use comethitch_fleet::quota;
 
@@ -147,7 +150,7 @@
         match attempt.outcome.expect("an attempt that ended") {
             // Errors are the host's while they are rare; spread over all hosts they are the requests'.
             AttemptOutcome::Error if self.error_rate <= retries::MAX_RARE_ERROR_RATE => {
-                host.record_failure(connect_timeout, now)
+                host.record_failure(connect_timeout, now);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
                 if late && host.last_answer <= attempt.sent_at {
--- a/crates/comethitch-policy/src/policy/position_refresh.rs
+++ b/crates/comethitch-policy/src/policy/position_refresh.rs
@@ -1,7 +1,10 @@
 //! Refreshes of positions, on demand: which members of a group are asked for their position as a request needs it.
 
 use super::health::HEALTH_CHECK_RETRY;
-use super::*;
+use super::{
+    Actions, Consistency, Duration, HELD_UP, Member, RECENT_COMMANDS_WINDOW, RequestId, RequestState, Router,
+    SILENCE_TIMEOUT, ShardId, ShardState, StalenessCheck, Timestamp, freshness,
+};
 
 /// A group is quiet of which this router sees fewer requests than this while a position stays fresh.
 const QUIET_COMMANDS_PER_REFRESH: f64 = 0.5;
--- a/crates/comethitch-policy/src/policy/retries.rs
+++ b/crates/comethitch-policy/src/policy/retries.rs
@@ -1,6 +1,6 @@
 //! Retries and hedged requests: what may be sent again, and what requests have paid for.
 
-use super::*;
+use super::{Attempt, AttemptOutcome, HostIndex, Idempotency, RequestState, Router, Timestamp};
 
 /// Retries that each request pays for, and how many may be saved up.
 const RETRIES_PER_COMMAND: f64 = 0.2;
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -5,7 +5,11 @@
 
 use super::health::HEALTH_CHECK_RETRY;
 use super::position_refresh::usable_age;
-use super::*;
+use super::{
+    Consistency, Duration, HEALTH_CHECK_INTERVAL, HostIndex, Idempotency, Member, RECENT_COMMANDS_WINDOW,
+    RequestId, RequestState, Role, Router, SILENCE_TIMEOUT, Selection, Shard, ShardId, ShardState,
+    StalenessCheck, Timestamp, freshness,
+};
 use comethitch_fleet::subset::{self, Candidate};
 
 /// The part of a staleness bound up to which a replica that checks reads itself is tried.
--- a/crates/comethitch-policy/src/policy/send_guard.rs
+++ b/crates/comethitch-policy/src/policy/send_guard.rs
@@ -4,7 +4,7 @@
 //! An attempt is decided on, and leaves some time later: its connection may take long to come up, its host may read
 //! slowly, the process may be held up.
 
-use super::*;
+use super::{Consistency, Duration, Handle, HostIndex, RequestState, Router, StalenessCheck, Timestamp};
 use crate::{SendRefusal, SendViolation};
 
 impl Handle {
--- a/crates/comethitch-policy/src/request_state.rs
+++ b/crates/comethitch-policy/src/request_state.rs
@@ -8,7 +8,7 @@
 
 /// One sending of a request to a host.
 #[derive(Clone, Copy)]
-pub struct Attempt {
+pub(crate) struct Attempt {
     /// The request class of its request.
     pub request_class: usize,
     /// Where it was sent.
@@ -25,35 +25,35 @@
 
 impl Attempt {
     /// An attempt that is sent now.
-    pub fn new(request_class: usize, host: HostIndex, work: Duration, now: Timestamp) -> Attempt {
+    pub(crate) fn new(request_class: usize, host: HostIndex, work: Duration, now: Timestamp) -> Attempt {
         Attempt { request_class, host, sent_at: now, outcome: None, in_flight_at_fault: false, work }
     }
 
     /// Whether it ran, may have run or may still run.
-    pub fn maybe_ran(&self) -> bool {
+    pub(crate) fn maybe_ran(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::never_ran)
     }
 
     /// Whether it ended in this way.
-    pub fn ended_as(&self, outcome: AttemptOutcome) -> bool {
+    pub(crate) fn ended_as(&self, outcome: AttemptOutcome) -> bool {
         self.outcome == Some(outcome)
     }
 
     /// Whether it ended without any word from its host.
-    pub fn was_lost(&self) -> bool {
+    pub(crate) fn was_lost(&self) -> bool {
         self.ended_as(AttemptOutcome::ConnectionReset)
             || self.ended_as(AttemptOutcome::TimedOut)
             || self.ended_as(AttemptOutcome::ConnectionFailed)
     }
 
     /// Whether its host answered it, be it only to reject it.
-    pub fn was_answered(&self) -> bool {
+    pub(crate) fn was_answered(&self) -> bool {
         self.outcome.is_some_and(AttemptOutcome::is_answer)
     }
 }
 
 /// What is known of a submitted request until it is answered and nothing is in flight.
-pub struct RequestState {
+pub(crate) struct RequestState {
     /// Its request class, by its place in the deployment.
     pub request_class: usize,
     /// The shard that holds its data.
@@ -76,7 +76,7 @@
 
 impl RequestState {
     /// A request that was just submitted.
-    pub fn new(request: &Request, required_position: Timestamp, now: Timestamp) -> RequestState {
+    pub(crate) fn new(request: &Request, required_position: Timestamp, now: Timestamp) -> RequestState {
         RequestState {
             request_class: request.class,
             shard_id: request.shard_id,
@@ -91,35 +91,35 @@
     }
 
     /// Whether it was sent to this host before.
-    pub fn tried(&self, host: HostIndex) -> bool {
+    pub(crate) fn tried(&self, host: HostIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.host == host)
     }
 
     /// Records how an attempt ended; none if it is not in flight.
-    pub fn end_attempt(&mut self, nth: u16, outcome: AttemptOutcome) -> Option<Attempt> {
+    pub(crate) fn end_attempt(&mut self, nth: u16, outcome: AttemptOutcome) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(usize::from(nth)).filter(|attempt| attempt.outcome.is_none())?;
         attempt.outcome = Some(outcome);
         Some(*attempt)
     }
 
     /// The attempts that have not ended yet.
-    pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
+    pub(crate) fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
     }
 
     /// The attempt in flight, if there is exactly one.
-    pub fn only_in_flight(&self) -> Option<&Attempt> {
+    pub(crate) fn only_in_flight(&self) -> Option<&Attempt> {
         let mut in_flight = self.in_flight();
         in_flight.next().filter(|_| in_flight.next().is_none())
     }
 
     /// Whether an attempt ran, may have run or may still run.
-    pub fn maybe_ran(&self) -> bool {
+    pub(crate) fn maybe_ran(&self) -> bool {
         self.attempts.iter().any(Attempt::maybe_ran)
     }
 
     /// Whether it has no final answer, and nothing that could bring one is in flight or queued.
-    pub fn is_stalled(&self) -> bool {
+    pub(crate) fn is_stalled(&self) -> bool {
         !self.finished && !self.queued && self.in_flight().next().is_none()
     }
 }
--- a/crates/comethitch-policy/src/shard.rs
+++ b/crates/comethitch-policy/src/shard.rs
@@ -21,7 +21,7 @@
 
 /// One shard.
 #[derive(Default)]
-pub struct Shard {
+pub(crate) struct Shard {
     /// The believed primary.
     pub primary: Option<HostIndex>,
     /// The primary that the endpoint list names.
@@ -54,14 +54,14 @@
 
 impl Shard {
     /// Adds a host, and a concurrency limit for each request class.
-    pub fn add_member(&mut self, index: HostIndex, request_classes: usize) {
+    pub(crate) fn add_member(&mut self, index: HostIndex, request_classes: usize) {
         self.members.push(index);
         self.ranking.get_mut().invalidate();
         self.concurrency_limits.resize(request_classes, ConcurrencyLimit::default());
     }
 
     /// Records the state that the group comes into.
-    pub fn enter(&mut self, state: ShardState, now: Timestamp) {
+    pub(crate) fn enter(&mut self, state: ShardState, now: Timestamp) {
         self.state = state;
         self.state_since = now;
     }
--- a/crates/comethitch-policy/src/waiting_requests.rs
+++ b/crates/comethitch-policy/src/waiting_requests.rs
@@ -44,12 +44,12 @@
 
 impl WaitingRequests {
     /// Whether no request waits.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.shards.is_empty()
     }
 
     /// Inserts a request behind all for which `goes_before` holds. They must stand first in the queue.
-    pub fn insert(
+    pub(crate) fn insert(
         &mut self, shard_id: ShardId, waiting_for: WaitingFor, id: RequestId,
         goes_before: impl Fn(RequestId) -> bool,
     ) {
@@ -59,13 +59,15 @@
     }
 
     /// Takes out a queue, to be gone through and given back.
-    pub fn take(&mut self, shard_id: ShardId, waiting_for: WaitingFor) -> Vec<RequestId> {
+    pub(crate) fn take(&mut self, shard_id: ShardId, waiting_for: WaitingFor) -> Vec<RequestId> {
         let shard = self.shards.get_mut(&shard_id);
         shard.map(|shard| std::mem::take(shard.queue_mut(waiting_for))).unwrap_or_default()
     }
 
     /// Gives back what is left of a queue. What has come meanwhile goes behind it.
-    pub fn give_back(&mut self, shard_id: ShardId, waiting_for: WaitingFor, mut remaining: Vec<RequestId>) {
+    pub(crate) fn give_back(
+        &mut self, shard_id: ShardId, waiting_for: WaitingFor, mut remaining: Vec<RequestId>,
+    ) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let queue = shard.queue_mut(waiting_for);
         remaining.append(queue);
@@ -76,7 +78,7 @@
     }
 
     /// The next groups for which requests wait, this many at the most, in a round that goes on behind `last`.
-    pub fn next_shards(&self, last: Option<ShardId>, most: usize) -> Vec<ShardId> {
+    pub(crate) fn next_shards(&self, last: Option<ShardId>, most: usize) -> Vec<ShardId> {
         let behind = self.shards.range(last.map_or(0, |last| last.saturating_add(1))..);
         let from_start = self.shards.iter();
         behind.chain(from_start).map(|(shard_id, _)| *shard_id).take(most.min(self.shards.len())).collect()
--- a/crates/comethitch-statement/src/assign/class_rules.rs
+++ b/crates/comethitch-statement/src/assign/class_rules.rs
@@ -30,7 +30,7 @@
 
 impl ClassRules {
     /// Checks rules; `names` and `allowed` are those of the deployment's request classes, in its order.
-    pub fn new(
+    pub(super) fn new(
         rules: &[ClassRule], names: &[String], allowed: &[AllowedEffects],
     ) -> Result<ClassRules, RulesError> {
         let check = |(index, rule)| {
@@ -51,12 +51,12 @@
     }
 
     /// The bounds between bands of cost, in rising order.
-    pub fn cost_bounds(&self) -> &[Duration] {
+    pub(super) fn cost_bounds(&self) -> &[Duration] {
         &self.cost_bounds
     }
 
     /// The request class of the first rule that fits a statement.
-    pub fn class(&self, verdict: &Verdict, band: u8) -> Option<usize> {
+    pub(super) fn class(&self, verdict: &Verdict, band: u8) -> Option<usize> {
         self.rules.iter().find(|rule| self.fits(rule, verdict, band)).map(|rule| rule.class)
     }
 
--- a/crates/comethitch-statement/src/cache/entries.rs
+++ b/crates/comethitch-statement/src/cache/entries.rs
@@ -51,7 +51,7 @@
 
 impl<V> Entry<V> {
     /// An entry of the window that is in no list yet.
-    pub fn new(key: ShapeKey, value: V, bytes: u32, owner: u8) -> Entry<V> {
+    pub(super) fn new(key: ShapeKey, value: V, bytes: u32, owner: u8) -> Entry<V> {
         Entry { key, value: Some(value), bytes, segment: Segment::Window, owner, links: [UNLINKED; 2] }
     }
 }
@@ -78,7 +78,7 @@
 
 impl<V> Entries<V> {
     /// No entries, with memory for so many.
-    pub fn with_capacity(capacity: usize) -> Entries<V> {
+    pub(super) fn with_capacity(capacity: usize) -> Entries<V> {
         Entries {
             slots: Vec::with_capacity(capacity),
             capacity,
@@ -89,12 +89,12 @@
     }
 
     /// How many entries there may be.
-    pub fn capacity(&self) -> usize {
+    pub(super) fn capacity(&self) -> usize {
         self.capacity
     }
 
     /// Removes all entries.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.slots.clear();
         self.free = NONE;
         self.segments = [EMPTY; 3];
@@ -102,38 +102,38 @@
     }
 
     /// The entry in a slot.
-    pub fn get(&self, slot: u32) -> &Entry<V> {
+    pub(super) fn get(&self, slot: u32) -> &Entry<V> {
         &self.slots[slot as usize]
     }
 
     /// The entries of a segment, as a list.
-    pub fn segment(&self, segment: Segment) -> &List {
+    pub(super) fn segment(&self, segment: Segment) -> &List {
         &self.segments[segment as usize]
     }
 
     /// The entries of an owner, as a list.
-    pub fn owner(&self, owner: u8) -> &List {
+    pub(super) fn owner(&self, owner: u8) -> &List {
         &self.owners[owner as usize]
     }
 
     /// The bytes of all entries.
-    pub fn bytes(&self) -> usize {
+    pub(super) fn bytes(&self) -> usize {
         self.segments.iter().map(|list| list.bytes).sum()
     }
 
     /// The number of owners with entries outside of the window, this one counted in any case.
-    pub fn owners_with(&self, owner: u8) -> usize {
+    pub(super) fn owners_with(&self, owner: u8) -> usize {
         let holds = |(nth, list): &(usize, &List)| list.bytes > 0 || *nth == owner as usize;
         self.owners.iter().enumerate().filter(holds).count()
     }
 
     /// Whether every slot is taken.
-    pub fn is_full(&self) -> bool {
+    pub(super) fn is_full(&self) -> bool {
         self.free == NONE && self.slots.len() == self.capacity
     }
 
     /// Puts an entry into a free slot, in no list; none if all are taken.
-    pub fn allocate(&mut self, entry: Entry<V>) -> Option<u32> {
+    pub(super) fn allocate(&mut self, entry: Entry<V>) -> Option<u32> {
         if self.is_full() {
             return None;
         }
@@ -148,7 +148,7 @@
     }
 
     /// Takes an entry out of its lists and frees its slot; returns its key.
-    pub fn release(&mut self, slot: u32) -> ShapeKey {
+    pub(super) fn release(&mut self, slot: u32) -> ShapeKey {
         self.unlink(slot, ListKind::Segment);
         if self.get(slot).segment != Segment::Window {
             self.unlink(slot, ListKind::Owner);
@@ -163,20 +163,20 @@
     }
 
     /// Moves an entry to the front of a segment's list.
-    pub fn move_to_segment(&mut self, slot: u32, segment: Segment) {
+    pub(super) fn move_to_segment(&mut self, slot: u32, segment: Segment) {
         self.unlink(slot, ListKind::Segment);
         self.slots[slot as usize].segment = segment;
         self.link_first(slot, ListKind::Segment);
     }
 
     /// Moves an entry outside of the window to the front of its owner's list.
-    pub fn move_to_front_of_owner(&mut self, slot: u32) {
+    pub(super) fn move_to_front_of_owner(&mut self, slot: u32) {
         self.unlink(slot, ListKind::Owner);
         self.link_first(slot, ListKind::Owner);
     }
 
     /// Gives an entry to another owner.
-    pub fn set_owner(&mut self, slot: u32, owner: u8) {
+    pub(super) fn set_owner(&mut self, slot: u32, owner: u8) {
         let is_listed = self.get(slot).segment != Segment::Window;
         if is_listed {
             self.unlink(slot, ListKind::Owner);
@@ -197,7 +197,7 @@
     }
 
     /// Makes an entry the newest of a list.
-    pub fn link_first(&mut self, slot: u32, kind: ListKind) {
+    pub(super) fn link_first(&mut self, slot: u32, kind: ListKind) {
         let bytes = self.get(slot).bytes as usize;
         let list = self.list(slot, kind);
         let next = list.newest;
--- a/crates/comethitch-statement/src/classify/findings.rs
+++ b/crates/comethitch-statement/src/classify/findings.rs
@@ -61,7 +61,7 @@
 
 impl<'a> Findings<'a> {
     /// Nothing is found yet.
-    pub fn new(dialect: Dialect, catalogue: &'a Catalogue) -> Findings<'a> {
+    pub(super) fn new(dialect: Dialect, catalogue: &'a Catalogue) -> Findings<'a> {
         Findings {
             dialect,
             catalogue,
@@ -77,7 +77,7 @@
     }
 
     /// The verdict on a statement that was parsed.
-    pub fn into_verdict(mut self) -> Verdict {
+    pub(super) fn into_verdict(mut self) -> Verdict {
         if self.table_uses.overflow {
             let effect = self.effect.max(Effect::Unknown);
             let unparsed = Verdict::unparsed(effect, "it uses too many tables");
@@ -95,15 +95,15 @@
     }
 
     /// Keeps the strictest effect found, with the first reason for it.
-    pub fn raise(&mut self, effect: Effect, why: &str) {
+    pub(super) fn raise(&mut self, effect: Effect, why: &str) {
         if effect > self.effect {
             self.effect = effect;
             self.why = why.into();
         }
     }
 
-    /// Judges a function's call; one without brackets is a name such as CURRENT_DATE.
-    pub fn call(&mut self, function: &ObjectName, has_brackets: bool) {
+    /// Judges a function's call; one without brackets is a name such as `CURRENT_DATE`.
+    pub(super) fn call(&mut self, function: &ObjectName, has_brackets: bool) {
         let Some(name) = qualified_name(function) else {
             return self.raise(Effect::Unknown, "it calls a function whose name is made up");
         };
@@ -143,7 +143,7 @@
     }
 
     /// Judges a cast, which may call a function of the type's.
-    pub fn cast(&mut self, to: &DataType) {
+    pub(super) fn cast(&mut self, to: &DataType) {
         match to {
             DataType::Custom(name, _) => {
                 let name = qualified_name(name).unwrap_or_default();
@@ -164,7 +164,7 @@
     }
 
     /// Judges an operator, which may call a function of the operator's own.
-    pub fn operator(&mut self, operator: &BinaryOperator) {
+    pub(super) fn operator(&mut self, operator: &BinaryOperator) {
         let name = match operator {
             BinaryOperator::Custom(name) => name.clone(),
             BinaryOperator::PGCustomBinaryOperator(parts) => match &parts[..] {
@@ -181,7 +181,7 @@
     }
 
     /// Judges a table hint of T-SQL: some take locks.
-    pub fn table_hint(&mut self, hint: &Expr) {
+    pub(super) fn table_hint(&mut self, hint: &Expr) {
         let name = hint_name(hint);
         if name == "index" || name == "forceseek" {
             self.called_names.push(name);
@@ -191,7 +191,7 @@
     }
 
     /// Judges the use of a table or view.
-    pub fn table(&mut self, table: &ObjectName) {
+    pub(super) fn table(&mut self, table: &ObjectName) {
         let Some(name) = qualified_name(table) else {
             return self.raise(Effect::Unknown, "it names a table by an expression");
         };
--- a/crates/comethitch-statement/src/classify/from_clause.rs
+++ b/crates/comethitch-statement/src/classify/from_clause.rs
@@ -36,22 +36,22 @@
 
 impl FromClause {
     /// What the clause reads from, in order.
-    pub fn sources(&self) -> &[Source] {
+    pub(super) fn sources(&self) -> &[Source] {
         &self.sources
     }
 
     /// The columns whose values are known, with the placeholders of these values.
-    pub fn known_values(&self) -> &[(Column, Vec<u32>)] {
+    pub(super) fn known_values(&self) -> &[(Column, Vec<u32>)] {
         &self.known_values
     }
 
     /// Adds a source under its alias, with the table use that it stands for.
-    pub fn add_source(&mut self, alias: String, table_use: Option<usize>) {
+    pub(super) fn add_source(&mut self, alias: String, table_use: Option<usize>) {
         self.sources.push(Source { alias, table_use });
     }
 
     /// Adds a condition that holds for every row, part by part where AND joins them.
-    pub fn add_condition(&mut self, condition: &Expr) {
+    pub(super) fn add_condition(&mut self, condition: &Expr) {
         match condition {
             Expr::Nested(inner) => self.add_condition(inner),
             Expr::BinaryOp { left, op: BinaryOperator::And, right } => {
@@ -75,10 +75,10 @@
                 self.equalities.push(Equality { from: right, to: left });
             }
             (Some(column), None) => {
-                self.add_value(column, placeholder_number(right).map(|number| vec![number]))
+                self.add_value(column, placeholder_number(right).map(|number| vec![number]));
             }
             (None, Some(column)) => {
-                self.add_value(column, placeholder_number(left).map(|number| vec![number]))
+                self.add_value(column, placeholder_number(left).map(|number| vec![number]));
             }
             (None, None) => {}
         }
@@ -92,7 +92,7 @@
 
     /// Adds the condition of a left join with the source added last: only rows that meet it come from there, but
     /// any row may come from the left side.
-    pub fn add_left_join_condition(&mut self, condition: &Expr) {
+    pub(super) fn add_left_join_condition(&mut self, condition: &Expr) {
         let right = self.sources.len().saturating_sub(1);
         let mut joined = FromClause { sources: std::mem::take(&mut self.sources), ..FromClause::default() };
         joined.add_condition(condition);
@@ -108,12 +108,12 @@
     }
 
     /// Forgets the values of columns, whatever table they are in.
-    pub fn forget_columns(&mut self, names: &[String]) {
+    pub(super) fn forget_columns(&mut self, names: &[String]) {
         self.known_values.retain(|(column, _)| !names.contains(&column.name));
     }
 
     /// Passes values along equal columns until nothing new is known, or too much.
-    pub fn propagate_values(&mut self, limit: usize) {
+    pub(super) fn propagate_values(&mut self, limit: usize) {
         // Each round makes one more column known at least.
         for _ in 0..self.equalities.len().min(limit) {
             let found = self.implied_values();
--- a/crates/comethitch-statement/src/classify/table_uses.rs
+++ b/crates/comethitch-statement/src/classify/table_uses.rs
@@ -45,7 +45,7 @@
 
 impl TableUseCollector {
     /// A query begins: the names of its WITH clause become visible.
-    pub fn enter_query(&mut self, query: &Query) {
+    pub(super) fn enter_query(&mut self, query: &Query) {
         let is_cte_query = self.begin_cte(query);
         let ctes = query.with.iter().flat_map(|with| &with.cte_tables);
         let ctes = ctes.map(|cte| Cte { name: identifier(&cte.alias.name), query: &*cte.query });
@@ -71,7 +71,7 @@
     }
 
     /// A query ends.
-    pub fn leave_query(&mut self) {
+    pub(super) fn leave_query(&mut self) {
         let was_cte_query = self.scopes.pop().is_some_and(|scope| scope.is_cte_query);
         if was_cte_query && let Some(outer) = self.scopes.last_mut() {
             outer.visiting = None;
@@ -103,13 +103,13 @@
     }
 
     /// A table that is read as a whole, as in `TABLE t`.
-    pub fn full_scan(&mut self, table: &str) {
+    pub(super) fn full_scan(&mut self, table: &str) {
         self.add(table);
         self.scans += 1;
     }
 
     /// The tables of a SELECT.
-    pub fn select(&mut self, select: &Select) {
+    pub(super) fn select(&mut self, select: &Select) {
         let mut clause = FromClause::default();
         select.from.iter().for_each(|tables| self.joined_tables(tables, &mut clause));
         if let Some(condition) = &select.selection {
@@ -119,7 +119,7 @@
     }
 
     /// The table of a statement that changes rows, and the tables that it reads beside it.
-    pub fn changing_statement(&mut self, statement: &Statement) {
+    pub(super) fn changing_statement(&mut self, statement: &Statement) {
         match statement {
             Statement::Insert(insert) => self.insert(insert),
             Statement::Update(update) => self.update(update),
@@ -227,7 +227,7 @@
     }
 
     /// The uses in order of appearance; their number and that of full scans go into the features.
-    pub fn finish(self, features: &mut Features) -> Vec<TableUse> {
+    pub(super) fn finish(self, features: &mut Features) -> Vec<TableUse> {
         let most = usize::from(u8::MAX);
         features.tables = self.uses.len().min(most) as u8;
         features.scans = self.scans.min(most) as u8;
--- a/crates/comethitch-statement/src/dialect.rs
+++ b/crates/comethitch-statement/src/dialect.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Dialect {
-    /// PostgreSQL's, with standard_conforming_strings on.
+    /// PostgreSQL's, with `standard_conforming_strings` on.
     Postgres,
     /// T-SQL, with quoted identifiers on.
     Tsql,
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -23,8 +23,6 @@
 //! assert_eq!(effect("SELECT tienda.lower(code) FROM facts"), Effect::Write);
 //! ```
 
-#![warn(missing_docs)]
-
 pub mod admission;
 pub mod assign;
 pub mod budget;
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -144,7 +144,7 @@
         match passed {
             Ok(passed) => assert!(passes && !passed.assigned.raised, "{text} as {class}"),
             Err(StatementRejection::Refused(AssignmentError::Disagrees { .. })) => {
-                assert!(!passes, "{text} as {class}")
+                assert!(!passes, "{text} as {class}");
             }
             Err(other) => panic!("{text} as {class}: {other:?}"),
         }
@@ -213,7 +213,7 @@
         ("groups.2.group is no command group", &|r| r["groups"][2]["group"] = "x".into()),
         ("groups.2.effects holds write", &|r| r["groups"][2] = class(json!(["read", "write"]), "read")),
         ("groups.2.effects holds locking_read", &|r| {
-            r["groups"][2] = class(json!(["locking_read"]), "fresh")
+            r["groups"][2] = class(json!(["locking_read"]), "fresh");
         }),
         ("groups.2.effects holds write", &|r| r["groups"][2] = class(json!(["write"]), "locked")),
         ("groups.2.effects holds unknown", &|r| r["groups"][2] = class(json!(["unknown"]), "keyed")),
@@ -225,7 +225,7 @@
         ("keys.1.tables names \"facts\"", &|r| r["keys"][1]["tables"] = json!(["facts"])),
         ("keys.0.spread.hash", &|r| r["keys"][0]["spread"] = json!({"hash": []})),
         ("keys.1.spread.range must end", &|r| {
-            r["keys"][1]["spread"] = json!({"range": [{"below": 3, "hosts": 1}]})
+            r["keys"][1]["spread"] = json!({"range": [{"below": 3, "hosts": 1}]});
         }),
         ("keys.1.spread.range.1.below must be above", &|r| {
             r["keys"][1]["spread"] =
--- a/crates/comethitch-statement/tests/support/mod.rs
+++ b/crates/comethitch-statement/tests/support/mod.rs
@@ -3,7 +3,7 @@
 use comethitch_statement::{Catalogue, Classifier, Dialect, Lexer, Verdict};
 
 /// The rows of a dialect's corpus, each a JSON object with the statement and its effect.
-pub fn corpus_lines(dialect: Dialect) -> impl Iterator<Item = &'static str> {
+pub(crate) fn corpus_lines(dialect: Dialect) -> impl Iterator<Item = &'static str> {
     let text = match dialect {
         Dialect::Postgres => include_str!("../corpus/postgres.jsonl"),
         Dialect::Tsql => include_str!("../corpus/tsql.jsonl"),
@@ -12,7 +12,7 @@
 }
 
 /// The verdict without a catalogue.
-pub fn verdict(dialect: Dialect, text: &[u8]) -> Verdict {
+pub(crate) fn verdict(dialect: Dialect, text: &[u8]) -> Verdict {
     let mut lexer = Lexer::new(dialect);
     let catalogue = Catalogue::default();
     lexer.read(text);
--- a/crates/comethitch-tds/src/lib.rs
+++ b/crates/comethitch-tds/src/lib.rs
@@ -16,8 +16,6 @@
 //! assert_eq!((message.kind(), message.payload()), (Some(Kind::Batch), &b"payload"[..]));
 //! ```
 
-#![warn(missing_docs)]
-
 mod error;
 pub mod login;
 pub mod packet;
--- a/crates/comethitch-tds/src/login/login7.rs
+++ b/crates/comethitch-tds/src/login/login7.rs
@@ -21,16 +21,16 @@
 
 /// The bits of the flags that are read or written.
 mod flags {
-    /// OptionFlags1: notify of a changed database, fail if it cannot be changed, notify of a changed language.
-    pub const NOTIFY_OF_CHANGES: u8 = 0xe0;
-    /// OptionFlags2: fail if the language cannot be changed, and the client is ODBC.
-    pub const ODBC: u8 = 0x03;
-    /// OptionFlags2: integrated security.
-    pub const INTEGRATED: u8 = 0x80;
-    /// TypeFlags: the client only reads.
-    pub const READ_ONLY: u8 = 0x20;
-    /// OptionFlags3: the message has a feature extension.
-    pub const EXTENSION: u8 = 0x10;
+    /// `OptionFlags1`: notify of a changed database, fail if it cannot be changed, notify of a changed language.
+    pub(super) const NOTIFY_OF_CHANGES: u8 = 0xe0;
+    /// `OptionFlags2`: fail if the language cannot be changed, and the client is ODBC.
+    pub(super) const ODBC: u8 = 0x03;
+    /// `OptionFlags2`: integrated security.
+    pub(super) const INTEGRATED: u8 = 0x80;
+    /// `TypeFlags`: the client only reads.
+    pub(super) const READ_ONLY: u8 = 0x20;
+    /// `OptionFlags3`: the message has a feature extension.
+    pub(super) const EXTENSION: u8 = 0x10;
 }
 
 /// The parts of a LOGIN7 message that matter to a router.
@@ -142,7 +142,7 @@
         out[start..start + 4].copy_from_slice(&length.to_le_bytes());
     }
 
-    /// OptionFlags1, OptionFlags2, TypeFlags and OptionFlags3.
+    /// `OptionFlags1`, `OptionFlags2`, `TypeFlags` and `OptionFlags3`.
     fn flags(&self) -> [u8; 4] {
         let integrated = if self.integrated { flags::INTEGRATED } else { 0 };
         let read_only = if self.read_only { flags::READ_ONLY } else { 0 };
--- a/crates/comethitch-tds/src/login/prelogin.rs
+++ b/crates/comethitch-tds/src/login/prelogin.rs
@@ -11,14 +11,14 @@
 /// Whether a connection is encrypted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Encryption {
-    /// ENCRYPT_OFF: only the login is encrypted.
+    /// `ENCRYPT_OFF`: only the login is encrypted.
     Off,
-    /// ENCRYPT_ON: everything is encrypted.
+    /// `ENCRYPT_ON`: everything is encrypted.
     On,
-    /// ENCRYPT_NOT_SUP: nothing is encrypted.
+    /// `ENCRYPT_NOT_SUP`: nothing is encrypted.
     #[default]
     NotSupported,
-    /// ENCRYPT_REQ: everything must be encrypted.
+    /// `ENCRYPT_REQ`: everything must be encrypted.
     Required,
 }
 
@@ -48,19 +48,19 @@
 /// The codes of options.
 mod option {
     /// The sender's version.
-    pub const VERSION: u8 = 0;
+    pub(super) const VERSION: u8 = 0;
     /// Whether the connection is encrypted.
-    pub const ENCRYPTION: u8 = 1;
+    pub(super) const ENCRYPTION: u8 = 1;
     /// The name of the server's instance.
-    pub const INSTANCE: u8 = 2;
+    pub(super) const INSTANCE: u8 = 2;
     /// The sender's thread, for traces.
-    pub const THREAD: u8 = 3;
+    pub(super) const THREAD: u8 = 3;
     /// Multiple active result sets.
-    pub const MARS: u8 = 4;
+    pub(super) const MARS: u8 = 4;
     /// Federated authentication is required.
-    pub const FEDERATED: u8 = 6;
+    pub(super) const FEDERATED: u8 = 6;
     /// The end of the list of options.
-    pub const TERMINATOR: u8 = 0xff;
+    pub(super) const TERMINATOR: u8 = 0xff;
 }
 
 /// An option as it stands in a message.
--- a/crates/comethitch-tds/src/packet/mod.rs
+++ b/crates/comethitch-tds/src/packet/mod.rs
@@ -71,7 +71,7 @@
 
 /// The bits of a packet's status ("Packet Header", Status).
 pub mod status {
-    /// END_OF_MESSAGE: the last packet of its message.
+    /// `END_OF_MESSAGE`: the last packet of its message.
     pub const END: u8 = 0x01;
     /// IGNORE: the sender has abandoned its message, and the receiver must discard it.
     pub const IGNORE: u8 = 0x02;
--- a/crates/comethitch-tds/src/read.rs
+++ b/crates/comethitch-tds/src/read.rs
@@ -102,7 +102,7 @@
         self.array().map(u64::from_le_bytes)
     }
 
-    /// Reads a B_VARCHAR: UTF-16 behind a length of one byte, in code units. Returns the undecoded bytes.
+    /// Reads a `B_VARCHAR`: UTF-16 behind a length of one byte, in code units. Returns the undecoded bytes.
     ///
     /// # Errors
     ///
@@ -112,7 +112,7 @@
         self.take(usize::from(length) * 2)
     }
 
-    /// Reads a US_VARCHAR: UTF-16 behind a length of two bytes, in code units. Returns the undecoded bytes.
+    /// Reads a `US_VARCHAR`: UTF-16 behind a length of two bytes, in code units. Returns the undecoded bytes.
     ///
     /// # Errors
     ///
--- a/crates/comethitch-tds/src/request/batch.rs
+++ b/crates/comethitch-tds/src/request/batch.rs
@@ -1,4 +1,4 @@
-//! SQLBatch (\[MS-TDS\], "SQLBatch"): the text of one or more statements.
+//! `SQLBatch` (\[MS-TDS\], "SQLBatch"): the text of one or more statements.
 
 use super::Headers;
 use crate::error::MalformedMessage;
--- a/crates/comethitch-tds/src/request/call.rs
+++ b/crates/comethitch-tds/src/request/call.rs
@@ -10,7 +10,7 @@
 
 /// The most parameters of a call that servers allow.
 const MAX_PARAMETERS: usize = 2100;
-/// The bytes that separate calls of one message: BatchFlag of older and current versions, and NoExecFlag. No parameter
+/// The bytes that separate calls of one message: `BatchFlag` of older and current versions, and `NoExecFlag`. No parameter
 /// has a name as long as one of them would state.
 const CALL_SEPARATORS: [u8; 3] = [0x80, 0xff, 0xfe];
 
--- a/crates/comethitch-tds/src/request/headers.rs
+++ b/crates/comethitch-tds/src/request/headers.rs
@@ -1,4 +1,4 @@
-//! ALL_HEADERS (\[MS-TDS\], "Packet Data Stream Headers"): what stands before the payload of batches and calls.
+//! `ALL_HEADERS` (\[MS-TDS\], "Packet Data Stream Headers"): what stands before the payload of batches and calls.
 
 use crate::error::{Incomplete, MalformedMessage};
 use crate::read::Reader;
--- a/crates/comethitch-tds/src/request/procedure.rs
+++ b/crates/comethitch-tds/src/request/procedure.rs
@@ -1,6 +1,6 @@
 //! The procedure that a call names: one of the server's system procedures, or any other by its name.
 
-/// The system procedures that have ids and special meaning to a router (\[MS-TDS\], "RPC Request", ProcID).
+/// The system procedures that have ids and special meaning to a router (\[MS-TDS\], "RPC Request", `ProcID`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Known {
     /// `sp_executesql`: executes a parameterized statement.
--- a/crates/comethitch-tds/src/text.rs
+++ b/crates/comethitch-tds/src/text.rs
@@ -20,14 +20,14 @@
     out.extend(text.encode_utf16().flat_map(u16::to_le_bytes));
 }
 
-/// Writes a B_VARCHAR: a text behind its length in one byte, truncated to what that length can state.
+/// Writes a `B_VARCHAR`: a text behind its length in one byte, truncated to what that length can state.
 pub fn put_b_varchar(out: &mut Vec<u8>, text: &str) {
     let units = truncated_units(text, usize::from(u8::MAX));
     out.push(units.len() as u8);
     out.extend(units.into_iter().flat_map(u16::to_le_bytes));
 }
 
-/// Writes a US_VARCHAR: a text behind its length in two bytes, truncated so that its bytes fit such a length too.
+/// Writes a `US_VARCHAR`: a text behind its length in two bytes, truncated so that its bytes fit such a length too.
 pub fn put_us_varchar(out: &mut Vec<u8>, text: &str) {
     let units = truncated_units(text, usize::from(u16::MAX) / 2);
     out.extend((units.len() as u16).to_le_bytes());
--- a/crates/comethitch-tds/src/types/mod.rs
+++ b/crates/comethitch-tds/src/types/mod.rs
@@ -12,20 +12,20 @@
 pub enum Length {
     /// Always so many bytes, without a length.
     Fixed(u8),
-    /// A length of one byte (BYTELEN_TYPE); 0 is null.
+    /// A length of one byte (`BYTELEN_TYPE`); 0 is null.
     Byte,
-    /// A length of two bytes (USHORTLEN_TYPE); 0xffff is null.
+    /// A length of two bytes (`USHORTLEN_TYPE`); 0xffff is null.
     Short,
     /// Partially length-prefixed (PARTLENTYPE, "PLP"): a total length of eight bytes, then chunks behind a length of
     /// four bytes each, up to an empty one.
     Chunks,
     /// A text pointer behind its length, a timestamp, and a length of four bytes; an empty pointer is null.
     Pointer,
-    /// A length of four bytes (LONGLEN_TYPE); 0 is null.
+    /// A length of four bytes (`LONGLEN_TYPE`); 0 is null.
     Long,
 }
 
-/// The type of a column or a parameter, as its TYPE_INFO describes it.
+/// The type of a column or a parameter, as its `TYPE_INFO` describes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Type {
     /// One of [`code`].
--- a/crates/comethitch-tds/src/types/type_info.rs
+++ b/crates/comethitch-tds/src/types/type_info.rs
@@ -1,4 +1,4 @@
-//! Reads TYPE_INFO: the description of a type before a parameter and in the description of a column.
+//! Reads `TYPE_INFO`: the description of a type before a parameter and in the description of a column.
 
 use super::code::{
     BINARY, BIT, BITN, CHAR, DATEN, DATETIM4, DATETIME, DATETIME2N, DATETIMEOFFSETN, DATETIMN, DECIMALN,
--- a/crates/comethitch-tds/src/types/value.rs
+++ b/crates/comethitch-tds/src/types/value.rs
@@ -9,9 +9,9 @@
 use crate::read::Reader;
 use crate::text;
 
-/// The total length that stands for a null value in chunks (PLP_NULL).
+/// The total length that stands for a null value in chunks (`PLP_NULL`).
 const CHUNKS_NULL: u64 = u64::MAX;
-/// The total length of chunks whose sum is not stated (UNKNOWN_PLP_LEN).
+/// The total length of chunks whose sum is not stated (`UNKNOWN_PLP_LEN`).
 const CHUNKS_OF_UNKNOWN_TOTAL: u64 = u64::MAX - 1;
 /// The most bytes of a value with a length of four bytes, if its type states fewer: 8000 and the variant's own
 /// description.
--- a/crates/comethitch-tds/src/write.rs
+++ b/crates/comethitch-tds/src/write.rs
@@ -14,7 +14,7 @@
 const PROGRAM_VERSION: [u8; 4] = [16, 0, 0, 0];
 /// COLMETADATA: no user type, and a column that may be null and written.
 const USER_TYPE_AND_FLAGS: [u8; 6] = [0, 0, 0, 0, 9, 0];
-/// A collation as TYPE_INFO carries it: its locale and flags, and its sort order.
+/// A collation as `TYPE_INFO` carries it: its locale and flags, and its sort order.
 const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
 const NULL_SHORT: u16 = u16::MAX;
 const NULL_CHUNKS: u64 = u64::MAX;
@@ -98,7 +98,7 @@
     Text,
     /// `nvarchar(max)`.
     LongText,
-    /// Any other type, by its encoded TYPE_INFO.
+    /// Any other type, by its encoded `TYPE_INFO`.
     Raw(Vec<u8>),
 }
 
--- a/crates/comethitch-testkit/src/lib.rs
+++ b/crates/comethitch-testkit/src/lib.rs
@@ -7,8 +7,6 @@
 //!
 //! Every wait is for an event; timeouts only end a test that has already failed.
 
-#![warn(missing_docs)]
-
 pub mod behavior;
 pub mod client;
 mod connection;
--- a/crates/comethitch-testkit/src/postgres/client.rs
+++ b/crates/comethitch-testkit/src/postgres/client.rs
@@ -6,10 +6,10 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-/// Protocol version 3.0, as a StartupMessage has it.
+/// Protocol version 3.0, as a `StartupMessage` has it.
 const PROTOCOL_VERSION: u32 = 3 << 16;
 
-/// Sends a StartupMessage and reads until the server is ready.
+/// Sends a `StartupMessage` and reads until the server is ready.
 pub(crate) fn log_in(stream: &mut TcpStream) -> Result<(), ConnectionError> {
     let parameters = b"user\0portal\0database\0crm\0\0";
     let body = [&PROTOCOL_VERSION.to_be_bytes()[..], parameters].concat();
@@ -19,7 +19,7 @@
     Ok(())
 }
 
-/// Reads the next answer, up to ReadyForQuery.
+/// Reads the next answer, up to `ReadyForQuery`.
 pub(crate) fn receive(stream: &mut TcpStream) -> Received {
     let mut received = Received::Closed;
     loop {
@@ -38,12 +38,12 @@
     }
 }
 
-/// The first column of a DataRow of one column, behind the column count and the value's length.
+/// The first column of a `DataRow` of one column, behind the column count and the value's length.
 fn first_column(body: &[u8]) -> String {
     String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned()
 }
 
-/// What an ErrorResponse means, by its SQLSTATE.
+/// What an `ErrorResponse` means, by its SQLSTATE.
 fn classify_error(body: &[u8]) -> Received {
     let field = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&b'C'));
     let code = field.map_or(&b""[..], |field| &field[1..]);
--- a/crates/comethitch-testkit/src/postgres/mod.rs
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -8,7 +8,7 @@
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// The transaction status in a ReadyForQuery message.
+/// The transaction status in a `ReadyForQuery` message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TransactionStatus {
     Idle,
@@ -20,12 +20,12 @@
     [&[message_type], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-/// An answer of one row with one column, up to CommandComplete; ReadyForQuery must follow.
+/// An answer of one row with one column, up to `CommandComplete`; `ReadyForQuery` must follow.
 pub fn row(value: &[u8]) -> Vec<u8> {
     [row_description(), data_row(value), command_complete()].concat()
 }
 
-/// An ErrorResponse with this SQLSTATE; ReadyForQuery must follow.
+/// An `ErrorResponse` with this SQLSTATE; `ReadyForQuery` must follow.
 pub fn error(code: &str) -> Vec<u8> {
     message(message_type::ERROR_RESPONSE, format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
--- a/crates/comethitch-testkit/src/tds/samples.rs
+++ b/crates/comethitch-testkit/src/tds/samples.rs
@@ -3,9 +3,9 @@
 use comethitch_tds::types::code;
 use comethitch_tds::write::{Cell, Column, put_columns, put_row};
 
-/// A collation as TYPE_INFO carries it: its locale and flags, and its sort order.
+/// A collation as `TYPE_INFO` carries it: its locale and flags, and its sort order.
 const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
-/// The size in TYPE_INFO of types without a limit.
+/// The size in `TYPE_INFO` of types without a limit.
 const UNLIMITED: u16 = 0xffff;
 
 /// A column with its description and its value, both as they stand on the wire.
--- a/crates/comethitch-time/src/lib.rs
+++ b/crates/comethitch-time/src/lib.rs
@@ -4,8 +4,6 @@
 //! time it is, so that code which uses them can be driven in simulated time. Arithmetic saturates: a duration is
 //! never negative, and a timestamp never overflows.
 
-#![warn(missing_docs)]
-
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
 /// A point on the caller's clock, in microseconds since that clock's origin.
--- a/crates/comethitchd/src/lib.rs
+++ b/crates/comethitchd/src/lib.rs
@@ -4,8 +4,6 @@
 //! speaks with clients and hosts in [`protocols`], and start and stop in [`service`]. Nothing here chooses a host, a
 //! retry, a throttle or a timeout.
 
-#![warn(missing_docs)]
-
 pub mod protocols;
 pub mod service;
 pub mod stages;
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -34,7 +34,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration; without it, the file that RELAY_CONFIG names
+    /// the configuration; without it, the file that `RELAY_CONFIG` names
     #[argh(option)]
     configuration: Option<PathBuf>,
     /// the rules by which statements are judged by their text; without it, comments alone count
@@ -55,7 +55,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration; without it, the file that RELAY_CONFIG names
+    /// the configuration; without it, the file that `RELAY_CONFIG` names
     #[argh(option)]
     configuration: Option<PathBuf>,
     /// the rules by which statements are judged by their text, to be checked too
--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -14,7 +14,7 @@
 
 /// Why an attempt was not sent although a connection was there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SendRefused {
+pub(super) enum SendRefused {
     /// Its client has closed its connection, or its sending half.
     #[error("the client has gone")]
     ClientGone,
@@ -28,7 +28,7 @@
 
 impl SendRefused {
     /// The name in logs and counts.
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             SendRefused::ClientGone => "client_gone",
             SendRefused::HostReadsSlowly => "host_reads_slowly",
@@ -38,7 +38,7 @@
 }
 
 /// One attempt of a request.
-pub struct Attempt {
+pub(super) struct Attempt {
     /// The router.
     pub state: Rc<RouterState>,
     /// The host that it goes to.
@@ -56,7 +56,7 @@
 
 impl Attempt {
     /// How long its client waits from now on.
-    pub fn time_left(&self) -> Duration {
+    pub(super) fn time_left(&self) -> Duration {
         self.deadline - self.state.clock.now()
     }
 
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// Why it may not.
-    pub fn check_send(&self) -> Result<(), SendRefused> {
+    pub(super) fn check_send(&self) -> Result<(), SendRefused> {
         let client = self.client.upgrade();
         if client.is_none_or(|client| client.has_ended()) {
             return Err(SendRefused::ClientGone);
@@ -77,7 +77,7 @@
 
     /// Counts a rule that was broken by its last byte's leaving just now, although it was checked: the process may have
     /// been held up in between.
-    pub fn verify_sent(&self) {
+    pub(super) fn verify_sent(&self) {
         let router = self.state.router.borrow();
         let handle = router.handle(self.request);
         let violation =
@@ -103,7 +103,7 @@
     }
 
     /// Counts and logs that it was not sent.
-    pub fn record_refused(&self, refused: SendRefused) {
+    pub(super) fn record_refused(&self, refused: SendRefused) {
         let reason = refused.name();
         self.state.metrics.sends_refused.increment(reason);
         let id = &self.statement.client_id;
@@ -113,7 +113,7 @@
 
 /// Starts the request's next attempt, with the protocol's exchange as `send`. An attempt whose timeout has already
 /// passed, as after a stall of the event loop, is not sent, and its number is returned: the host is not to blame for it.
-pub fn start<F: Future<Output = AttemptResult> + 'static>(
+pub(super) fn start<F: Future<Output = AttemptResult> + 'static>(
     state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
     send: impl FnOnce(Rc<Attempt>) -> F + 'static,
 ) -> Option<u16> {
--- a/crates/comethitchd/src/protocols/client_connection/disconnect.rs
+++ b/crates/comethitchd/src/protocols/client_connection/disconnect.rs
@@ -5,7 +5,7 @@
 
 /// Why a client's connection ends.
 #[derive(Debug, thiserror::Error)]
-pub enum Disconnect {
+pub(crate) enum Disconnect {
     /// The client has closed the connection, or is to be treated as if it had.
     #[error("the client has disconnected")]
     ClientGone,
@@ -31,7 +31,7 @@
 
 /// The error that is sent to a client before its connection is closed. Each protocol has its own codes for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ClosingError {
+pub(crate) enum ClosingError {
     /// The client has broken the protocol.
     #[error("{0}")]
     ProtocolViolation(&'static str),
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -6,7 +6,7 @@
 mod disconnect;
 mod waiting;
 
-pub use disconnect::{ClosingError, Disconnect};
+pub(super) use disconnect::{ClosingError, Disconnect};
 
 use crate::stages::admit::{AdmissionError, AdmittedRequest, StatementError, StatementRequest, admit};
 use crate::stages::policy_driver;
@@ -38,7 +38,7 @@
 const MAX_REJECTED_IN_ROW: u32 = 8;
 
 /// A client's connection.
-pub struct ClientConnection {
+pub(super) struct ClientConnection {
     /// The router.
     pub state: Rc<RouterState>,
     /// What was received and not consumed.
@@ -65,7 +65,7 @@
 }
 
 /// What became of a statement that a client wants run.
-pub enum Admission {
+pub(super) enum Admission {
     /// It is a request, to be submitted to the policy.
     Admitted(AdmittedRequest),
     /// It must be answered as throttled.
@@ -76,7 +76,7 @@
 
 impl ClientConnection {
     /// Registers a client at once: it holds a descriptor although it has sent nothing yet.
-    pub fn new(
+    pub(super) fn new(
         state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, max_buffer_bytes: usize,
     ) -> ClientConnection {
         let stream = Rc::new(Socket::new(stream));
@@ -102,7 +102,7 @@
     }
 
     /// Records that a request was answered.
-    pub fn record_answer(&mut self) {
+    pub(super) fn record_answer(&mut self) {
         self.has_been_answered = true;
         self.owes_answer.set(false);
         self.rejected_in_row = 0;
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// If there were too many in a row.
-    pub fn record_rejection(&mut self, reason: &str) -> Result<(), Disconnect> {
+    pub(super) fn record_rejection(&mut self, reason: &str) -> Result<(), Disconnect> {
         self.state.metrics.invalid_requests.increment();
         log::debug!("client {}: {reason}", self.number);
         self.rejected_in_row += 1;
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     /// If the client has disconnected: nothing may begin for it any more.
-    pub fn admit(&self, text: &[u8], arguments: &Arguments) -> Result<Admission, Disconnect> {
+    pub(super) fn admit(&self, text: &[u8], arguments: &Arguments) -> Result<Admission, Disconnect> {
         let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
         let admitted = match admit(&self.state, &request) {
             Ok(admitted) => admitted,
@@ -150,7 +150,7 @@
     }
 
     /// Hands a request of this client to the policy; see [`policy_driver::submit`].
-    pub fn submit(
+    pub(super) fn submit(
         &self, request: AdmittedRequest, text: Vec<u8>, message_kind: u8,
     ) -> (RequestId, Receiver<Reply>) {
         self.set_phase(ConnectionPhase::Busy);
@@ -163,7 +163,7 @@
     }
 
     /// Consumes bytes of the buffer: the request that they are part of arrived with the last of them.
-    pub fn consume(&mut self, length: usize) {
+    pub(super) fn consume(&mut self, length: usize) {
         self.buffer.consume(length);
         self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
     }
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// If the connection breaks, or the time runs out.
-    pub async fn write(&self, bytes: &[u8]) -> Result<(), Disconnect> {
+    pub(super) async fn write(&self, bytes: &[u8]) -> Result<(), Disconnect> {
         let mut stream = &*self.stream;
         let timed_out = Err(io::ErrorKind::TimedOut.into());
         let limit = self.state.longest_timeout.to_std();
@@ -185,7 +185,7 @@
     }
 
     /// Ends the connection. `encode` gives the protocol's message for an error that is sent to the client.
-    pub async fn close(mut self, disconnect: Disconnect, encode: impl Fn(ClosingError) -> Vec<u8>) {
+    pub(super) async fn close(mut self, disconnect: Disconnect, encode: impl Fn(ClosingError) -> Vec<u8>) {
         self.check_close(&disconnect);
         match disconnect {
             Disconnect::ProtocolViolation(message) => {
--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// If the connection ends before more bytes come.
-    pub async fn wait_for_input(&mut self) -> Result<(), Disconnect> {
+    pub(crate) async fn wait_for_input(&mut self) -> Result<(), Disconnect> {
         self.wait_for_more(true).await
     }
 
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// If the connection ends before more bytes come.
-    pub async fn wait_for_more(&mut self, between_messages: bool) -> Result<(), Disconnect> {
+    pub(crate) async fn wait_for_more(&mut self, between_messages: bool) -> Result<(), Disconnect> {
         let nothing_begun = between_messages && self.buffer.unread().is_empty();
         let is_idle = nothing_begun && self.has_been_answered;
         self.set_phase(if is_idle { ConnectionPhase::Idle } else { ConnectionPhase::Reading });
@@ -86,7 +86,9 @@
     ///
     /// # Errors
     /// [`Disconnect::ClientGone`] if the client disconnects before it.
-    pub async fn wait_while_connected<T>(&mut self, event: impl Future<Output = T>) -> Result<T, Disconnect> {
+    pub(crate) async fn wait_while_connected<T>(
+        &mut self, event: impl Future<Output = T>,
+    ) -> Result<T, Disconnect> {
         // Without interruptions the event comes, or the client disconnects.
         self.wait_until_interrupted(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Disconnect::ClientGone)
     }
@@ -96,7 +98,7 @@
     ///
     /// # Errors
     /// [`Disconnect::ClientGone`] if the client disconnects before either.
-    pub async fn wait_until_interrupted<T>(
+    pub(crate) async fn wait_until_interrupted<T>(
         &mut self, event: impl Future<Output = T>, is_interruption: Option<impl Fn(&[u8]) -> bool>,
     ) -> Result<Option<T>, Disconnect> {
         let mut event = pin!(event);
--- a/crates/comethitchd/src/protocols/connect.rs
+++ b/crates/comethitchd/src/protocols/connect.rs
@@ -16,7 +16,7 @@
 const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// What a protocol needs of a new connection.
-pub struct ConnectionOptions {
+pub(super) struct ConnectionOptions {
     /// The most bytes that the connection's buffer may hold.
     pub max_buffer_bytes: usize,
     /// The state of a session on which nothing was sent yet.
@@ -29,7 +29,7 @@
 /// # Errors
 /// [`ConnectionError::NotSent`] if no descriptor became free, the handshake's error, or else
 /// [`ConnectionError::ConnectFailed`].
-pub async fn connect(
+pub(super) async fn connect(
     state: &RouterState, address: SocketAddr, options: ConnectionOptions,
     handshake: impl AsyncFnOnce(&mut HostConnection) -> Result<(), ConnectionError>,
 ) -> Result<HostConnection, ConnectionError> {
--- a/crates/comethitchd/src/protocols/exchange.rs
+++ b/crates/comethitchd/src/protocols/exchange.rs
@@ -23,7 +23,7 @@
 const WRITE_LIMIT: Duration = Duration::from_millis(100);
 
 /// One request and its response, of an attempt or a health check.
-pub struct Exchange<'a> {
+pub(super) struct Exchange<'a> {
     /// The router.
     pub state: &'a RouterState,
     host: Host,
@@ -37,7 +37,7 @@
 
 impl<'a> Exchange<'a> {
     /// The exchange of an attempt, within the attempt's timeout.
-    pub fn for_attempt(attempt: &'a Attempt) -> Exchange<'a> {
+    pub(super) fn for_attempt(attempt: &'a Attempt) -> Exchange<'a> {
         Exchange {
             state: &attempt.state,
             host: attempt.host,
@@ -48,13 +48,13 @@
     }
 
     /// The exchange of a health check, which may take no longer than opening a connection.
-    pub fn for_health_check(state: &'a RouterState, host: Host) -> Exchange<'a> {
+    pub(super) fn for_health_check(state: &'a RouterState, host: Host) -> Exchange<'a> {
         let ends_at = state.clock.now() + state.config.deployment.connect_timeout;
         Exchange { state, host, ends_at, attempt: None, sent: Cell::new(false) }
     }
 
     /// Where a large answer goes while it still comes. The answer to a health check is never streamed.
-    pub fn streamed_answer(&self) -> Option<&'a StreamedAnswer> {
+    pub(super) fn streamed_answer(&self) -> Option<&'a StreamedAnswer> {
         self.attempt.map(|attempt| &attempt.streamed_answer)
     }
 
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// The exchange's own, or one that says whether the request was sent before the time ran out.
-    pub async fn within_timeout<T>(
+    pub(super) async fn within_timeout<T>(
         &self, exchange: impl Future<Output = Result<T, ConnectionError>>,
     ) -> Result<T, ConnectionError> {
         let timeout = async {
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// If the request could not be sent, or the policy no longer wants it sent once a connection was there.
-    pub async fn send(
+    pub(super) async fn send(
         &self, connect: impl AsyncFn(SocketAddr) -> Result<HostConnection, ConnectionError>,
         encode: impl Fn(&HostConnection) -> Vec<u8>,
     ) -> Result<HostConnection, ConnectionError> {
@@ -144,7 +144,7 @@
     }
 
     /// Returns a connection to the pool, if the host is still listed at its address and nothing is left to read.
-    pub fn release(&self, connection: HostConnection) {
+    pub(super) fn release(&self, connection: HostConnection) {
         let is_listed = self.state.endpoints.borrow().is_listed_at(self.host, connection.address);
         if is_listed && connection.buffer.unread().is_empty() {
             self.state.pool.borrow_mut().put(self.host, connection, self.state.clock.now());
@@ -154,7 +154,7 @@
 
 /// How far a response has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseProgress {
+pub(super) enum ResponseProgress {
     /// More bytes must be received.
     NeedsMore,
     /// There is enough for a part to be sent to the client.
@@ -164,7 +164,7 @@
 }
 
 /// A host's response as a protocol reads it.
-pub trait Response {
+pub(super) trait Response {
     /// Consumes what the buffer holds of the response, up to its end or, if it is streamed, up to a part.
     ///
     /// # Errors
@@ -178,14 +178,14 @@
 }
 
 /// How the reading of a response ended, while it is still wanted.
-pub type ResponseEnd = Result<(), ConnectionError>;
+pub(super) type ResponseEnd = Result<(), ConnectionError>;
 
 /// Reads a response to its end, and streams its parts to the client where it has one.
 ///
 /// # Errors
 /// If the client does not want the answer any more. That the host fails is no error here but the returned end: what
 /// has come of the response may count.
-pub async fn read_response(
+pub(super) async fn read_response(
     connection: &mut HostConnection, response: &mut impl Response, streamed: Option<&StreamedAnswer>,
 ) -> Result<ResponseEnd, ConnectionError> {
     loop {
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 /// How a health check ended.
-pub struct HealthCheckResult {
+pub(super) struct HealthCheckResult {
     /// Whether the host gave a usable answer, or why not.
     pub completion: Result<(), ConnectionError>,
     /// What the host reported.
@@ -17,7 +17,7 @@
 }
 
 /// Starts a health check of a host, with the protocol's exchange as `check`.
-pub fn start<F: Future<Output = HealthCheckResult> + 'static>(
+pub(super) fn start<F: Future<Output = HealthCheckResult> + 'static>(
     state: &Rc<RouterState>, host: Host, check: impl FnOnce(Rc<RouterState>) -> F + 'static,
 ) {
     state.metrics.health_checks.increment();
--- a/crates/comethitchd/src/protocols/postgres/backend.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -46,7 +46,7 @@
 }
 
 /// Starts the request's next attempt; see [`attempt::start`].
-pub fn start_attempt(
+pub(super) fn start_attempt(
     state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
 ) -> Option<u16> {
     attempt::start(state, request, host, timeout, |attempt| async move {
@@ -71,7 +71,7 @@
 }
 
 /// Starts a health check of a host.
-pub fn start_health_check(state: &Rc<RouterState>, host: Host) {
+pub(super) fn start_health_check(state: &Rc<RouterState>, host: Host) {
     health_check::start(state, host, move |state| async move {
         let mut query = Vec::new();
         postgres::put_query(&mut query, &[HEALTH_CHECK_QUERY]);
@@ -187,7 +187,7 @@
     connect(state, address, options, start_session).await
 }
 
-/// Sends the startup message, and reads the host's response up to ReadyForQuery.
+/// Sends the startup message, and reads the host's response up to `ReadyForQuery`.
 async fn start_session(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let mut startup = Vec::new();
     postgres::put_startup(&mut startup, USER, DATABASE);
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -22,16 +22,16 @@
 
 /// The SQLSTATEs that clients are answered with.
 mod sqlstate {
-    /// protocol_violation.
-    pub const PROTOCOL_VIOLATION: &str = "08P01";
-    /// feature_not_supported.
-    pub const NOT_SUPPORTED: &str = "0A000";
-    /// statement_completion_unknown: the request has failed, and may have run.
-    pub const FAILED: &str = "40003";
-    /// too_many_connections: throttled, nothing has run.
-    pub const THROTTLED: &str = "53300";
-    /// query_canceled.
-    pub const CANCELLED: &str = "57014";
+    /// `protocol_violation`.
+    pub(super) const PROTOCOL_VIOLATION: &str = "08P01";
+    /// `feature_not_supported`.
+    pub(super) const NOT_SUPPORTED: &str = "0A000";
+    /// `statement_completion_unknown`: the request has failed, and may have run.
+    pub(super) const FAILED: &str = "40003";
+    /// `too_many_connections`: throttled, nothing has run.
+    pub(super) const THROTTLED: &str = "53300";
+    /// `query_canceled`.
+    pub(super) const CANCELLED: &str = "57014";
 }
 
 struct Session {
@@ -41,7 +41,7 @@
 }
 
 /// Serves a client. It is registered by this call, before the first poll.
-pub fn serve(
+pub(super) fn serve(
     state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
     let connection = ClientConnection::new(state, stream, permit, MAX_MESSAGE_BYTES + 1);
@@ -242,7 +242,7 @@
     text.iter().all(|b| b.is_ascii_whitespace() || *b == b';')
 }
 
-/// Writes a request's answer, short of ReadyForQuery.
+/// Writes a request's answer, short of `ReadyForQuery`.
 fn put_reply(out: &mut Vec<u8>, reply: Reply) {
     match reply {
         Reply::Value(value) if out.is_empty() => *out = value,
--- a/crates/comethitchd/src/protocols/streamed_answer.rs
+++ b/crates/comethitchd/src/protocols/streamed_answer.rs
@@ -18,10 +18,10 @@
 use std::time::Duration;
 
 /// An answer of fewer bytes is not streamed: until it is complete, another host may still answer in its place.
-pub const STREAMING_THRESHOLD_BYTES: usize = 256 * 1024;
+pub(super) const STREAMING_THRESHOLD_BYTES: usize = 256 * 1024;
 
 /// The answer to one attempt, streamed if it becomes large.
-pub struct StreamedAnswer {
+pub(super) struct StreamedAnswer {
     state: Rc<RouterState>,
     request: RequestId,
     attempt: u16,
@@ -32,7 +32,7 @@
 
 impl StreamedAnswer {
     /// The answer to this attempt, of which nothing is sent yet.
-    pub fn new(state: &Rc<RouterState>, request: RequestId, attempt: u16) -> StreamedAnswer {
+    pub(super) fn new(state: &Rc<RouterState>, request: RequestId, attempt: u16) -> StreamedAnswer {
         StreamedAnswer {
             state: state.clone(),
             request,
@@ -43,7 +43,7 @@
     }
 
     /// Whether the first part was sent.
-    pub fn has_started(&self) -> bool {
+    pub(super) fn has_started(&self) -> bool {
         self.parts.borrow().is_some()
     }
 
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// [`ConnectionError::Cancelled`] if the request has another answer or no client any more.
-    pub async fn send_part(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
+    pub(super) async fn send_part(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         let parts = self.parts.borrow().clone();
         match parts {
             Some(parts) => send(&parts, ValuePart::Bytes(bytes)).await?,
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// [`ConnectionError::Cancelled`] if the request has another answer or no client any more.
-    pub async fn finish(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
+    pub(super) async fn finish(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         self.send_part(bytes).await?;
         let parts = self.parts.borrow().clone();
         match parts {
@@ -85,7 +85,7 @@
     }
 
     /// Waits until no part was sent for this long; returns at once if the answer is not being streamed.
-    pub async fn wait_until_stalled(&self, patience: Duration) {
+    pub(super) async fn wait_until_stalled(&self, patience: Duration) {
         while self.has_started() {
             let before = self.last_progress.get();
             Timer::after(patience).await;
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -38,7 +38,7 @@
 }
 
 /// Starts the request's next attempt; see [`attempt::start`].
-pub fn start_attempt(
+pub(super) fn start_attempt(
     state: &Rc<RouterState>, settings: &Rc<TdsSettings>, request: RequestId, host: Host, timeout: Duration,
 ) -> Option<u16> {
     let settings = settings.clone();
@@ -66,7 +66,7 @@
 }
 
 /// Starts a health check of a host.
-pub fn start_health_check(state: &Rc<RouterState>, settings: &Rc<TdsSettings>, host: Host) {
+pub(super) fn start_health_check(state: &Rc<RouterState>, settings: &Rc<TdsSettings>, host: Host) {
     let settings = settings.clone();
     health_check::start(state, host, move |state| async move {
         let mut payload = Vec::new();
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -57,7 +57,7 @@
 }
 
 /// Serves a client. It is registered by this call, before the first poll.
-pub fn serve(
+pub(super) fn serve(
     state: Rc<RouterState>, settings: Rc<TdsSettings>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
     let connection = ClientConnection::new(state, stream, permit, LARGEST_SIZE + 1);
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -7,41 +7,41 @@
 use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
 
 /// The name that is sent to clients as the server's.
-pub const SERVER_NAME: &str = "comethitch";
+pub(super) const SERVER_NAME: &str = "comethitch";
 /// The length of a DONE token, with which every answer ends.
-pub const DONE_TOKEN_BYTES: usize = 13;
+pub(super) const DONE_TOKEN_BYTES: usize = 13;
 /// The name of the output parameter for a prepared statement's handle.
 const HANDLE_PARAMETER: &str = "@handle";
 /// The state of all errors.
 const ERROR_STATE: u8 = 1;
 
 /// The severity classes of errors.
-pub mod class {
+pub(super) mod class {
     /// A login failed.
-    pub const LOGIN_FAILED: u8 = 14;
+    pub(crate) const LOGIN_FAILED: u8 = 14;
     /// A statement failed.
-    pub const ERROR: u8 = 16;
+    pub(crate) const ERROR: u8 = 16;
     /// The connection ends.
-    pub const FATAL: u8 = 20;
+    pub(crate) const FATAL: u8 = 20;
 }
 
 /// The types of ENVCHANGE tokens.
-pub mod change {
+pub(super) mod change {
     /// The session's database.
-    pub const DATABASE: u8 = 1;
+    pub(crate) const DATABASE: u8 = 1;
     /// The session's language.
-    pub const LANGUAGE: u8 = 2;
+    pub(crate) const LANGUAGE: u8 = 2;
     /// The packet size.
-    pub const PACKET_SIZE: u8 = 4;
+    pub(crate) const PACKET_SIZE: u8 = 4;
     /// The collation.
-    pub const COLLATION: u8 = 7;
+    pub(crate) const COLLATION: u8 = 7;
     /// The session was reset.
-    pub const SESSION_RESET: u8 = 18;
+    pub(crate) const SESSION_RESET: u8 = 18;
 }
 
 /// How the answer to a request is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplyFraming {
+pub(super) enum ReplyFraming {
     /// As a batch's.
     Batch,
     /// As a call's.
@@ -52,41 +52,41 @@
 
 impl ReplyFraming {
     /// The code of the token that the answer ends with.
-    pub fn done_code(self) -> u8 {
+    pub(super) fn done_code(self) -> u8 {
         if self == ReplyFraming::Batch { code::DONE } else { code::DONE_PROCEDURE }
     }
 }
 
 /// An empty buffer for the packets of so many bytes of tokens.
-pub fn packet_buffer(token_bytes: usize) -> Vec<u8> {
+pub(super) fn packet_buffer(token_bytes: usize) -> Vec<u8> {
     Vec::with_capacity(token_bytes + token_bytes / 64 + HEADER)
 }
 
 /// Encodes a message of these tokens.
-pub fn encode_packets(packet_size: usize, tokens: &[u8]) -> Vec<u8> {
+pub(super) fn encode_packets(packet_size: usize, tokens: &[u8]) -> Vec<u8> {
     let mut packets = packet_buffer(tokens.len());
     put_message(&mut packets, Kind::Answer, packet_size, tokens);
     packets
 }
 
 /// Writes an error, and the token that ends the answer with it.
-pub fn put_failure(tokens: &mut Vec<u8>, number: i32, class: u8, text: &str, done_code: u8) {
+pub(super) fn put_failure(tokens: &mut Vec<u8>, number: i32, class: u8, text: &str, done_code: u8) {
     put_error(tokens, &Message { number, state: ERROR_STATE, class, text: text.into() }, SERVER_NAME);
     put_done(tokens, done_code, done::ERROR, 0);
 }
 
 /// Writes the acknowledgement of an attention.
-pub fn put_attention_acknowledgement(tokens: &mut Vec<u8>) {
+pub(super) fn put_attention_acknowledgement(tokens: &mut Vec<u8>) {
     put_done(tokens, code::DONE, done::ATTENTION, 0);
 }
 
 /// Writes the output parameter for the handle of a prepared statement.
-pub fn put_handle(tokens: &mut Vec<u8>, handle: i32) {
+pub(super) fn put_handle(tokens: &mut Vec<u8>, handle: i32) {
     put_return_value(tokens, 0, HANDLE_PARAMETER, handle);
 }
 
 /// Writes an answer with the handle of the statement that was prepared with it, before its last token.
-pub fn put_with_handle(tokens: &mut Vec<u8>, answer: &[u8], handle: i32) {
+pub(super) fn put_with_handle(tokens: &mut Vec<u8>, answer: &[u8], handle: i32) {
     let (before, last) = answer.split_at(answer.len().saturating_sub(DONE_TOKEN_BYTES));
     tokens.extend(before);
     put_handle(tokens, handle);
@@ -94,7 +94,7 @@
 }
 
 /// Encodes the final answer to a request.
-pub struct ReplyEncoder {
+pub(super) struct ReplyEncoder {
     /// The numbers of the router's own errors.
     pub numbers: ErrorNumbers,
     /// How the answer is framed.
@@ -105,7 +105,7 @@
 
 impl ReplyEncoder {
     /// Writes the answer.
-    pub fn put(&self, tokens: &mut Vec<u8>, reply: Reply) {
+    pub(super) fn put(&self, tokens: &mut Vec<u8>, reply: Reply) {
         match reply {
             // Its parts are forwarded before it comes here.
             Reply::Streaming(first, _) => tokens.extend(first),
--- a/crates/comethitchd/src/protocols/tds/client/request.rs
+++ b/crates/comethitchd/src/protocols/tds/client/request.rs
@@ -23,7 +23,7 @@
 const UNKNOWN_HANDLE: &str = "no statement of this handle is prepared";
 
 /// What a message asks for.
-pub enum Request {
+pub(super) enum Request {
     /// A statement that hosts are to run.
     Run(Statement),
     /// Something that the router answers by itself, with these tokens.
@@ -38,7 +38,7 @@
 }
 
 /// A statement that hosts are to run.
-pub struct Statement {
+pub(super) struct Statement {
     /// Its text, by which it is admitted.
     pub text: String,
     /// The values of its parameters by name, as far as they are known.
@@ -52,7 +52,7 @@
 }
 
 /// A message that breaks the protocol ends the connection.
-pub fn protocol_violation(malformed: MalformedMessage) -> Disconnect {
+pub(super) fn protocol_violation(malformed: MalformedMessage) -> Disconnect {
     Disconnect::ProtocolViolation(malformed.0)
 }
 
@@ -60,7 +60,9 @@
 ///
 /// # Errors
 /// If it breaks the protocol.
-pub fn parse(kind: Kind, payload: Vec<u8>, prepared: &mut PreparedStatements) -> Result<Request, Disconnect> {
+pub(super) fn parse(
+    kind: Kind, payload: Vec<u8>, prepared: &mut PreparedStatements,
+) -> Result<Request, Disconnect> {
     match kind {
         Kind::Batch => parse_batch(payload),
         Kind::Rpc => parse_call(payload, prepared),
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -20,7 +20,7 @@
 /// # Errors
 /// [`ConnectionError::NoConnectionSlot`] if the host has no slot for the session, or else
 /// [`ConnectionError::ConnectFailed`].
-pub async fn log_in(
+pub(super) async fn log_in(
     state: &RouterState, settings: &TdsSettings, connection: &mut HostConnection,
 ) -> Result<(), ConnectionError> {
     negotiate_encryption(connection).await?;
--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -10,7 +10,7 @@
 const ENTRY_OVERHEAD_BYTES: usize = 128;
 
 /// A prepared statement.
-pub struct PreparedStatement {
+pub(super) struct PreparedStatement {
     /// The statement's text.
     pub text: String,
     /// The declarations of its parameters, as `@name type, ...`.
@@ -23,7 +23,7 @@
 }
 
 /// The prepared statements of one client, by handle.
-pub struct PreparedStatements {
+pub(super) struct PreparedStatements {
     /// Counted against the memory that all connections share.
     reservation: Reservation,
     last_handle: i32,
@@ -33,7 +33,7 @@
 
 impl PreparedStatements {
     /// No statements yet; those to come reserve memory from this budget.
-    pub fn new(memory: &MemoryBudget) -> PreparedStatements {
+    pub(super) fn new(memory: &MemoryBudget) -> PreparedStatements {
         PreparedStatements {
             reservation: Reservation::new(memory),
             last_handle: 0,
@@ -43,7 +43,7 @@
     }
 
     /// Stores a statement and returns its handle, or none if there is no memory for it.
-    pub fn insert(&mut self, text: &str, declarations: &str) -> Option<i32> {
+    pub(super) fn insert(&mut self, text: &str, declarations: &str) -> Option<i32> {
         let bytes = self.bytes + entry_bytes(text, declarations);
         if bytes > MAX_CLIENT_BYTES || !self.reservation.resize_to(bytes) {
             return None;
@@ -56,12 +56,12 @@
     }
 
     /// The statement with this handle.
-    pub fn get(&self, handle: i64) -> Option<&PreparedStatement> {
+    pub(super) fn get(&self, handle: i64) -> Option<&PreparedStatement> {
         self.by_handle.get(&i32::try_from(handle).ok()?)
     }
 
     /// Removes a statement; false if there is none with this handle.
-    pub fn remove(&mut self, handle: i64) -> bool {
+    pub(super) fn remove(&mut self, handle: i64) -> bool {
         let removed = i32::try_from(handle).ok().and_then(|handle| self.by_handle.remove(&handle));
         let Some(statement) = removed else { return false };
         self.bytes -= entry_bytes(&statement.text, &statement.declarations);
@@ -70,7 +70,7 @@
     }
 
     /// Removes all statements. Handles are not used again.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.by_handle.clear();
         self.bytes = 0;
         self.reservation.resize_to(0);
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -10,7 +10,7 @@
 use comethitch_tds::{MalformedMessage, ReadError};
 
 /// The largest token that is forwarded.
-pub const MAX_TOKEN_BYTES: usize = 1 << 20;
+pub(super) const MAX_TOKEN_BYTES: usize = 1 << 20;
 /// Messages of a higher class are errors, the others are information.
 const MAX_INFORMATION_CLASS: u8 = 10;
 
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -156,13 +156,13 @@
 ) {
     let mut acceptors: Vec<_> =
         listeners.iter().map(|listener| Box::pin(accept(state, protocol, listener))).collect();
-    poll_fn(|context| {
+    poll_fn(|context| -> Poll<()> {
         for acceptor in &mut acceptors {
             let _ = acceptor.as_mut().poll(context);
         }
         Poll::Pending
     })
-    .await
+    .await;
 }
 
 /// Accepts for ever. Clients count from the moment they connect, so they may wait only briefly to be accepted.
--- a/crates/comethitchd/src/service/trail/log_line.rs
+++ b/crates/comethitchd/src/service/trail/log_line.rs
@@ -15,7 +15,7 @@
 impl<'a> LogLine<'a> {
     /// Parses the text form, `[bench time] time LEVEL target: file:line message key=value ...`, or a JSON object with
     /// `message` and `kvs`; none if it is neither.
-    pub fn parse(text: &'a str) -> Option<LogLine<'a>> {
+    pub(super) fn parse(text: &'a str) -> Option<LogLine<'a>> {
         let text = text.trim_end();
         if let Some(start) = text.find('{')
             && let Ok(value) = serde_json::from_str::<Value>(&text[start..])
--- a/crates/comethitchd/src/state/config/json.rs
+++ b/crates/comethitchd/src/state/config/json.rs
@@ -9,17 +9,17 @@
 
 impl<'a> JsonKeys<'a> {
     /// The value at a path; none if it is missing or null.
-    pub fn get(&self, path: &str) -> Option<&'a Value> {
+    pub(super) fn get(&self, path: &str) -> Option<&'a Value> {
         path.split('.').try_fold(self.0, |value, key| value.get(key)).filter(|value| !value.is_null())
     }
 
     /// The value at a path.
-    pub fn required(&self, path: &str) -> Result<&'a Value, ConfigError> {
+    pub(super) fn required(&self, path: &str) -> Result<&'a Value, ConfigError> {
         self.get(path).ok_or_else(|| ConfigError::missing(path))
     }
 
     /// The text at a path.
-    pub fn text(&self, path: &str) -> Result<String, ConfigError> {
+    pub(super) fn text(&self, path: &str) -> Result<String, ConfigError> {
         let value = self.required(path)?;
         value.as_str().map(String::from).ok_or_else(|| ConfigError::Unexpected {
             key: path.to_string(),
@@ -29,7 +29,7 @@
     }
 
     /// The whole number at a path, which must be at least `least`; `default` if it is missing.
-    pub fn number_or(&self, path: &str, least: u64, default: u64) -> Result<u64, ConfigError> {
+    pub(super) fn number_or(&self, path: &str, least: u64, default: u64) -> Result<u64, ConfigError> {
         let Some(value) = self.get(path) else {
             return Ok(default);
         };
@@ -41,13 +41,13 @@
     }
 
     /// A list of texts.
-    pub fn names(&self, path: &str) -> Result<Vec<String>, ConfigError> {
+    pub(super) fn names(&self, path: &str) -> Result<Vec<String>, ConfigError> {
         let item_name = |(i, item): (usize, &Value)| name_of(item, || format!("{path}.{i}"));
         self.list(path)?.iter().enumerate().map(item_name).collect()
     }
 
     /// The text under `key` of each object of a list.
-    pub fn names_under(&self, path: &str, key: &str) -> Result<Vec<String>, ConfigError> {
+    pub(super) fn names_under(&self, path: &str, key: &str) -> Result<Vec<String>, ConfigError> {
         let item_name = |(i, item): (usize, &Value)| name_of(&item[key], || format!("{path}.{i}.{key}"));
         self.list(path)?.iter().enumerate().map(item_name).collect()
     }
--- a/crates/comethitchd/src/state/transition_log.rs
+++ b/crates/comethitchd/src/state/transition_log.rs
@@ -41,7 +41,7 @@
                 (offset + uncertainty) / 1000
             ),
             ClockState::Wrong => {
-                log::warn!("the wall clock at the start was wrong; hosts are asked for the time")
+                log::warn!("the wall clock at the start was wrong; hosts are asked for the time");
             }
             ClockState::Agrees => log::info!("the hosts' time agrees with the wall clock at the start"),
             ClockState::Unproven => {}
--- a/crates/comethitchd/src/wire/postgres/message.rs
+++ b/crates/comethitchd/src/wire/postgres/message.rs
@@ -96,7 +96,7 @@
 /// The connection whose query a cancel request is to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelTarget {
-    /// The connection's number, as sent to it in BackendKeyData.
+    /// The connection's number, as sent to it in `BackendKeyData`.
     pub connection: u32,
     /// The secret key sent with it.
     pub key: u32,
--- a/crates/comethitchd/src/wire/postgres/message_type.rs
+++ b/crates/comethitchd/src/wire/postgres/message_type.rs
@@ -6,11 +6,11 @@
     pub const BIND: u8 = b'B';
     /// Close.
     pub const CLOSE: u8 = b'C';
-    /// CopyData.
+    /// `CopyData`.
     pub const COPY_DATA: u8 = b'd';
-    /// CopyDone.
+    /// `CopyDone`.
     pub const COPY_DONE: u8 = b'c';
-    /// CopyFail.
+    /// `CopyFail`.
     pub const COPY_FAIL: u8 = b'f';
     /// Describe.
     pub const DESCRIBE: u8 = b'D';
@@ -18,7 +18,7 @@
     pub const EXECUTE: u8 = b'E';
     /// Flush.
     pub const FLUSH: u8 = b'H';
-    /// FunctionCall.
+    /// `FunctionCall`.
     pub const FUNCTION_CALL: u8 = b'F';
     /// Parse.
     pub const PARSE: u8 = b'P';
@@ -32,28 +32,28 @@
 
 /// Messages that a server sends.
 pub mod backend {
-    /// AuthenticationOk and its kin.
+    /// `AuthenticationOk` and its kin.
     pub const AUTHENTICATION: u8 = b'R';
-    /// BackendKeyData.
+    /// `BackendKeyData`.
     pub const BACKEND_KEY_DATA: u8 = b'K';
-    /// CommandComplete.
+    /// `CommandComplete`.
     pub const COMMAND_COMPLETE: u8 = b'C';
-    /// DataRow.
+    /// `DataRow`.
     pub const DATA_ROW: u8 = b'D';
-    /// EmptyQueryResponse.
+    /// `EmptyQueryResponse`.
     pub const EMPTY_QUERY: u8 = b'I';
-    /// ErrorResponse.
+    /// `ErrorResponse`.
     pub const ERROR: u8 = b'E';
-    /// NegotiateProtocolVersion.
+    /// `NegotiateProtocolVersion`.
     pub const NEGOTIATE_VERSION: u8 = b'v';
-    /// NoticeResponse.
+    /// `NoticeResponse`.
     pub const NOTICE: u8 = b'N';
-    /// NotificationResponse.
+    /// `NotificationResponse`.
     pub const NOTIFICATION: u8 = b'A';
-    /// ParameterStatus.
+    /// `ParameterStatus`.
     pub const PARAMETER_STATUS: u8 = b'S';
-    /// ReadyForQuery.
+    /// `ReadyForQuery`.
     pub const READY_FOR_QUERY: u8 = b'Z';
-    /// RowDescription.
+    /// `RowDescription`.
     pub const ROW_DESCRIPTION: u8 = b'T';
 }
--- a/crates/comethitchd/src/wire/postgres/response.rs
+++ b/crates/comethitchd/src/wire/postgres/response.rs
@@ -18,8 +18,8 @@
 const ROW_HEADER_BYTES: usize = 1 + 4 + 2;
 /// A row description holds this behind its column's name.
 const COLUMN_TYPE_BYTES: usize = 18;
-/// The SQLSTATEs that clients read as the router's own throttling: 53300 too_many_connections, 57P03
-/// cannot_connect_now. Only the policy decides to throttle.
+/// The SQLSTATEs that clients read as the router's own throttling: 53300 `too_many_connections`, 57P03
+/// `cannot_connect_now`. Only the policy decides to throttle.
 const THROTTLING_CODES: [&str; 2] = ["53300", "57P03"];
 
 /// What a host may respond with.
@@ -62,13 +62,13 @@
     pub parameters: HostParameters,
     /// The SQLSTATE of the error, if one came.
     pub error_code: Option<String>,
-    /// RowDescription, DataRow and CommandComplete as they came.
+    /// `RowDescription`, `DataRow` and `CommandComplete` as they came.
     pub rows: Vec<u8>,
-    /// The ErrorResponse as it came, where any rows may come.
+    /// The `ErrorResponse` as it came, where any rows may come.
     pub error: Vec<u8>,
     /// The host holds a transaction open: the connection can't carry another's query.
     pub in_transaction: bool,
-    /// Where the body of the last DataRow stands in `rows`.
+    /// Where the body of the last `DataRow` stands in `rows`.
     last_row: Option<Range<usize>>,
     phase: ResponsePhase,
     /// Some of the rows were streamed already.
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    /// Only AuthenticationOk is supported, and only at the start.
+    /// Only `AuthenticationOk` is supported, and only at the start.
     fn check_authentication(&self, body: &[u8]) -> Result<(), MalformedMessage> {
         if self.phase != ResponsePhase::Started || body != [0; 4] {
             return Err(MalformedMessage("the host asks for a password"));
@@ -299,7 +299,7 @@
     }
 }
 
-/// The SQLSTATE of an ErrorResponse whose fields are well formed.
+/// The SQLSTATE of an `ErrorResponse` whose fields are well formed.
 fn error_code(body: &[u8]) -> Option<Cow<'_, str>> {
     let mut fields = zero_terminated(body.strip_suffix(b"\0")?)?.filter_map(|field| field.split_first());
     let code = fields.find(|(name, _)| **name == b'C').map(|(_, code)| code);
--- a/crates/comethitchd/src/wire/postgres/write.rs
+++ b/crates/comethitchd/src/wire/postgres/write.rs
@@ -6,7 +6,7 @@
 const LENGTH_BYTES: usize = 4;
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 const NO_UNKNOWN_OPTIONS: [u8; 4] = [0; 4];
-/// The transaction status of ReadyForQuery outside of any transaction.
+/// The transaction status of `ReadyForQuery` outside of any transaction.
 const IDLE: u8 = b'I';
 /// The parameters that are reported to clients at the start of a session.
 const SESSION_PARAMETERS: [(&str, &str); 5] = [
@@ -35,7 +35,7 @@
     }
 }
 
-/// The fields of an ErrorResponse.
+/// The fields of an `ErrorResponse`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorFields<'a> {
     /// How severe the error is.
@@ -86,7 +86,7 @@
     out.push(0);
 }
 
-/// StartupMessage, to a host.
+/// `StartupMessage`, to a host.
 pub fn put_startup(out: &mut Vec<u8>, user: &str, database: &str) {
     put_sized(out, |out| {
         out.extend(VERSION_3.to_be_bytes());
@@ -104,7 +104,7 @@
     });
 }
 
-/// Admits a client: AuthenticationOk, the session's parameters, the key for cancel requests, and ReadyForQuery.
+/// Admits a client: `AuthenticationOk`, the session's parameters, the key for cancel requests, and `ReadyForQuery`.
 pub fn put_welcome(out: &mut Vec<u8>, minor_version: u16, connection: u32, key: u32) {
     if minor_version > 0 {
         let version_3_0 = [VERSION_3.to_be_bytes(), NO_UNKNOWN_OPTIONS].concat();
@@ -121,22 +121,22 @@
     put_ready_for_query(out);
 }
 
-/// ReadyForQuery, outside of any transaction.
+/// `ReadyForQuery`, outside of any transaction.
 pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put(out, backend::READY_FOR_QUERY, |out| out.push(IDLE));
 }
 
-/// EmptyQueryResponse.
+/// `EmptyQueryResponse`.
 pub fn put_empty_query(out: &mut Vec<u8>) {
     put(out, backend::EMPTY_QUERY, |_| ());
 }
 
-/// CommandComplete with this tag.
+/// `CommandComplete` with this tag.
 pub fn put_command_complete(out: &mut Vec<u8>, tag: &str) {
     put(out, backend::COMMAND_COMPLETE, |out| put_text(out, tag));
 }
 
-/// ErrorResponse.
+/// `ErrorResponse`.
 pub fn put_error(out: &mut Vec<u8>, error: &ErrorFields<'_>) {
     let severity = error.severity.name();
     let fields = [(b'S', severity), (b'V', severity), (b'C', error.code), (b'M', error.message)];
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -5,8 +5,8 @@
 
 use async_io::Async;
 use comethitch_lab::system_calls::SystemCallFaults;
-pub use comethitch_testkit::LONG;
-pub use comethitch_testkit::postgres::{error, message, query, row};
+pub(crate) use comethitch_testkit::LONG;
+pub(crate) use comethitch_testkit::postgres::{error, message, query, row};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol;
@@ -25,15 +25,15 @@
 use std::time::{Duration, SystemTime};
 
 /// The sample of a configuration.
-pub const SAMPLE: &str = include_str!("../../../../deploy/configuration.json");
+pub(crate) const SAMPLE: &str = include_str!("../../../../deploy/configuration.json");
 
 /// A parameter that the host reports.
-pub fn parameter(name: &str, value: &str) -> Vec<u8> {
+pub(crate) fn parameter(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-/// ReadyForQuery, outside of a transaction.
-pub fn ready() -> Vec<u8> {
+/// `ReadyForQuery`, outside of a transaction.
+pub(crate) fn ready() -> Vec<u8> {
     message(b'Z', b"I")
 }
 
@@ -47,8 +47,8 @@
 }
 
 /// What a host does with a query.
-pub enum HostAction {
-    /// Answers with these messages, its role and ReadyForQuery.
+pub(crate) enum HostAction {
+    /// Answers with these messages, its role and `ReadyForQuery`.
     Answer(Vec<u8>),
     /// Sends these bytes, and nothing of its own behind them.
     Raw(Vec<u8>),
@@ -60,7 +60,7 @@
 
 /// What a host has observed.
 #[derive(Debug, PartialEq, Eq)]
-pub enum HostEvent {
+pub(crate) enum HostEvent {
     /// A query, but for health checks.
     Query(String),
     /// The router ended a connection, after a query that got no answer or while idle.
@@ -68,26 +68,28 @@
 }
 
 /// A database host.
-pub struct Host {
+pub(crate) struct Host {
     pub address: SocketAddr,
     pub met: Receiver<HostEvent>,
 }
 
 impl Host {
     /// The next observation.
-    pub fn next(&self) -> HostEvent {
+    pub(crate) fn next(&self) -> HostEvent {
         self.met.recv_timeout(LONG).expect("something at the host")
     }
 }
 
 /// A host that answers health checks as primary or replica, and requests by the script; `nth` counts requests.
-pub fn host(primary: bool, script: impl Fn(usize, &str) -> HostAction + Send + Sync + 'static) -> Host {
+pub(crate) fn host(
+    primary: bool, script: impl Fn(usize, &str) -> HostAction + Send + Sync + 'static,
+) -> Host {
     host_since(primary, script, None)
 }
 
 /// The same, with data that do not change from a time on, and no greeting to a second connection until a span has
 /// passed since then.
-pub fn host_since(
+pub(crate) fn host_since(
     primary: bool, script: impl Fn(usize, &str) -> HostAction + Send + Sync + 'static,
     still: Option<(SystemTime, Duration)>,
 ) -> Host {
@@ -151,7 +153,7 @@
 }
 
 /// The program itself, serving by a configuration file of its own, and its log line by line.
-pub struct Program {
+pub(crate) struct Program {
     pub child: std::process::Child,
     pub file: std::path::PathBuf,
     pub log: Box<dyn Iterator<Item = String> + Send>,
@@ -160,17 +162,17 @@
 
 impl Program {
     /// Starts it with this configuration; `name` tells its files from those of other tests.
-    pub fn start(name: &str, site: &Value) -> Program {
+    pub(crate) fn start(name: &str, site: &Value) -> Program {
         Program::start_with(name, site, &[])
     }
 
     /// The same with more options.
-    pub fn start_with(name: &str, site: &Value, more: &[&str]) -> Program {
+    pub(crate) fn start_with(name: &str, site: &Value, more: &[&str]) -> Program {
         Program::start_in_environment(name, site, more, &[])
     }
 
     /// The same with system calls that fail by these settings (see [`SystemCallFaults`]).
-    pub fn start_with_faults(name: &str, site: &Value, settings: &str) -> Program {
+    pub(crate) fn start_with_faults(name: &str, site: &Value, settings: &str) -> Program {
         Program::start_in_environment(name, site, &[], &system_call_faults().environment(settings))
     }
 
@@ -197,14 +199,14 @@
     }
 
     /// Sends it a signal.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = std::process::Command::new("sh").args(["-c", &format!("kill -{name} {id}")]).status();
         assert!(sent.expect("a signal").success());
     }
 
     /// Kills it after so long, unless the flag is set before, so that a line of its log that never comes fails the test.
-    pub fn ends_after(&self, limit: Duration) -> Arc<AtomicBool> {
+    pub(crate) fn ends_after(&self, limit: Duration) -> Arc<AtomicBool> {
         let (id, done) = (self.child.id().to_string(), Arc::new(AtomicBool::new(false)));
         let asked = done.clone();
         spawn(move || {
@@ -217,12 +219,12 @@
     }
 
     /// Reads its log up to a line that holds the text.
-    pub fn logs(&mut self, wanted: &str) {
+    pub(crate) fn logs(&mut self, wanted: &str) {
         self.log.find(|line| line.contains(wanted)).expect(wanted);
     }
 
     /// Reads the rest of its log as it comes, and collects the lines that hold the text.
-    pub fn collect_log(&mut self, wanted: &'static str) -> Arc<Mutex<Vec<String>>> {
+    pub(crate) fn collect_log(&mut self, wanted: &'static str) -> Arc<Mutex<Vec<String>>> {
         let log = std::mem::replace(&mut self.log, Box::new(std::iter::empty()));
         let collected = Arc::new(Mutex::new(Vec::new()));
         let lines = collected.clone();
@@ -235,7 +237,7 @@
     }
 
     /// Waits until it ends by itself, which it must with 0.
-    pub fn ends(mut self) {
+    pub(crate) fn ends(mut self) {
         assert!(self.child.wait().expect("an end").success());
         std::fs::remove_file(&self.file).expect("removed");
     }
@@ -259,7 +261,7 @@
 }
 
 /// Reads an HTTP request up to its empty line, and returns its first line.
-pub fn request(stream: &TcpStream) -> String {
+pub(crate) fn request(stream: &TcpStream) -> String {
     let mut lines = BufReader::new(stream.try_clone().expect("a copy")).lines();
     let first = lines.next().and_then(Result::ok).unwrap_or_default();
     while lines.next().and_then(Result::ok).is_some_and(|line| !line.is_empty()) {}
@@ -267,13 +269,13 @@
 }
 
 /// A discovery service: each request comes through the channel with its connection, on which a response has begun.
-pub struct Discovery {
+pub(crate) struct Discovery {
     pub address: SocketAddr,
     pub asked: Receiver<(String, TcpStream)>,
 }
 
 /// Starts a discovery service.
-pub fn discovery() -> Discovery {
+pub(crate) fn discovery() -> Discovery {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (requests, asked) = channel();
@@ -289,24 +291,24 @@
 
 impl Discovery {
     /// The next request.
-    pub fn watch(&self) -> (String, TcpStream) {
+    pub(crate) fn watch(&self) -> (String, TcpStream) {
         self.asked.recv_timeout(LONG).expect("a watch")
     }
 }
 
 /// Sends text as one chunk.
-pub fn send_chunk(stream: &mut TcpStream, text: &str) {
+pub(crate) fn send_chunk(stream: &mut TcpStream, text: &str) {
     write!(stream, "{:x}\r\n{text}\r\n", text.len()).expect("a chunk sent");
 }
 
 /// An entry of the endpoint list.
-pub fn entry(name: &str, address: SocketAddr, primary: bool, health: &str) -> Value {
+pub(crate) fn entry(name: &str, address: SocketAddr, primary: bool, health: &str) -> Value {
     json!({"host": name, "dial": address.to_string(), "site": "north", "class": "m", "block": 0,
         "health": health, "share": 1.0, "rank": if primary { "source" } else { "copy" }, "born_ms": 0})
 }
 
 /// A configuration with these hosts, which do not change unless a discovery service is given.
-pub fn configuration(hosts: &[Value], discovery: Option<&Discovery>, sockets: usize) -> Value {
+pub(crate) fn configuration(hosts: &[Value], discovery: Option<&Discovery>, sockets: usize) -> Value {
     let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample");
     all["known"] = json!({"seq": 7, "whole": true, "hosts": hosts});
     all["limits"]["sockets"] = sockets.into();
@@ -317,7 +319,7 @@
 }
 
 /// A router in a thread of this process.
-pub struct Router {
+pub(crate) struct Router {
     pub address: SocketAddr,
     stop: async_channel::Sender<()>,
     thread: JoinHandle<()>,
@@ -325,17 +327,17 @@
 
 impl Router {
     /// Starts it with this configuration.
-    pub fn start(site: Value) -> Router {
+    pub(crate) fn start(site: Value) -> Router {
         Router::with_statement_rules(site, None)
     }
 
     /// With rules by which statements are judged by their text.
-    pub fn with_statement_rules(site: Value, rules: Option<Value>) -> Router {
+    pub(crate) fn with_statement_rules(site: Value, rules: Option<Value>) -> Router {
         Router::start_with_protocol(comethitch_testkit::Protocol::Postgres, site, rules)
     }
 
     /// The same with either protocol.
-    pub fn start_with_protocol(
+    pub(crate) fn start_with_protocol(
         protocol: comethitch_testkit::Protocol, site: Value, rules: Option<Value>,
     ) -> Router {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -365,12 +367,12 @@
     }
 
     /// Asks it to stop, as the signal does.
-    pub fn ask_to_stop(&self) {
+    pub(crate) fn ask_to_stop(&self) {
         self.stop.close();
     }
 
     /// Stops it, and waits until it has.
-    pub fn wait(self) {
+    pub(crate) fn wait(self) {
         self.ask_to_stop();
         self.thread.join().expect("the router ends without a panic");
     }
@@ -378,7 +380,7 @@
 
 /// What a client got for one query.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ClientReply {
+pub(crate) enum ClientReply {
     /// The value of one row.
     Value(Vec<u8>),
     /// An error, by its SQLSTATE.
@@ -392,11 +394,11 @@
 }
 
 /// A client.
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
 impl Client {
     /// Connects and gets the greeting.
-    pub fn connect(address: SocketAddr) -> Client {
+    pub(crate) fn connect(address: SocketAddr) -> Client {
         let mut client = Client::raw(address);
         client.0.write_all(&startup()).expect("the startup message sent");
         assert_eq!(client.receive(), ClientReply::Done("welcome".into()));
@@ -404,20 +406,20 @@
     }
 
     /// Connects and sends nothing.
-    pub fn raw(address: SocketAddr) -> Client {
+    pub(crate) fn raw(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a connection");
         stream.set_read_timeout(Some(LONG)).expect("a limit");
         Client(stream)
     }
 
     /// Sends a query and waits for its answer.
-    pub fn ask(&mut self, text: &str) -> ClientReply {
+    pub(crate) fn ask(&mut self, text: &str) -> ClientReply {
         self.0.write_all(&query(text)).expect("a query sent");
         self.receive()
     }
 
-    /// The next answer, up to ReadyForQuery or the end of the connection.
-    pub fn receive(&mut self) -> ClientReply {
+    /// The next answer, up to `ReadyForQuery` or the end of the connection.
+    pub(crate) fn receive(&mut self) -> ClientReply {
         let mut got = ClientReply::Closed;
         while let Some((kind, body)) = read_message(&mut self.0) {
             match kind {
@@ -442,18 +444,18 @@
 }
 
 /// The startup message.
-pub fn startup() -> Vec<u8> {
+pub(crate) fn startup() -> Vec<u8> {
     let body = [&(3u32 << 16).to_be_bytes()[..], b"user\0portal\0database\0crm\0\0"].concat();
     [&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat()
 }
 
 /// A read with this id and timeout.
-pub fn read(id: u32, wait_ms: u32) -> String {
+pub(crate) fn read(id: u32, wait_ms: u32) -> String {
     format!("/* id={id},c=read,d={wait_ms},cluster=0 */ SELECT data FROM facts WHERE code = 'k{id}'")
 }
 
 /// A write with this id and timeout.
-pub fn write(id: u32, wait_ms: u32) -> String {
+pub(crate) fn write(id: u32, wait_ms: u32) -> String {
     format!(
         "/* id={id},c=write,d={wait_ms},cluster=0 */ INSERT INTO facts (code, data) VALUES ('k', '\\x9f') RETURNING data"
     )
