--- a/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
+++ b/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
@@ -3,9 +3,9 @@
 #![no_main]
 
 use comethitch_tds::login::{Login, Prelogin};
-use comethitch_tds::packet::Assembly;
+use comethitch_tds::packet::MessageAssembler;
 use comethitch_tds::request::{Batch, Call};
-use comethitch_tds::token::Tokens;
+use comethitch_tds::token::{ParsedToken, TokenReader};
 use libfuzzer_sys::fuzz_target;
 
 const MAX_PAYLOAD: usize = 1_000;
@@ -20,19 +20,19 @@
 });
 
 fn assemble(bytes: &[u8]) {
-    let mut message = Assembly::new(MAX_PAYLOAD);
+    let mut message = MessageAssembler::new(MAX_PAYLOAD);
     let _ = message.take(bytes);
     assert!(message.payload().len() <= MAX_PAYLOAD);
 }
 
 fn read_tokens(bytes: &[u8]) {
-    let mut tokens = Tokens::new();
+    let mut tokens = TokenReader::new();
     let mut position = 0;
-    while let Ok((_, length)) = tokens.clone().next(&bytes[position..]) {
+    while let Ok(ParsedToken { length, .. }) = tokens.clone().next(&bytes[position..]) {
         assert!(length > 0 && tokens.clone().next(&bytes[position..position + length - 1]).is_err());
         let _ = tokens.next(&bytes[position..]);
         position += length;
-        if tokens.over() {
+        if tokens.is_complete() {
             break;
         }
     }
--- a/crates/comethitch-tds/src/lib.rs
+++ b/crates/comethitch-tds/src/lib.rs
@@ -8,12 +8,12 @@
 //! allocated by it.
 //!
 //! ```
-//! use comethitch_tds::packet::{self, Kind};
+//! use comethitch_tds::packet::{self, MessageKind};
 //! let mut wire = Vec::new();
-//! packet::put_message(&mut wire, Kind::Batch, 4096, b"payload");
-//! let mut message = packet::Assembly::new(1 << 20);
+//! packet::put_message(&mut wire, MessageKind::Batch, 4096, b"payload");
+//! let mut message = packet::MessageAssembler::new(1 << 20);
 //! assert_eq!(message.take(&wire).unwrap(), wire.len());
-//! assert_eq!((message.kind(), message.payload()), (Some(Kind::Batch), &b"payload"[..]));
+//! assert_eq!((message.kind(), message.payload()), (Some(MessageKind::Batch), &b"payload"[..]));
 //! ```
 
 mod error;
--- a/crates/comethitch-tds/src/login/login7.rs
+++ b/crates/comethitch-tds/src/login/login7.rs
@@ -1,6 +1,6 @@
 //! LOGIN7 (\[MS-TDS\], "LOGIN7"): a fixed part with flags and with the offsets and lengths of texts, then the texts.
 
-use super::LARGEST_LOGIN;
+use super::MAX_LOGIN_BYTES;
 use crate::error::{Incomplete, MalformedMessage};
 use crate::read::Reader;
 use crate::text;
@@ -78,7 +78,7 @@
     /// If the message is too large, its length is not the stated one, or a field lies outside of it, is too long or
     /// is not well-formed UTF-16.
     pub fn read(payload: &[u8]) -> Result<Login, MalformedMessage> {
-        if payload.len() > LARGEST_LOGIN {
+        if payload.len() > MAX_LOGIN_BYTES {
             return Err(MalformedMessage("a login is larger than it may be"));
         }
         let mut reader = Reader::new(payload);
--- a/crates/comethitch-tds/src/login/mod.rs
+++ b/crates/comethitch-tds/src/login/mod.rs
@@ -9,4 +9,4 @@
 /// The protocol version that is spoken: TDS 7.4.
 pub const VERSION: u32 = 0x7400_0004;
 /// The most bytes that a LOGIN7 message may have.
-pub const LARGEST_LOGIN: usize = 128 * 1024;
+pub const MAX_LOGIN_BYTES: usize = 128 * 1024;
--- a/crates/comethitch-tds/src/packet/assembly.rs
+++ b/crates/comethitch-tds/src/packet/assembler.rs
@@ -1,14 +1,14 @@
 //! Joins the packets of a message as their bytes arrive, within a limit on the message's size.
 
-use super::{HEADER, Header, Kind, status};
+use super::{HEADER_BYTES, Header, MessageKind, status};
 use crate::error::{MalformedMessage, ReadError};
 
 /// A message as it arrives. Bytes may be split anywhere.
 #[derive(Debug)]
-pub struct Assembly {
+pub struct MessageAssembler {
     max_payload: usize,
     payload: Vec<u8>,
-    kind: Option<Kind>,
+    kind: Option<MessageKind>,
     status: u8,
     /// How many bytes of the current packet have yet to arrive.
     remaining: usize,
@@ -19,16 +19,16 @@
     over: bool,
 }
 
-impl Assembly {
+impl MessageAssembler {
     /// An empty assembly for messages with at most so many bytes of payload.
-    pub fn new(max_payload: usize) -> Assembly {
-        Assembly {
+    pub fn new(max_payload: usize) -> MessageAssembler {
+        MessageAssembler {
             max_payload,
             payload: Vec::new(),
             kind: None,
             status: 0,
             remaining: 0,
-            header: Vec::with_capacity(HEADER),
+            header: Vec::with_capacity(HEADER_BYTES),
             last: false,
             over: false,
         }
@@ -44,7 +44,7 @@
         let mut position = 0;
         while !self.over && position < bytes.len() {
             if self.remaining == 0 {
-                let wanted = (HEADER - self.header.len()).min(bytes.len() - position);
+                let wanted = (HEADER_BYTES - self.header.len()).min(bytes.len() - position);
                 self.header.extend_from_slice(&bytes[position..position + wanted]);
                 position += wanted;
                 match Header::read(&self.header) {
@@ -74,7 +74,7 @@
             }
             Some(_) => self.status |= header.status & status::IGNORE,
         }
-        self.remaining = header.length - HEADER;
+        self.remaining = header.length - HEADER_BYTES;
         if self.payload.len() + self.remaining > self.max_payload {
             return Err(MalformedMessage("a message is larger than it may be"));
         }
@@ -88,7 +88,7 @@
     }
 
     /// Whether the message is complete.
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.over
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// The message's type, once its first header has arrived.
-    pub fn kind(&self) -> Option<Kind> {
+    pub fn kind(&self) -> Option<MessageKind> {
         self.kind
     }
 
@@ -115,7 +115,7 @@
     /// Takes the payload out and resets the assembly for the next message.
     pub fn finish(&mut self) -> Vec<u8> {
         let payload = std::mem::take(&mut self.payload);
-        *self = Assembly::new(self.max_payload);
+        *self = MessageAssembler::new(self.max_payload);
         payload
     }
 }
--- a/crates/comethitch-tds/src/packet/mod.rs
+++ b/crates/comethitch-tds/src/packet/mod.rs
@@ -1,33 +1,33 @@
 //! Packets and their headers (\[MS-TDS\], "Packet Header"). A message is one packet or several of the same type:
-//! [`Assembly`] joins received packets, [`put_message`] splits a payload into packets.
+//! [`MessageAssembler`] joins received packets, [`put_message`] splits a payload into packets.
 
-mod assembly;
+mod assembler;
 mod write;
 
-pub use assembly::Assembly;
+pub use assembler::MessageAssembler;
 pub use write::{put_message, put_parts};
 
 use crate::error::{MalformedMessage, ReadError};
 use crate::read::Reader;
 
 /// The length of a packet header in bytes.
-pub const HEADER: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// The packet size in bytes until a login has negotiated another.
-pub const FIRST_SIZE: usize = 4096;
+pub const INITIAL_PACKET_BYTES: usize = 4096;
 /// The smallest packet size in bytes that can be negotiated.
-pub const LEAST_SIZE: usize = 512;
+pub const MIN_PACKET_BYTES: usize = 512;
 /// The largest packet size in bytes that can be negotiated.
-pub const LARGEST_SIZE: usize = 32_767;
+pub const MAX_PACKET_BYTES: usize = 32_767;
 
 /// The type of a message, stated in the header of each of its packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// A batch of SQL statements.
     Batch,
     /// A remote procedure call.
     Rpc,
     /// A server's response: a stream of tokens, or the answer to a PRELOGIN.
-    Answer,
+    Response,
     /// A client's request to cancel the command in progress.
     Attention,
     /// Rows of a bulk load.
@@ -44,28 +44,28 @@
     Prelogin,
 }
 
-impl Kind {
-    const CODES: [(u8, Kind); 10] = [
-        (0x01, Kind::Batch),
-        (0x03, Kind::Rpc),
-        (0x04, Kind::Answer),
-        (0x06, Kind::Attention),
-        (0x07, Kind::BulkLoad),
-        (0x08, Kind::Federated),
-        (0x0e, Kind::Transaction),
-        (0x10, Kind::Login),
-        (0x11, Kind::Sspi),
-        (0x12, Kind::Prelogin),
+impl MessageKind {
+    const CODES: [(u8, MessageKind); 10] = [
+        (0x01, MessageKind::Batch),
+        (0x03, MessageKind::Rpc),
+        (0x04, MessageKind::Response),
+        (0x06, MessageKind::Attention),
+        (0x07, MessageKind::BulkLoad),
+        (0x08, MessageKind::Federated),
+        (0x0e, MessageKind::Transaction),
+        (0x10, MessageKind::Login),
+        (0x11, MessageKind::Sspi),
+        (0x12, MessageKind::Prelogin),
     ];
 
     /// The type that this code stands for, if it is known.
-    pub fn of(code: u8) -> Option<Kind> {
-        Kind::CODES.into_iter().find(|(known, _)| *known == code).map(|(_, kind)| kind)
+    pub fn from_code(code: u8) -> Option<MessageKind> {
+        MessageKind::CODES.into_iter().find(|(known, _)| *known == code).map(|(_, kind)| kind)
     }
 
     /// The type's code in a packet header.
     pub fn code(self) -> u8 {
-        Kind::CODES.into_iter().find(|(_, kind)| *kind == self).map_or(0, |(code, _)| code)
+        MessageKind::CODES.into_iter().find(|(_, kind)| *kind == self).map_or(0, |(code, _)| code)
     }
 }
 
@@ -85,7 +85,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     /// The type of the message.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// Bits of [`status`].
     pub status: u8,
     /// The length in bytes of the packet, this header included.
@@ -105,10 +105,11 @@
     /// [`ReadError::NeedMoreInput`] while the header is not complete.
     pub fn read(bytes: &[u8]) -> Result<Header, ReadError> {
         let mut reader = Reader::new(bytes);
-        let kind = Kind::of(reader.u8()?).ok_or(MalformedMessage("a packet of unknown type"))?;
+        let kind =
+            MessageKind::from_code(reader.u8()?).ok_or(MalformedMessage("a packet of unknown type"))?;
         let status = reader.u8()?;
         let length = usize::from(reader.u16_be()?);
-        if !(HEADER..=LARGEST_SIZE + 1).contains(&length) {
+        if !(HEADER_BYTES..=MAX_PACKET_BYTES + 1).contains(&length) {
             return Err(ReadError::Malformed("a packet has an impossible length"));
         }
         let spid = reader.u16_be()?;
--- a/crates/comethitch-tds/src/packet/write.rs
+++ b/crates/comethitch-tds/src/packet/write.rs
@@ -1,16 +1,16 @@
 //! Splits a payload into packets.
 
-use super::{HEADER, Header, Kind, LARGEST_SIZE, LEAST_SIZE, status};
+use super::{HEADER_BYTES, Header, MAX_PACKET_BYTES, MIN_PACKET_BYTES, MessageKind, status};
 
 /// Writes a message as packets of at most `size` bytes; an empty payload takes one packet.
-pub fn put_message(out: &mut Vec<u8>, kind: Kind, size: usize, payload: &[u8]) {
+pub fn put_message(out: &mut Vec<u8>, kind: MessageKind, size: usize, payload: &[u8]) {
     put_parts(out, kind, size, payload, 0, true);
 }
 
 /// Writes a message or a part of one as packets of at most `size` bytes, numbered from 1. `first` holds status bits
 /// for the first packet; the last one has [`status::END`] if `ends`.
-pub fn put_parts(out: &mut Vec<u8>, kind: Kind, size: usize, payload: &[u8], first: u8, ends: bool) {
-    let max_payload = size.clamp(LEAST_SIZE, LARGEST_SIZE) - HEADER;
+pub fn put_parts(out: &mut Vec<u8>, kind: MessageKind, size: usize, payload: &[u8], first: u8, ends: bool) {
+    let max_payload = size.clamp(MIN_PACKET_BYTES, MAX_PACKET_BYTES) - HEADER_BYTES;
     let mut parts = payload.chunks(max_payload).peekable();
     let mut number: u8 = 1;
     loop {
@@ -20,7 +20,7 @@
         if number == 1 {
             status |= first;
         }
-        Header { kind, status, length: part.len() + HEADER, spid: 0, number }.put(out);
+        Header { kind, status, length: part.len() + HEADER_BYTES, spid: 0, number }.put(out);
         out.extend_from_slice(part);
         number = number.wrapping_add(1).max(1);
         if last {
--- a/crates/comethitch-tds/src/request/call.rs
+++ b/crates/comethitch-tds/src/request/call.rs
@@ -1,7 +1,7 @@
 //! RPC requests (\[MS-TDS\], "RPC Request"): a call of a procedure with parameters, and the statement within those
 //! calls that carry one.
 
-use super::{BY_REFERENCE, Headers, Known, PROCEDURE_ID_FOLLOWS, Procedure};
+use super::{BY_REFERENCE, Headers, PROCEDURE_ID_FOLLOWS, Procedure, SystemProcedure};
 use crate::error::{MalformedMessage, ReadError};
 use crate::read::Reader;
 use crate::text;
@@ -83,8 +83,8 @@
     /// name before position: if a name says that the statement is elsewhere, there is none.
     pub fn statement(&self) -> Option<&str> {
         let position = match self.procedure {
-            Procedure::Known(Known::ExecuteSql) => 0,
-            Procedure::Known(Known::Prepare | Known::PrepareExecute) => 2,
+            Procedure::System(SystemProcedure::ExecuteSql) => 0,
+            Procedure::System(SystemProcedure::Prepare | SystemProcedure::PrepareExecute) => 2,
             _ => return None,
         };
         match &self.parameters.get(position)?.value {
@@ -125,7 +125,9 @@
 
     /// The declarations of the statement's parameters, if the call carries them.
     pub fn declarations(&self) -> Option<&str> {
-        let Procedure::Known(Known::ExecuteSql | Known::Prepare | Known::PrepareExecute) = self.procedure
+        let Procedure::System(
+            SystemProcedure::ExecuteSql | SystemProcedure::Prepare | SystemProcedure::PrepareExecute,
+        ) = self.procedure
         else {
             return None;
         };
@@ -153,9 +155,9 @@
     /// The position of the first parameter that belongs to the statement and not to the system procedure.
     fn first_argument(&self) -> usize {
         match self.procedure {
-            Procedure::Known(Known::ExecuteSql) => 2,
-            Procedure::Known(Known::PrepareExecute) => 3,
-            Procedure::Known(Known::Execute) => 1,
+            Procedure::System(SystemProcedure::ExecuteSql) => 2,
+            Procedure::System(SystemProcedure::PrepareExecute) => 3,
+            Procedure::System(SystemProcedure::Execute) => 1,
             _ => 0,
         }
     }
@@ -164,13 +166,13 @@
 fn read_procedure(reader: &mut Reader<'_>) -> Result<Procedure, ReadError> {
     let name_units = reader.u16()?;
     if name_units == PROCEDURE_ID_FOLLOWS {
-        let known = Known::from_number(reader.u16()?);
+        let known = SystemProcedure::from_number(reader.u16()?);
         let known = known.ok_or(MalformedMessage("a procedure of an unknown number"))?;
-        return Ok(Procedure::Known(known));
+        return Ok(Procedure::System(known));
     }
     let name = text::decode(reader.take(usize::from(name_units) * 2)?);
     let name = name.ok_or(MalformedMessage("a procedure's name that is no UTF-16"))?;
-    Ok(Known::from_name(&name).map_or(Procedure::Named(name), Procedure::Known))
+    Ok(SystemProcedure::from_name(&name).map_or(Procedure::Named(name), Procedure::System))
 }
 
 /// Reads a parameter; the reader begins behind so many bytes of headers.
--- a/crates/comethitch-tds/src/request/call_writer.rs
+++ b/crates/comethitch-tds/src/request/call_writer.rs
@@ -1,6 +1,6 @@
 //! Writes calls of procedures as clients do.
 
-use super::{BY_REFERENCE, Headers, Known, PROCEDURE_ID_FOLLOWS};
+use super::{BY_REFERENCE, Headers, PROCEDURE_ID_FOLLOWS, SystemProcedure};
 use crate::text;
 use crate::types::{MAX_SHORT_BYTES, UNLIMITED, code};
 use crate::write::put_chunked_text;
@@ -16,10 +16,10 @@
 
 impl<'a> CallWriter<'a> {
     /// Begins a call of a system procedure by its id.
-    pub fn known(out: &'a mut Vec<u8>, known: Known) -> CallWriter<'a> {
+    pub fn system(out: &'a mut Vec<u8>, procedure: SystemProcedure) -> CallWriter<'a> {
         Headers::put(out, 0);
         out.extend(PROCEDURE_ID_FOLLOWS.to_le_bytes());
-        out.extend(known.number().to_le_bytes());
+        out.extend(procedure.number().to_le_bytes());
         out.extend(OPTION_FLAGS);
         CallWriter(out)
     }
--- a/crates/comethitch-tds/src/request/mod.rs
+++ b/crates/comethitch-tds/src/request/mod.rs
@@ -13,7 +13,7 @@
 pub use call_writer::CallWriter;
 pub use declarations::declared;
 pub use headers::Headers;
-pub use procedure::{Known, Procedure};
+pub use procedure::{Procedure, SystemProcedure};
 
 /// The name length that announces a procedure's id in place of its name.
 const PROCEDURE_ID_FOLLOWS: u16 = u16::MAX;
--- a/crates/comethitch-tds/src/request/procedure.rs
+++ b/crates/comethitch-tds/src/request/procedure.rs
@@ -2,7 +2,7 @@
 
 /// The system procedures that have ids and special meaning to a router (\[MS-TDS\], "RPC Request", `ProcID`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum SystemProcedure {
     /// `sp_executesql`: executes a parameterized statement.
     ExecuteSql,
     /// `sp_prepare`: prepares a statement and returns its handle.
@@ -21,38 +21,38 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Procedure {
     /// A system procedure, named by its id or by its name.
-    Known(Known),
+    System(SystemProcedure),
     /// Any other procedure, as the client named it.
     Named(String),
 }
 
-impl Known {
+impl SystemProcedure {
     /// The system procedure with this id.
-    pub(super) fn from_number(number: u16) -> Option<Known> {
+    pub(super) fn from_number(number: u16) -> Option<SystemProcedure> {
         Some(match number {
-            1..=9 => Known::Cursor,
-            10 => Known::ExecuteSql,
-            11 => Known::Prepare,
-            12 => Known::Execute,
-            13 | 14 => Known::PrepareExecute,
-            15 => Known::Unprepare,
+            1..=9 => SystemProcedure::Cursor,
+            10 => SystemProcedure::ExecuteSql,
+            11 => SystemProcedure::Prepare,
+            12 => SystemProcedure::Execute,
+            13 | 14 => SystemProcedure::PrepareExecute,
+            15 => SystemProcedure::Unprepare,
             _ => return None,
         })
     }
 
     /// The system procedure with this name, alone or in the schema `sys`: a procedure of the same name in any other
     /// schema is a user's own.
-    pub(super) fn from_name(name: &str) -> Option<Known> {
+    pub(super) fn from_name(name: &str) -> Option<SystemProcedure> {
         let name = name.to_ascii_lowercase();
         let unqualified = name.strip_prefix("sys.").or_else(|| name.strip_prefix("[sys].")).unwrap_or(&name);
         let unquoted = unqualified.strip_prefix('[').and_then(|name| name.strip_suffix(']'));
         Some(match unquoted.unwrap_or(unqualified) {
-            "sp_executesql" => Known::ExecuteSql,
-            "sp_prepare" => Known::Prepare,
-            "sp_execute" => Known::Execute,
-            "sp_prepexec" | "sp_prepexecrpc" => Known::PrepareExecute,
-            "sp_unprepare" => Known::Unprepare,
-            name if name.starts_with("sp_cursor") => Known::Cursor,
+            "sp_executesql" => SystemProcedure::ExecuteSql,
+            "sp_prepare" => SystemProcedure::Prepare,
+            "sp_execute" => SystemProcedure::Execute,
+            "sp_prepexec" | "sp_prepexecrpc" => SystemProcedure::PrepareExecute,
+            "sp_unprepare" => SystemProcedure::Unprepare,
+            name if name.starts_with("sp_cursor") => SystemProcedure::Cursor,
             _ => return None,
         })
     }
@@ -60,12 +60,12 @@
     /// The procedure's id; of several the lowest.
     pub fn number(self) -> u16 {
         match self {
-            Known::Cursor => 1,
-            Known::ExecuteSql => 10,
-            Known::Prepare => 11,
-            Known::Execute => 12,
-            Known::PrepareExecute => 13,
-            Known::Unprepare => 15,
+            SystemProcedure::Cursor => 1,
+            SystemProcedure::ExecuteSql => 10,
+            SystemProcedure::Prepare => 11,
+            SystemProcedure::Execute => 12,
+            SystemProcedure::PrepareExecute => 13,
+            SystemProcedure::Unprepare => 15,
         }
     }
 }
--- a/crates/comethitch-tds/src/token/decode.rs
+++ b/crates/comethitch-tds/src/token/decode.rs
@@ -2,7 +2,7 @@
 
 use super::{Change, Message, Token, change_type};
 use crate::error::{Incomplete, MalformedMessage, ReadError};
-use crate::packet::{LARGEST_SIZE, LEAST_SIZE};
+use crate::packet::{MAX_PACKET_BYTES, MIN_PACKET_BYTES};
 use crate::read::Reader;
 use crate::text;
 use crate::types::{Length, Type};
@@ -132,7 +132,7 @@
 fn packet_size(body: &mut Reader<'_>) -> Result<usize, ReadError> {
     let size = text::decode_lossy(body.b_varchar()?).parse::<usize>();
     let size = size.map_err(|_| MalformedMessage("a size of packets that is no number"))?;
-    if !(LEAST_SIZE..=LARGEST_SIZE).contains(&size) {
+    if !(MIN_PACKET_BYTES..=MAX_PACKET_BYTES).contains(&size) {
         return Err(ReadError::Malformed("an impossible size of packets"));
     }
     Ok(size)
--- a/crates/comethitch-tds/src/token/mod.rs
+++ b/crates/comethitch-tds/src/token/mod.rs
@@ -1,14 +1,14 @@
 //! The tokens of a server's response (\[MS-TDS\], "Packet Data Token Stream Definition"), as far as they matter to a
-//! router: their boundaries, errors, changes of the session, and whether the response is complete. [`Tokens`] reads
+//! router: their boundaries, errors, changes of the session, and whether the response is complete. [`TokenReader`] reads
 //! them one by one; the values of rows are decoded only on request.
 
 pub mod change_type;
 pub mod code;
 mod decode;
 pub mod done;
-mod tokens;
+mod reader;
 
-pub use tokens::Tokens;
+pub use reader::{ParsedToken, RowValue, TokenReader};
 
 /// The message of an ERROR or an INFO token.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/comethitch-tds/src/token/tokens.rs
+++ b/crates/comethitch-tds/src/token/reader.rs
@@ -3,40 +3,65 @@
 use super::{Token, code, decode};
 use crate::error::ReadError;
 use crate::read::Reader;
-use crate::types::{Raw, Type};
+use crate::types::{Raw, Type, Value};
+
+/// A token and its length.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ParsedToken {
+    /// The token.
+    pub token: Token,
+    /// Number of bytes that the token occupies.
+    pub length: usize,
+}
+
+/// A value of a row, with the type of its column.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RowValue<'a> {
+    /// The type of the column.
+    pub column_type: Type,
+    /// The encoded value; none if it is null.
+    pub raw: Option<Raw<'a>>,
+}
+
+impl RowValue<'_> {
+    /// Decodes the value.
+    pub fn decode(&self) -> Value {
+        self.column_type.decode(self.raw)
+    }
+}
 
 /// Reads the tokens of one response. Keeps the last description of columns, without which rows have no boundaries.
 #[derive(Clone, Debug, Default)]
-pub struct Tokens {
+pub struct TokenReader {
     columns: Vec<Type>,
     over: bool,
 }
 
-impl Tokens {
+impl TokenReader {
     /// A reader at the beginning of a response.
-    pub fn new() -> Tokens {
-        Tokens::default()
+    pub fn new() -> TokenReader {
+        TokenReader::default()
     }
 
     /// Whether the response is complete.
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.over
     }
 
-    /// Reads the token at the beginning of these bytes, and returns it with its length in bytes.
+    /// Reads the token at the beginning of these bytes.
     ///
     /// # Errors
     ///
     /// [`ReadError::NeedMoreInput`] while the token is not complete: the caller tries again from the token's first
     /// byte. [`ReadError::Malformed`] for an unknown or invalid token, and for any token after the response's end.
-    pub fn next(&mut self, bytes: &[u8]) -> Result<(Token, usize), ReadError> {
+    pub fn next(&mut self, bytes: &[u8]) -> Result<ParsedToken, ReadError> {
         if self.over {
             return Err(ReadError::Malformed("a token behind the end of an answer"));
         }
         let mut reader = Reader::new(bytes);
         let token = self.read_token(&mut reader)?;
         self.over = token.ends();
-        Ok((token, reader.position()))
+        Ok(ParsedToken { token, length: reader.position() })
     }
 
     fn read_token(&mut self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
@@ -86,8 +111,8 @@
     fn skip_row_with_nulls(&self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
         self.check_described()?;
         let nulls = reader.take(self.null_bitmap_bytes())?;
-        for (nth, column) in self.columns.iter().enumerate() {
-            if !is_null(nulls, nth) {
+        for (index, column) in self.columns.iter().enumerate() {
+            if !is_null(nulls, index) {
                 column.value(reader)?;
             }
         }
@@ -105,9 +130,9 @@
         self.columns.len().div_ceil(8)
     }
 
-    /// The type and the bytes of each value in a row token, which must belong to the last description of columns; none
-    /// for any other token.
-    pub fn values<'a>(&self, token: &'a [u8]) -> Option<Vec<(Type, Option<Raw<'a>>)>> {
+    /// Returns the values of a row token, which must belong to the last description of columns; none for any other
+    /// token.
+    pub fn values<'a>(&self, token: &'a [u8]) -> Option<Vec<RowValue<'a>>> {
         let mut reader = Reader::new(token);
         let nulls = match reader.u8().ok()? {
             code::ROW => None,
@@ -115,10 +140,10 @@
             _ => return None,
         };
         let mut values = Vec::new();
-        for (nth, column) in self.columns.iter().enumerate() {
-            let null = nulls.is_some_and(|nulls| is_null(nulls, nth));
-            let value = if null { None } else { column.value(&mut reader).ok()? };
-            values.push((*column, value));
+        for (index, column) in self.columns.iter().enumerate() {
+            let null = nulls.is_some_and(|nulls| is_null(nulls, index));
+            let raw = if null { None } else { column.value(&mut reader).ok()? };
+            values.push(RowValue { column_type: *column, raw });
         }
         Some(values)
     }
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -2,22 +2,24 @@
 //! on which nothing may panic.
 
 use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
-use comethitch_tds::packet::{Assembly, FIRST_SIZE, HEADER, Header, Kind, put_message, put_parts, status};
-use comethitch_tds::request::{Batch, Call, CallWriter, Headers, Known, Procedure};
-use comethitch_tds::token::{Change, Message, Token, Tokens, code, done};
+use comethitch_tds::packet::{
+    HEADER_BYTES, Header, INITIAL_PACKET_BYTES, MessageAssembler, MessageKind, put_message, put_parts, status,
+};
+use comethitch_tds::request::{Batch, Call, CallWriter, Headers, Procedure, SystemProcedure};
+use comethitch_tds::token::{Change, Message, ParsedToken, RowValue, Token, TokenReader, code, done};
 use comethitch_tds::types::{Value, code as kind};
 use comethitch_tds::write::{self, *};
 use comethitch_tds::{MalformedMessage, ReadError};
 use proptest::prelude::*;
 
-fn assembled(wire: &[u8], parts: &[usize]) -> Result<(Option<Kind>, Vec<u8>), MalformedMessage> {
-    let mut assembly = Assembly::new(1 << 20);
+fn assembled(wire: &[u8], parts: &[usize]) -> Result<(Option<MessageKind>, Vec<u8>), MalformedMessage> {
+    let mut assembly = MessageAssembler::new(1 << 20);
     let (mut at, mut sizes) = (0, parts.iter().cycle());
-    while at < wire.len() && !assembly.over() {
+    while at < wire.len() && !assembly.is_complete() {
         let until = (at + sizes.next().copied().unwrap_or(1).max(1)).min(wire.len());
         at += assembly.take(&wire[at..until])?;
     }
-    assert!(assembly.over(), "it did not come to its end");
+    assert!(assembly.is_complete(), "it did not come to its end");
     let kind = assembly.kind();
     Ok((kind, assembly.finish()))
 }
@@ -27,12 +29,13 @@
     let mut wire = Vec::new();
     for nth in 0..100_u8 {
         let status = if nth == 99 { status::END } else { 0 };
-        Header { kind: Kind::Batch, status, length: HEADER + 1, spid: 0, number: nth + 1 }.put(&mut wire);
+        Header { kind: MessageKind::Batch, status, length: HEADER_BYTES + 1, spid: 0, number: nth + 1 }
+            .put(&mut wire);
         wire.push(nth);
     }
     let wanted: Vec<u8> = (0..100).collect();
     for size in [1, 2, 7, 8, 9, 10, 900] {
-        assert_eq!(assembled(&wire, &[size]), Ok((Some(Kind::Batch), wanted.clone())));
+        assert_eq!(assembled(&wire, &[size]), Ok((Some(MessageKind::Batch), wanted.clone())));
     }
 }
 
@@ -40,7 +43,7 @@
 fn invalid_headers_are_rejected_from_their_first_bytes() {
     let header =
         |kind: u8, status: u8, length: u16| [kind, status, (length >> 8) as u8, length as u8, 0, 0, 1, 0];
-    let take = |bytes: &[u8], most: usize| Assembly::new(most).take(bytes).err();
+    let take = |bytes: &[u8], most: usize| MessageAssembler::new(most).take(bytes).err();
     assert_eq!(take(&[0x55], 100), Some(MalformedMessage("a packet of unknown type")));
     assert_eq!(take(&header(1, 1, 7), 100), Some(MalformedMessage("a packet has an impossible length")));
     assert_eq!(take(&header(1, 0, 8), 100), Some(MalformedMessage("an empty packet within a message")));
@@ -48,7 +51,7 @@
     let mixed = [&header(1, 0, 9)[..], &[0], &header(3, 1, 9), &[0]].concat();
     assert_eq!(take(&mixed, 100), Some(MalformedMessage("a packet of another message's type")));
     // A login of 60 MB is rejected at the packet that exceeds the limit, not once it is complete.
-    let mut assembly = Assembly::new(128 * 1024);
+    let mut assembly = MessageAssembler::new(128 * 1024);
     let packet = [&header(0x10, 0, 32_000)[..], &[0; 31_992]].concat();
     let taken = (0..2_000).take_while(|_| assembly.take(&packet).is_ok()).count();
     assert_eq!(taken, 4);
@@ -103,14 +106,14 @@
     for long in [false, true] {
         let text = if long { format!("SELECT @a /* {} */", "x".repeat(5_000)) } else { "SELECT @a".into() };
         let mut wire = Vec::new();
-        CallWriter::known(&mut wire, Known::ExecuteSql)
+        CallWriter::system(&mut wire, SystemProcedure::ExecuteSql)
             .text("", &text)
             .text("", "@a int, @b int")
             .integer("@a", Some(-7))
             .integer("@b", None)
             .out("@c");
         let call = Call::read(&wire).expect("a call");
-        assert_eq!(call.procedure, Procedure::Known(Known::ExecuteSql));
+        assert_eq!(call.procedure, Procedure::System(SystemProcedure::ExecuteSql));
         assert_eq!(call.statement(), Some(text.as_str()));
         let arguments: Vec<_> = call.arguments().collect();
         assert_eq!(arguments, [("a", &Value::Integer(-7)), ("b", &Value::Null), ("c", &Value::Null)]);
@@ -125,10 +128,12 @@
         wire.push(1);
         assert!(Call::read(&wire).expect("a call").more);
     }
-    for (name, known) in [("sp_executesql", Known::ExecuteSql), ("sys.[SP_Unprepare]", Known::Unprepare)] {
+    for (name, known) in
+        [("sp_executesql", SystemProcedure::ExecuteSql), ("sys.[SP_Unprepare]", SystemProcedure::Unprepare)]
+    {
         let mut wire = Vec::new();
         CallWriter::named(&mut wire, name);
-        assert_eq!(Call::read(&wire).expect("a call").procedure, Procedure::Known(known));
+        assert_eq!(Call::read(&wire).expect("a call").procedure, Procedure::System(known));
     }
     let mut wire = Vec::new();
     CallWriter::named(&mut wire, "dbo.cobrar").integer("@x", Some(1));
@@ -233,10 +238,10 @@
 #[test]
 fn every_token_and_type_is_read_wherever_the_bytes_are_split() {
     let wire = answer();
-    let (mut tokens, mut at, mut rows, mut seen) = (Tokens::new(), 0, 0, Vec::new());
+    let (mut tokens, mut at, mut rows, mut seen) = (TokenReader::new(), 0, 0, Vec::new());
     let mut values = types().into_iter().map(|(_, _, value)| value).flat_map(|value| [value.clone(), value]);
-    while !tokens.over() {
-        let (token, length) = tokens.clone().next(&wire[at..]).expect("a token");
+    while !tokens.is_complete() {
+        let ParsedToken { token, length } = tokens.clone().next(&wire[at..]).expect("a token");
         // An incomplete token is neither read nor rejected.
         for cut in at..at + length {
             assert_eq!(
@@ -246,10 +251,10 @@
                 cut - at
             );
         }
-        assert_eq!(tokens.next(&wire[at..]), Ok((token.clone(), length)));
+        assert_eq!(tokens.next(&wire[at..]), Ok(ParsedToken { token: token.clone(), length }));
         if let Some(row) = tokens.values(&wire[at..at + length]) {
-            assert_eq!(Some(row[0].0.decode(row[0].1)), values.next());
-            assert_eq!(row[1].1, None);
+            assert_eq!(Some(row[0].decode()), values.next());
+            assert_eq!(row[1].raw, None);
             rows += 1;
         }
         seen.push(token);
@@ -285,10 +290,10 @@
         (vec![code::COLUMNS, 0xfe, 0xff], "more columns than there may be"),
     ];
     for (wire, wanted) in faults {
-        let (mut tokens, mut at) = (Tokens::new(), 0);
+        let (mut tokens, mut at) = (TokenReader::new(), 0);
         let why = loop {
             match tokens.next(&wire[at..]) {
-                Ok((_, length)) => at += length,
+                Ok(ParsedToken { length, .. }) => at += length,
                 Err(why) => break why,
             }
         };
@@ -305,16 +310,16 @@
         parts in prop::collection::vec(1_usize..5_000, 1..8), first in prop::sample::select(vec![0, status::RESET]),
     ) {
         let mut wire = Vec::new();
-        put_parts(&mut wire, Kind::Rpc, size, &payload, first, true);
-        let mut assembly = Assembly::new(1 << 20);
+        put_parts(&mut wire, MessageKind::Rpc, size, &payload, first, true);
+        let mut assembly = MessageAssembler::new(1 << 20);
         assembly.take(&wire).expect("a message");
         prop_assert_eq!(assembly.status() & status::RESET, first);
-        prop_assert_eq!(assembled(&wire, &parts), Ok((Some(Kind::Rpc), payload)));
+        prop_assert_eq!(assembled(&wire, &parts), Ok((Some(MessageKind::Rpc), payload)));
     }
 
     #[test]
     fn arbitrary_and_mutated_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), spoilt in any::<(prop::sample::Index, u8)>()) {
-        let mut assembly = Assembly::new(1_000);
+        let mut assembly = MessageAssembler::new(1_000);
         let _ = assembly.take(&bytes);
         prop_assert!(assembly.payload().len() <= 1_000);
         let _ = (Login::read(&bytes), Prelogin::read(&bytes), Batch::read(&bytes), Call::read(&bytes));
@@ -323,11 +328,11 @@
         let at = spoilt.0.index(wire.len());
         wire[at] = spoilt.1;
         for wire in [wire, bytes] {
-            let (mut tokens, mut at) = (Tokens::new(), 0);
-            while let Ok((_, length)) = tokens.next(&wire[at..]) {
+            let (mut tokens, mut at) = (TokenReader::new(), 0);
+            while let Ok(ParsedToken { length, .. }) = tokens.next(&wire[at..]) {
                 prop_assert!(length > 0);
                 at += length;
-                if tokens.over() { break; }
+                if tokens.is_complete() { break; }
             }
         }
     }
@@ -340,12 +345,12 @@
         for text in &texts {
             put_row(&mut wire, &columns, &[Cell::Text(text.clone()), Cell::Text(text.clone()), Cell::Integer(9)]);
         }
-        let mut tokens = Tokens::new();
-        let (_, mut at) = tokens.next(&wire).expect("columns");
+        let mut tokens = TokenReader::new();
+        let mut at = tokens.next(&wire).expect("columns").length;
         for text in &texts {
-            let (_, length) = tokens.next(&wire[at..]).expect("a row");
+            let length = tokens.next(&wire[at..]).expect("a row").length;
             let row = tokens.values(&wire[at..at + length]).expect("values");
-            let decoded: Vec<Value> = row.iter().map(|(kind, raw)| kind.decode(*raw)).collect();
+            let decoded: Vec<Value> = row.iter().map(RowValue::decode).collect();
             prop_assert_eq!(decoded, vec![Value::Text(text.clone()), Value::Text(text.clone()), Value::Integer(9)]);
             at += length;
         }
@@ -357,7 +362,7 @@
 fn a_statement_bound_elsewhere_by_its_name_is_not_read() {
     let statement = |first: &str, second: &str, third: &str| {
         let mut wire = Vec::new();
-        CallWriter::known(&mut wire, Known::ExecuteSql)
+        CallWriter::system(&mut wire, SystemProcedure::ExecuteSql)
             .text(first, "SELECT 1")
             .text(second, "DELETE FROM t")
             .text(third, "x");
@@ -381,7 +386,7 @@
 #[test]
 fn an_empty_message_is_one_packet() {
     let mut wire = Vec::new();
-    put_message(&mut wire, Kind::Attention, FIRST_SIZE, b"");
+    put_message(&mut wire, MessageKind::Attention, INITIAL_PACKET_BYTES, b"");
     assert_eq!(wire, [6, 1, 0, 8, 0, 0, 1, 0]);
-    assert_eq!(assembled(&wire, &[3]), Ok((Some(Kind::Attention), Vec::new())));
+    assert_eq!(assembled(&wire, &[3]), Ok((Some(MessageKind::Attention), Vec::new())));
 }
--- a/crates/comethitch-testkit/src/tds/client.rs
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -4,9 +4,9 @@
 use crate::error::ConnectionError;
 use crate::received::Received;
 use comethitch_tds::login::{Login, Prelogin, VERSION};
-use comethitch_tds::packet::{FIRST_SIZE, Kind};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MessageKind};
 use comethitch_tds::request::Batch;
-use comethitch_tds::token::{Message, Token, Tokens, done};
+use comethitch_tds::token::{Message, ParsedToken, Token, TokenReader, done};
 use comethitch_tds::types::Value;
 use std::net::TcpStream;
 
@@ -18,11 +18,11 @@
 pub(crate) fn log_in(stream: &mut TcpStream) -> Result<(), ConnectionError> {
     let mut payload = Vec::new();
     Prelogin::default().put(&mut payload);
-    write_message(stream, Kind::Prelogin, FIRST_SIZE, &payload)?;
+    write_message(stream, MessageKind::Prelogin, INITIAL_PACKET_BYTES, &payload)?;
     read_message(stream)?;
     payload.clear();
     login().put(&mut payload);
-    write_message(stream, Kind::Login, FIRST_SIZE, &payload)?;
+    write_message(stream, MessageKind::Login, INITIAL_PACKET_BYTES, &payload)?;
     let response = read_message(stream)?.payload;
     if acknowledges_login(&response)? { Ok(()) } else { Err(ConnectionError::LoginNotAcknowledged) }
 }
@@ -39,11 +39,11 @@
 
 /// Whether a login response holds a LOGINACK token.
 fn acknowledges_login(response: &[u8]) -> Result<bool, ConnectionError> {
-    let mut tokens = Tokens::new();
+    let mut tokens = TokenReader::new();
     let mut position = 0;
     let mut acknowledged = false;
-    while !tokens.over() {
-        let (token, length) = tokens.next(&response[position..])?;
+    while !tokens.is_complete() {
+        let ParsedToken { token, length } = tokens.next(&response[position..])?;
         acknowledged |= matches!(token, Token::LoginAck { .. });
         position += length;
     }
@@ -54,21 +54,23 @@
 pub(crate) fn batch(text: &str) -> Vec<u8> {
     let mut payload = Vec::new();
     Batch::put(&mut payload, text);
-    encode(Kind::Batch, CLIENT_PACKET_SIZE, &payload)
+    encode(MessageKind::Batch, CLIENT_PACKET_SIZE, &payload)
 }
 
 /// Reads the next answer, up to its final DONE token.
 pub(crate) fn receive(stream: &mut TcpStream) -> Received {
     let Ok(message) = read_message(stream) else { return Received::Closed };
-    if message.kind != Kind::Answer {
+    if message.kind != MessageKind::Response {
         return Received::Closed;
     }
     let answer = message.payload;
-    let mut tokens = Tokens::new();
+    let mut tokens = TokenReader::new();
     let mut position = 0;
     let mut received = Received::Closed;
     while position < answer.len() {
-        let Ok((token, length)) = tokens.next(&answer[position..]) else { return Received::Malformed };
+        let Ok(ParsedToken { token, length }) = tokens.next(&answer[position..]) else {
+            return Received::Malformed;
+        };
         match token {
             Token::Row => {
                 if let Some(value) = first_column(&tokens, &answer[position..position + length]) {
@@ -84,14 +86,13 @@
         }
         position += length;
     }
-    if tokens.over() { received } else { Received::Malformed }
+    if tokens.is_complete() { received } else { Received::Malformed }
 }
 
 /// The first column of a row token, if it is a text.
-fn first_column(tokens: &Tokens, row: &[u8]) -> Option<String> {
+fn first_column(tokens: &TokenReader, row: &[u8]) -> Option<String> {
     let values = tokens.values(row)?;
-    let (column, raw) = values.first()?;
-    match column.decode(*raw) {
+    match values.first()?.decode() {
         Value::Text(value) => Some(value),
         _ => None,
     }
--- a/crates/comethitch-testkit/src/tds/mod.rs
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -6,7 +6,7 @@
 pub(crate) mod server;
 
 use crate::error::ConnectionError;
-use comethitch_tds::packet::{Assembly, FIRST_SIZE, Kind, put_message};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MessageAssembler, MessageKind, put_message};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
@@ -17,39 +17,41 @@
 
 /// An attention message, which cancels the request in progress.
 pub fn attention() -> Vec<u8> {
-    encode(Kind::Attention, FIRST_SIZE, b"")
+    encode(MessageKind::Attention, INITIAL_PACKET_BYTES, b"")
 }
 
 /// An RPC request with this payload.
 pub fn call(payload: &[u8]) -> Vec<u8> {
-    encode(Kind::Rpc, CLIENT_PACKET_SIZE, payload)
+    encode(MessageKind::Rpc, CLIENT_PACKET_SIZE, payload)
 }
 
 /// A message as it was read.
 struct Message {
-    kind: Kind,
+    kind: MessageKind,
     status: u8,
     payload: Vec<u8>,
 }
 
 fn read_message(stream: &mut TcpStream) -> Result<Message, ConnectionError> {
-    let mut assembly = Assembly::new(MAX_MESSAGE_BYTES);
-    while !assembly.over() {
+    let mut assembly = MessageAssembler::new(MAX_MESSAGE_BYTES);
+    while !assembly.is_complete() {
         // Byte by byte, so that nothing of the next message is taken.
         let mut byte = [0; 1];
         stream.read_exact(&mut byte)?;
         assembly.take(&byte)?;
     }
-    let kind = assembly.kind().unwrap_or(Kind::Batch);
+    let kind = assembly.kind().unwrap_or(MessageKind::Batch);
     let status = assembly.status();
     Ok(Message { kind, status, payload: assembly.finish() })
 }
 
-fn write_message(stream: &mut TcpStream, kind: Kind, packet_size: usize, payload: &[u8]) -> io::Result<()> {
+fn write_message(
+    stream: &mut TcpStream, kind: MessageKind, packet_size: usize, payload: &[u8],
+) -> io::Result<()> {
     stream.write_all(&encode(kind, packet_size, payload))
 }
 
-fn encode(kind: Kind, packet_size: usize, payload: &[u8]) -> Vec<u8> {
+fn encode(kind: MessageKind, packet_size: usize, payload: &[u8]) -> Vec<u8> {
     let mut wire = Vec::new();
     put_message(&mut wire, kind, packet_size, payload);
     wire
--- a/crates/comethitch-testkit/src/tds/server.rs
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -5,7 +5,7 @@
 use crate::engine::Engine;
 use crate::error::ConnectionError;
 use comethitch_tds::login::{Login, Prelogin, VERSION};
-use comethitch_tds::packet::{FIRST_SIZE, Kind, status};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MessageKind, status};
 use comethitch_tds::request::{Batch, Call};
 use comethitch_tds::token::{Message, change_type, code, done};
 use comethitch_tds::write::{
@@ -49,7 +49,7 @@
 pub(crate) fn serve(mut stream: TcpStream, engine: &Engine) -> Result<(), ConnectionError> {
     exchange_prelogin(&mut stream)?;
     let login = Login::read(&read_message(&mut stream)?.payload)?;
-    write_message(&mut stream, Kind::Answer, FIRST_SIZE, &login_response())?;
+    write_message(&mut stream, MessageKind::Response, INITIAL_PACKET_BYTES, &login_response())?;
     let server = TdsServer {
         stream,
         shared: login.application == ROUTER_APPLICATION,
@@ -64,7 +64,7 @@
     Prelogin::read(&read_message(stream)?.payload)?;
     let mut response = Vec::new();
     Prelogin { version: [16, 0, 0, 0, 0, 0], ..Prelogin::default() }.put(&mut response);
-    write_message(stream, Kind::Answer, FIRST_SIZE, &response)?;
+    write_message(stream, MessageKind::Response, INITIAL_PACKET_BYTES, &response)?;
     Ok(())
 }
 
@@ -79,8 +79,8 @@
 
 impl TdsServer {
     /// The text of a request: a batch, or the statement that a call carries.
-    fn decode(&mut self, kind: Kind, payload: &[u8]) -> Result<String, ConnectionError> {
-        if kind == Kind::Rpc {
+    fn decode(&mut self, kind: MessageKind, payload: &[u8]) -> Result<String, ConnectionError> {
+        if kind == MessageKind::Rpc {
             self.request_kind = RequestKind::Call;
             let call = Call::read(payload)?;
             return Ok(call.statement().unwrap_or("EXEC").to_string());
@@ -112,7 +112,7 @@
 }
 
 fn answer_message(tokens: &[u8]) -> Vec<u8> {
-    encode(Kind::Answer, PACKET_SIZE, tokens)
+    encode(MessageKind::Response, PACKET_SIZE, tokens)
 }
 
 fn error_tokens(number: i32) -> Vec<u8> {
@@ -148,7 +148,7 @@
                 put_change_bytes(&mut self.prefix, change_type::RESET_ACKNOWLEDGED, &[], &[]);
             } else if self.used && self.shared {
                 let tokens = error_tokens(SESSION_NOT_RESET);
-                write_message(&mut self.stream, Kind::Answer, PACKET_SIZE, &tokens)?;
+                write_message(&mut self.stream, MessageKind::Response, PACKET_SIZE, &tokens)?;
                 continue;
             }
             self.used = true;
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -9,7 +9,7 @@
 use crate::state::pending_requests::{Reply, ValuePart};
 use crate::state::router_state::RouterState;
 use crate::wire::postgres::message_type::frontend;
-use crate::wire::postgres::{self, ErrorFields, MAX_MESSAGE_BYTES, StartupRequest};
+use crate::wire::postgres::{self, ErrorFields, MAX_MESSAGE_BYTES, StartupMessage, StartupRequest};
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::FutureExt;
@@ -71,7 +71,7 @@
     async fn start(&mut self) -> Result<(), Disconnect> {
         loop {
             let unread = self.connection.buffer.unread();
-            let Some((request, length)) = postgres::startup_request(unread)? else {
+            let Some(StartupMessage { request, length }) = postgres::startup_message(unread)? else {
                 self.connection.wait_for_input().await?;
                 continue;
             };
@@ -84,7 +84,7 @@
                     self.connection.consume(length);
                     self.connection.write(ENCRYPTION_DECLINED).await?;
                 }
-                StartupRequest::Startup { minor } => {
+                StartupRequest::Session { minor } => {
                     self.connection.consume(length);
                     return self.welcome(minor).await;
                 }
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -14,7 +14,7 @@
 use crate::state::router_state::RouterState;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{AttemptOutcome, Host, LoadReport, RequestId, Role};
-use comethitch_tds::packet::{FIRST_SIZE, Kind, LARGEST_SIZE, put_parts, status};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageKind, put_parts, status};
 use comethitch_tds::request::Batch;
 use comethitch_tds::types::Value;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 /// A message to a host.
 struct Request<'a> {
-    kind: Kind,
+    kind: MessageKind,
     payload: &'a [u8],
 }
 
@@ -43,7 +43,7 @@
 ) -> Option<u16> {
     let settings = settings.clone();
     attempt::start(state, request, host, timeout, |attempt| async move {
-        let kind = Kind::of(attempt.statement.message_kind).unwrap_or(Kind::Batch);
+        let kind = MessageKind::from_code(attempt.statement.message_kind).unwrap_or(MessageKind::Batch);
         let request = Request { kind, payload: &attempt.statement.text };
         run(&Exchange::for_attempt(&attempt), &settings, &request).await.into()
     })
@@ -71,7 +71,7 @@
     health_check::start(state, host, move |state| async move {
         let mut payload = Vec::new();
         Batch::put(&mut payload, &settings.probe.sql);
-        let request = Request { kind: Kind::Batch, payload: &payload };
+        let request = Request { kind: MessageKind::Batch, payload: &payload };
         let response = run(&Exchange::for_health_check(&state, host), &settings, &request).await;
         let row = response.as_ref().ok().and_then(|response| response.first_row.as_ref());
         let report = row.map(|row| parse_report(row, &settings.probe.primary)).unwrap_or_default();
@@ -153,8 +153,8 @@
     state: &RouterState, settings: &TdsSettings, address: SocketAddr,
 ) -> Result<HostConnection, ConnectionError> {
     let options = ConnectionOptions {
-        max_buffer_bytes: LARGEST_SIZE + 1,
-        session: SessionState { packet_size: FIRST_SIZE, reused: false },
+        max_buffer_bytes: MAX_PACKET_BYTES + 1,
+        session: SessionState { packet_size: INITIAL_PACKET_BYTES, reused: false },
     };
     connect(state, address, options, async |connection: &mut HostConnection| {
         log_in(state, settings, connection).await
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -3,8 +3,8 @@
 use super::reply::{SERVER_NAME, change, class, encode_packets, put_failure};
 use super::{ClientMessage, Session, request};
 use crate::protocols::client_connection::Disconnect;
-use comethitch_tds::login::{Encryption, LARGEST_LOGIN, Login, Prelogin, VERSION};
-use comethitch_tds::packet::{FIRST_SIZE, Kind, LEAST_SIZE};
+use comethitch_tds::login::{Encryption, Login, MAX_LOGIN_BYTES, Prelogin, VERSION};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MIN_PACKET_BYTES, MessageKind};
 use comethitch_tds::token::code;
 use comethitch_tds::write::{put_change, put_change_bytes, put_done, put_login_ack};
 
@@ -31,31 +31,33 @@
         self.connection.wait_while_connected(state.ready.wait()).await?;
         let packet_size = self.negotiate_packet_size(&login);
         let tokens = self.login_answer(&login, packet_size);
-        self.connection.write(&encode_packets(FIRST_SIZE, &tokens)).await?;
+        self.connection.write(&encode_packets(INITIAL_PACKET_BYTES, &tokens)).await?;
         self.packet_size = packet_size;
         Ok(())
     }
 
     async fn answer_prelogin(&mut self) -> Result<(), Disconnect> {
-        let payload = self.read_login_message(Kind::Prelogin, "a connection begins with a PRELOGIN").await?;
+        let payload =
+            self.read_login_message(MessageKind::Prelogin, "a connection begins with a PRELOGIN").await?;
         Prelogin::read(&payload).map_err(request::protocol_violation)?;
         let answer =
             Prelogin { version: SERVER_VERSION, encryption: Encryption::NotSupported, ..Prelogin::default() };
         let mut payload = Vec::new();
         answer.put(&mut payload);
-        self.connection.write(&encode_packets(FIRST_SIZE, &payload)).await
+        self.connection.write(&encode_packets(INITIAL_PACKET_BYTES, &payload)).await
     }
 
     async fn read_login(&mut self) -> Result<Login, Disconnect> {
-        let payload = self.read_login_message(Kind::Login, "a PRELOGIN is followed by a LOGIN7").await?;
+        let payload =
+            self.read_login_message(MessageKind::Login, "a PRELOGIN is followed by a LOGIN7").await?;
         Login::read(&payload).map_err(request::protocol_violation)
     }
 
     /// Reads a message that must be of this kind, or else the client has broken the protocol in this way.
     async fn read_login_message(
-        &mut self, expected: Kind, violation: &'static str,
+        &mut self, expected: MessageKind, violation: &'static str,
     ) -> Result<Vec<u8>, Disconnect> {
-        let ClientMessage { kind, payload, .. } = self.read_message(LARGEST_LOGIN).await?;
+        let ClientMessage { kind, payload, .. } = self.read_message(MAX_LOGIN_BYTES).await?;
         if kind != expected {
             return Err(Disconnect::ProtocolViolation(violation));
         }
@@ -66,15 +68,15 @@
         let text = "only logins by name and password are spoken here";
         let mut tokens = Vec::new();
         put_failure(&mut tokens, LOGIN_FAILED, class::LOGIN_FAILED, text, code::DONE);
-        self.connection.write(&encode_packets(FIRST_SIZE, &tokens)).await?;
+        self.connection.write(&encode_packets(INITIAL_PACKET_BYTES, &tokens)).await?;
         Err(Disconnect::Closing)
     }
 
     /// The packet size that the client asks for, within the protocol's and the operator's limits.
     fn negotiate_packet_size(&self, login: &Login) -> usize {
-        match usize::try_from(login.packet_size).unwrap_or(FIRST_SIZE) {
-            0 => FIRST_SIZE,
-            requested => requested.clamp(LEAST_SIZE, self.settings.packet_size),
+        match usize::try_from(login.packet_size).unwrap_or(INITIAL_PACKET_BYTES) {
+            0 => INITIAL_PACKET_BYTES,
+            requested => requested.clamp(MIN_PACKET_BYTES, self.settings.packet_size),
         }
     }
 
@@ -86,7 +88,12 @@
         put_change_bytes(&mut tokens, change::COLLATION, &COLLATION, &[]);
         put_change(&mut tokens, change::LANGUAGE, LANGUAGE, "");
         put_login_ack(&mut tokens, VERSION, SERVER_NAME);
-        put_change(&mut tokens, change::PACKET_SIZE, &packet_size.to_string(), &FIRST_SIZE.to_string());
+        put_change(
+            &mut tokens,
+            change::PACKET_SIZE,
+            &packet_size.to_string(),
+            &INITIAL_PACKET_BYTES.to_string(),
+        );
         put_done(&mut tokens, code::DONE, 0, 0);
         tokens
     }
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -17,7 +17,9 @@
 use crate::state::router_state::RouterState;
 use async_channel::Receiver;
 use async_io::Async;
-use comethitch_tds::packet::{Assembly, FIRST_SIZE, HEADER, Kind, LARGEST_SIZE, put_parts, status};
+use comethitch_tds::packet::{
+    HEADER_BYTES, INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_parts, status,
+};
 use comethitch_tds::token::code;
 use comethitch_tds::write::put_change_bytes;
 use reply::{DONE_TOKEN_BYTES, ReplyEncoder, ReplyFraming, change, class};
@@ -41,7 +43,7 @@
 
 /// A message as a client sent it.
 struct ClientMessage {
-    kind: Kind,
+    kind: MessageKind,
     /// The status of its first packet, and whether any packet says that the client gave the message up.
     status: u8,
     payload: Vec<u8>,
@@ -60,9 +62,9 @@
 pub(super) fn serve(
     state: Rc<RouterState>, settings: Rc<TdsSettings>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
-    let connection = ClientConnection::new(state, stream, permit, LARGEST_SIZE + 1);
+    let connection = ClientConnection::new(state, stream, permit, MAX_PACKET_BYTES + 1);
     let prepared = PreparedStatements::new(&connection.state.memory);
-    run(Session { connection, settings, packet_size: FIRST_SIZE, prepared })
+    run(Session { connection, settings, packet_size: INITIAL_PACKET_BYTES, prepared })
 }
 
 async fn run(mut session: Session) {
@@ -87,7 +89,7 @@
 impl Session {
     /// Reads the next message to its end.
     async fn read_message(&mut self, max_bytes: usize) -> Result<ClientMessage, Disconnect> {
-        let mut message = Assembly::new(max_bytes);
+        let mut message = MessageAssembler::new(max_bytes);
         let mut reservation = Reservation::new(&self.connection.state.memory);
         loop {
             let consumed =
@@ -96,13 +98,13 @@
             if !reservation.resize_to(message.payload().len()) {
                 return Err(Disconnect::Io(std::io::ErrorKind::OutOfMemory.into()));
             }
-            if message.over() {
+            if message.is_complete() {
                 break;
             }
             // Between two messages the connection is idle, within one it is not.
             self.connection.wait_for_more(message.is_empty()).await?;
         }
-        let kind = message.kind().unwrap_or(Kind::Batch);
+        let kind = message.kind().unwrap_or(MessageKind::Batch);
         let status = message.status();
         Ok(ClientMessage { kind, status, payload: message.finish() })
     }
@@ -131,7 +133,7 @@
             return Ok(());
         }
         // An attention here has crossed the answer: nothing is left to cancel.
-        if message.kind == Kind::Attention {
+        if message.kind == MessageKind::Attention {
             return self.acknowledge_attention().await;
         }
         let request = request::parse(message.kind, message.payload, &mut self.prepared)?;
@@ -198,7 +200,7 @@
         let shape = request.shape.as_ref();
         let is_idempotent = shape.is_some_and(|shape| shape.verdict.effect.may_repeat());
         let (id, reply) = self.connection.submit(request, statement.payload, statement.kind.code());
-        let is_attention = |unread: &[u8]| unread.first() == Some(&Kind::Attention.code());
+        let is_attention = |unread: &[u8]| unread.first() == Some(&MessageKind::Attention.code());
         let waited = self.connection.wait_until_interrupted(reply.recv(), Some(is_attention)).await;
         let end = match waited {
             Ok(Some(Ok(Reply::Streaming(first, parts)))) => {
@@ -212,7 +214,7 @@
             Ok(None) => {
                 policy_driver::client_disconnected(&state, id);
                 // The attention is consumed here; its acknowledgement is the one answer.
-                self.read_message(HEADER).await?;
+                self.read_message(HEADER_BYTES).await?;
                 CommandEnd::Cancelled
             }
             _ => {
@@ -252,7 +254,7 @@
         }
         let rest = tokens.split_off(tokens.len() - DONE_TOKEN_BYTES);
         let mut packets = reply::packet_buffer(tokens.len());
-        put_parts(&mut packets, Kind::Answer, self.packet_size, tokens, 0, false);
+        put_parts(&mut packets, MessageKind::Response, self.packet_size, tokens, 0, false);
         *tokens = rest;
         self.connection.write(&packets).await
     }
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -2,8 +2,8 @@
 
 use crate::protocols::tds::settings::{ErrorNumbers, RETRIED_BY_DRIVERS};
 use crate::state::pending_requests::Reply;
-use comethitch_tds::packet::{HEADER, Kind, put_message};
-use comethitch_tds::token::{Message, Token, Tokens, code, done};
+use comethitch_tds::packet::{HEADER_BYTES, MessageKind, put_message};
+use comethitch_tds::token::{Message, ParsedToken, Token, TokenReader, code, done};
 use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
 
 /// The name that is sent to clients as the server's.
@@ -59,13 +59,13 @@
 
 /// An empty buffer for the packets of so many bytes of tokens.
 pub(super) fn packet_buffer(token_bytes: usize) -> Vec<u8> {
-    Vec::with_capacity(token_bytes + token_bytes / 64 + HEADER)
+    Vec::with_capacity(token_bytes + token_bytes / 64 + HEADER_BYTES)
 }
 
 /// Encodes a message of these tokens.
 pub(super) fn encode_packets(packet_size: usize, tokens: &[u8]) -> Vec<u8> {
     let mut packets = packet_buffer(tokens.len());
-    put_message(&mut packets, Kind::Answer, packet_size, tokens);
+    put_message(&mut packets, MessageKind::Response, packet_size, tokens);
     packets
 }
 
@@ -152,9 +152,9 @@
 
 /// The first error of an answer on which drivers retry by themselves.
 fn error_retried_by_drivers(answer: &[u8]) -> Option<Message> {
-    let mut parser = Tokens::new();
+    let mut parser = TokenReader::new();
     let mut parsed = 0;
-    while let Ok((token, length)) = parser.next(&answer[parsed..]) {
+    while let Ok(ParsedToken { token, length }) = parser.next(&answer[parsed..]) {
         parsed += length;
         match token {
             Token::Error(message) if RETRIED_BY_DRIVERS.contains(&message.number) => return Some(message),
--- a/crates/comethitchd/src/protocols/tds/client/request.rs
+++ b/crates/comethitchd/src/protocols/tds/client/request.rs
@@ -7,8 +7,8 @@
 use comethitch_statement::classify::only_settings;
 use comethitch_statement::{Dialect, Lexer};
 use comethitch_tds::MalformedMessage;
-use comethitch_tds::packet::Kind;
-use comethitch_tds::request::{Batch, Call, CallWriter, Known, Procedure, declared};
+use comethitch_tds::packet::MessageKind;
+use comethitch_tds::request::{Batch, Call, CallWriter, Procedure, SystemProcedure, declared};
 use comethitch_tds::token::code;
 use comethitch_tds::types::Value;
 use comethitch_tds::write::{put_done, put_return_status};
@@ -44,7 +44,7 @@
     /// The values of its parameters by name, as far as they are known.
     pub arguments: Vec<(String, Option<Vec<u8>>)>,
     /// The kind of the message that hosts get for it.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The payload of that message.
     pub payload: Vec<u8>,
     /// How the answer is framed.
@@ -61,16 +61,16 @@
 /// # Errors
 /// If it breaks the protocol.
 pub(super) fn parse(
-    kind: Kind, payload: Vec<u8>, prepared: &mut PreparedStatements,
+    kind: MessageKind, payload: Vec<u8>, prepared: &mut PreparedStatements,
 ) -> Result<Request, Disconnect> {
     match kind {
-        Kind::Batch => parse_batch(payload),
-        Kind::Rpc => parse_call(payload, prepared),
-        Kind::Transaction => Ok(rejected(
+        MessageKind::Batch => parse_batch(payload),
+        MessageKind::Rpc => parse_call(payload, prepared),
+        MessageKind::Transaction => Ok(rejected(
             ReplyFraming::Batch,
             "transactions of several statements are not carried: send them as one batch",
         )),
-        Kind::BulkLoad => Ok(rejected(ReplyFraming::Batch, "bulk loads are not carried")),
+        MessageKind::BulkLoad => Ok(rejected(ReplyFraming::Batch, "bulk loads are not carried")),
         _ => Err(Disconnect::ProtocolViolation("a message that no client sends now")),
     }
 }
@@ -97,7 +97,7 @@
     Ok(Request::Run(Statement {
         text: batch.text,
         arguments: Vec::new(),
-        kind: Kind::Batch,
+        kind: MessageKind::Batch,
         payload,
         framing: ReplyFraming::Batch,
     }))
@@ -112,12 +112,12 @@
         return Ok(call_rejected(NO_TRANSACTION));
     }
     let request = match &call.procedure {
-        Procedure::Known(Known::ExecuteSql) => execute_sql(&call, payload),
-        Procedure::Known(Known::Prepare) => prepare(&call, prepared),
-        Procedure::Known(Known::Execute) => execute_prepared(&call, &payload, prepared),
-        Procedure::Known(Known::PrepareExecute) => prepare_and_execute(&call, &payload, prepared),
-        Procedure::Known(Known::Unprepare) => unprepare(&call, prepared),
-        Procedure::Known(Known::Cursor) => call_rejected("cursors are not carried"),
+        Procedure::System(SystemProcedure::ExecuteSql) => execute_sql(&call, payload),
+        Procedure::System(SystemProcedure::Prepare) => prepare(&call, prepared),
+        Procedure::System(SystemProcedure::Execute) => execute_prepared(&call, &payload, prepared),
+        Procedure::System(SystemProcedure::PrepareExecute) => prepare_and_execute(&call, &payload, prepared),
+        Procedure::System(SystemProcedure::Unprepare) => unprepare(&call, prepared),
+        Procedure::System(SystemProcedure::Cursor) => call_rejected("cursors are not carried"),
         Procedure::Named(name) => call_procedure(name, payload),
     };
     Ok(request)
@@ -131,7 +131,7 @@
     Request::Run(Statement {
         text: text.to_string(),
         arguments: argument_values(call, call.declarations().unwrap_or_default()),
-        kind: Kind::Rpc,
+        kind: MessageKind::Rpc,
         payload,
         framing: ReplyFraming::Call,
     })
@@ -190,7 +190,7 @@
     Request::Run(Statement {
         text: format!("EXEC {}", quoted.join(".")),
         arguments: Vec::new(),
-        kind: Kind::Rpc,
+        kind: MessageKind::Rpc,
         payload,
         framing: ReplyFraming::Call,
     })
@@ -209,7 +209,7 @@
     call: &Call, payload: &[u8], text: &str, declarations: &str, framing: ReplyFraming,
 ) -> Request {
     let mut own_payload = Vec::new();
-    let writer = CallWriter::known(&mut own_payload, Known::ExecuteSql).text("", text);
+    let writer = CallWriter::system(&mut own_payload, SystemProcedure::ExecuteSql).text("", text);
     let raw_arguments = call.raw_arguments(payload);
     // Without declarations there are no parameters either.
     if !declarations.is_empty() || !raw_arguments.is_empty() {
@@ -218,7 +218,7 @@
     Request::Run(Statement {
         text: text.into(),
         arguments: argument_values(call, declarations),
-        kind: Kind::Rpc,
+        kind: MessageKind::Rpc,
         payload: own_payload,
         framing,
     })
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -7,7 +7,9 @@
 use crate::state::router_state::RouterState;
 use comethitch_policy::AttemptOutcome;
 use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
-use comethitch_tds::packet::{Assembly, FIRST_SIZE, Kind, LARGEST_SIZE, put_message};
+use comethitch_tds::packet::{
+    INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_message,
+};
 use futures_lite::AsyncWriteExt;
 
 /// The largest PRELOGIN that is accepted of a host.
@@ -38,7 +40,8 @@
     if end.is_err() || !response.login_accepted {
         return Err(ConnectionError::ConnectFailed);
     }
-    connection.session.packet_size = response.packet_size.unwrap_or(FIRST_SIZE).min(LARGEST_SIZE);
+    connection.session.packet_size =
+        response.packet_size.unwrap_or(INITIAL_PACKET_BYTES).min(MAX_PACKET_BYTES);
     Ok(())
 }
 
@@ -46,7 +49,7 @@
 async fn negotiate_encryption(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let mut payload = Vec::new();
     Prelogin::default().put(&mut payload);
-    send(connection, Kind::Prelogin, &payload).await?;
+    send(connection, MessageKind::Prelogin, &payload).await?;
     let payload = read_prelogin(connection).await?;
     let prelogin = Prelogin::read(&payload).map_err(|_| ConnectionError::ConnectFailed)?;
     match prelogin.encryption {
@@ -56,8 +59,8 @@
 }
 
 async fn read_prelogin(connection: &mut HostConnection) -> Result<Vec<u8>, ConnectionError> {
-    let mut message = Assembly::new(MAX_PRELOGIN_BYTES);
-    while !message.over() {
+    let mut message = MessageAssembler::new(MAX_PRELOGIN_BYTES);
+    while !message.is_complete() {
         if connection.buffer.unread().is_empty() {
             match connection.buffer.fill(&connection.stream).await {
                 Ok(0) | Err(_) => return Err(ConnectionError::ConnectFailed),
@@ -87,11 +90,11 @@
     };
     let mut payload = Vec::new();
     login.put(&mut payload);
-    send(connection, Kind::Login, &payload).await
+    send(connection, MessageKind::Login, &payload).await
 }
 
-async fn send(connection: &HostConnection, kind: Kind, payload: &[u8]) -> Result<(), ConnectionError> {
+async fn send(connection: &HostConnection, kind: MessageKind, payload: &[u8]) -> Result<(), ConnectionError> {
     let mut packets = Vec::new();
-    put_message(&mut packets, kind, FIRST_SIZE, payload);
+    put_message(&mut packets, kind, INITIAL_PACKET_BYTES, payload);
     (&connection.stream).write_all(&packets).await.map_err(|_| ConnectionError::ConnectFailed)
 }
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -4,8 +4,8 @@
 //! out of what the client gets.
 
 use crate::state::host_connection::HostErrorCode;
-use comethitch_tds::packet::{HEADER, Header, Kind, status};
-use comethitch_tds::token::{Change, Token, Tokens, code, done};
+use comethitch_tds::packet::{HEADER_BYTES, Header, MessageKind, status};
+use comethitch_tds::token::{Change, ParsedToken, RowValue, Token, TokenReader, code, done};
 use comethitch_tds::types::Value;
 use comethitch_tds::{MalformedMessage, ReadError};
 
@@ -16,7 +16,7 @@
 
 /// What a host has sent so far.
 pub struct HostResponse {
-    parser: Tokens,
+    parser: TokenReader,
     /// Payload that is not parsed yet.
     unparsed: Vec<u8>,
     /// How much of the present packet's payload is still to come.
@@ -51,7 +51,7 @@
     /// A response of which nothing has come yet.
     pub fn new() -> HostResponse {
         HostResponse {
-            parser: Tokens::new(),
+            parser: TokenReader::new(),
             unparsed: Vec::new(),
             packet_remaining: 0,
             is_last_packet: false,
@@ -72,7 +72,7 @@
             if self.packet_remaining == 0 {
                 let Some(header) = read_header(&bytes[consumed..])? else { break };
                 self.begin_packet(&header)?;
-                consumed += HEADER;
+                consumed += HEADER_BYTES;
             }
             let length = self.packet_remaining.min(bytes.len() - consumed);
             self.unparsed.extend_from_slice(&bytes[consumed..consumed + length]);
@@ -87,10 +87,10 @@
     }
 
     fn begin_packet(&mut self, header: &Header) -> Result<(), MalformedMessage> {
-        if header.kind != Kind::Answer {
+        if header.kind != MessageKind::Response {
             return Err(MalformedMessage("a packet that is no answer"));
         }
-        self.packet_remaining = header.length - HEADER;
+        self.packet_remaining = header.length - HEADER_BYTES;
         self.is_last_packet = header.status & status::END != 0;
         if self.packet_remaining == 0 && !self.is_last_packet {
             return Err(MalformedMessage("an empty packet within an answer"));
@@ -105,7 +105,7 @@
 
     /// Whether the last token has come, whatever may follow.
     pub fn is_complete(&self) -> bool {
-        self.parser.over()
+        self.parser.is_complete()
     }
 
     /// How many bytes are buffered.
@@ -117,7 +117,7 @@
         let mut parsed = 0;
         while parsed < self.unparsed.len() {
             match self.parser.next(&self.unparsed[parsed..]) {
-                Ok((token, length)) => {
+                Ok(ParsedToken { token, length }) => {
                     self.add_token(&token, parsed..parsed + length);
                     parsed += length;
                     self.record(token);
@@ -172,9 +172,9 @@
     }
 }
 
-fn first_row(parser: &Tokens, row: &[u8]) -> Option<FirstRow> {
+fn first_row(parser: &TokenReader, row: &[u8]) -> Option<FirstRow> {
     let values = parser.values(row)?;
-    let value = |column: usize| values.get(column).map(|(kind, raw)| kind.decode(*raw));
+    let value = |column: usize| values.get(column).map(RowValue::decode);
     Some(FirstRow { first: value(0)?, second: value(1).unwrap_or(Value::Null) })
 }
 
--- a/crates/comethitchd/src/protocols/tds/settings.rs
+++ b/crates/comethitchd/src/protocols/tds/settings.rs
@@ -3,7 +3,7 @@
 //!
 //! The file's schema is published as `deploy/tds.schema.json`, and generated from the types here.
 
-use comethitch_tds::packet::{LARGEST_SIZE, LEAST_SIZE};
+use comethitch_tds::packet::{MAX_PACKET_BYTES, MIN_PACKET_BYTES};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -133,7 +133,7 @@
         text: String,
     },
     /// The size of packets is out of the protocol's range.
-    #[error("packet_size must be {LEAST_SIZE} to {LARGEST_SIZE}, not {0}")]
+    #[error("packet_size must be {MIN_PACKET_BYTES} to {MAX_PACKET_BYTES}, not {0}")]
     PacketSizeOutOfRange(usize),
     /// The health check has no query.
     #[error("probe.sql must be a query")]
@@ -203,7 +203,7 @@
     }
 
     fn check_packet_size(&self) -> Result<(), TdsSettingsError> {
-        if !(LEAST_SIZE..=LARGEST_SIZE).contains(&self.packet_size) {
+        if !(MIN_PACKET_BYTES..=MAX_PACKET_BYTES).contains(&self.packet_size) {
             return Err(TdsSettingsError::PacketSizeOutOfRange(self.packet_size));
         }
         Ok(())
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -149,8 +149,8 @@
     let list = state.steps.measure(EventLoopStep::ParseList, parse)?;
     let version = state.endpoints.borrow().version;
     let may_be_outdated = version != version_before || !list.complete;
-    if may_be_outdated && version.is_some_and(|version| list.seq < version) {
-        log::debug!("list {} is older than the one held, {version:?}", list.seq);
+    if may_be_outdated && version.is_some_and(|version| list.version < version) {
+        log::debug!("list {} is older than the one held, {version:?}", list.version);
         return Ok(());
     }
     state.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
@@ -166,7 +166,7 @@
             |lifecycle| list.entries.iter().filter(|entry| entry.endpoint.lifecycle == lifecycle).count();
         log::info!(
             "list {}: {} entries, {} ready, {} draining, {} removed",
-            list.seq,
+            list.version,
             list.entries.len(),
             count(Lifecycle::Ready),
             count(Lifecycle::Draining),
@@ -180,9 +180,9 @@
         log::log!(
             level,
             "list {}: {} at {} is {:?}{primary}, group {}",
-            list.seq,
+            list.version,
             entry.name,
-            entry.dial,
+            entry.address,
             endpoint.lifecycle,
             endpoint.shard_id
         );
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -115,7 +115,7 @@
 fn admit_by_comment(
     state: &RouterState, request: &StatementRequest<'_>,
 ) -> Result<AdmittedRequest, StatementError> {
-    let comment = statement::parse_command(request.text)?;
+    let comment = statement::parse_request_comment(request.text)?;
     let class = find_class(state, comment.class)?;
     check_id_and_timeout(state, comment.id, comment.wait_ms)?;
     Ok(AdmittedRequest {
--- a/crates/comethitchd/src/state/endpoints.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -29,12 +29,12 @@
 impl EndpointDirectory {
     /// Applies a list or an update, and returns the hosts that were removed or have another address.
     pub fn apply(&mut self, list: &EndpointList) -> Vec<Host> {
-        self.version = Some(list.seq);
+        self.version = Some(list.version);
         let mut removed_or_moved = self.missing_from(list);
         for entry in &list.entries {
-            let known = KnownHost { name: entry.name.clone(), address: entry.dial };
+            let known = KnownHost { name: entry.name.clone(), address: entry.address };
             let before = self.hosts.insert(entry.endpoint.host, known);
-            let moved = before.as_ref().is_some_and(|known| known.address != entry.dial);
+            let moved = before.as_ref().is_some_and(|known| known.address != entry.address);
             if before.is_some_and(|known| known.name != entry.name) {
                 log::error!("two host names have the same number: {} hides the other", entry.name);
             }
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery's endpoint list: parses its JSON into endpoints as the policy knows them.
+//! Parses discovery's endpoint list from JSON, and maps its keys to the names that the rest of the code uses.
 //!
-//! Splitting a watch's stream into single objects is [`super::json_stream`]'s job.
+//! [`super::json_stream`] splits a watch's stream into single objects.
 
 use crate::wire::statement::fnv1a;
 use comethitch_policy::time::Timestamp;
@@ -10,29 +10,34 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// One object of the list: all of it, or an update of some endpoints.
+/// The role of a primary in an entry's `rank`.
+const PRIMARY_ROLE: &str = "source";
+/// The capacity of a host whose entry gives none, relative to the other hosts.
+const DEFAULT_CAPACITY: f64 = 1.0;
+
+/// An endpoint list, complete or an update of some endpoints.
 #[derive(Debug, Default)]
 pub struct EndpointList {
-    /// The version of the list.
-    pub seq: u64,
-    /// Whether it holds every endpoint. Otherwise it holds only those that changed.
+    /// The version of the list, `seq`.
+    pub version: u64,
+    /// Whether the list holds every endpoint, `whole`. Otherwise it holds only those that changed.
     pub complete: bool,
-    /// The endpoints, in the order of the text.
+    /// The endpoints in the order of the list, `hosts`.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// One endpoint of the list.
+/// An entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The host's name, the same at every router.
+    /// The host's name, the same at every router, `host`.
     pub name: String,
-    /// The address to connect to, which may differ between routers.
-    pub dial: SocketAddr,
-    /// What the policy knows of it.
+    /// The address to connect to, which may differ between routers, `dial`.
+    pub address: SocketAddr,
+    /// The endpoint as the policy knows it.
     pub endpoint: Endpoint,
 }
 
-/// Why an endpoint list could not be read. The text names the key.
+/// Reasons why an endpoint list is rejected. The text names the key.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
     /// The text is no valid JSON.
@@ -41,31 +46,31 @@
     /// A key of the list itself is missing or of the wrong type.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// One of the hosts is wrong.
+    /// An entry is invalid.
     #[error("hosts.{index}.{source}")]
     Entry {
-        /// The position of the host in the list.
+        /// Position of the entry in `hosts`, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// What is wrong with the entry.
         source: EndpointEntryError,
     },
 }
 
-/// Why one endpoint of a list could not be read.
+/// Reasons why an entry of an endpoint list is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointEntryError {
     /// The key is missing or of the wrong type.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// The address can't be parsed.
+    /// The address is no IP address with a port.
     #[error("dial is no address: {0:?}")]
     InvalidAddress(String),
-    /// The lifecycle state is none that is known.
+    /// The lifecycle state is unknown.
     #[error("health is unknown: {0:?}")]
     UnknownHealth(String),
 }
 
-/// The policy's identifier of the host with this name: the hash of the name, so that it is the same at every router.
+/// Returns the policy's identifier of a host: a hash of its name, which is the same at every router.
 pub fn host_id(name: &str) -> Host {
     let hash = fnv1a(name.as_bytes());
     let [port @ .., a, b, c, d] = hash.to_be_bytes();
@@ -73,56 +78,60 @@
     Host { address: [a, b, c, d], port: folded }
 }
 
-/// Parses one object of the list. `zones` are the names of the zones, in the order of the configuration.
+/// Parses an endpoint list. `zones` are the names of the zones in the order of the configuration.
 ///
 /// # Errors
-/// If the text is no JSON, or a key is missing or wrong.
+/// If the text is no valid JSON, or a key is missing or has an invalid value.
 pub fn parse_endpoint_list(text: &[u8], zones: &[String]) -> Result<EndpointList, EndpointListError> {
-    if let Ok(RawList { seq, whole, hosts }) = serde_json::from_slice(text)
-        && let Ok(entries) = hosts.into_iter().map(|host| endpoint_entry(host, zones)).collect()
+    if let Ok(RawList { version, complete, entries }) = serde_json::from_slice(text)
+        && let Ok(entries) = entries.into_iter().map(|entry| endpoint_entry(entry, zones)).collect()
     {
-        return Ok(EndpointList { seq, complete: whole, entries });
+        return Ok(EndpointList { version, complete, entries });
     }
-    // Read again, more slowly, for keys of other types that may be ignored, and for an error that names the key.
+    // The slower path tolerates optional keys of the wrong type, and its errors name the key.
     let value: Value = serde_json::from_slice(text)?;
     endpoint_list_from_json(&value, zones)
 }
 
-/// A list as it is usually sent. Its texts are borrowed: a list may have thousands of entries.
+/// A list in discovery's own keys. Its strings are borrowed, because a list may have thousands of entries.
 #[derive(Deserialize)]
 struct RawList<'a> {
-    seq: u64,
-    whole: bool,
-    #[serde(borrow)]
-    hosts: Vec<RawEntry<'a>>,
+    #[serde(rename = "seq")]
+    version: u64,
+    #[serde(rename = "whole")]
+    complete: bool,
+    #[serde(borrow, rename = "hosts")]
+    entries: Vec<RawEntry<'a>>,
 }
 
-/// The keys of an entry that are read.
+/// An entry of a list in discovery's own keys; unknown keys are ignored.
 #[derive(Deserialize)]
 struct RawEntry<'a> {
-    #[serde(borrow)]
-    host: Cow<'a, str>,
-    #[serde(borrow)]
-    dial: Cow<'a, str>,
-    #[serde(borrow)]
-    health: Cow<'a, str>,
-    block: u64,
-    #[serde(borrow, default)]
-    site: Cow<'a, str>,
-    #[serde(borrow, default)]
-    rank: Cow<'a, str>,
-    share: Option<f64>,
-    #[serde(default)]
-    born_ms: u64,
-}
-
-/// Like [`parse_endpoint_list`], for JSON that is parsed already.
+    #[serde(borrow, rename = "host")]
+    name: Cow<'a, str>,
+    #[serde(borrow, rename = "dial")]
+    address: Cow<'a, str>,
+    #[serde(borrow, rename = "health")]
+    lifecycle: Cow<'a, str>,
+    #[serde(rename = "block")]
+    shard: u64,
+    #[serde(borrow, default, rename = "site")]
+    zone: Cow<'a, str>,
+    #[serde(borrow, default, rename = "rank")]
+    role: Cow<'a, str>,
+    #[serde(rename = "share")]
+    capacity: Option<f64>,
+    #[serde(default, rename = "born_ms")]
+    started_ms: u64,
+}
+
+/// Reads an endpoint list from a parsed JSON value; see [`parse_endpoint_list`].
 ///
 /// # Errors
-/// If a key is missing or wrong.
+/// If a key is missing or has an invalid value.
 pub fn endpoint_list_from_json(value: &Value, zones: &[String]) -> Result<EndpointList, EndpointListError> {
     let hosts = value["hosts"].as_array().ok_or(EndpointListError::Missing("hosts"))?;
-    let seq = value["seq"].as_u64().ok_or(EndpointListError::Missing("seq"))?;
+    let version = value["seq"].as_u64().ok_or(EndpointListError::Missing("seq"))?;
     let complete = value["whole"].as_bool().ok_or(EndpointListError::Missing("whole"))?;
     let entries = hosts
         .iter()
@@ -131,54 +140,57 @@
             entry_from_json(host, zones).map_err(|source| EndpointListError::Entry { index, source })
         })
         .collect::<Result<_, _>>()?;
-    Ok(EndpointList { seq, complete, entries })
+    Ok(EndpointList { version, complete, entries })
 }
 
-/// The version of a complete list, without reading its entries; none if it is an update or no list at all.
+/// Returns the version of a complete list without parsing its entries; `None` for an update or anything else.
 pub fn version_of_complete_list(text: &[u8]) -> Option<u64> {
-    let ListHead { seq, whole } = serde_json::from_slice(text).ok()?;
-    whole.then_some(seq)
+    let ListHeader { version, complete } = serde_json::from_slice(text).ok()?;
+    complete.then_some(version)
 }
 
-/// The keys of a list beside its entries.
+/// The keys of a list other than its entries.
 #[derive(Deserialize)]
-struct ListHead {
-    seq: u64,
-    whole: bool,
+struct ListHeader {
+    #[serde(rename = "seq")]
+    version: u64,
+    #[serde(rename = "whole")]
+    complete: bool,
 }
 
 fn entry_from_json(value: &Value, zones: &[String]) -> Result<EndpointEntry, EndpointEntryError> {
     let optional_text = |key: &str| Cow::from(value[key].as_str().unwrap_or_default());
     let raw = RawEntry {
-        host: text_of(value, "host")?.into(),
-        dial: text_of(value, "dial")?.into(),
-        health: text_of(value, "health")?.into(),
-        // Missing or no number: no group has this one.
-        block: value["block"].as_u64().unwrap_or(u64::MAX),
-        site: optional_text("site"),
-        rank: optional_text("rank"),
-        share: value["share"].as_f64(),
-        born_ms: value["born_ms"].as_u64().unwrap_or_default(),
+        name: text_of(value, "host")?.into(),
+        address: text_of(value, "dial")?.into(),
+        lifecycle: text_of(value, "health")?.into(),
+        // Out of range, so that `endpoint_entry` reports the key as missing.
+        shard: value["block"].as_u64().unwrap_or(u64::MAX),
+        zone: optional_text("site"),
+        role: optional_text("rank"),
+        capacity: value["share"].as_f64(),
+        started_ms: value["born_ms"].as_u64().unwrap_or_default(),
     };
     endpoint_entry(raw, zones)
 }
 
 fn endpoint_entry(raw: RawEntry<'_>, zones: &[String]) -> Result<EndpointEntry, EndpointEntryError> {
-    let lifecycle = lifecycle_from(&raw.health)?;
-    let dial = raw.dial.parse().map_err(|_| EndpointEntryError::InvalidAddress(raw.dial.to_string()))?;
-    let shard = u16::try_from(raw.block).map_err(|_| EndpointEntryError::Missing("block"))?;
+    let lifecycle = parse_lifecycle(&raw.lifecycle)?;
+    let address =
+        raw.address.parse().map_err(|_| EndpointEntryError::InvalidAddress(raw.address.to_string()))?;
+    let shard_id = u16::try_from(raw.shard).map_err(|_| EndpointEntryError::Missing("block"))?;
     Ok(EndpointEntry {
-        dial,
+        address,
         endpoint: Endpoint {
-            host: host_id(&raw.host),
-            zone: zone_index(&raw.site, zones),
-            shard_id: shard,
+            host: host_id(&raw.name),
+            zone: zone_index(&raw.zone, zones),
+            shard_id,
             lifecycle,
-            is_primary: raw.rank == "source",
-            capacity: raw.share.unwrap_or(1.0),
-            started: Some(raw.born_ms).filter(|ms| *ms > 0).map(Timestamp::from_millis),
+            is_primary: raw.role == PRIMARY_ROLE,
+            capacity: raw.capacity.unwrap_or(DEFAULT_CAPACITY),
+            started: Some(raw.started_ms).filter(|ms| *ms > 0).map(Timestamp::from_millis),
         },
-        name: raw.host.into_owned(),
+        name: raw.name.into_owned(),
     })
 }
 
@@ -186,7 +198,7 @@
     value[key].as_str().ok_or(EndpointEntryError::Missing(key))
 }
 
-fn lifecycle_from(health: &str) -> Result<Lifecycle, EndpointEntryError> {
+fn parse_lifecycle(health: &str) -> Result<Lifecycle, EndpointEntryError> {
     match health {
         "ready" => Ok(Lifecycle::Ready),
         "draining" => Ok(Lifecycle::Draining),
@@ -195,7 +207,7 @@
     }
 }
 
-/// The index of a zone; one that is not configured gets the first index behind the others.
+/// Returns the index of a zone. All zones that are not configured share the index after the last configured one.
 fn zone_index(name: &str, zones: &[String]) -> u8 {
     let index = zones.iter().position(|zone| zone == name).unwrap_or(zones.len());
     u8::try_from(index).unwrap_or(u8::MAX)
--- a/crates/comethitchd/src/wire/postgres/message.rs
+++ b/crates/comethitchd/src/wire/postgres/message.rs
@@ -14,17 +14,26 @@
 const GSS_CODE: u32 = 80_877_104;
 const CANCEL_REQUEST_BYTES: usize = 16;
 
-/// What a client opens a connection with.
+/// The first message of a client's connection.
+#[derive(Debug, PartialEq, Eq)]
+pub struct StartupMessage {
+    /// What the client asks for.
+    pub request: StartupRequest,
+    /// Length of the message in bytes.
+    pub length: usize,
+}
+
+/// What a client asks for with its first message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StartupRequest {
     /// A session in version 3 of the protocol.
-    Startup {
+    Session {
         /// The minor version.
         minor: u16,
     },
-    /// It asks for TLS or GSS encryption.
+    /// TLS or GSS encryption.
     Encryption,
-    /// It asks to cancel another connection's query; see [`cancel_target`].
+    /// Cancellation of another connection's query; see [`cancel_target`].
     Cancel,
 }
 
@@ -44,11 +53,11 @@
     bytes.get(at..)?.first_chunk().map(|four| u32::from_be_bytes(*four))
 }
 
-/// Parses the first message of a client, and returns it with its length, or none if it is not complete yet.
+/// Parses the first message of a client. Returns `None` if it is incomplete.
 ///
 /// # Errors
 /// If its length is impossible, or it asks for another version of the protocol.
-pub fn startup_request(bytes: &[u8]) -> Result<Option<(StartupRequest, usize)>, MalformedMessage> {
+pub fn startup_message(bytes: &[u8]) -> Result<Option<StartupMessage>, MalformedMessage> {
     let Some(length) = u32_at(bytes, 0) else { return Ok(None) };
     let length = length as usize;
     if !(MIN_STARTUP_BYTES..=MAX_STARTUP_BYTES).contains(&length) {
@@ -61,11 +70,11 @@
         Some(TLS_CODE | GSS_CODE) => StartupRequest::Encryption,
         Some(CANCEL_CODE) => StartupRequest::Cancel,
         Some(version) if version & MAJOR_VERSION_MASK == VERSION_3 => {
-            StartupRequest::Startup { minor: version as u16 }
+            StartupRequest::Session { minor: version as u16 }
         }
         _ => return Err(MalformedMessage("only version 3 of the protocol is spoken")),
     };
-    Ok(Some((request, length)))
+    Ok(Some(StartupMessage { request, length }))
 }
 
 /// Returns the next message, or none if it is not complete yet.
--- a/crates/comethitchd/src/wire/postgres/mod.rs
+++ b/crates/comethitchd/src/wire/postgres/mod.rs
@@ -8,7 +8,8 @@
 mod write;
 
 pub use message::{
-    CancelTarget, Message, StartupRequest, cancel_target, message, query_text, startup_request,
+    CancelTarget, Message, StartupMessage, StartupRequest, cancel_target, message, query_text,
+    startup_message,
 };
 pub use response::{HostParameters, HostResponse, MAX_RESPONSE_BYTES, ResponseError, ResponseShape};
 pub use write::{
--- a/crates/comethitchd/src/wire/statement.rs
+++ b/crates/comethitchd/src/wire/statement.rs
@@ -99,15 +99,15 @@
 /// ones ignored, and behind them a statement of a form that hosts support.
 ///
 /// ```
-/// use comethitchd::wire::statement::parse_command;
+/// use comethitchd::wire::statement::parse_request_comment;
 /// let text = b"/* d=480,id=9b1f,cluster=2,c=basket,x=1 */ SELECT data FROM facts WHERE code = 'k'";
-/// let comment = parse_command(text).unwrap();
+/// let comment = parse_request_comment(text).unwrap();
 /// assert_eq!((comment.class, comment.shard, &text[comment.wait_at]), ("basket", 2, &b"480"[..]));
 /// ```
 ///
 /// # Errors
 /// If a field is missing or wrong, or the statement has another form.
-pub fn parse_command(text: &[u8]) -> Result<RequestComment<'_>, CommentError> {
+pub fn parse_request_comment(text: &[u8]) -> Result<RequestComment<'_>, CommentError> {
     let fields = parse_comment(text)?;
     let id = fields.id.ok_or(CommentError::MissingField("id"))?;
     let wait = fields.wait.ok_or(CommentError::MissingField("d"))?;
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -3,9 +3,9 @@
 mod support;
 
 use async_io::Async;
-use comethitch_tds::packet::{FIRST_SIZE, Header, Kind, put_message, put_parts, status};
-use comethitch_tds::request::{Batch, CallWriter, Known};
-use comethitch_tds::token::{Token, Tokens};
+use comethitch_tds::packet::{Header, INITIAL_PACKET_BYTES, MessageKind, put_message, put_parts, status};
+use comethitch_tds::request::{Batch, CallWriter, SystemProcedure};
+use comethitch_tds::token::{ParsedToken, Token, TokenReader};
 use comethitch_testkit::ledger::Entry;
 use comethitch_testkit::tds::{attention, call};
 use comethitch_testkit::{Client, Host, HostBehavior, Ledger, Protocol, Received};
@@ -220,15 +220,15 @@
 
 /// The answer's tokens.
 fn tokens(stream: &mut TcpStream) -> Vec<Token> {
-    let mut message = comethitch_tds::packet::Assembly::new(1 << 20);
-    while !message.over() {
+    let mut message = comethitch_tds::packet::MessageAssembler::new(1 << 20);
+    while !message.is_complete() {
         let mut byte = [0];
         stream.read_exact(&mut byte).expect("an answer");
         message.take(&byte).expect("packets");
     }
-    let (mut tokens, mut at, mut all) = (Tokens::new(), 0, Vec::new());
-    while !tokens.over() {
-        let (token, length) = tokens.next(&message.payload()[at..]).expect("a token");
+    let (mut tokens, mut at, mut all) = (TokenReader::new(), 0, Vec::new());
+    while !tokens.is_complete() {
+        let ParsedToken { token, length } = tokens.next(&message.payload()[at..]).expect("a token");
         at += length;
         all.push(token);
     }
@@ -245,7 +245,7 @@
     };
     let statement = "INSERT INTO t (a, b) VALUES ('p', @a)";
     let mut payload = Vec::new();
-    CallWriter::known(&mut payload, Known::Prepare)
+    CallWriter::system(&mut payload, SystemProcedure::Prepare)
         .out("@handle")
         .text("", "@a int")
         .text("", statement)
@@ -254,7 +254,9 @@
     assert!(told.contains(&Token::ReturnValue) && ledger.attempts() == 0, "{told:?}");
     let execute = |handle: i32| {
         let mut payload = Vec::new();
-        CallWriter::known(&mut payload, Known::Execute).integer("", Some(handle)).integer("", Some(9));
+        CallWriter::system(&mut payload, SystemProcedure::Execute)
+            .integer("", Some(handle))
+            .integer("", Some(9));
         payload
     };
     let told = send(&mut client, &execute(1));
@@ -262,7 +264,8 @@
     assert_eq!(primary.next_request(), statement);
     // Prepared and executed in one: the handle comes back with the answer.
     let mut payload = Vec::new();
-    let both = CallWriter::known(&mut payload, Known::PrepareExecute).out("@handle").text("", "@a int");
+    let both =
+        CallWriter::system(&mut payload, SystemProcedure::PrepareExecute).out("@handle").text("", "@a int");
     both.text("", statement).integer("@a", Some(3));
     let told = send(&mut client, &payload);
     let at = |wanted: &Token| told.iter().position(|token| token == wanted);
@@ -272,12 +275,12 @@
         |told: &[Token]| told.iter().any(|token| matches!(token, Token::Error(m) if m.number == 50_001));
     assert!(failed(&send(&mut client, &execute(3))), "no such handle");
     let mut payload = Vec::new();
-    CallWriter::known(&mut payload, Known::Unprepare).integer("", Some(1));
+    CallWriter::system(&mut payload, SystemProcedure::Unprepare).integer("", Some(1));
     assert!(!failed(&send(&mut client, &payload)));
     assert!(failed(&send(&mut client, &execute(1))), "it is forgotten");
     // A client that resets its session starts without any.
     let mut wire = Vec::new();
-    put_parts(&mut wire, Kind::Rpc, FIRST_SIZE, &execute(2), status::RESET, true);
+    put_parts(&mut wire, MessageKind::Rpc, INITIAL_PACKET_BYTES, &execute(2), status::RESET, true);
     client.stream.write_all(&wire).expect("sent");
     assert!(failed(&tokens(&mut client.stream)));
     drop(client);
@@ -301,7 +304,7 @@
     for (value, host) in [(Some(99), "0"), (Some(100), "1"), (None, "")] {
         let mut payload = Vec::new();
         let statement = "UPDATE facts SET a = 1 WHERE n = @Key";
-        CallWriter::known(&mut payload, Known::ExecuteSql)
+        CallWriter::system(&mut payload, SystemProcedure::ExecuteSql)
             .text("", statement)
             .text("", "@key int")
             .integer("@key", value);
@@ -347,12 +350,13 @@
     let mut batch = Vec::new();
     let mut payload = Vec::new();
     Batch::put(&mut payload, "SELECT 1");
-    put_message(&mut batch, Kind::Batch, FIRST_SIZE, &payload);
+    put_message(&mut batch, MessageKind::Batch, INITIAL_PACKET_BYTES, &payload);
     assert!(ended(&batch).contains("a connection begins with a PRELOGIN"));
     // A login that would be 60 MB long is rejected at its fifth packet.
     let mut long = Vec::new();
     for nth in 0..8_u8 {
-        Header { kind: Kind::Prelogin, status: 0, length: 32_000, spid: 0, number: nth }.put(&mut long);
+        Header { kind: MessageKind::Prelogin, status: 0, length: 32_000, spid: 0, number: nth }
+            .put(&mut long);
         long.extend([0; 31_992]);
     }
     let mut stream = TcpStream::connect(router.address).expect("a connection");
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -12,7 +12,7 @@
 use comethitchd::state::memory_budget::MemoryBudget;
 use comethitchd::wire::http::{self, BodyDecoder, ResponseHead};
 use comethitchd::wire::postgres::{
-    self, HostResponse, MAX_MESSAGE_BYTES, ResponseError, StartupRequest, message,
+    self, HostResponse, MAX_MESSAGE_BYTES, ResponseError, StartupMessage, StartupRequest, message,
 };
 use comethitchd::wire::{MalformedMessage, discovery, host_report, statement};
 use futures_lite::future::block_on;
@@ -109,22 +109,31 @@
 #[test]
 fn openings_are_told_apart() {
     let code = |code: u32| [8u32.to_be_bytes(), code.to_be_bytes()].concat();
-    assert_eq!(postgres::startup_request(&code(80_877_103)), Ok(Some((StartupRequest::Encryption, 8))));
-    assert_eq!(postgres::startup_request(&code(80_877_104)), Ok(Some((StartupRequest::Encryption, 8))));
-    assert_eq!(postgres::startup_request(&code(80_877_102)), Ok(Some((StartupRequest::Cancel, 8))));
-    assert!(postgres::startup_request(&code(2 << 16)).is_err());
+    assert_eq!(
+        postgres::startup_message(&code(80_877_103)),
+        Ok(Some(StartupMessage { request: StartupRequest::Encryption, length: 8 }))
+    );
+    assert_eq!(
+        postgres::startup_message(&code(80_877_104)),
+        Ok(Some(StartupMessage { request: StartupRequest::Encryption, length: 8 }))
+    );
+    assert_eq!(
+        postgres::startup_message(&code(80_877_102)),
+        Ok(Some(StartupMessage { request: StartupRequest::Cancel, length: 8 }))
+    );
+    assert!(postgres::startup_message(&code(2 << 16)).is_err());
     let whole = startup();
-    let opened = Some((StartupRequest::Startup { minor: 0 }, whole.len()));
+    let opened = Some(StartupMessage { request: StartupRequest::Session { minor: 0 }, length: whole.len() });
     for end in 0..whole.len() {
-        assert_eq!(postgres::startup_request(&whole[..end]), Ok(None));
+        assert_eq!(postgres::startup_message(&whole[..end]), Ok(None));
     }
-    assert_eq!(postgres::startup_request(&[&whole[..], b"Q"].concat()), Ok(opened));
+    assert_eq!(postgres::startup_message(&[&whole[..], b"Q"].concat()), Ok(opened));
 }
 
 #[test]
 fn comments_are_read_or_say_what_is_wrong() {
     let good = b"  /* x=1, after=17,cluster=65535,c=order,d=480,id=9b */ INSERT INTO f (code, data) VALUES('k', '\\x9f')RETURNING data";
-    let comment = statement::parse_command(good).expect("a comment");
+    let comment = statement::parse_request_comment(good).expect("a comment");
     assert_eq!((comment.class, comment.shard, comment.after_ms), ("order", 65_535, Some(17)));
     assert_eq!(&good[comment.wait_at], b"480");
     assert_eq!(statement::session_key(good), statement::session_key(b"SELECT 'k'"));
@@ -139,7 +148,7 @@
     ];
     for way in ways {
         let text = format!("/* id=1,c=a,d=5,cluster=2 */ {way}");
-        let message = statement::parse_command(text.as_bytes()).map_err(|why| why.to_string());
+        let message = statement::parse_request_comment(text.as_bytes()).map_err(|why| why.to_string());
         assert_eq!(message, Err("the statement is none that hosts take".into()), "{way}");
     }
     let cases = [
@@ -155,7 +164,7 @@
         ("/* id=1,c=a,d=5,cluster=2,after=soon */", "after is no number"),
     ];
     for (text, wanted) in cases {
-        let message = statement::parse_command(text.as_bytes()).expect_err(wanted).to_string();
+        let message = statement::parse_request_comment(text.as_bytes()).expect_err(wanted).to_string();
         assert!(message.contains(wanted), "{message}");
     }
 }
@@ -216,8 +225,8 @@
             );
         }
         let _ = (
-            postgres::startup_request(&bytes),
-            statement::parse_command(&bytes),
+            postgres::startup_message(&bytes),
+            statement::parse_request_comment(&bytes),
             statement::session_key(&bytes),
         );
         let _ = (http::parse_head(&bytes), discovery::parse_endpoint_list(&bytes, &[]).is_ok());
@@ -282,8 +291,11 @@
     host["born_ms"] = 1_767_225_600_123_u64.into();
     let read = discovery::parse_endpoint_list(list(host.clone()).as_bytes(), &zones).expect("a list");
     let one = &read.entries[0];
-    assert_eq!((read.seq, read.complete, one.endpoint.zone, one.endpoint.is_primary), (4, false, 1, true));
-    assert_eq!((one.endpoint.lifecycle, one.dial), (Lifecycle::Draining, address));
+    assert_eq!(
+        (read.version, read.complete, one.endpoint.zone, one.endpoint.is_primary),
+        (4, false, 1, true)
+    );
+    assert_eq!((one.endpoint.lifecycle, one.address), (Lifecycle::Draining, address));
     assert_eq!(one.endpoint.started, Some(Timestamp::from_millis(1_767_225_600_123)));
     assert_eq!(discovery::host_id("s-1"), one.endpoint.host);
     assert_ne!(discovery::host_id("s-2"), one.endpoint.host);
