--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: starts its task, runs the protocol's exchange with the host in it, and reports the end to
+//! Runs one attempt of a request: spawns a task for the protocol's exchange with the host, and reports the outcome to
 //! the policy.
 
 use crate::protocols::streamed_answer::StreamedAnswer;
@@ -12,22 +12,22 @@
 use std::future::Future;
 use std::rc::{Rc, Weak};
 
-/// Why an attempt was not sent although a connection was there.
+/// Reasons why an attempt is not sent although a connection is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SendRefused {
-    /// Its client has closed its connection, or its sending half.
-    #[error("the client has gone")]
+    /// The client has closed its connection, or the sending half of it.
+    #[error("the client has disconnected")]
     ClientGone,
-    /// The host takes the request in so slowly that what it was told of the time left is no longer true.
+    /// The host reads the request so slowly that the remaining time stated in it is out of date.
     #[error("the host reads too slowly")]
     HostReadsSlowly,
-    /// The policy does not want it sent any more.
+    /// The policy's send guard refuses the attempt.
     #[error(transparent)]
     Policy(#[from] SendRefusal),
 }
 
 impl SendRefused {
-    /// The name in logs and counts.
+    /// Returns the name used in logs and counts.
     pub(super) fn name(self) -> &'static str {
         match self {
             SendRefused::ClientGone => "client_gone",
@@ -39,15 +39,15 @@
 
 /// One attempt of a request.
 pub(super) struct Attempt {
-    /// The router.
+    /// The router's state.
     pub state: Rc<RouterState>,
-    /// The host that it goes to.
+    /// The host that the attempt is sent to.
     pub host: Host,
-    /// When its client stops waiting.
+    /// The time at which the attempt times out.
     pub deadline: Timestamp,
     /// The request's statement.
     pub statement: Rc<Statement>,
-    /// The host's answer, if it becomes large.
+    /// The answer, which is streamed if it becomes large.
     pub streamed_answer: StreamedAnswer,
     client: Weak<Socket>,
     request: RequestId,
@@ -55,16 +55,17 @@
 }
 
 impl Attempt {
-    /// How long its client waits from now on.
+    /// Returns the time left until the deadline.
     pub(super) fn time_left(&self) -> Duration {
         self.deadline - self.state.clock.now()
     }
 
-    /// Whether it may leave now: its client is still there, and the policy still wants it sent. A connection may take
-    /// long to come up, a host may read slowly, and the process may have stood still.
+    /// Checks right before a write that the client is still connected and that the policy's send guard passes. Both
+    /// may have changed since the attempt started: connecting may take long, the host may read slowly, and the event
+    /// loop may have stalled.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason why the attempt must not be sent.
     pub(super) fn check_send(&self) -> Result<(), SendRefused> {
         let client = self.client.upgrade();
         if client.is_none_or(|client| client.has_ended()) {
@@ -75,8 +76,8 @@
         Ok(handle.check_send(&router, self.number, self.state.clock.now())?)
     }
 
-    /// Counts a rule that was broken by its last byte's leaving just now, although it was checked: the process may have
-    /// been held up in between.
+    /// Records a violation if the last byte was written too late although the check passed: the process may have been
+    /// suspended in between.
     pub(super) fn verify_sent(&self) {
         let router = self.state.router.borrow();
         let handle = router.handle(self.request);
@@ -91,7 +92,6 @@
         self.state.endpoints.borrow().name(self.host).to_string()
     }
 
-    /// Logs its start, for whoever follows a request's id.
     fn log_start(&self) {
         let id = &self.statement.client_id;
         log::debug!(id, host = self.host_name().as_str(), attempt = self.number; "attempt started");
@@ -102,7 +102,7 @@
         log::debug!(id, host = self.host_name().as_str(), attempt = self.number, outcome:?; "attempt ended");
     }
 
-    /// Counts and logs that it was not sent.
+    /// Counts and logs that the attempt was not sent.
     pub(super) fn record_refused(&self, refused: SendRefused) {
         let reason = refused.name();
         self.state.metrics.sends_refused.increment(reason);
@@ -111,8 +111,10 @@
     }
 }
 
-/// Starts the request's next attempt, with the protocol's exchange as `send`. An attempt whose timeout has already
-/// passed, as after a stall of the event loop, is not sent, and its number is returned: the host is not to blame for it.
+/// Starts the request's next attempt, with the protocol's exchange as `send`.
+///
+/// If the timeout has already passed, as after a stall of the event loop, nothing is sent and the attempt's number is
+/// returned, so that the caller can end the attempt without blaming the host.
 pub(super) fn start<F: Future<Output = AttemptResult> + 'static>(
     state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
     send: impl FnOnce(Rc<Attempt>) -> F + 'static,
@@ -141,7 +143,7 @@
     None
 }
 
-/// Runs an attempt to its end, and records and reports how it ended.
+/// Runs an attempt to its end, then records and reports its outcome.
 async fn run<F: Future<Output = AttemptResult>>(attempt: Rc<Attempt>, send: impl FnOnce(Rc<Attempt>) -> F) {
     let state = attempt.state.clone();
     let started = state.clock.now();
--- a/crates/comethitchd/src/protocols/client_connection/disconnect.rs
+++ b/crates/comethitchd/src/protocols/client_connection/disconnect.rs
@@ -1,24 +1,25 @@
-//! Why a client's connection ends, and the error that is sent to the client.
+//! Reasons for closing a client's connection, and the errors that are sent to the client before.
 
 use crate::wire::MalformedMessage;
 use std::io;
 
-/// Why a client's connection ends.
+/// Reasons for closing a client's connection.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Disconnect {
-    /// The client has closed the connection, or is to be treated as if it had.
+    /// The client has closed the connection, or is treated as if it had.
     #[error("the client has disconnected")]
     ClientGone,
-    /// The router closes the connection while nothing is owed to the client.
-    #[error("closed between two commands")]
+    /// The router closes the connection while no answer is outstanding.
+    #[error("closed between two requests")]
     Closing,
-    /// The end of an answer that was being streamed did not come: that the connection ends tells the client so.
-    #[error("closed within an answer")]
+    /// The end of a streamed answer did not arrive. Closing the connection tells the client that the answer is
+    /// incomplete.
+    #[error("closed within a streamed answer")]
     BrokenAnswer,
-    /// The client has broken the protocol.
+    /// The client has violated the protocol.
     #[error("{0}")]
     ProtocolViolation(&'static str),
-    /// The connection or its buffer failed.
+    /// The connection failed, or there was no memory for its buffer.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -29,13 +30,13 @@
     }
 }
 
-/// The error that is sent to a client before its connection is closed. Each protocol has its own codes for them.
+/// Errors that are sent to a client before its connection is closed. Each protocol maps them to its own codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ClosingError {
-    /// The client has broken the protocol.
+    /// The client has violated the protocol.
     #[error("{0}")]
     ProtocolViolation(&'static str),
-    /// There is no memory for what the client sends.
+    /// There is no memory for the client's input.
     #[error("no room for this now")]
     OutOfMemory,
 }
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -1,7 +1,6 @@
-//! A client's connection, whatever its protocol: its registration, admission of its statements, writing to
-//! it, and closing it.
+//! A client's connection in any protocol: registers it, admits its statements, writes to it, and closes it.
 //!
-//! [`waiting`] holds the waits for input and for the end of a request, [`disconnect`] the reasons to close.
+//! [`waiting`] waits for input and for the end of a request; [`disconnect`] lists the reasons for closing.
 
 mod disconnect;
 mod waiting;
@@ -31,51 +30,50 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a client still sends behind the last answer of its connection is read and discarded for this long. Closed with
-/// bytes unread, the connection would be reset, and what the client has not read yet lost.
+/// How long input after the last answer is discarded before the socket is closed. Closing with unread input would reset
+/// the connection, and the client could lose the answer.
 const LINGER: Duration = Duration::from_millis(60);
-/// A client that has sent this many invalid statements in a row is disconnected.
-const MAX_REJECTED_IN_ROW: u32 = 8;
+/// Number of consecutive invalid statements after which a client is disconnected.
+const MAX_CONSECUTIVE_INVALID: u32 = 8;
 
 /// A client's connection.
 pub(super) struct ClientConnection {
-    /// The router.
+    /// The router's state.
     pub state: Rc<RouterState>,
-    /// What was received and not consumed.
+    /// Input that was received and not consumed.
     pub buffer: Buffer,
     /// The connection's number in the registry of clients.
     pub number: u32,
-    /// Asks this connection to close, or cancels its request.
+    /// Requests that the connection close, or cancels its request.
     pub signal: Rc<ConnectionSignal>,
     stream: Rc<Socket>,
-    /// An answer is owed to a request that was submitted.
-    owes_answer: Cell<bool>,
-    /// A number for the client's machine, whose connections share one budget for parsing.
+    /// Whether a submitted request is unanswered.
+    answer_outstanding: Cell<bool>,
+    /// Identifies the client's machine, whose connections share one parsing budget.
     origin: u64,
-    /// When the last byte arrived that was consumed.
+    /// Arrival time of the last consumed byte.
     arrived: Timestamp,
     arrivals: Arrivals,
     _permit: DescriptorPermit,
-    /// A request was answered here, so that the connection may be closed while it is idle.
+    /// Whether a request was answered on this connection, so that it may be closed while idle.
     has_been_answered: bool,
-    /// Invalid statements since the last request that was answered.
-    rejected_in_row: u32,
-    /// The connection was asked to close before the last bytes were read: they cross the close.
+    consecutive_invalid: u32,
+    /// Whether the last bytes were read after the connection had been asked to close.
     closing_at_last_read: bool,
 }
 
-/// What became of a statement that a client wants run.
+/// The result of admitting a client's statement.
 pub(super) enum Admission {
-    /// It is a request, to be submitted to the policy.
+    /// A request, which must be submitted to the policy.
     Admitted(AdmittedRequest),
-    /// It must be answered as throttled.
+    /// The statement must be answered as throttled.
     Throttled,
-    /// It must be answered with this error.
+    /// The statement must be answered with this error.
     Invalid(StatementError),
 }
 
 impl ClientConnection {
-    /// Registers a client at once: it holds a descriptor although it has sent nothing yet.
+    /// Registers a client. This happens before it sends anything, because it already uses a descriptor.
     pub(super) fn new(
         state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, max_buffer_bytes: usize,
     ) -> ClientConnection {
@@ -90,42 +88,42 @@
             number,
             signal,
             stream,
-            owes_answer: Cell::new(false),
+            answer_outstanding: Cell::new(false),
             origin,
             arrived,
             arrivals: Arrivals::default(),
             _permit: permit,
             has_been_answered: false,
-            rejected_in_row: 0,
+            consecutive_invalid: 0,
             closing_at_last_read: false,
         }
     }
 
-    /// Records that a request was answered.
+    /// Records that the connection's request was answered.
     pub(super) fn record_answer(&mut self) {
         self.has_been_answered = true;
-        self.owes_answer.set(false);
-        self.rejected_in_row = 0;
+        self.answer_outstanding.set(false);
+        self.consecutive_invalid = 0;
     }
 
-    /// Records an invalid statement.
+    /// Counts and logs an invalid statement.
     ///
     /// # Errors
-    /// If there were too many in a row.
-    pub(super) fn record_rejection(&mut self, reason: &str) -> Result<(), Disconnect> {
+    /// If there were too many consecutive ones.
+    pub(super) fn record_invalid_statement(&mut self, reason: &str) -> Result<(), Disconnect> {
         self.state.metrics.invalid_requests.increment();
-        log::debug!("client {}: {reason}", self.number);
-        self.rejected_in_row += 1;
-        if self.rejected_in_row >= MAX_REJECTED_IN_ROW {
+        log::debug!(client = self.number, reason; "invalid statement");
+        self.consecutive_invalid += 1;
+        if self.consecutive_invalid >= MAX_CONSECUTIVE_INVALID {
             return Err(Disconnect::ProtocolViolation("too many statements that are no commands"));
         }
         Ok(())
     }
 
-    /// Admits the statement that was consumed last, and counts and logs it if it is throttled.
+    /// Admits the statement that was consumed last. Counts and logs it if it is throttled.
     ///
     /// # Errors
-    /// If the client has disconnected: nothing may begin for it any more.
+    /// If the client has disconnected, because no attempt may start for it any more.
     pub(super) fn admit(&self, text: &[u8], arguments: &Arguments) -> Result<Admission, Disconnect> {
         let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
         let admitted = match admit(&self.state, &request) {
@@ -137,7 +135,7 @@
                 return Ok(Admission::Throttled);
             }
         };
-        // A hard limit, which the policy has no say in.
+        // A hard limit on memory, independent of the policy.
         if self.state.at_request_limit() {
             self.state.metrics.throttled_at_limit.increment();
             self.state.log_rejection(&admitted.client_id, "at_limit");
@@ -149,12 +147,12 @@
         Ok(Admission::Admitted(admitted))
     }
 
-    /// Hands a request of this client to the policy; see [`policy_driver::submit`].
+    /// Submits a request of this client to the policy; see [`policy_driver::submit`].
     pub(super) fn submit(
         &self, request: AdmittedRequest, text: Vec<u8>, message_kind: u8,
     ) -> (RequestId, Receiver<Reply>) {
         self.set_phase(ConnectionPhase::Busy);
-        self.owes_answer.set(true);
+        self.answer_outstanding.set(true);
         policy_driver::submit(&self.state, request, text, message_kind, Rc::downgrade(&self.stream))
     }
 
@@ -162,7 +160,7 @@
         self.state.clients.set_phase(self.number, phase, self.state.clock.now());
     }
 
-    /// Consumes bytes of the buffer: the request that they are part of arrived with the last of them.
+    /// Consumes buffered bytes. The last of them determines when the request that they belong to arrived.
     pub(super) fn consume(&mut self, length: usize) {
         self.buffer.consume(length);
         self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
@@ -173,20 +171,20 @@
         self.closing_at_last_read = self.signal.close_requested() != CloseRequest::Never;
     }
 
-    /// Writes all of the bytes, within the longest time that any client waits.
+    /// Writes all bytes, within the longest timeout of any request class.
     ///
     /// # Errors
-    /// If the connection breaks, or the time runs out.
+    /// If the connection breaks or the write times out.
     pub(super) async fn write(&self, bytes: &[u8]) -> Result<(), Disconnect> {
         let mut stream = &*self.stream;
         let timed_out = Err(io::ErrorKind::TimedOut.into());
-        let limit = self.state.longest_timeout.to_std();
-        Ok(stream.write_all(bytes).or(after(limit, timed_out)).await?)
+        let timeout = self.state.longest_timeout.to_std();
+        Ok(stream.write_all(bytes).or(after(timeout, timed_out)).await?)
     }
 
-    /// Ends the connection. `encode` gives the protocol's message for an error that is sent to the client.
+    /// Closes the connection. `encode` returns the protocol's message for an error that is sent to the client.
     pub(super) async fn close(mut self, disconnect: Disconnect, encode: impl Fn(ClosingError) -> Vec<u8>) {
-        self.check_close(&disconnect);
+        self.verify_close(&disconnect);
         match disconnect {
             Disconnect::ProtocolViolation(message) => {
                 self.state.metrics.invalid_requests.increment();
@@ -198,8 +196,10 @@
                 let error = ClosingError::OutOfMemory;
                 self.close_gracefully(encode(error), &error.to_string()).await;
             }
-            Disconnect::Io(error) => log::debug!("client {}: {error}", self.number),
-            // All is answered. The client sees the end of the stream, and sends again what comes now.
+            Disconnect::Io(error) => {
+                log::debug!(client = self.number, error:%; "client connection failed");
+            }
+            // Nothing is unanswered. The client sees the end of the stream, and retries what it sends after it.
             Disconnect::Closing | Disconnect::BrokenAnswer => {
                 self.close_gracefully(Vec::new(), &disconnect.to_string()).await;
             }
@@ -208,24 +208,22 @@
         self.state.clients.unregister(self.number);
     }
 
-    /// Counts a close of the router's own that leaves a request without its answer, unless the answer was being
-    /// streamed: its client sees that it is not whole.
-    fn check_close(&self, disconnect: &Disconnect) {
-        let own_close = match disconnect {
+    /// Records a violation if the router closes the connection while a request is unanswered. A streamed answer is
+    /// exempt, because the client can tell that it is incomplete.
+    fn verify_close(&self, disconnect: &Disconnect) {
+        let closed_by_router = match disconnect {
             Disconnect::ProtocolViolation(_) | Disconnect::Closing => true,
             Disconnect::Io(error) => error.kind() == io::ErrorKind::OutOfMemory,
             Disconnect::ClientGone | Disconnect::BrokenAnswer => false,
         };
-        if own_close && self.owes_answer.get() {
+        if closed_by_router && self.answer_outstanding.get() {
             self.state.record_violation("closed_without_answer", &format!("client {}", self.number));
         }
     }
 
-    /// Sends the last bytes, if there are any, and shuts the sending half down. What the client still sends is discarded
-    /// for a while and never executed: closed with bytes unread, the connection would be reset, and the client
-    /// might never read its error, or its last answer.
+    /// Writes the last bytes, if any, shuts down the sending half, and discards further input for [`LINGER`].
     async fn close_gracefully(&mut self, last_bytes: Vec<u8>, reason: &str) {
-        log::debug!("client {}: {reason}", self.number);
+        log::debug!(client = self.number, reason; "client connection closing");
         self.set_phase(ConnectionPhase::Closing);
         let signal = self.signal.clone();
         let linger = async {
@@ -235,7 +233,8 @@
         self.send_and_discard(&last_bytes).or(linger).await;
     }
 
-    /// Sends the last bytes, and discards input up to the end of the stream; none then, or if the connection breaks.
+    /// Writes the last bytes, and discards input up to the end of the stream. Always returns `None`, also if the
+    /// connection breaks.
     async fn send_and_discard(&mut self, last_bytes: &[u8]) -> Option<()> {
         self.write(last_bytes).await.ok()?;
         self.stream.shut_down_write().ok()?;
@@ -245,7 +244,7 @@
     }
 }
 
-/// A number for the client's machine. An IPv6 network of 64 bits counts as one client's.
+/// Returns a number that identifies the client's machine; for IPv6 its /64 network.
 fn origin_of(stream: &Socket) -> u64 {
     stream.peer_ip().map_or(0, |ip| match ip {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -1,5 +1,5 @@
-//! Waiting at a client's connection: for its next request, or for the end of its request, in which case a disconnect of
-//! the client or an interruption by it ends the wait.
+//! Waits on a client's connection: for input, or for the end of a request. The latter wait also ends when the client
+//! disconnects or interrupts the request.
 
 use super::{ClientConnection, Disconnect};
 use crate::state::client_registry::ConnectionPhase;
@@ -11,41 +11,41 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Once this much of further requests is buffered, no more is read while a request is in progress.
+/// Maximum size of pipelined input that is buffered while a request is in progress.
 const MAX_PIPELINED_BYTES: usize = 8 * 1024;
-/// While nothing is read, whether the client has disconnected is looked at this often. An attempt that begins a tenth
-/// of a second after the client went is too late.
+/// Interval at which a disconnect is polled for while nothing is read. It must be well below 100 ms, because the rules
+/// forbid attempts that start later than that after a disconnect.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl ClientConnection {
-    /// Waits for more bytes between two messages or within one, while no request is in progress. How long that may take
-    /// is limited by the registry of clients, so that a request needs no timer here.
+    /// Waits for more input between or within messages, while no request is in progress. The registry of clients enforces
+    /// the time limit, so there is no timer here.
     ///
     /// # Errors
-    /// If the connection ends before more bytes come.
+    /// If the connection ends before more input arrives.
     pub(crate) async fn wait_for_input(&mut self) -> Result<(), Disconnect> {
         self.wait_for_more(true).await
     }
 
-    /// Like [`ClientConnection::wait_for_input`], where `between_messages` says whether no part of a message was
-    /// consumed from the buffer yet.
+    /// Waits like [`ClientConnection::wait_for_input`]; `between_messages` states that no part of a message was consumed
+    /// from the buffer.
     ///
     /// # Errors
-    /// If the connection ends before more bytes come.
+    /// If the connection ends before more input arrives.
     pub(crate) async fn wait_for_more(&mut self, between_messages: bool) -> Result<(), Disconnect> {
-        let nothing_begun = between_messages && self.buffer.unread().is_empty();
-        let is_idle = nothing_begun && self.has_been_answered;
+        let at_message_boundary = between_messages && self.buffer.unread().is_empty();
+        let is_idle = at_message_boundary && self.has_been_answered;
         self.set_phase(if is_idle { ConnectionPhase::Idle } else { ConnectionPhase::Reading });
-        // A client that keeps sending is not waited for: it sends again what crosses the close.
+        // A client that keeps sending would never become idle; it retries what crosses the close.
         if is_idle && self.closing_at_last_read {
             return Err(Disconnect::Closing);
         }
         let close_request = if is_idle { CloseRequest::WhenIdle } else { CloseRequest::Now };
         let length = match self.fill_unless_closed(close_request).await {
-            Err(Disconnect::Closing) if !nothing_begun => {
+            Err(Disconnect::Closing) if !at_message_boundary => {
                 return Err(Disconnect::ProtocolViolation("the rest of a message did not come"));
             }
-            // Something came at the last moment.
+            // Input arrived at the same time as the close request.
             Err(Disconnect::Closing) if self.stream.has_input() => self.buffer.fill(&*self.stream).await?,
             filled => filled?,
         };
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Reads once, unless the connection is asked to close before that.
+    /// Reads once, unless the connection is asked to close first.
     async fn fill_unless_closed(&mut self, close_request: CloseRequest) -> Result<usize, Disconnect> {
         let stream = &*self.stream;
         let signal = &self.signal;
@@ -68,7 +68,7 @@
         fill.or(close).await
     }
 
-    /// Waits until the client has disconnected, and reads nothing; what it sends meanwhile is timed all the same.
+    /// Waits until the client has disconnected without reading its input, whose arrival time is still recorded.
     async fn wait_for_disconnect(&mut self) {
         while !self.stream.has_ended() {
             self.record_waiting_input();
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Records the bytes that wait in the system to be read: they have arrived by now.
+    /// Records the arrival of bytes in the socket's receive buffer.
     fn record_waiting_input(&mut self) {
         let waiting = self.stream.peek(&mut self.state.discard_buffer.borrow_mut());
         self.arrivals.waiting(waiting.unwrap_or(0), self.state.arrival_time());
@@ -85,26 +85,26 @@
     /// Waits for an event.
     ///
     /// # Errors
-    /// [`Disconnect::ClientGone`] if the client disconnects before it.
+    /// [`Disconnect::ClientGone`] if the client disconnects first.
     pub(crate) async fn wait_while_connected<T>(
         &mut self, event: impl Future<Output = T>,
     ) -> Result<T, Disconnect> {
-        // Without interruptions the event comes, or the client disconnects.
+        // `None` is impossible without a test for interruptions.
         self.wait_until_interrupted(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Disconnect::ClientGone)
     }
 
-    /// Waits for an event, or returns none once what the client sends meanwhile is an interruption. Without a test for
-    /// interruptions it can send none.
+    /// Waits for an event. Returns `None` as soon as `is_interruption` holds for the client's input. Without a test, no
+    /// input interrupts the wait.
     ///
     /// # Errors
-    /// [`Disconnect::ClientGone`] if the client disconnects before either.
+    /// [`Disconnect::ClientGone`] if the client disconnects first.
     pub(crate) async fn wait_until_interrupted<T>(
         &mut self, event: impl Future<Output = T>, is_interruption: Option<impl Fn(&[u8]) -> bool>,
     ) -> Result<Option<T>, Disconnect> {
         let mut event = pin!(event);
         let mut out_of_memory = false;
         loop {
-            // A router that stops answers what it has read, and reads no more requests.
+            // During a graceful shutdown no further requests are read.
             let no_more_requests = self.closing_at_last_read && is_interruption.is_none();
             let is_full = self.buffer.unread().len() >= MAX_PIPELINED_BYTES;
             let may_read = !out_of_memory && !is_full && !no_more_requests;
@@ -118,14 +118,14 @@
                         return Ok(None);
                     }
                 }
-                // That there is no memory to read what comes next is no reason to give up the request in progress.
+                // A lack of memory for further input does not abort the request in progress.
                 Err(Err(error)) if error.kind() == io::ErrorKind::OutOfMemory => out_of_memory = true,
                 Err(_) => return Err(Disconnect::ClientGone),
             }
         }
     }
 
-    /// Reads once, or waits without reading; 0 once the client has disconnected.
+    /// Reads once, or waits without reading if `may_read` is false. Returns 0 once the client has disconnected.
     async fn read_or_wait_for_disconnect(&mut self, may_read: bool) -> io::Result<usize> {
         if !may_read {
             self.wait_for_disconnect().await;
--- a/crates/comethitchd/src/protocols/connect.rs
+++ b/crates/comethitchd/src/protocols/connect.rs
@@ -12,28 +12,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// While no descriptor is free, a connection waits this long before it looks again.
+/// Interval at which a new connection polls for a free descriptor.
 const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a protocol needs of a new connection.
+/// A protocol's parameters for a new connection.
 pub(super) struct ConnectionOptions {
-    /// The most bytes that the connection's buffer may hold.
+    /// Maximum size of the connection's buffer.
     pub max_buffer_bytes: usize,
-    /// The state of a session on which nothing was sent yet.
+    /// The initial session state.
     pub session: SessionState,
 }
 
-/// Connects to a host and runs the protocol's handshake, both within the configured time. What breaks until
-/// then is known never to have run.
+/// Connects to a host and runs the protocol's handshake, both within the connect timeout.
 ///
 /// # Errors
 /// [`ConnectionError::NotSent`] if no descriptor became free, the handshake's error, or else
-/// [`ConnectionError::ConnectFailed`].
+/// [`ConnectionError::ConnectFailed`]. After any of them, no request has run.
 pub(super) async fn connect(
     state: &RouterState, address: SocketAddr, options: ConnectionOptions,
     handshake: impl AsyncFnOnce(&mut HostConnection) -> Result<(), ConnectionError>,
 ) -> Result<HostConnection, ConnectionError> {
-    let limit = state.config.deployment.connect_timeout.to_std();
+    let timeout = state.config.deployment.connect_timeout.to_std();
     let permit = acquire_descriptor(state).await?;
     let open = async {
         let stream = Socket::connect(address).await.map_err(|error| connect_error(&error))?;
@@ -49,15 +48,15 @@
         handshake(&mut connection).await?;
         Ok(connection)
     };
-    open.or(after(limit, Err(ConnectionError::ConnectFailed))).await
+    open.or(after(timeout, Err(ConnectionError::ConnectFailed))).await
 }
 
-/// A shortage of this machine is not the host's fault.
+/// Maps an error of connecting; a shortage on the router's machine must not count against the host.
 fn connect_error(error: &io::Error) -> ConnectionError {
     if is_local_shortage(error) { ConnectionError::NotSent } else { ConnectionError::ConnectFailed }
 }
 
-/// Waits for a free descriptor, no longer than a connection may take to open.
+/// Waits for a free descriptor within the connect timeout.
 async fn acquire_descriptor(state: &RouterState) -> Result<DescriptorPermit, ConnectionError> {
     let permit = async {
         loop {
@@ -67,6 +66,6 @@
             Timer::after(DESCRIPTOR_POLL_INTERVAL).await;
         }
     };
-    let limit = state.config.deployment.connect_timeout.to_std();
-    permit.or(after(limit, Err(ConnectionError::NotSent))).await
+    let timeout = state.config.deployment.connect_timeout.to_std();
+    permit.or(after(timeout, Err(ConnectionError::NotSent))).await
 }
--- a/crates/comethitchd/src/protocols/exchange.rs
+++ b/crates/comethitchd/src/protocols/exchange.rs
@@ -1,7 +1,7 @@
-//! One request to a host and its response: takes a connection from the pool or opens one, sends the request, reads the
-//! response within its timeout, and returns the connection to the pool.
+//! One message to a host and its response: takes a connection from the pool or opens one, sends the message, reads the
+//! response within a timeout, and returns the connection to the pool.
 //!
-//! What the bytes mean is the protocol's: it encodes the request, and implements [`Response`].
+//! The protocols encode the message, and parse the response by implementing [`Response`].
 
 use crate::protocols::attempt::{Attempt, SendRefused};
 use crate::protocols::streamed_answer::StreamedAnswer;
@@ -18,56 +18,55 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// A request holds how much time its client had left as it was encoded, and may be told 0.15 s more than that: one whose
-/// last byte has not left by then is given up.
-const WRITE_LIMIT: Duration = Duration::from_millis(100);
+/// Maximum time from encoding a message to writing its last byte. The message states the client's remaining time, which
+/// the rules allow to be at most 150 ms out of date.
+const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
 
-/// One request and its response, of an attempt or a health check.
+/// One message and its response, for an attempt or a health check.
 pub(super) struct Exchange<'a> {
-    /// The router.
+    /// The router's state.
     pub state: &'a RouterState,
     host: Host,
-    /// When it is given up.
-    ends_at: Timestamp,
-    /// None for a health check.
+    deadline: Timestamp,
+    /// `None` for a health check.
     attempt: Option<&'a Attempt>,
-    /// All of the request was written.
+    /// Whether the whole message was written.
     sent: Cell<bool>,
 }
 
 impl<'a> Exchange<'a> {
-    /// The exchange of an attempt, within the attempt's timeout.
+    /// Creates the exchange of an attempt, which ends at the attempt's deadline.
     pub(super) fn for_attempt(attempt: &'a Attempt) -> Exchange<'a> {
         Exchange {
             state: &attempt.state,
             host: attempt.host,
-            ends_at: attempt.deadline,
+            deadline: attempt.deadline,
             attempt: Some(attempt),
             sent: Cell::new(false),
         }
     }
 
-    /// The exchange of a health check, which may take no longer than opening a connection.
+    /// Creates the exchange of a health check, which has as long as opening a connection.
     pub(super) fn for_health_check(state: &'a RouterState, host: Host) -> Exchange<'a> {
-        let ends_at = state.clock.now() + state.config.deployment.connect_timeout;
-        Exchange { state, host, ends_at, attempt: None, sent: Cell::new(false) }
+        let deadline = state.clock.now() + state.config.deployment.connect_timeout;
+        Exchange { state, host, deadline, attempt: None, sent: Cell::new(false) }
     }
 
-    /// Where a large answer goes while it still comes. The answer to a health check is never streamed.
+    /// Returns where to stream a large answer; `None` for a health check, whose answer is never streamed.
     pub(super) fn streamed_answer(&self) -> Option<&'a StreamedAnswer> {
         self.attempt.map(|attempt| &attempt.streamed_answer)
     }
 
-    /// Runs the exchange within its timeout. An answer that is being streamed may take longer, as long as it makes
-    /// progress.
+    /// Runs the exchange up to its deadline. An answer that is being streamed may take longer while it makes progress.
     ///
     /// # Errors
-    /// The exchange's own, or one that says whether the request was sent before the time ran out.
+    /// The error of `exchange`, or at the deadline [`ConnectionError::TimedOut`] if the message was sent and
+    /// [`ConnectionError::BrokenBeforeSend`] if not.
     pub(super) async fn within_timeout<T>(
         &self, exchange: impl Future<Output = Result<T, ConnectionError>>,
     ) -> Result<T, ConnectionError> {
         let timeout = async {
-            Timer::after((self.ends_at - self.state.clock.now()).to_std()).await;
+            Timer::after((self.deadline - self.state.clock.now()).to_std()).await;
             if let Some(streamed) = self.streamed_answer() {
                 streamed.wait_until_stalled(self.state.longest_timeout.to_std()).await;
             }
@@ -79,11 +78,11 @@
         exchange.or(timeout).await
     }
 
-    /// Sends the request that `encode` gives for a connection, an idle one or one that `connect` opens, and returns the
-    /// connection.
+    /// Sends the message that `encode` returns for a connection, either an idle one or one that `connect` opens, and
+    /// returns the connection.
     ///
     /// # Errors
-    /// If the request could not be sent, or the policy no longer wants it sent once a connection was there.
+    /// If the message could not be sent, or the send check failed once a connection was available.
     pub(super) async fn send(
         &self, connect: impl AsyncFn(SocketAddr) -> Result<HostConnection, ConnectionError>,
         encode: impl Fn(&HostConnection) -> Vec<u8>,
@@ -98,19 +97,19 @@
             };
             if let Err(refused) = self.check_send() {
                 self.release(connection);
-                return Err(self.refused(refused));
+                return Err(self.record_refused(refused));
             }
             let encoded_at = self.state.clock.now();
-            let request = encode(&connection);
-            match connection.stream.write_checked(&request, || self.check_write(encoded_at)).await {
+            let message = encode(&connection);
+            match connection.stream.write_checked(&message, || self.check_write(encoded_at)).await {
                 Ok(()) => {
                     self.sent.set(true);
                     self.attempt.inspect(|attempt| attempt.verify_sent());
                     return Ok(connection);
                 }
-                // Its last byte has not left, and never will.
-                Err(WriteError::Refused(refused)) => return Err(self.refused(refused)),
-                // The host had closed an idle connection: nothing of this has run, another one will do.
+                // The last byte was not written, so the host cannot run the message.
+                Err(WriteError::Refused(refused)) => return Err(self.record_refused(refused)),
+                // The host had closed the idle connection, so nothing was run: try another connection.
                 Err(WriteError::Io(_)) if !is_new => {}
                 Err(WriteError::Io(_)) => return Err(ConnectionError::BrokenBeforeSend),
             }
@@ -121,15 +120,16 @@
         self.attempt.map_or(Ok(()), Attempt::check_send)
     }
 
-    /// Checks a request of which a part may have been written since it was encoded.
+    /// Checks before each write of a message that may already be partly written.
     fn check_write(&self, encoded_at: Timestamp) -> Result<(), SendRefused> {
-        if self.state.clock.now() - encoded_at > WRITE_LIMIT {
+        if self.state.clock.now() - encoded_at > MAX_WRITE_TIME {
             return Err(SendRefused::HostReadsSlowly);
         }
         self.check_send()
     }
 
-    fn refused(&self, refused: SendRefused) -> ConnectionError {
+    /// Records that an attempt was not sent, and returns the error that the exchange ends with.
+    fn record_refused(&self, refused: SendRefused) -> ConnectionError {
         self.attempt.inspect(|attempt| attempt.record_refused(refused));
         match refused {
             SendRefused::HostReadsSlowly => ConnectionError::BrokenBeforeSend,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Returns a connection to the pool, if the host is still listed at its address and nothing is left to read.
+    /// Returns a connection to the pool if the host is still listed at its address and no input is left unread.
     pub(super) fn release(&self, connection: HostConnection) {
         let is_listed = self.state.endpoints.borrow().is_listed_at(self.host, connection.address);
         if is_listed && connection.buffer.unread().is_empty() {
@@ -152,39 +152,40 @@
     }
 }
 
-/// How far a response has come.
+/// How much of a response is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseProgress {
     /// More bytes must be received.
     NeedsMore,
-    /// There is enough for a part to be sent to the client.
+    /// Enough is available to stream a part to the client.
     PartReady,
-    /// The host has ended the response.
+    /// The response has ended.
     Ended,
 }
 
-/// A host's response as a protocol reads it.
+/// A host's response, parsed by a protocol.
 pub(super) trait Response {
-    /// Consumes what the buffer holds of the response, up to its end or, if it is streamed, up to a part.
+    /// Consumes the buffered bytes of the response, up to its end or, if it is streamed, up to the next part.
     ///
     /// # Errors
-    /// If the host breaks the protocol, or the response is too large.
+    /// If the host violates the protocol, or the response is too large.
     fn read_buffered(
         &mut self, buffer: &mut Buffer, is_streamed: bool,
     ) -> Result<ResponseProgress, ConnectionError>;
 
-    /// Takes out what has come and may go to the client.
+    /// Removes and returns the bytes that may be sent to the client.
     fn take_part(&mut self) -> Vec<u8>;
 }
 
-/// How the reading of a response ended, while it is still wanted.
+/// How reading a response ended, as far as the host is concerned.
 pub(super) type ResponseEnd = Result<(), ConnectionError>;
 
-/// Reads a response to its end, and streams its parts to the client where it has one.
+/// Reads a response to its end, and streams its parts if `streamed` is given.
+///
+/// A failure of the host is returned as the [`ResponseEnd`], because the part that was received may still be usable.
 ///
 /// # Errors
-/// If the client does not want the answer any more. That the host fails is no error here but the returned end: what
-/// has come of the response may count.
+/// If the client no longer waits for the answer.
 pub(super) async fn read_response(
     connection: &mut HostConnection, response: &mut impl Response, streamed: Option<&StreamedAnswer>,
 ) -> Result<ResponseEnd, ConnectionError> {
@@ -214,7 +215,7 @@
 async fn receive(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     match connection.buffer.fill(&connection.stream).await {
         Ok(1..) => Ok(()),
-        // That the router is out of memory is not the host's fault.
+        // The router is short of memory, which must not count against the host.
         Err(error) if error.kind() == ErrorKind::OutOfMemory => Err(ConnectionError::TooLarge),
         Ok(0) | Err(_) => Err(ConnectionError::BrokenAfterSend),
     }
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -1,18 +1,19 @@
-//! One health check of a host: runs the protocol's exchange in a task, and reports the result to the policy.
+//! Runs one health check of a host: spawns a task for the protocol's exchange, and reports the result to the policy.
 
 use crate::stages::policy_driver;
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
 use crate::state::router_state::RouterState;
 use crate::state::step_times::EventLoopStep;
+use comethitch_policy::time::Timestamp;
 use comethitch_policy::{Host, LoadReport};
 use std::future::Future;
 use std::rc::Rc;
 
-/// How a health check ended.
+/// The result of a health check.
 pub(super) struct HealthCheckResult {
-    /// Whether the host gave a usable answer, or why not.
+    /// Whether the host gave a usable answer, or the reason why not.
     pub completion: Result<(), ConnectionError>,
-    /// What the host reported.
+    /// The host's load report.
     pub report: LoadReport,
 }
 
@@ -34,8 +35,22 @@
     }
     let outcome = attempt_outcome(&completion);
     state.record_host_outcome(host, outcome, report.role);
-    log::debug!("health check of {}: {completion:?}, {report:?}", state.endpoints.borrow().name(host));
+    log_result(&state, host, &completion, &report);
     policy_driver::call(&state, EventLoopStep::HealthChecked, |router, actions| {
         router.health_checked(host, outcome, report, actions);
     });
 }
+
+fn log_result(
+    state: &RouterState, host: Host, completion: &Result<(), ConnectionError>, report: &LoadReport,
+) {
+    let endpoints = state.endpoints.borrow();
+    log::debug!(
+        host = endpoints.name(host),
+        result:? = completion,
+        role:? = report.role,
+        position_us = report.position.map(Timestamp::as_micros),
+        queue = report.queue;
+        "health check ended"
+    );
+}
--- a/crates/comethitchd/src/protocols/mod.rs
+++ b/crates/comethitchd/src/protocols/mod.rs
@@ -1,8 +1,8 @@
-//! The wire protocols on sockets. Each protocol has a client side, which turns what clients send into requests and
-//! writes their answers, and a backend side, which sends attempts to hosts and checks their health.
+//! The wire protocols over sockets. Each protocol has a client side, which turns client messages into requests and
+//! writes the answers, and a backend side, which sends attempts to hosts and checks their health.
 //!
-//! What all protocols share: `client_connection` for clients; `attempt`, `health_check`, `connect`, `exchange`
-//! and `streamed_answer` for hosts.
+//! All protocols share `client_connection` on the client side, and `attempt`, `health_check`, `connect`, `exchange`
+//! and `streamed_answer` on the backend side.
 
 mod attempt;
 mod client_connection;
--- a/crates/comethitchd/src/protocols/postgres/backend.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks at PostgreSQL hosts.
+//! Sends attempts and health checks to PostgreSQL hosts.
 
 use crate::protocols::attempt;
 use crate::protocols::connect::{ConnectionOptions, connect};
@@ -19,10 +19,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The user and the database that the router logs in with at hosts.
+/// The user that the router logs in as.
 const USER: &str = "portal";
+/// The database that the router logs in to.
 const DATABASE: &str = "crm";
-/// What a host is asked in a health check: it answers with a load report.
+/// The query of a health check, which a host answers with a load report.
 const HEALTH_CHECK_QUERY: &[u8] = b"SHOW vitals";
 
 impl From<Result<HostResponse, ConnectionError>> for AttemptResult {
@@ -55,7 +56,7 @@
     })
 }
 
-/// Encodes the statement as it came, but with the time left where the client's own timeout stands.
+/// Encodes the statement with the client's timeout in its comment replaced by the time left.
 fn encode_query(statement: &Statement, timeout: Duration) -> Vec<u8> {
     let text = &statement.text;
     let mut query = Vec::with_capacity(text.len() + 16);
@@ -83,7 +84,7 @@
     });
 }
 
-/// Sends a query and reads its response, within the exchange's timeout.
+/// Sends a query and reads its response, within the exchange's deadline.
 async fn run(exchange: &Exchange<'_>, encode: impl Fn() -> Vec<u8>) -> Result<HostResponse, ConnectionError> {
     exchange.within_timeout(send_and_read(exchange, encode)).await
 }
@@ -108,14 +109,14 @@
     Ok(response)
 }
 
-/// What counts of a response that ended so; if it is being streamed, the rest goes to the client.
+/// Returns the usable response, and streams its remaining part if streaming has started.
 async fn finish_response(
     mut response: HostResponse, end: ResponseEnd, streamed: Option<&StreamedAnswer>,
 ) -> Result<HostResponse, ConnectionError> {
     if let Some(streamed) = streamed.filter(|streamed| streamed.has_started()) {
-        // What the client has of it is complete only once the host has said so.
+        // A streamed response is complete only after the host's `ReadyForQuery`.
         end.clone()?;
-        // An error that must not be forwarded leaves it unfinished.
+        // An error that must not be forwarded leaves the streamed response incomplete.
         if response.error_code.is_some() && response.error.is_empty() {
             return Err(ConnectionError::BrokenAfterSend);
         }
@@ -125,7 +126,7 @@
     } else if end == Err(ConnectionError::TooLarge) {
         return Err(ConnectionError::TooLarge);
     }
-    // Rows or an error count if the connection breaks behind them, but not if malformed bytes follow.
+    // Rows or an error are usable if the connection breaks after them, but not if malformed bytes follow.
     let is_usable = response.is_complete() || response.error_code.is_some();
     if !is_usable || end == Err(ConnectionError::Malformed) {
         return Err(end.err().unwrap_or(ConnectionError::Malformed));
@@ -136,7 +137,7 @@
 /// A response that is being read.
 struct PendingResponse {
     response: HostResponse,
-    /// For the rows, where these are not bounded by the shape of the response.
+    /// Memory for the rows, unless the response's shape bounds their size.
     reservation: Option<Reservation>,
 }
 
@@ -187,7 +188,7 @@
     connect(state, address, options, start_session).await
 }
 
-/// Sends the startup message, and reads the host's response up to `ReadyForQuery`.
+/// Sends the startup message, and reads the response up to `ReadyForQuery`.
 async fn start_session(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let mut startup = Vec::new();
     postgres::put_startup(&mut startup, USER, DATABASE);
@@ -195,7 +196,7 @@
     let mut pending = PendingResponse { response: HostResponse::default(), reservation: None };
     let end = read_response(connection, &mut pending, None).await?;
     let error = pending.response.error_code.map(HostErrorCode::Postgres).map(ConnectionError::HostError);
-    // Of the errors at a startup, one says more than that no session could be opened.
+    // Only an overload is distinguished from other failures of opening a session.
     match error.map(|error| error.outcome()) {
         Some(AttemptOutcome::Overloaded) => Err(ConnectionError::NoConnectionSlot),
         _ if end.is_ok() => Ok(()),
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -1,6 +1,6 @@
 //! A PostgreSQL client's session, from its startup message to its end.
 //!
-//! Only simple queries are supported; messages of the extended query protocol are answered with an error.
+//! Only the simple query protocol is supported; messages of the extended one are answered with an error.
 
 use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
 use crate::stages::admit::{AdmittedRequest, session_statement};
@@ -17,18 +17,18 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The answer to a request for encryption: it is not supported.
+/// The answer to a request for encryption, which is not supported.
 const ENCRYPTION_DECLINED: &[u8] = b"N";
 
-/// The SQLSTATEs that clients are answered with.
+/// The SQLSTATEs of the router's own errors.
 mod sqlstate {
     /// `protocol_violation`.
     pub(super) const PROTOCOL_VIOLATION: &str = "08P01";
     /// `feature_not_supported`.
     pub(super) const NOT_SUPPORTED: &str = "0A000";
-    /// `statement_completion_unknown`: the request has failed, and may have run.
+    /// `statement_completion_unknown`: the request failed, and may have run.
     pub(super) const FAILED: &str = "40003";
-    /// `too_many_connections`: throttled, nothing has run.
+    /// `too_many_connections`: the request was throttled, and has not run.
     pub(super) const THROTTLED: &str = "53300";
     /// `query_canceled`.
     pub(super) const CANCELLED: &str = "57014";
@@ -36,11 +36,11 @@
 
 struct Session {
     connection: ClientConnection,
-    /// A message that is not supported came: all messages up to the next Sync are skipped.
+    /// Whether messages are skipped up to the next Sync, after one that is not supported.
     skips_to_sync: bool,
 }
 
-/// Serves a client. It is registered by this call, before the first poll.
+/// Serves a client. The client is registered by this call, before the future is polled.
 pub(super) fn serve(
     state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
@@ -50,7 +50,7 @@
 
 async fn run(mut session: Session) {
     let disconnect = match session.start().await {
-        Ok(()) => session.converse().await,
+        Ok(()) => session.serve_messages().await,
         Err(disconnect) => disconnect,
     };
     session.connection.close(disconnect, encode_closing_error).await;
@@ -67,7 +67,7 @@
 }
 
 impl Session {
-    /// Carries out the startup, or a request to cancel another session's request.
+    /// Handles messages up to the start of the session, or a request to cancel another session's query.
     async fn start(&mut self) -> Result<(), Disconnect> {
         loop {
             let unread = self.connection.buffer.unread();
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Cancels another session's request. By the protocol, no reply is sent to whoever requests it.
+    /// Cancels another session's request. The protocol defines no reply to a cancel request.
     fn cancel_request(&self, length: usize) {
-        let request = &self.connection.buffer.unread()[..length];
-        if let Some(target) = postgres::cancel_target(request) {
+        let message = &self.connection.buffer.unread()[..length];
+        if let Some(target) = postgres::cancel_target(message) {
             self.connection.state.clients.cancel_request(target.connection, target.key);
         }
     }
@@ -107,7 +107,7 @@
         self.connection.write(&out).await
     }
 
-    async fn converse(&mut self) -> Disconnect {
+    async fn serve_messages(&mut self) -> Disconnect {
         loop {
             if let Err(disconnect) = self.handle_message().await {
                 return disconnect;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Handles the next message, or waits for more of it.
+    /// Handles the next message, or waits for more input if it is incomplete.
     async fn handle_message(&mut self) -> Result<(), Disconnect> {
         let Some(message) = postgres::message(self.connection.buffer.unread())? else {
             return self.connection.wait_for_input().await;
@@ -138,7 +138,7 @@
         self.connection.write(&reply).await
     }
 
-    /// The reply to a message that is no query, empty if there is none.
+    /// Returns the reply to a message other than a query; empty if there is none.
     fn reply_to(&mut self, kind: u8) -> Result<Vec<u8>, Disconnect> {
         let mut out = Vec::new();
         match kind {
@@ -153,7 +153,7 @@
             | frontend::EXECUTE
             | frontend::CLOSE
             | frontend::FUNCTION_CALL => {
-                // One error for all messages up to the next Sync.
+                // The protocol allows only one error up to the next Sync.
                 if !self.skips_to_sync {
                     let text = "only simple queries are spoken here";
                     postgres::put_error(&mut out, &ErrorFields::error(sqlstate::NOT_SUPPORTED, text));
@@ -182,14 +182,14 @@
         self.connection.write(&out).await
     }
 
-    /// Runs a statement as a request, if it is admitted, and writes its answer to `out`.
+    /// Runs a statement as a request if it is admitted, and appends the answer to `out`.
     async fn run_statement(&mut self, text: Vec<u8>, out: &mut Vec<u8>) -> Result<(), Disconnect> {
         match self.connection.admit(&text, &[])? {
             Admission::Admitted(request) => self.run_request(request, text, out).await?,
             Admission::Throttled => put_reply(out, Reply::Throttled(None)),
             Admission::Invalid(error) => {
                 let text = error.to_string();
-                self.connection.record_rejection(&text)?;
+                self.connection.record_invalid_statement(&text)?;
                 postgres::put_error(out, &ErrorFields::error(error.sqlstate(), &text));
             }
         }
@@ -224,8 +224,8 @@
         Ok(())
     }
 
-    /// Forwards a large value part by part. If its end does not come, closing the connection tells the client that the
-    /// value is not complete.
+    /// Forwards a large value in parts. If its end does not arrive, the connection must be closed, which tells the client
+    /// that the value is incomplete.
     async fn stream_value(&self, first: &[u8], parts: &Receiver<ValuePart>) -> Result<(), Disconnect> {
         self.connection.write(first).await?;
         while let Ok(part) = parts.recv().await {
@@ -242,12 +242,12 @@
     text.iter().all(|b| b.is_ascii_whitespace() || *b == b';')
 }
 
-/// Writes a request's answer, short of `ReadyForQuery`.
+/// Appends a request's answer without the final `ReadyForQuery`.
 fn put_reply(out: &mut Vec<u8>, reply: Reply) {
     match reply {
         Reply::Value(value) if out.is_empty() => *out = value,
         Reply::Value(value) => out.extend(value),
-        // Its parts are forwarded before it comes here.
+        // Unreachable: `stream_value` handles it.
         Reply::Streaming(first, _) => out.extend(first),
         Reply::FailedWithHostError(error) => out.extend(error),
         Reply::Cancelled => {
--- a/crates/comethitchd/src/protocols/postgres/mod.rs
+++ b/crates/comethitchd/src/protocols/postgres/mod.rs
@@ -14,7 +14,7 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The PostgreSQL protocol, on both sides.
+/// The PostgreSQL protocol, for clients and hosts.
 pub struct Postgres;
 
 impl ClientProtocol<RouterState> for Postgres {
--- a/crates/comethitchd/src/protocols/streamed_answer.rs
+++ b/crates/comethitchd/src/protocols/streamed_answer.rs
@@ -1,9 +1,9 @@
-//! Streaming of large answers: past a threshold, the parts of an answer go to the client while the rest still comes
-//! from the host, each once the part before it is written. Memory stays bounded however large the answer is and however
-//! slow its client.
+//! Streaming of large answers: beyond a size threshold, an answer is sent to the client in parts while the host is still
+//! sending the rest. Each part waits until the previous one is written, so memory stays bounded regardless of the size
+//! of the answer and the speed of the client.
 //!
-//! The first part is the request's final answer: the policy is notified that the request was answered, and no other attempt
-//! is sent for it. If the host fails midway, the client's connection is closed.
+//! The first part commits the request to this attempt: the policy is notified that the request was answered, and no
+//! other attempt is sent. If the host fails midway, the client's connection is closed.
 
 use crate::stages::{policy_driver, reply};
 use crate::state::host_connection::ConnectionError;
@@ -17,21 +17,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An answer of fewer bytes is not streamed: until it is complete, another host may still answer in its place.
+/// Size from which an answer is streamed. A smaller one is sent once complete, so that another host can still answer
+/// in its place until then.
 pub(super) const STREAMING_THRESHOLD_BYTES: usize = 256 * 1024;
 
-/// The answer to one attempt, streamed if it becomes large.
+/// The answer to one attempt, which is streamed if it becomes large.
 pub(super) struct StreamedAnswer {
     state: Rc<RouterState>,
     request: RequestId,
     attempt: u16,
-    /// Where further parts go, once the first one is sent.
+    /// Sends the parts after the first one; `None` until the first one is sent.
     parts: RefCell<Option<Sender<ValuePart>>>,
     last_progress: Cell<Timestamp>,
 }
 
 impl StreamedAnswer {
-    /// The answer to this attempt, of which nothing is sent yet.
+    /// Creates the answer to an attempt, with nothing sent yet.
     pub(super) fn new(state: &Rc<RouterState>, request: RequestId, attempt: u16) -> StreamedAnswer {
         StreamedAnswer {
             state: state.clone(),
@@ -42,15 +43,15 @@
         }
     }
 
-    /// Whether the first part was sent.
+    /// Returns whether the first part was sent.
     pub(super) fn has_started(&self) -> bool {
         self.parts.borrow().is_some()
     }
 
-    /// Sends a part to the client, once the part before it is written.
+    /// Sends a part to the client, once the previous part is written.
     ///
     /// # Errors
-    /// [`ConnectionError::Cancelled`] if the request has another answer or no client any more.
+    /// [`ConnectionError::Cancelled`] if the request was already answered or its client has disconnected.
     pub(super) async fn send_part(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         let parts = self.parts.borrow().clone();
         match parts {
@@ -71,10 +72,10 @@
         Ok(())
     }
 
-    /// Sends the last part.
+    /// Sends the last part, and marks the answer as complete.
     ///
     /// # Errors
-    /// [`ConnectionError::Cancelled`] if the request has another answer or no client any more.
+    /// [`ConnectionError::Cancelled`] if the request was already answered or its client has disconnected.
     pub(super) async fn finish(&self, bytes: Vec<u8>) -> Result<(), ConnectionError> {
         self.send_part(bytes).await?;
         let parts = self.parts.borrow().clone();
@@ -84,11 +85,11 @@
         }
     }
 
-    /// Waits until no part was sent for this long; returns at once if the answer is not being streamed.
-    pub(super) async fn wait_until_stalled(&self, patience: Duration) {
+    /// Waits until no part was sent for a whole `stall_timeout`; returns at once if the answer is not being streamed.
+    pub(super) async fn wait_until_stalled(&self, stall_timeout: Duration) {
         while self.has_started() {
             let before = self.last_progress.get();
-            Timer::after(patience).await;
+            Timer::after(stall_timeout).await;
             if self.last_progress.get() == before {
                 break;
             }
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -1,6 +1,7 @@
-//! Attempts and health checks at TDS hosts.
+//! Sends attempts and health checks to TDS hosts.
 
 use super::host_login::log_in;
+use super::packet_buffer;
 use super::pending_response::PendingResponse;
 use super::response::{FirstRow, HostResponse};
 use super::settings::TdsSettings;
@@ -21,17 +22,17 @@
 use std::rc::Rc;
 
 /// A message to a host.
-struct Request<'a> {
+struct HostMessage<'a> {
     kind: MessageKind,
     payload: &'a [u8],
 }
 
-impl Request<'_> {
-    /// The message's packets on this connection.
+impl HostMessage<'_> {
+    /// Encodes the message as packets for a connection.
     fn encode(&self, connection: &HostConnection) -> Vec<u8> {
-        // What another client's request left in the session is reset before this one runs.
+        // Session state left by another client's request is reset before this one runs.
         let status = if connection.session.reused { status::RESET } else { 0 };
-        let mut packets = Vec::with_capacity(self.payload.len() + self.payload.len() / 64 + 16);
+        let mut packets = packet_buffer(self.payload.len());
         put_parts(&mut packets, self.kind, connection.session.packet_size, self.payload, status, true);
         packets
     }
@@ -44,8 +45,8 @@
     let settings = settings.clone();
     attempt::start(state, request, host, timeout, |attempt| async move {
         let kind = MessageKind::from_code(attempt.statement.message_kind).unwrap_or(MessageKind::Batch);
-        let request = Request { kind, payload: &attempt.statement.text };
-        run(&Exchange::for_attempt(&attempt), &settings, &request).await.into()
+        let message = HostMessage { kind, payload: &attempt.statement.text };
+        run(&Exchange::for_attempt(&attempt), &settings, &message).await.into()
     })
 }
 
@@ -71,20 +72,21 @@
     health_check::start(state, host, move |state| async move {
         let mut payload = Vec::new();
         Batch::put(&mut payload, &settings.probe.sql);
-        let request = Request { kind: MessageKind::Batch, payload: &payload };
-        let response = run(&Exchange::for_health_check(&state, host), &settings, &request).await;
+        let message = HostMessage { kind: MessageKind::Batch, payload: &payload };
+        let response = run(&Exchange::for_health_check(&state, host), &settings, &message).await;
         let row = response.as_ref().ok().and_then(|response| response.first_row.as_ref());
         let report = row.map(|row| parse_report(row, &settings.probe.primary)).unwrap_or_default();
         let mut completion = AttemptResult::from(response).completion;
         if completion.is_ok() && report.role.is_none() {
-            // Without a role it says nothing: the query is not what it should be.
+            // The operator's query does not return a role as its first column.
             completion = Err(ConnectionError::Malformed);
         }
         HealthCheckResult { completion, report }
     });
 }
 
-/// The role and the position, in milliseconds, that the row of a health check gives.
+/// Reads the role and the position, in milliseconds of Unix time, from the row of a health check. `primary` is the
+/// role's text at a primary.
 fn parse_report(row: &FirstRow, primary: &str) -> LoadReport {
     let is_primary = match &row.first {
         Value::Text(role) => Some(role.trim().eq_ignore_ascii_case(primary)),
@@ -99,24 +101,24 @@
     };
     LoadReport {
         role: is_primary.map(|is_primary| if is_primary { Role::Primary } else { Role::Replica }),
-        // A position may have been rounded up by less than its unit; one of zero is none.
+        // The host may have rounded its position up to a full millisecond. Zero means that it has none.
         position: position_ms.and_then(|ms| ms.checked_sub(1)).map(Timestamp::from_millis),
         queue: None,
     }
 }
 
-/// Sends a message and reads its response, within the exchange's timeout.
+/// Sends a message and reads its response, within the exchange's deadline.
 async fn run(
-    exchange: &Exchange<'_>, settings: &TdsSettings, request: &Request<'_>,
+    exchange: &Exchange<'_>, settings: &TdsSettings, message: &HostMessage<'_>,
 ) -> Result<HostResponse, ConnectionError> {
-    exchange.within_timeout(send_and_read(exchange, settings, request)).await
+    exchange.within_timeout(send_and_read(exchange, settings, message)).await
 }
 
 async fn send_and_read(
-    exchange: &Exchange<'_>, settings: &TdsSettings, request: &Request<'_>,
+    exchange: &Exchange<'_>, settings: &TdsSettings, message: &HostMessage<'_>,
 ) -> Result<HostResponse, ConnectionError> {
     let connect = async |address| connect_to_host(exchange.state, settings, address).await;
-    let mut connection = exchange.send(connect, |connection| request.encode(connection)).await?;
+    let mut connection = exchange.send(connect, |connection| message.encode(connection)).await?;
     connection.session.reused = true;
     let mut pending = PendingResponse::new(exchange.state);
     let streamed = exchange.streamed_answer();
@@ -129,11 +131,11 @@
     Ok(response)
 }
 
-/// What counts of a response that ended so; if it is being streamed, the rest goes to the client.
+/// Returns the usable response, and streams its remaining part if streaming has started.
 async fn finish_response(
     mut response: HostResponse, end: ResponseEnd, streamed: Option<&StreamedAnswer>,
 ) -> Result<HostResponse, ConnectionError> {
-    // A response whose last token has come counts, whatever becomes of its connection.
+    // A response with its last token is usable even if the connection breaks right after it.
     if !response.is_complete() || end == Err(ConnectionError::TooLarge) {
         return Err(end.err().unwrap_or(ConnectionError::Malformed));
     }
@@ -143,7 +145,7 @@
     Ok(response)
 }
 
-/// Whether the response holds an error with which the host ends the connection.
+/// Returns whether the response contains an error after which the host closes the connection.
 fn closes_connection(response: &HostResponse) -> bool {
     let error = response.error.clone().map(ConnectionError::HostError);
     error.is_some_and(|error| error.outcome() == AttemptOutcome::ConnectionReset)
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -1,32 +1,32 @@
 //! Opens a client's session: PRELOGIN, then LOGIN7. Clients are admitted whatever their name and password are.
 
 use super::reply::{SERVER_NAME, change, class, encode_packets, put_failure};
-use super::{ClientMessage, Session, request};
+use super::{ClientMessage, Session, operation};
 use crate::protocols::client_connection::Disconnect;
 use comethitch_tds::login::{Encryption, Login, MAX_LOGIN_BYTES, Prelogin, VERSION};
 use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MIN_PACKET_BYTES, MessageKind};
 use comethitch_tds::token::code;
 use comethitch_tds::write::{put_change, put_change_bytes, put_done, put_login_ack};
 
-/// The version that is sent to clients as the server's.
+/// The server version that is sent to clients.
 const SERVER_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
 /// The collation of a session: Latin, case-insensitive.
 const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
 const LANGUAGE: &str = "us_english";
-/// The database that a session is in before its login.
+/// The database of a session before its login.
 const INITIAL_DATABASE: &str = "master";
-/// The number of the error "login failed".
+/// The error number of "login failed".
 const LOGIN_FAILED: i32 = 18_456;
 
 impl Session {
-    /// Carries the login out, up to the point from which requests may come.
+    /// Performs the login, after which the client may send requests.
     pub(super) async fn log_in(&mut self) -> Result<(), Disconnect> {
         self.answer_prelogin().await?;
         let login = self.read_login().await?;
         if login.integrated {
             return self.reject_login().await;
         }
-        // Until an endpoint list is held, no request could be served.
+        // No request can be served before the first endpoint list.
         let state = self.connection.state.clone();
         self.connection.wait_while_connected(state.ready.wait()).await?;
         let packet_size = self.negotiate_packet_size(&login);
@@ -39,7 +39,7 @@
     async fn answer_prelogin(&mut self) -> Result<(), Disconnect> {
         let payload =
             self.read_login_message(MessageKind::Prelogin, "a connection begins with a PRELOGIN").await?;
-        Prelogin::read(&payload).map_err(request::protocol_violation)?;
+        Prelogin::read(&payload).map_err(operation::protocol_violation)?;
         let answer =
             Prelogin { version: SERVER_VERSION, encryption: Encryption::NotSupported, ..Prelogin::default() };
         let mut payload = Vec::new();
@@ -50,10 +50,13 @@
     async fn read_login(&mut self) -> Result<Login, Disconnect> {
         let payload =
             self.read_login_message(MessageKind::Login, "a PRELOGIN is followed by a LOGIN7").await?;
-        Login::read(&payload).map_err(request::protocol_violation)
+        Login::read(&payload).map_err(operation::protocol_violation)
     }
 
-    /// Reads a message that must be of this kind, or else the client has broken the protocol in this way.
+    /// Reads a message of the expected kind.
+    ///
+    /// # Errors
+    /// [`Disconnect::ProtocolViolation`] with the text `violation` for any other kind.
     async fn read_login_message(
         &mut self, expected: MessageKind, violation: &'static str,
     ) -> Result<Vec<u8>, Disconnect> {
@@ -72,7 +75,7 @@
         Err(Disconnect::Closing)
     }
 
-    /// The packet size that the client asks for, within the protocol's and the operator's limits.
+    /// Returns the packet size that the client requests, clamped to the limits of the protocol and the operator.
     fn negotiate_packet_size(&self, login: &Login) -> usize {
         match usize::try_from(login.packet_size).unwrap_or(INITIAL_PACKET_BYTES) {
             0 => INITIAL_PACKET_BYTES,
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -1,11 +1,12 @@
 //! A TDS client's session, from its PRELOGIN to its end: reads messages, runs requests, and writes answers.
 //!
-//! [`login`] opens the session, [`request`] tells what a message asks for, and [`reply`] encodes answers.
+//! [`login`] opens the session, [`operation`] parses messages, and [`reply`] encodes answers.
 
 mod login;
+mod operation;
 mod reply;
-mod request;
 
+use super::packet_buffer;
 use super::prepared::PreparedStatements;
 use super::settings::TdsSettings;
 use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
@@ -22,43 +23,43 @@
 };
 use comethitch_tds::token::code;
 use comethitch_tds::write::put_change_bytes;
+use operation::{Operation, Statement};
 use reply::{DONE_TOKEN_BYTES, ReplyEncoder, ReplyFraming, change, class};
-use request::{Request, Statement};
 use std::future::Future;
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The largest batch or call that is accepted.
+/// Maximum payload of a batch or a call.
 const MAX_REQUEST_BYTES: usize = 512 * 1024;
-/// The bits of a message's status that ask for the session to be reset.
+/// The status bits with which a message requests a reset of the session.
 const RESET_BITS: u8 = status::RESET | status::RESET_KEEPING_TRANSACTION;
 
 struct Session {
     connection: ClientConnection,
     settings: Rc<TdsSettings>,
-    /// The negotiated packet size in bytes.
+    /// Negotiated packet size in bytes.
     packet_size: usize,
     prepared: PreparedStatements,
 }
 
-/// A message as a client sent it.
+/// A message from a client.
 struct ClientMessage {
     kind: MessageKind,
-    /// The status of its first packet, and whether any packet says that the client gave the message up.
+    /// The status bits of the first packet, with [`status::IGNORE`] set if any packet had it.
     status: u8,
     payload: Vec<u8>,
 }
 
-/// How a request ended for its client.
+/// How an operation ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum CommandEnd {
-    /// Its answer stands in the tokens to be written.
+enum OperationEnd {
+    /// The tokens of its answer are ready to be written.
     Answered,
     /// The client cancelled it by an attention.
     Cancelled,
 }
 
-/// Serves a client. It is registered by this call, before the first poll.
+/// Serves a client. The client is registered by this call, before the future is polled.
 pub(super) fn serve(
     state: Rc<RouterState>, settings: Rc<TdsSettings>, stream: Async<TcpStream>, permit: DescriptorPermit,
 ) -> impl Future<Output = ()> {
@@ -69,7 +70,7 @@
 
 async fn run(mut session: Session) {
     let disconnect = match session.log_in().await {
-        Ok(()) => session.converse().await,
+        Ok(()) => session.serve_messages().await,
         Err(disconnect) => disconnect,
     };
     let packet_size = session.packet_size;
@@ -87,33 +88,33 @@
 }
 
 impl Session {
-    /// Reads the next message to its end.
+    /// Reads the next message completely.
     async fn read_message(&mut self, max_bytes: usize) -> Result<ClientMessage, Disconnect> {
-        let mut message = MessageAssembler::new(max_bytes);
+        let mut assembler = MessageAssembler::new(max_bytes);
         let mut reservation = Reservation::new(&self.connection.state.memory);
         loop {
             let consumed =
-                message.take(self.connection.buffer.unread()).map_err(request::protocol_violation)?;
+                assembler.take(self.connection.buffer.unread()).map_err(operation::protocol_violation)?;
             self.connection.consume(consumed);
-            if !reservation.resize_to(message.payload().len()) {
+            if !reservation.resize_to(assembler.payload().len()) {
                 return Err(Disconnect::Io(std::io::ErrorKind::OutOfMemory.into()));
             }
-            if message.is_complete() {
+            if assembler.is_complete() {
                 break;
             }
-            // Between two messages the connection is idle, within one it is not.
-            self.connection.wait_for_more(message.is_empty()).await?;
+            // The connection counts as idle between messages, but not within one.
+            self.connection.wait_for_more(assembler.is_empty()).await?;
         }
-        let kind = message.kind().unwrap_or(MessageKind::Batch);
-        let status = message.status();
-        Ok(ClientMessage { kind, status, payload: message.finish() })
+        let kind = assembler.kind().unwrap_or(MessageKind::Batch);
+        let status = assembler.status();
+        Ok(ClientMessage { kind, status, payload: assembler.finish() })
     }
 
     async fn write_tokens(&self, tokens: &[u8]) -> Result<(), Disconnect> {
         self.connection.write(&reply::encode_packets(self.packet_size, tokens)).await
     }
 
-    async fn converse(&mut self) -> Disconnect {
+    async fn serve_messages(&mut self) -> Disconnect {
         loop {
             if let Err(disconnect) = self.handle_message().await {
                 return disconnect;
@@ -128,36 +129,38 @@
         if resets_session {
             self.prepared.clear();
         }
-        // The client gave the message up while it sent it: nothing of it runs.
+        // The client abandoned the message while sending it, so nothing of it may run.
         if message.status & status::IGNORE != 0 {
             return Ok(());
         }
-        // An attention here has crossed the answer: nothing is left to cancel.
+        // This attention crossed the answer on the network; there is nothing to cancel any more.
         if message.kind == MessageKind::Attention {
             return self.acknowledge_attention().await;
         }
-        let request = request::parse(message.kind, message.payload, &mut self.prepared)?;
+        let operation = operation::parse(message.kind, message.payload, &mut self.prepared)?;
         let mut tokens = Vec::new();
         if resets_session {
             put_change_bytes(&mut tokens, change::SESSION_RESET, &[], &[]);
         }
-        match self.answer(request, &mut tokens).await? {
-            CommandEnd::Answered => self.write_tokens(&tokens).await,
-            CommandEnd::Cancelled => self.acknowledge_attention().await,
+        match self.perform(operation, &mut tokens).await? {
+            OperationEnd::Answered => self.write_tokens(&tokens).await,
+            OperationEnd::Cancelled => self.acknowledge_attention().await,
         }
     }
 
-    /// Carries a request out, and writes its answer to `tokens`.
-    async fn answer(&mut self, request: Request, tokens: &mut Vec<u8>) -> Result<CommandEnd, Disconnect> {
-        match request {
-            Request::AnsweredLocally(answer) => tokens.extend(answer),
-            Request::Rejected { reason, framing } => self.reject(tokens, &reason, framing)?,
-            Request::Run(statement) => return self.run_statement(statement, tokens).await,
+    /// Performs an operation, and appends its answer to `tokens`.
+    async fn perform(
+        &mut self, operation: Operation, tokens: &mut Vec<u8>,
+    ) -> Result<OperationEnd, Disconnect> {
+        match operation {
+            Operation::AnsweredLocally(answer) => tokens.extend(answer),
+            Operation::Rejected { reason, framing } => self.reject(tokens, &reason, framing)?,
+            Operation::Run(statement) => return self.run_statement(statement, tokens).await,
         }
-        Ok(CommandEnd::Answered)
+        Ok(OperationEnd::Answered)
     }
 
-    /// Tells the client that its request is cancelled.
+    /// Acknowledges to the client that its request is cancelled.
     async fn acknowledge_attention(&mut self) -> Result<(), Disconnect> {
         let mut tokens = Vec::new();
         reply::put_attention_acknowledgement(&mut tokens);
@@ -169,13 +172,13 @@
     ) -> Result<(), Disconnect> {
         let number = self.settings.numbers.refused;
         reply::put_failure(tokens, number, class::ERROR, reason, framing.done_code());
-        self.connection.record_rejection(reason)
+        self.connection.record_invalid_statement(reason)
     }
 
-    /// Runs a statement as a request, if it is admitted, and writes its answer to `tokens`.
+    /// Runs a statement as a request if it is admitted, and appends the answer to `tokens`.
     async fn run_statement(
         &mut self, statement: Statement, tokens: &mut Vec<u8>,
-    ) -> Result<CommandEnd, Disconnect> {
+    ) -> Result<OperationEnd, Disconnect> {
         let framing = statement.framing;
         match self.connection.admit(statement.text.as_bytes(), &statement.arguments)? {
             Admission::Admitted(request) => return self.run_request(request, statement, tokens).await,
@@ -185,7 +188,7 @@
             }
             Admission::Invalid(error) => self.reject(tokens, &error.to_string(), framing)?,
         }
-        Ok(CommandEnd::Answered)
+        Ok(OperationEnd::Answered)
     }
 
     fn reply_encoder(&self, framing: ReplyFraming, is_idempotent: bool) -> ReplyEncoder {
@@ -194,7 +197,7 @@
 
     async fn run_request(
         &mut self, request: AdmittedRequest, statement: Statement, tokens: &mut Vec<u8>,
-    ) -> Result<CommandEnd, Disconnect> {
+    ) -> Result<OperationEnd, Disconnect> {
         let state = self.connection.state.clone();
         let framing = statement.framing;
         let shape = request.shape.as_ref();
@@ -205,17 +208,17 @@
         let end = match waited {
             Ok(Some(Ok(Reply::Streaming(first, parts)))) => {
                 self.stream_value(tokens, first, &parts, framing).await?;
-                CommandEnd::Answered
+                OperationEnd::Answered
             }
             Ok(Some(Ok(reply))) => {
                 self.reply_encoder(framing, is_idempotent).put(tokens, reply);
-                CommandEnd::Answered
+                OperationEnd::Answered
             }
             Ok(None) => {
                 policy_driver::client_disconnected(&state, id);
-                // The attention is consumed here; its acknowledgement is the one answer.
+                // Consumes the attention, whose acknowledgement is the only answer.
                 self.read_message(HEADER_BYTES).await?;
-                CommandEnd::Cancelled
+                OperationEnd::Cancelled
             }
             _ => {
                 policy_driver::client_disconnected(&state, id);
@@ -226,8 +229,8 @@
         Ok(end)
     }
 
-    /// Forwards a large value part by part, all but its last token, which is left in `tokens`: a handle may have to come
-    /// before it. If its end does not come, closing the connection tells the client that the value is not complete.
+    /// Forwards a large value in parts. Its last token is left in `tokens`, because a handle may have to precede it. If
+    /// the end of the value does not arrive, the connection must be closed, which tells the client that it is incomplete.
     async fn stream_value(
         &mut self, tokens: &mut Vec<u8>, first: Vec<u8>, parts: &Receiver<ValuePart>, framing: ReplyFraming,
     ) -> Result<(), Disconnect> {
@@ -247,13 +250,13 @@
         Ok(())
     }
 
-    /// Writes all tokens but as many bytes as the last one takes, without ending the message.
+    /// Writes all tokens except for the length of the last one, without ending the message.
     async fn write_all_but_last_token(&mut self, tokens: &mut Vec<u8>) -> Result<(), Disconnect> {
         if tokens.len() <= DONE_TOKEN_BYTES {
             return Ok(());
         }
         let rest = tokens.split_off(tokens.len() - DONE_TOKEN_BYTES);
-        let mut packets = reply::packet_buffer(tokens.len());
+        let mut packets = packet_buffer(tokens.len());
         put_parts(&mut packets, MessageKind::Response, self.packet_size, tokens, 0, false);
         *tokens = rest;
         self.connection.write(&packets).await
--- a/crates/comethitchd/src/protocols/tds/client/request.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -1,5 +1,5 @@
-//! Parses what a client's message asks for: a statement to be run as a request, something that the router answers by
-//! itself, or something that is not supported.
+//! Parses a client's message: a statement to run at a host, an operation that the router answers locally, or one that is
+//! not supported.
 
 use super::reply::{ReplyFraming, put_handle};
 use crate::protocols::client_connection::Disconnect;
@@ -13,7 +13,7 @@
 use comethitch_tds::types::Value;
 use comethitch_tds::write::{put_done, put_return_status};
 
-/// Batches that only set options of the session are not longer than this.
+/// Maximum size of a batch that is checked for containing only session options.
 const MAX_SETTINGS_BYTES: usize = 4 * 1024;
 /// The return status of a procedure that succeeded.
 const SUCCESS: i32 = 0;
@@ -22,47 +22,47 @@
 const NO_MEMORY_FOR_PREPARED: &str = "no room for one more prepared statement";
 const UNKNOWN_HANDLE: &str = "no statement of this handle is prepared";
 
-/// What a message asks for.
-pub(super) enum Request {
-    /// A statement that hosts are to run.
+/// An operation that a client's message requests.
+pub(super) enum Operation {
+    /// Run a statement at a host.
     Run(Statement),
-    /// Something that the router answers by itself, with these tokens.
+    /// Answered by the router itself, with these tokens.
     AnsweredLocally(Vec<u8>),
-    /// Something that is not supported, for this reason.
+    /// Not supported.
     Rejected {
-        /// The text of the error that the client is answered with.
+        /// The text of the error sent to the client.
         reason: String,
         /// How the answer is framed.
         framing: ReplyFraming,
     },
 }
 
-/// A statement that hosts are to run.
+/// A statement to run at a host.
 pub(super) struct Statement {
-    /// Its text, by which it is admitted.
+    /// The text, by which the statement is admitted.
     pub text: String,
-    /// The values of its parameters by name, as far as they are known.
+    /// The values of the parameters by name; `None` for a value of a type that is not decoded.
     pub arguments: Vec<(String, Option<Vec<u8>>)>,
-    /// The kind of the message that hosts get for it.
+    /// The kind of the message to the host.
     pub kind: MessageKind,
-    /// The payload of that message.
+    /// The payload of the message to the host.
     pub payload: Vec<u8>,
     /// How the answer is framed.
     pub framing: ReplyFraming,
 }
 
-/// A message that breaks the protocol ends the connection.
+/// Converts a malformed message into the reason for closing its connection.
 pub(super) fn protocol_violation(malformed: MalformedMessage) -> Disconnect {
     Disconnect::ProtocolViolation(malformed.0)
 }
 
-/// Parses a message.
+/// Parses a message into the operation that it requests.
 ///
 /// # Errors
-/// If it breaks the protocol.
+/// If the message violates the protocol.
 pub(super) fn parse(
     kind: MessageKind, payload: Vec<u8>, prepared: &mut PreparedStatements,
-) -> Result<Request, Disconnect> {
+) -> Result<Operation, Disconnect> {
     match kind {
         MessageKind::Batch => parse_batch(payload),
         MessageKind::Rpc => parse_call(payload, prepared),
@@ -75,26 +75,26 @@
     }
 }
 
-fn rejected(framing: ReplyFraming, reason: &str) -> Request {
-    Request::Rejected { reason: reason.into(), framing }
+fn rejected(framing: ReplyFraming, reason: &str) -> Operation {
+    Operation::Rejected { reason: reason.into(), framing }
 }
 
-fn call_rejected(reason: &str) -> Request {
+fn call_rejected(reason: &str) -> Operation {
     rejected(ReplyFraming::Call, reason)
 }
 
-fn parse_batch(payload: Vec<u8>) -> Result<Request, Disconnect> {
+fn parse_batch(payload: Vec<u8>) -> Result<Operation, Disconnect> {
     let batch = Batch::read(&payload).map_err(protocol_violation)?;
     if batch.headers.transaction != 0 {
         return Ok(rejected(ReplyFraming::Batch, NO_TRANSACTION));
     }
-    // Options of a session have no effect here: each request runs in a session that was reset.
+    // Session options have no effect, because each request runs in a session that was reset.
     if is_empty_or_settings(&batch.text) {
         let mut tokens = Vec::new();
         put_done(&mut tokens, code::DONE, 0, 0);
-        return Ok(Request::AnsweredLocally(tokens));
+        return Ok(Operation::AnsweredLocally(tokens));
     }
-    Ok(Request::Run(Statement {
+    Ok(Operation::Run(Statement {
         text: batch.text,
         arguments: Vec::new(),
         kind: MessageKind::Batch,
@@ -103,7 +103,7 @@
     }))
 }
 
-fn parse_call(payload: Vec<u8>, prepared: &mut PreparedStatements) -> Result<Request, Disconnect> {
+fn parse_call(payload: Vec<u8>, prepared: &mut PreparedStatements) -> Result<Operation, Disconnect> {
     let call = Call::read(&payload).map_err(protocol_violation)?;
     if call.more {
         return Ok(call_rejected("several calls in one message are not carried"));
@@ -111,7 +111,7 @@
     if call.headers.transaction != 0 {
         return Ok(call_rejected(NO_TRANSACTION));
     }
-    let request = match &call.procedure {
+    let operation = match &call.procedure {
         Procedure::System(SystemProcedure::ExecuteSql) => execute_sql(&call, payload),
         Procedure::System(SystemProcedure::Prepare) => prepare(&call, prepared),
         Procedure::System(SystemProcedure::Execute) => execute_prepared(&call, &payload, prepared),
@@ -120,15 +120,15 @@
         Procedure::System(SystemProcedure::Cursor) => call_rejected("cursors are not carried"),
         Procedure::Named(name) => call_procedure(name, payload),
     };
-    Ok(request)
+    Ok(operation)
 }
 
-/// `sp_executesql`: the statement is forwarded as it came.
-fn execute_sql(call: &Call, payload: Vec<u8>) -> Request {
+/// `sp_executesql`: forwards the call unchanged.
+fn execute_sql(call: &Call, payload: Vec<u8>) -> Operation {
     let Some(text) = call.statement() else {
         return call_rejected("sp_executesql without a statement");
     };
-    Request::Run(Statement {
+    Operation::Run(Statement {
         text: text.to_string(),
         arguments: argument_values(call, call.declarations().unwrap_or_default()),
         kind: MessageKind::Rpc,
@@ -137,8 +137,8 @@
     })
 }
 
-/// `sp_prepare`: the statement is stored, and its handle returned.
-fn prepare(call: &Call, prepared: &mut PreparedStatements) -> Request {
+/// `sp_prepare`: stores the statement and answers with its handle.
+fn prepare(call: &Call, prepared: &mut PreparedStatements) -> Operation {
     let Some(text) = call.statement() else {
         return call_rejected("sp_prepare without a statement");
     };
@@ -149,19 +149,19 @@
     put_return_status(&mut tokens, SUCCESS);
     put_handle(&mut tokens, handle);
     put_done(&mut tokens, code::DONE_PROCEDURE, 0, 0);
-    Request::AnsweredLocally(tokens)
+    Operation::AnsweredLocally(tokens)
 }
 
-/// `sp_execute`: a stored statement is run.
-fn execute_prepared(call: &Call, payload: &[u8], prepared: &PreparedStatements) -> Request {
+/// `sp_execute`: runs a stored statement.
+fn execute_prepared(call: &Call, payload: &[u8], prepared: &PreparedStatements) -> Operation {
     let Some(statement) = handle(call).and_then(|handle| prepared.get(handle)) else {
         return call_rejected(UNKNOWN_HANDLE);
     };
     run_prepared(call, payload, &statement.text, &statement.declarations, ReplyFraming::Call)
 }
 
-/// `sp_prepexec`: the statement is stored and run, and its handle returned.
-fn prepare_and_execute(call: &Call, payload: &[u8], prepared: &mut PreparedStatements) -> Request {
+/// `sp_prepexec`: stores and runs a statement, and answers with its handle too.
+fn prepare_and_execute(call: &Call, payload: &[u8], prepared: &mut PreparedStatements) -> Operation {
     let Some(text) = call.statement() else {
         return call_rejected("sp_prepexec without a statement");
     };
@@ -172,22 +172,22 @@
     run_prepared(call, payload, text, declarations, ReplyFraming::CallReturningHandle(handle))
 }
 
-/// `sp_unprepare`: a stored statement is removed.
-fn unprepare(call: &Call, prepared: &mut PreparedStatements) -> Request {
+/// `sp_unprepare`: removes a stored statement.
+fn unprepare(call: &Call, prepared: &mut PreparedStatements) -> Operation {
     if !handle(call).is_some_and(|handle| prepared.remove(handle)) {
         return call_rejected(UNKNOWN_HANDLE);
     }
     let mut tokens = Vec::new();
     put_return_status(&mut tokens, SUCCESS);
     put_done(&mut tokens, code::DONE_PROCEDURE, 0, 0);
-    Request::AnsweredLocally(tokens)
+    Operation::AnsweredLocally(tokens)
 }
 
-/// Another procedure. Its name doesn't tell what it does, so the rules for unknown statements apply.
-fn call_procedure(name: &str, payload: Vec<u8>) -> Request {
+/// Any other procedure: admitted as an `EXEC` statement, whose effect only the operator's rules can tell.
+fn call_procedure(name: &str, payload: Vec<u8>) -> Operation {
     let quoted: Vec<String> =
         name.split('.').map(|part| format!("[{}]", part.trim_matches(['[', ']']))).collect();
-    Request::Run(Statement {
+    Operation::Run(Statement {
         text: format!("EXEC {}", quoted.join(".")),
         arguments: Vec::new(),
         kind: MessageKind::Rpc,
@@ -196,7 +196,7 @@
     })
 }
 
-/// The handle of a prepared statement, a call's first parameter.
+/// Returns the handle of a prepared statement from a call's first parameter.
 fn handle(call: &Call) -> Option<i64> {
     match call.parameters.first().map(|parameter| &parameter.value) {
         Some(Value::Integer(handle)) => Some(*handle),
@@ -204,27 +204,27 @@
     }
 }
 
-/// The execution of a prepared statement as a call of `sp_executesql`, which any host can run.
+/// Rewrites the execution of a prepared statement as a call of `sp_executesql`, which any host can run.
 fn run_prepared(
     call: &Call, payload: &[u8], text: &str, declarations: &str, framing: ReplyFraming,
-) -> Request {
-    let mut own_payload = Vec::new();
-    let writer = CallWriter::system(&mut own_payload, SystemProcedure::ExecuteSql).text("", text);
+) -> Operation {
+    let mut rewritten = Vec::new();
+    let writer = CallWriter::system(&mut rewritten, SystemProcedure::ExecuteSql).text("", text);
     let raw_arguments = call.raw_arguments(payload);
-    // Without declarations there are no parameters either.
+    // A statement without parameters must not carry empty declarations.
     if !declarations.is_empty() || !raw_arguments.is_empty() {
         writer.text("", declarations).raw(raw_arguments);
     }
-    Request::Run(Statement {
+    Operation::Run(Statement {
         text: text.into(),
         arguments: argument_values(call, declarations),
         kind: MessageKind::Rpc,
-        payload: own_payload,
+        payload: rewritten,
         framing,
     })
 }
 
-/// The values of a statement's parameters by name. Those that came without a name have the declared names, in order.
+/// Returns the values of a statement's parameters by name. Unnamed ones get the declared names, by position.
 fn argument_values(call: &Call, declarations: &str) -> Vec<(String, Option<Vec<u8>>)> {
     let declared = declared(declarations);
     let named_value = |(position, (name, value)): (usize, (&str, &Value))| {
@@ -237,7 +237,7 @@
     call.arguments().enumerate().map(named_value).collect()
 }
 
-/// The text of a value, where it is an integer or a text.
+/// Returns the text of an integer or a text value.
 fn text_value(value: &Value) -> Option<Vec<u8>> {
     match value {
         Value::Integer(value) => Some(value.to_string().into_bytes()),
@@ -246,15 +246,15 @@
     }
 }
 
-/// Whether a batch holds nothing, or options of a session alone. Only what is short and begins so is parsed for it:
-/// admission parses the others.
+/// Returns whether a batch is empty or only sets session options. To save parsing twice, only short batches that start
+/// like one are parsed here.
 fn is_empty_or_settings(text: &str) -> bool {
-    let may_be = match text.trim_start().as_bytes() {
+    let is_candidate = match text.trim_start().as_bytes() {
         [] | [b';' | b'-' | b'/', ..] => true,
         [first, second, third, ..] => [*first, *second, *third].eq_ignore_ascii_case(b"set"),
         _ => false,
     };
-    if !may_be || text.len() > MAX_SETTINGS_BYTES {
+    if !is_candidate || text.len() > MAX_SETTINGS_BYTES {
         return false;
     }
     let mut lexer = Lexer::new(Dialect::Tsql);
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -1,21 +1,22 @@
 //! Encodes answers to clients as tokens and packets.
 
+use crate::protocols::tds::packet_buffer;
 use crate::protocols::tds::settings::{ErrorNumbers, RETRIED_BY_DRIVERS};
 use crate::state::pending_requests::Reply;
-use comethitch_tds::packet::{HEADER_BYTES, MessageKind, put_message};
+use comethitch_tds::packet::{MessageKind, put_message};
 use comethitch_tds::token::{Message, ParsedToken, Token, TokenReader, code, done};
 use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
 
 /// The name that is sent to clients as the server's.
 pub(super) const SERVER_NAME: &str = "comethitch";
-/// The length of a DONE token, with which every answer ends.
+/// The length of a DONE token, which ends every answer.
 pub(super) const DONE_TOKEN_BYTES: usize = 13;
-/// The name of the output parameter for a prepared statement's handle.
+/// The output parameter that returns a prepared statement's handle.
 const HANDLE_PARAMETER: &str = "@handle";
-/// The state of all errors.
+/// The state reported with all errors, which distinguishes nothing here.
 const ERROR_STATE: u8 = 1;
 
-/// The severity classes of errors.
+/// The severity classes of the router's errors.
 pub(super) mod class {
     /// A login failed.
     pub(crate) const LOGIN_FAILED: u8 = 14;
@@ -42,34 +43,29 @@
 /// How the answer to a request is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplyFraming {
-    /// As a batch's.
+    /// As the answer to a batch.
     Batch,
-    /// As a call's.
+    /// As the answer to a procedure call.
     Call,
-    /// As a call's that also returns the handle of the statement that it prepared.
+    /// As the answer to a procedure call that also returns the handle of a prepared statement.
     CallReturningHandle(i32),
 }
 
 impl ReplyFraming {
-    /// The code of the token that the answer ends with.
+    /// Returns the code of the token that ends the answer.
     pub(super) fn done_code(self) -> u8 {
         if self == ReplyFraming::Batch { code::DONE } else { code::DONE_PROCEDURE }
     }
 }
 
-/// An empty buffer for the packets of so many bytes of tokens.
-pub(super) fn packet_buffer(token_bytes: usize) -> Vec<u8> {
-    Vec::with_capacity(token_bytes + token_bytes / 64 + HEADER_BYTES)
-}
-
-/// Encodes a message of these tokens.
+/// Encodes a complete message of these tokens.
 pub(super) fn encode_packets(packet_size: usize, tokens: &[u8]) -> Vec<u8> {
     let mut packets = packet_buffer(tokens.len());
     put_message(&mut packets, MessageKind::Response, packet_size, tokens);
     packets
 }
 
-/// Writes an error, and the token that ends the answer with it.
+/// Writes an error, and the token that ends the answer.
 pub(super) fn put_failure(tokens: &mut Vec<u8>, number: i32, class: u8, text: &str, done_code: u8) {
     put_error(tokens, &Message { number, state: ERROR_STATE, class, text: text.into() }, SERVER_NAME);
     put_done(tokens, done_code, done::ERROR, 0);
@@ -85,7 +81,7 @@
     put_return_value(tokens, 0, HANDLE_PARAMETER, handle);
 }
 
-/// Writes an answer with the handle of the statement that was prepared with it, before its last token.
+/// Writes an answer with the handle of a prepared statement inserted before the last token.
 pub(super) fn put_with_handle(tokens: &mut Vec<u8>, answer: &[u8], handle: i32) {
     let (before, last) = answer.split_at(answer.len().saturating_sub(DONE_TOKEN_BYTES));
     tokens.extend(before);
@@ -99,7 +95,7 @@
     pub numbers: ErrorNumbers,
     /// How the answer is framed.
     pub framing: ReplyFraming,
-    /// A repetition of the statement is harmless, so that drivers may retry it.
+    /// Whether the statement is idempotent, so that drivers may retry it.
     pub is_idempotent: bool,
 }
 
@@ -107,7 +103,7 @@
     /// Writes the answer.
     pub(super) fn put(&self, tokens: &mut Vec<u8>, reply: Reply) {
         match reply {
-            // Its parts are forwarded before it comes here.
+            // Unreachable: `stream_value` handles it.
             Reply::Streaming(first, _) => tokens.extend(first),
             Reply::Value(value) => self.put_value(tokens, value),
             Reply::Throttled(None) => {
@@ -118,7 +114,7 @@
                 let text = format!("not now; trying again after {after_ms} ms is harmless");
                 self.put_error(tokens, self.numbers.throttled, &text);
             }
-            // A TDS client cancels by an attention, which is acknowledged instead.
+            // `Cancelled` does not occur: a TDS client cancels by an attention, which is acknowledged instead.
             Reply::Failed | Reply::Cancelled => {
                 self.put_error(tokens, self.numbers.failed, "failed; nothing is known of its effect");
             }
@@ -137,8 +133,8 @@
         }
     }
 
-    /// Writes a host's answer with an error. An error that drivers retry on is replaced, unless the statement is
-    /// idempotent: a driver would send again what may have run.
+    /// Writes a host's answer that contains an error. Unless the statement is idempotent, an error that drivers retry on
+    /// is replaced, because the statement may have run.
     fn put_host_error(&self, tokens: &mut Vec<u8>, answer: Vec<u8>) {
         match error_retried_by_drivers(&answer).filter(|_| !self.is_idempotent) {
             Some(error) => {
@@ -150,7 +146,7 @@
     }
 }
 
-/// The first error of an answer on which drivers retry by themselves.
+/// Returns the first error in an answer that drivers retry on.
 fn error_retried_by_drivers(answer: &[u8]) -> Option<Message> {
     let mut parser = TokenReader::new();
     let mut parsed = 0;
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -1,4 +1,4 @@
-//! Opens a session at a host: PRELOGIN, then LOGIN7.
+//! Opens a session with a host: PRELOGIN, then LOGIN7.
 
 use super::pending_response::PendingResponse;
 use super::settings::TdsSettings;
@@ -12,15 +12,15 @@
 };
 use futures_lite::AsyncWriteExt;
 
-/// The largest PRELOGIN that is accepted of a host.
+/// Maximum size of a host's PRELOGIN.
 const MAX_PRELOGIN_BYTES: usize = 4096;
-/// The names of the application and of the library in a login.
+/// The application name and the library name in a login.
 const APPLICATION: &str = "comethitch";
 
-/// Opens a session on a new connection, and records the packet size that the host settles on.
+/// Opens a session on a new connection, and records the negotiated packet size.
 ///
 /// # Errors
-/// [`ConnectionError::NoConnectionSlot`] if the host has no slot for the session, or else
+/// [`ConnectionError::NoConnectionSlot`] if the host has no free slot for a session, otherwise
 /// [`ConnectionError::ConnectFailed`].
 pub(super) async fn log_in(
     state: &RouterState, settings: &TdsSettings, connection: &mut HostConnection,
@@ -31,7 +31,7 @@
     let end = read_response(connection, &mut pending, None).await?;
     let response = pending.response;
     if let Some(code) = response.error {
-        // Of the errors at a login, one says more than that no session could be opened.
+        // Only an overload is distinguished from other failures of opening a session.
         return match ConnectionError::HostError(code).outcome() {
             AttemptOutcome::Overloaded => Err(ConnectionError::NoConnectionSlot),
             _ => Err(ConnectionError::ConnectFailed),
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Exchanges PRELOGINs. Encryption is not supported, so a host that insists on it can't be used.
+/// Exchanges PRELOGINs. Encryption is not supported, so a host that requires it cannot be used.
 async fn negotiate_encryption(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let mut payload = Vec::new();
     Prelogin::default().put(&mut payload);
@@ -59,8 +59,8 @@
 }
 
 async fn read_prelogin(connection: &mut HostConnection) -> Result<Vec<u8>, ConnectionError> {
-    let mut message = MessageAssembler::new(MAX_PRELOGIN_BYTES);
-    while !message.is_complete() {
+    let mut assembler = MessageAssembler::new(MAX_PRELOGIN_BYTES);
+    while !assembler.is_complete() {
         if connection.buffer.unread().is_empty() {
             match connection.buffer.fill(&connection.stream).await {
                 Ok(0) | Err(_) => return Err(ConnectionError::ConnectFailed),
@@ -68,10 +68,10 @@
             }
         }
         let consumed =
-            message.take(connection.buffer.unread()).map_err(|_| ConnectionError::ConnectFailed)?;
+            assembler.take(connection.buffer.unread()).map_err(|_| ConnectionError::ConnectFailed)?;
         connection.buffer.consume(consumed);
     }
-    Ok(message.finish())
+    Ok(assembler.finish())
 }
 
 async fn send_login(
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -1,6 +1,6 @@
 //! The TDS protocol, version 7.4: batches, and calls of procedures such as `sp_executesql`.
 //!
-//! Packets and tokens are parsed and written by the package `comethitch-tds`.
+//! The package `comethitch-tds` parses and writes packets and tokens.
 
 mod backend;
 mod client;
@@ -16,11 +16,18 @@
 use async_io::Async;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{Host, RequestId};
+use comethitch_tds::packet::HEADER_BYTES;
 use settings::TdsSettings;
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The TDS protocol, on both sides, with the operator's settings.
+/// Returns an empty buffer with capacity for the packets of a payload: in the smallest packets, headers take a little
+/// less than 1/64 of it.
+fn packet_buffer(payload_bytes: usize) -> Vec<u8> {
+    Vec::with_capacity(payload_bytes + payload_bytes / 64 + HEADER_BYTES)
+}
+
+/// The TDS protocol, for clients and hosts, with the operator's settings.
 #[derive(Clone)]
 pub struct Tds(pub Rc<TdsSettings>);
 
--- a/crates/comethitchd/src/protocols/tds/pending_response.rs
+++ b/crates/comethitchd/src/protocols/tds/pending_response.rs
@@ -1,4 +1,4 @@
-//! A host's response while it is being read, within the memory budget.
+//! A host's response while it is being read, accounted for in the memory budget.
 
 use super::response::{HostResponse, MAX_TOKEN_BYTES};
 use crate::protocols::exchange::{Response, ResponseProgress};
@@ -8,7 +8,7 @@
 use crate::state::memory_budget::Reservation;
 use crate::state::router_state::RouterState;
 
-/// The most bytes of a response that are buffered before they are streamed.
+/// Maximum size of the part of a response that is buffered.
 const MAX_BUFFERED_BYTES: usize = STREAMING_THRESHOLD_BYTES + MAX_TOKEN_BYTES;
 
 /// A response that is being read.
@@ -18,7 +18,7 @@
 }
 
 impl PendingResponse {
-    /// A response of which nothing has come yet.
+    /// Creates an empty response that reserves memory from the router's budget.
     pub(super) fn new(state: &RouterState) -> PendingResponse {
         PendingResponse { response: HostResponse::new(), reservation: Reservation::new(&state.memory) }
     }
@@ -37,7 +37,7 @@
         if self.response.is_ended() {
             return Ok(ResponseProgress::Ended);
         }
-        // An error within the response is known only once it is complete, up to here.
+        // Up to this size nothing is streamed, so that an error anywhere in the response still takes effect.
         if is_streamed && self.response.tokens.len() >= STREAMING_THRESHOLD_BYTES {
             return Ok(ResponseProgress::PartReady);
         }
--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -1,12 +1,12 @@
-//! The statements that a client has prepared. They are stored at the router and not at hosts: each execution becomes a
-//! call of `sp_executesql`, which any host can run.
+//! A client's prepared statements. The router stores them instead of the hosts: each execution becomes a call of
+//! `sp_executesql`, which any host can run.
 
 use crate::state::memory_budget::{MemoryBudget, Reservation};
 use std::collections::BTreeMap;
 
-/// The most bytes that the statements of one client may take.
+/// Maximum memory for the prepared statements of one client.
 const MAX_CLIENT_BYTES: usize = 256 * 1024;
-/// What a statement takes besides its texts.
+/// Memory accounted for a statement in addition to its texts.
 const ENTRY_OVERHEAD_BYTES: usize = 128;
 
 /// A prepared statement.
@@ -17,14 +17,14 @@
     pub declarations: String,
 }
 
-/// What a statement takes of its client's limit.
+/// Returns the memory accounted for a statement.
 fn entry_bytes(text: &str, declarations: &str) -> usize {
     text.len() + declarations.len() + ENTRY_OVERHEAD_BYTES
 }
 
 /// The prepared statements of one client, by handle.
 pub(super) struct PreparedStatements {
-    /// Counted against the memory that all connections share.
+    /// The part of the memory budget, shared by all connections, that the statements use.
     reservation: Reservation,
     last_handle: i32,
     by_handle: BTreeMap<i32, PreparedStatement>,
@@ -32,7 +32,7 @@
 }
 
 impl PreparedStatements {
-    /// No statements yet; those to come reserve memory from this budget.
+    /// Creates an empty collection that reserves memory from the budget.
     pub(super) fn new(memory: &MemoryBudget) -> PreparedStatements {
         PreparedStatements {
             reservation: Reservation::new(memory),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Stores a statement and returns its handle, or none if there is no memory for it.
+    /// Stores a statement and returns its handle; `None` if there is no memory for it.
     pub(super) fn insert(&mut self, text: &str, declarations: &str) -> Option<i32> {
         let bytes = self.bytes + entry_bytes(text, declarations);
         if bytes > MAX_CLIENT_BYTES || !self.reservation.resize_to(bytes) {
@@ -55,12 +55,12 @@
         Some(self.last_handle)
     }
 
-    /// The statement with this handle.
+    /// Returns the statement with this handle.
     pub(super) fn get(&self, handle: i64) -> Option<&PreparedStatement> {
         self.by_handle.get(&i32::try_from(handle).ok()?)
     }
 
-    /// Removes a statement; false if there is none with this handle.
+    /// Removes a statement. Returns whether there was one with this handle.
     pub(super) fn remove(&mut self, handle: i64) -> bool {
         let removed = i32::try_from(handle).ok().and_then(|handle| self.by_handle.remove(&handle));
         let Some(statement) = removed else { return false };
@@ -69,7 +69,7 @@
         true
     }
 
-    /// Removes all statements. Handles are not used again.
+    /// Removes all statements. Their handles are not reused.
     pub(super) fn clear(&mut self) {
         self.by_handle.clear();
         self.bytes = 0;
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -1,7 +1,7 @@
-//! A host's response to one message, put together as its bytes come in.
+//! Parses a host's response to one message incrementally.
 //!
-//! Packets are taken apart into tokens, and the tokens that concern the session between router and host alone are left
-//! out of what the client gets.
+//! Packets are split into tokens. Tokens that concern only the session between router and host are not forwarded to the
+//! client.
 
 use crate::state::host_connection::HostErrorCode;
 use comethitch_tds::packet::{HEADER_BYTES, Header, MessageKind, status};
@@ -9,32 +9,32 @@
 use comethitch_tds::types::Value;
 use comethitch_tds::{MalformedMessage, ReadError};
 
-/// The largest token that is forwarded.
+/// Maximum size of a token that is forwarded.
 pub(super) const MAX_TOKEN_BYTES: usize = 1 << 20;
-/// Messages of a higher class are errors, the others are information.
+/// The highest severity class of an informational message; above it, a message is an error.
 const MAX_INFORMATION_CLASS: u8 = 10;
 
-/// What a host has sent so far.
+/// A host's response, as far as it was received.
 pub struct HostResponse {
     parser: TokenReader,
     /// Payload that is not parsed yet.
     unparsed: Vec<u8>,
-    /// How much of the present packet's payload is still to come.
+    /// Number of payload bytes of the current packet that are not received yet.
     packet_remaining: usize,
     is_last_packet: bool,
-    /// Tokens as the client gets them.
+    /// The encoded tokens to forward to the client.
     pub tokens: Vec<u8>,
     /// The first error.
     pub error: Option<HostErrorCode>,
     /// The first two values of the first row, for health checks.
     pub first_row: Option<FirstRow>,
-    /// The host has accepted a login.
+    /// Whether the host has accepted the login.
     pub login_accepted: bool,
-    /// The size of packets that the host has settled on.
+    /// The packet size in bytes that the host has chosen.
     pub packet_size: Option<usize>,
-    /// The host holds a transaction open: the connection can't carry another's statement.
+    /// Whether a transaction is open, so that the connection cannot be reused.
     pub in_transaction: bool,
-    /// Rows or counts came before any error.
+    /// Whether a row or a row count was received.
     has_results: bool,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl HostResponse {
-    /// A response of which nothing has come yet.
+    /// Creates an empty response.
     pub fn new() -> HostResponse {
         HostResponse {
             parser: TokenReader::new(),
@@ -65,7 +65,10 @@
         }
     }
 
-    /// Takes bytes as they come, and returns how many were consumed: none behind the response's end.
+    /// Parses received bytes, and returns how many were consumed. Bytes after the end of the response are not consumed.
+    ///
+    /// # Errors
+    /// If the host violates the protocol.
     pub fn accept(&mut self, bytes: &[u8]) -> Result<usize, MalformedMessage> {
         let mut consumed = 0;
         while !self.is_ended() && consumed < bytes.len() {
@@ -98,17 +101,17 @@
         Ok(())
     }
 
-    /// Whether the last token has come, in the last packet, to its end: the connection can carry the next message.
+    /// Returns whether the last packet was received to its end, so that the connection can carry the next message.
     pub fn is_ended(&self) -> bool {
         self.is_complete() && self.packet_remaining == 0 && self.is_last_packet
     }
 
-    /// Whether the last token has come, whatever may follow.
+    /// Returns whether the last token was received, even if its packet is incomplete.
     pub fn is_complete(&self) -> bool {
         self.parser.is_complete()
     }
 
-    /// How many bytes are buffered.
+    /// Returns the number of buffered bytes.
     pub fn buffered_bytes(&self) -> usize {
         self.unparsed.len() + self.tokens.len()
     }
@@ -130,7 +133,7 @@
         Ok(())
     }
 
-    /// Adds the token that stands at this place to what the client gets.
+    /// Appends the token at `range` of the unparsed bytes to the forwarded tokens, and keeps the first row's values.
     fn add_token(&mut self, token: &Token, range: std::ops::Range<usize>) {
         let bytes = &self.unparsed[range];
         if self.first_row.is_none() && *token == Token::Row {
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Records what a token says of the session or the statement.
+    /// Records a token's effect on the session or the result.
     fn record(&mut self, token: Token) {
         match token {
             Token::Error(message) if message.class > MAX_INFORMATION_CLASS => {
@@ -163,7 +166,7 @@
     }
 }
 
-/// The header at the beginning of the bytes, or none if it is not complete yet.
+/// Reads the packet header at the start of the bytes; `None` if it is incomplete.
 fn read_header(bytes: &[u8]) -> Result<Option<Header>, MalformedMessage> {
     match Header::read(bytes) {
         Ok(header) => Ok(Some(header)),
@@ -178,7 +181,7 @@
     Some(FirstRow { first: value(0)?, second: value(1).unwrap_or(Value::Null) })
 }
 
-/// Whether a client gets the token: not what concerns the session between router and host alone.
+/// Returns whether a token is forwarded to the client, rather than concerning only the session with the host.
 fn is_forwarded(token: &Token) -> bool {
     match token {
         Token::Change(Change::Reset | Change::PacketSize(_) | Change::Database(_) | Change::Other(_)) => {
--- a/crates/comethitchd/src/protocols/tds/settings.rs
+++ b/crates/comethitchd/src/protocols/tds/settings.rs
@@ -1,7 +1,8 @@
 //! The operator's settings file for TDS: how the router logs in to hosts and checks their health, and which error
-//! numbers it answers with.
+//! numbers it sends to clients.
 //!
-//! The file's schema is published as `deploy/tds.schema.json`, and generated from the types here.
+//! The published schema, `deploy/tds.schema.json`, is generated from these types; its descriptions are the doc comments
+//! of the fields.
 
 use comethitch_tds::packet::{MAX_PACKET_BYTES, MIN_PACKET_BYTES};
 use schemars::JsonSchema;
@@ -13,7 +14,7 @@
 /// The whole file. With it an instance speaks TDS with clients, at the configuration's `listen`, and with hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-// The published schema keeps its title.
+// The title in the published schema.
 #[schemars(rename = "Ways")]
 pub struct TdsSettings {
     /// Further addresses to listen at, `127.0.0.1:1434`.
@@ -37,7 +38,7 @@
 
 /// How the router logs in to hosts. Clients are admitted whatever their name and password are.
 #[derive(Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
-// The published schema and the texts of errors keep the name.
+// The name in the published schema and in error messages.
 #[serde(deny_unknown_fields, rename = "LogIn")]
 pub struct HostLogin {
     /// The name of the login.
@@ -51,7 +52,7 @@
     pub password: String,
 }
 
-/// Leaves the password out.
+/// Omits the password.
 impl std::fmt::Debug for HostLogin {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "HostLogin {{ user: {:?}, database: {:?} }}", self.user, self.database)
@@ -87,52 +88,52 @@
     }
 }
 
-/// The error numbers that common drivers retry on by themselves. A failure of a statement that may have run must have
-/// none of them.
+/// The error numbers that common drivers retry on by default. The failure of a statement that may have run must not be
+/// reported with any of them.
 pub const RETRIED_BY_DRIVERS: [i32; 28] = [
     20, 64, 121, 233, 615, 926, 997, 1204, 1205, 1222, 4060, 4221, 10_053, 10_054, 10_060, 10_922, 10_928,
     10_929, 10_936, 40_143, 40_197, 40_501, 40_540, 40_613, 42_108, 49_918, 49_919, 49_920,
 ];
 
-/// Why a settings file can't be used. The text names the key.
+/// Reasons why a settings file is rejected. The text names the key.
 #[derive(Debug, thiserror::Error)]
 pub enum TdsSettingsError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{path} can't be read: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file's content is wrong.
+    /// The content of the file is invalid.
     #[error("{path}: {source}")]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The underlying error.
         source: Box<TdsSettingsError>,
     },
     /// A key is missing or unknown, or has a value of the wrong type.
     #[error("{key}: {source}")]
     InvalidJson {
-        /// The path of the key.
+        /// Path of the key.
         key: String,
-        /// What is wrong with it.
+        /// The underlying error.
         source: serde_json::Error,
     },
     /// Something follows the JSON object.
     #[error("behind the ways: {0}")]
     TrailingText(#[source] serde_json::Error),
-    /// One of the further addresses can't be parsed.
+    /// One of the additional addresses is invalid.
     #[error("also_listen.{index} must be an address with a port, not {text:?}")]
     InvalidAddress {
-        /// Its position in the list.
+        /// Position in the list, from 0.
         index: usize,
-        /// What stands there.
+        /// The invalid text.
         text: String,
     },
-    /// The size of packets is out of the protocol's range.
+    /// The packet size is out of the protocol's range.
     #[error("packet_size must be {MIN_PACKET_BYTES} to {MAX_PACKET_BYTES}, not {0}")]
     PacketSizeOutOfRange(usize),
     /// The health check has no query.
@@ -146,7 +147,7 @@
         /// The number.
         number: i32,
     },
-    /// Clients would send again what may have run.
+    /// Drivers retry on the number, although the statement may have run.
     #[error("numbers.{key} is {number}, on which clients try again")]
     NumberIsRetried {
         /// The key of the number.
@@ -154,12 +155,12 @@
         /// The number.
         number: i32,
     },
-    /// The password's file can't be read.
+    /// The password file cannot be read.
     #[error("hosts.password_file: {path}: {source}")]
     PasswordFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
 }
@@ -177,10 +178,10 @@
             .map_err(|source| TdsSettingsError::InFile { path: shown(), source: Box::new(source) })
     }
 
-    /// Parses and checks the text of a file, and reads the password from its own.
+    /// Parses and checks the text of a file, and reads the password file that it names.
     ///
     /// # Errors
-    /// If a key is missing, unknown or out of its range, or the password's file can't be read.
+    /// If a key is missing, unknown or out of range, or the password file cannot be read.
     pub fn read(text: &str) -> Result<TdsSettings, TdsSettingsError> {
         let mut settings = TdsSettings::parse(text)?;
         settings.addresses()?;
@@ -209,10 +210,10 @@
         Ok(())
     }
 
-    /// The further addresses to listen at.
+    /// Returns the additional addresses to listen on.
     ///
     /// # Errors
-    /// If one of them is no address with a port.
+    /// If one of them is not an address with a port.
     pub fn addresses(&self) -> Result<Vec<SocketAddr>, TdsSettingsError> {
         let parse = |(index, text): (usize, &String)| {
             text.parse().map_err(|_| TdsSettingsError::InvalidAddress { index, text: text.clone() })
