--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -117,15 +117,15 @@
 ) -> Result<AdmittedRequest, StatementError> {
     let comment = statement::parse_request_comment(request.text)?;
     let class = find_class(state, comment.class)?;
-    check_id_and_timeout(state, comment.id, comment.wait_ms)?;
+    check_id_and_timeout(state, comment.id, comment.timeout.ms)?;
     Ok(AdmittedRequest {
         class,
         shard: comment.shard,
         session: statement::session_key(request.text),
         after: comment.after_ms.map(Timestamp::from_millis),
-        deadline: request.arrived + Duration::from_millis(comment.wait_ms),
+        deadline: request.arrived + Duration::from_millis(comment.timeout.ms),
         client_id: comment.id.into(),
-        timeout_range: Some(comment.wait_at),
+        timeout_range: Some(comment.timeout.range),
         shape: None,
     })
 }
@@ -156,7 +156,7 @@
         after: fields.after_ms.map(Timestamp::from_millis),
         deadline: request.arrived + Duration::from_millis(timeout_ms),
         client_id,
-        timeout_range: fields.wait.map(|wait| wait.range),
+        timeout_range: fields.timeout.map(|timeout| timeout.range),
         shape: Some(passed.known),
     })
 }
@@ -172,7 +172,7 @@
 
 /// The client's timeout in milliseconds: by its comment, or by the rules where these admit an incomplete comment.
 fn timeout_ms(admission: &StatementAdmission, fields: &CommentFields<'_>) -> Result<u64, StatementError> {
-    let given = fields.wait.as_ref().map(|wait| wait.ms);
+    let given = fields.timeout.as_ref().map(|timeout| timeout.ms);
     let complete = fields.id.is_some() && fields.class.is_some() && fields.shard.is_some();
     match (given, &admission.rules().commentless) {
         (Some(timeout_ms), _) if complete => Ok(timeout_ms),
--- a/crates/comethitchd/src/wire/host_report.rs
+++ b/crates/comethitchd/src/wire/host_report.rs
@@ -1,16 +1,16 @@
-//! What hosts report of themselves: their role, their replication position and their queue length.
+//! Parses the load reports of PostgreSQL hosts: role, replication position and queue length.
 //!
-//! Parses the parameters that a PostgreSQL host sends along with an answer, and the text of a load report.
+//! A report is sent as parameters along with a response, or as text.
 
 use crate::wire::postgres::HostParameters;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{LoadReport, Role};
 
-/// Hosts print positions in milliseconds, possibly rounded up.
+/// The resolution of positions, which hosts may round up.
 const POSITION_RESOLUTION: Duration = Duration::from_micros(1_000);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// The role and position that a host had as it answered, from the parameters of its answer.
+/// Reads the response trailer, with a host's role and position, from the parameters of a response.
 pub fn from_parameters(parameters: &HostParameters) -> LoadReport {
     let role = match parameters.role.as_deref() {
         Some("source") => Some(Role::Primary),
@@ -22,8 +22,8 @@
     LoadReport { role, position, queue: None }
 }
 
-/// Parses a load report such as `x0=1767225600.123,x1=1,queue=4`: `x0` is the position in seconds of Unix time, `x1`
-/// is at least 0.5 at a primary. Fields that can't be read count as absent.
+/// Parses a load report such as `x0=1767225600.123,x1=1,queue=4`, where `x0` is the position in seconds of Unix time
+/// and `x1` is at least 0.5 at a primary. Fields that cannot be parsed count as absent.
 ///
 /// ```
 /// use comethitch_policy::{Role, time::Timestamp};
@@ -36,7 +36,7 @@
 /// ```
 pub fn parse_load_report(text: &str) -> LoadReport {
     let fields = || text.split(',').filter_map(|field| field.trim().split_once('='));
-    let value = |wanted: &str| fields().find(|(name, _)| *name == wanted).map(|(_, value)| value);
+    let value = |key: &str| fields().find(|(name, _)| *name == key).map(|(_, value)| value);
     let role = value("x1").and_then(|x1| x1.parse::<f64>().ok()).map(role_from);
     let queue = value("queue").and_then(|queue| queue.parse().ok()).filter(|queue: &f64| *queue >= 0.0);
     match value("x0").map(parse_position) {
@@ -49,7 +49,8 @@
     if x1 >= 0.5 { Role::Primary } else { Role::Replica }
 }
 
-/// Decimal seconds, less one unit of the resolution: they may have been rounded up.
+/// Parses a position in decimal seconds. One unit of the resolution is subtracted, because the host may have rounded
+/// up.
 fn parse_position(text: &str) -> Option<Timestamp> {
     let (seconds, fraction) = text.split_once('.').unwrap_or((text, ""));
     let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
@@ -57,7 +58,7 @@
         return None;
     }
     let second_micros = seconds.parse::<u64>().ok()?.checked_mul(MICROS_PER_SECOND)?;
-    // Written with fewer digits, it has lost zeros at its end.
+    // Trailing zeros of the fraction may be omitted.
     let fraction_micros: u64 = format!("{fraction:0<6}").get(..6)?.parse().ok()?;
     let position = Timestamp::from_micros(second_micros + fraction_micros) - POSITION_RESOLUTION;
     Some(position).filter(|at| *at > Timestamp::ZERO)
--- a/crates/comethitchd/src/wire/http.rs
+++ b/crates/comethitchd/src/wire/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as far as watching discovery needs it: a GET request, the head of a response, and its body, chunked or
-//! not.
+//! The subset of HTTP/1.1 that discovery's watch uses: GET requests, response heads, and bodies with or without chunked
+//! encoding.
 
 use crate::wire::MalformedMessage;
 
@@ -8,7 +8,7 @@
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const LINE_END: &[u8] = b"\r\n";
 
-/// The bytes of a GET request for JSON.
+/// Encodes a GET request for JSON.
 pub fn get_request(path: &str, host: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n").into_bytes()
 }
@@ -20,29 +20,29 @@
     pub status: u16,
     /// Decodes the body that follows.
     pub body: BodyDecoder,
-    /// How many bytes the head takes.
+    /// Length of the head in bytes.
     pub length: usize,
 }
 
-/// Decodes the body of a response, by how it is delimited.
+/// Decodes the body of a response; the variant tells how the body is delimited.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BodyDecoder {
-    /// In chunks.
+    /// By chunked encoding.
     Chunked(ChunkPhase),
-    /// By its length, of which so many bytes are still to come.
+    /// By its length; holds the number of bytes not received yet.
     Length(u64),
     /// By the end of the connection.
     UntilClosed,
 }
 
-/// What comes next in a chunked body.
+/// The next element expected in a chunked body.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChunkPhase {
     /// The line with a chunk's size.
     Size,
-    /// So many bytes of a chunk.
+    /// A chunk's data; holds the number of bytes not received yet.
     Data(u64),
-    /// The line end behind a chunk's data.
+    /// The line end after a chunk's data.
     DataEnd,
     /// A trailer field, or the empty line that ends the body.
     Trailer,
@@ -50,10 +50,10 @@
     Complete,
 }
 
-/// Parses the head of a response, or returns none if it is not complete yet.
+/// Parses the head of a response. Returns `None` if it is incomplete.
 ///
 /// # Errors
-/// If it is no HTTP/1 response, or too large.
+/// If it is not an HTTP/1 response head, or too large.
 pub fn parse_head(bytes: &[u8]) -> Result<Option<ResponseHead>, MalformedMessage> {
     let Some(end) = bytes.windows(HEAD_END.len()).position(|four| four == HEAD_END) else {
         if bytes.len() > MAX_HEAD_BYTES {
@@ -72,7 +72,7 @@
     line.strip_prefix("HTTP/1.")?.get(2..5)?.parse().ok()
 }
 
-/// Moves up to `remaining` of the bytes to the end of `out`, and returns how many that were.
+/// Appends up to `remaining` of the bytes to `out`, and returns how many were appended.
 fn copy_some(remaining: &mut u64, bytes: &[u8], out: &mut Vec<u8>) -> usize {
     let length = bytes.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
     out.extend(&bytes[..length]);
@@ -95,7 +95,7 @@
         Ok(body)
     }
 
-    /// Appends what `bytes` hold of the body to `out`, and returns how many of the bytes were consumed.
+    /// Appends the part of the body in `bytes` to `out`, and returns how many bytes were consumed.
     ///
     /// # Errors
     /// If the chunks are malformed.
@@ -116,14 +116,14 @@
         }
     }
 
-    /// Whether all of the body was decoded. One that is delimited by the end of the connection never is.
+    /// Returns whether the whole body was decoded; always false if the body is delimited by the end of the connection.
     pub fn is_complete(&self) -> bool {
         matches!(self, BodyDecoder::Length(0) | BodyDecoder::Chunked(ChunkPhase::Complete))
     }
 }
 
 impl ChunkPhase {
-    /// Goes one step on and returns how many bytes that took, or none if more bytes are needed.
+    /// Decodes one element and returns how many bytes were consumed; `None` if more bytes are needed.
     fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, MalformedMessage> {
         if bytes.is_empty() || *self == ChunkPhase::Complete {
             return Ok(None);
@@ -145,7 +145,7 @@
         Ok(Some(end + LINE_END.len()))
     }
 
-    /// What comes behind a line.
+    /// Returns the phase that follows a line.
     fn after_line(&self, line: &[u8]) -> Result<ChunkPhase, MalformedMessage> {
         match self {
             ChunkPhase::Size => match parse_chunk_size(line)? {
@@ -160,7 +160,7 @@
     }
 }
 
-/// The size of a chunk; extensions behind it are ignored.
+/// Parses a chunk size; chunk extensions are ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<u64, MalformedMessage> {
     let text = std::str::from_utf8(line).unwrap_or_default();
     let size = text.split(';').next().unwrap_or_default().trim();
--- a/crates/comethitchd/src/wire/json_stream.rs
+++ b/crates/comethitchd/src/wire/json_stream.rs
@@ -1,32 +1,31 @@
-//! Splits a stream of JSON text into objects and line ends, as the watch of discovery's endpoint list needs it.
+//! Splits the JSON stream of discovery's watch into objects and line ends.
 //!
-//! Only brackets and quotes are looked at: whether an object is valid JSON shows once [`super::discovery`] parses it.
+//! Only brackets and quotes are tracked; [`super::discovery`] validates the objects.
 
 /// A complete item of the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum JsonStreamItem {
     /// The text of one object, from its opening to its closing brace.
     Object(Vec<u8>),
-    /// The end of a line outside of any object: a keep-alive.
+    /// The end of a line outside of any object, which serves as a keep-alive.
     LineEnd,
 }
 
-/// Why a stream can't be read any further.
+/// Reasons why a stream is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonStreamError {
     /// Something other than an object stands at the top level.
     #[error("the list is no JSON object")]
     NotAnObject,
-    /// An object is larger than 4 MiB.
+    /// An object is larger than [`MAX_OBJECT_BYTES`].
     #[error("it sends an object without end")]
     ObjectTooLarge,
 }
 
-/// The largest object that is buffered.
-const MAX_OBJECT_BYTES: usize = 4 << 20;
+/// Maximum size of an object: 4 MiB.
+pub const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// An incremental splitter. It doesn't matter how objects are laid out: one may be indented over many lines, or two
-/// share a line.
+/// An incremental splitter. Objects may span several lines or share a line.
 ///
 /// ```
 /// use comethitchd::wire::json_stream::{JsonStream, JsonStreamItem};
@@ -42,29 +41,29 @@
 #[derive(Debug, Default)]
 pub struct JsonStream {
     text: Vec<u8>,
-    /// Where the item that is being read begins in `text`.
+    /// Offset in `text` of the current item.
     start: usize,
-    /// The first byte of `text` that is not scanned yet.
+    /// Offset in `text` of the first byte that is not scanned yet.
     position: usize,
-    /// How many brackets are open.
+    /// Number of open brackets.
     depth: usize,
     in_string: bool,
-    /// The byte before was a backslash within a string.
+    /// Whether the previous byte was a backslash within a string.
     escaped: bool,
 }
 
 impl JsonStream {
-    /// The buffer at whose end received text is appended.
+    /// Returns the buffer to append received text to.
     pub fn buffer_mut(&mut self) -> &mut Vec<u8> {
         &mut self.text
     }
 
-    /// Whether an object has begun and not ended.
+    /// Returns whether an object has begun and not ended.
     pub fn in_object(&self) -> bool {
         self.depth > 0
     }
 
-    /// Returns the next complete item, or none if more text must be appended first.
+    /// Returns the next complete item, or `None` if more text is needed.
     ///
     /// # Errors
     /// If something other than an object stands at the top level, or an object is too large.
@@ -83,7 +82,7 @@
         Ok(None)
     }
 
-    /// Takes in one byte, and returns the item that ends with it.
+    /// Scans one byte, and returns the item that it completes.
     fn scan(&mut self, byte: u8) -> Result<Option<JsonStreamItem>, JsonStreamError> {
         if self.in_string {
             self.scan_string(byte);
@@ -117,7 +116,7 @@
         ended.then(|| JsonStreamItem::Object(self.text[self.start..self.position].to_vec()))
     }
 
-    /// Drops the text of items that were returned.
+    /// Discards the text of returned items.
     fn compact(&mut self) {
         self.text.drain(..self.start);
         self.position -= self.start;
--- a/crates/comethitchd/src/wire/mod.rs
+++ b/crates/comethitchd/src/wire/mod.rs
@@ -1,6 +1,7 @@
-//! Wire formats: parsers and serializers as pure functions over bytes.
+//! Wire formats: parsers and serializers as pure functions over bytes, without I/O, clock or access to the router's
+//! state.
 //!
-//! Nothing here touches a socket, a clock or the router's state. TDS has a package of its own, `comethitch-tds`.
+//! TDS has a package of its own, `comethitch-tds`.
 
 pub mod discovery;
 pub mod host_report;
@@ -9,7 +10,7 @@
 pub mod postgres;
 pub mod statement;
 
-/// Bytes that break the protocol. The framing of the connection is lost, so the connection must be closed.
+/// A violation of the protocol. The connection must be closed, because its framing is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct MalformedMessage(pub &'static str);
--- a/crates/comethitchd/src/wire/postgres/message.rs
+++ b/crates/comethitchd/src/wire/postgres/message.rs
@@ -1,18 +1,23 @@
-//! Splits bytes into messages, and parses those that clients send.
+//! Splits input into messages, and parses the messages of clients.
 
 use super::{MAX_MESSAGE_BYTES, VERSION_3};
 use crate::wire::MalformedMessage;
 
 const MIN_STARTUP_BYTES: usize = 8;
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// A message's length counts its own field.
-const LENGTH_BYTES: usize = 4;
-const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
+/// Size of the length field, which a message's length includes.
+pub(super) const LENGTH_BYTES: usize = 4;
+/// Size of the type byte and the length, which precede a message's body.
+pub(super) const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
+/// Offset of a message's length, after the type byte.
+pub(super) const LENGTH_OFFSET: usize = 1;
 const MAJOR_VERSION_MASK: u32 = 0xffff_0000;
 const CANCEL_CODE: u32 = 80_877_102;
 const TLS_CODE: u32 = 80_877_103;
 const GSS_CODE: u32 = 80_877_104;
 const CANCEL_REQUEST_BYTES: usize = 16;
+const CANCEL_CONNECTION_OFFSET: usize = 8;
+const CANCEL_KEY_OFFSET: usize = 12;
 
 /// The first message of a client's connection.
 #[derive(Debug, PartialEq, Eq)]
@@ -37,20 +42,20 @@
     Cancel,
 }
 
-/// A message as it came.
+/// A message as received.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// Its type byte, one of [`super::message_type`].
+    /// The type byte, one of [`super::message_type`].
     pub kind: u8,
-    /// What stands behind its length.
+    /// The bytes after the length.
     pub body: &'a [u8],
-    /// All of its bytes.
+    /// The whole message.
     pub raw: &'a [u8],
 }
 
-/// The number of 32 bits at this place, if the bytes reach that far.
-pub(super) fn u32_at(bytes: &[u8], at: usize) -> Option<u32> {
-    bytes.get(at..)?.first_chunk().map(|four| u32::from_be_bytes(*four))
+/// Returns the 32-bit integer at an offset, or `None` if the bytes end before or within it.
+pub(super) fn u32_at(bytes: &[u8], offset: usize) -> Option<u32> {
+    bytes.get(offset..)?.first_chunk().map(|four| u32::from_be_bytes(*four))
 }
 
 /// Parses the first message of a client. Returns `None` if it is incomplete.
@@ -77,24 +82,24 @@
     Ok(Some(StartupMessage { request, length }))
 }
 
-/// Returns the next message, or none if it is not complete yet.
+/// Returns the first message in `bytes`, or `None` if it is incomplete.
 ///
 /// # Errors
 /// If its length is impossible.
 pub fn message(bytes: &[u8]) -> Result<Option<Message<'_>>, MalformedMessage> {
-    let Some(length) = u32_at(bytes, 1) else { return Ok(None) };
+    let Some(length) = u32_at(bytes, LENGTH_OFFSET) else { return Ok(None) };
     let length = length as usize;
     if !(LENGTH_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(MalformedMessage("a message has an impossible length"));
     }
-    let raw = bytes.get(..1 + length);
+    let raw = bytes.get(..LENGTH_OFFSET + length);
     Ok(raw.map(|raw| Message { kind: raw[0], body: &raw[HEADER_BYTES..], raw }))
 }
 
-/// The text of a Query message's body: up to its zero byte, with nothing behind it.
+/// Returns the text in the body of a Query message, which must end with the body's only zero byte.
 ///
 /// # Errors
-/// If the zero byte is missing, or stands elsewhere.
+/// If the zero byte is missing, or not the last byte.
 pub fn query_text(body: &[u8]) -> Result<&[u8], MalformedMessage> {
     match body.split_last() {
         Some((0, text)) if !text.contains(&0) => Ok(text),
@@ -102,7 +107,7 @@
     }
 }
 
-/// The connection whose query a cancel request is to end.
+/// The connection whose query a cancel request refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CancelTarget {
     /// The connection's number, as sent to it in `BackendKeyData`.
@@ -111,17 +116,19 @@
     pub key: u32,
 }
 
-/// The target of a cancel request; none if the request is of another length.
+/// Returns the target of a cancel request, or `None` if the message has another length.
 ///
 /// ```
 /// use comethitchd::wire::postgres::{CancelTarget, cancel_target};
-/// let request = [16u32, 80_877_102, 7, 99].map(u32::to_be_bytes).concat();
-/// assert_eq!(cancel_target(&request), Some(CancelTarget { connection: 7, key: 99 }));
-/// assert_eq!(cancel_target(&request[..8]), None);
+/// let message = [16u32, 80_877_102, 7, 99].map(u32::to_be_bytes).concat();
+/// assert_eq!(cancel_target(&message), Some(CancelTarget { connection: 7, key: 99 }));
+/// assert_eq!(cancel_target(&message[..8]), None);
 /// ```
-pub fn cancel_target(request: &[u8]) -> Option<CancelTarget> {
-    if request.len() != CANCEL_REQUEST_BYTES {
+pub fn cancel_target(message: &[u8]) -> Option<CancelTarget> {
+    if message.len() != CANCEL_REQUEST_BYTES {
         return None;
     }
-    Some(CancelTarget { connection: u32_at(request, 8)?, key: u32_at(request, 12)? })
+    let connection = u32_at(message, CANCEL_CONNECTION_OFFSET)?;
+    let key = u32_at(message, CANCEL_KEY_OFFSET)?;
+    Some(CancelTarget { connection, key })
 }
--- a/crates/comethitchd/src/wire/postgres/message_type.rs
+++ b/crates/comethitchd/src/wire/postgres/message_type.rs
@@ -1,4 +1,4 @@
-//! The type bytes that messages begin with.
+//! The type byte at the start of each message.
 
 /// Messages that a client sends.
 pub mod frontend {
@@ -22,7 +22,7 @@
     pub const FUNCTION_CALL: u8 = b'F';
     /// Parse.
     pub const PARSE: u8 = b'P';
-    /// Query, the simple one.
+    /// Query of the simple query protocol.
     pub const QUERY: u8 = b'Q';
     /// Sync.
     pub const SYNC: u8 = b'S';
@@ -32,7 +32,7 @@
 
 /// Messages that a server sends.
 pub mod backend {
-    /// `AuthenticationOk` and its kin.
+    /// `AuthenticationOk` and the other authentication messages.
     pub const AUTHENTICATION: u8 = b'R';
     /// `BackendKeyData`.
     pub const BACKEND_KEY_DATA: u8 = b'K';
--- a/crates/comethitchd/src/wire/postgres/mod.rs
+++ b/crates/comethitchd/src/wire/postgres/mod.rs
@@ -1,6 +1,6 @@
-//! Framing of the PostgreSQL protocol, version 3, as a server to clients and as a client to hosts.
+//! Messages of the PostgreSQL protocol, version 3, as a server for clients and as a client of hosts.
 //!
-//! <https://www.postgresql.org/docs/current/protocol-message-formats.html> describes the messages.
+//! See <https://www.postgresql.org/docs/current/protocol-message-formats.html>.
 
 mod message;
 pub mod message_type;
@@ -17,9 +17,8 @@
     put_startup, put_welcome,
 };
 
-/// The largest message. A value is at most 64 KiB; written as hexadecimal text it takes twice that, and the statement
-/// some more.
+/// Maximum size of a message: a value of 64 KiB in hexadecimal digits, and 8 KiB for the rest of the statement.
 pub const MAX_MESSAGE_BYTES: usize = 2 * 64 * 1024 + 8 * 1024;
 
-/// Version 3.0 of the protocol, as startup messages tell it.
+/// Version 3.0 of the protocol in a startup message.
 const VERSION_3: u32 = 3 << 16;
--- a/crates/comethitchd/src/wire/postgres/response.rs
+++ b/crates/comethitchd/src/wire/postgres/response.rs
@@ -1,81 +1,85 @@
-//! A host's response to one query, or to the startup message, put together message by message.
+//! Parses a host's response to a query or a startup message incrementally, message by message.
 //!
-//! The order of messages, their lengths and the parts of them that the router depends on are checked as early as their
-//! first bytes come in, so that a host that breaks the protocol is not waited for.
+//! The order of the messages, their lengths and the fields that the router depends on are checked as soon as their
+//! first bytes arrive, so that a host that violates the protocol fails at once instead of timing out.
 
 use super::MAX_MESSAGE_BYTES;
-use super::message::{Message, message, u32_at};
+use super::message::{HEADER_BYTES, LENGTH_BYTES, LENGTH_OFFSET, Message, message, u32_at};
 use super::message_type::backend;
 use crate::wire::MalformedMessage;
 use std::borrow::Cow;
 use std::ops::{Range, RangeInclusive};
 
-/// The largest response that is forwarded, in bytes.
+/// Maximum size of a response, or of its part that is not streamed yet.
 pub const MAX_RESPONSE_BYTES: usize = 8 * MAX_MESSAGE_BYTES;
-/// The most that a message may hold besides a value: names, tags, parameters, errors.
+/// Maximum size of the body of a message without values: descriptions, tags, parameters and errors.
 const MAX_TEXT_BYTES: usize = 8 * 1024;
-/// The type byte, the length and the number of columns: a row's first column follows.
-const ROW_HEADER_BYTES: usize = 1 + 4 + 2;
-/// A row description holds this behind its column's name.
+/// Size of the type byte, the length and the number of columns, which precede a row's first column.
+const ROW_HEADER_BYTES: usize = HEADER_BYTES + COLUMN_COUNT_BYTES;
+/// Size of the number of columns at the start of the body of a row or a row description.
+const COLUMN_COUNT_BYTES: usize = 2;
+/// Size of the length before each column's value in a row.
+const COLUMN_LENGTH_BYTES: usize = 4;
+/// Size of the fields after a column's name in a row description.
 const COLUMN_TYPE_BYTES: usize = 18;
-/// The SQLSTATEs that clients read as the router's own throttling: 53300 `too_many_connections`, 57P03
-/// `cannot_connect_now`. Only the policy decides to throttle.
+/// The SQLSTATEs that clients interpret as throttling: `too_many_connections` and `cannot_connect_now`. They are not
+/// forwarded from hosts, because only the policy decides to throttle.
 const THROTTLING_CODES: [&str; 2] = ["53300", "57P03"];
 
-/// What a host may respond with.
+/// The rows that a response may contain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResponseShape {
-    /// One row of one column, as on the platform.
+    /// One row of one column.
     #[default]
     SingleValue,
-    /// Any number of rows and columns, from any number of statements: what ordinary SQL is answered with.
+    /// Any number of rows and columns from any number of statements, as with ordinary SQL.
     AnyRows,
 }
 
-/// Why a response can't be used.
+/// Reasons why a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseError {
-    /// The host broke the protocol.
+    /// The host violated the protocol.
     #[error(transparent)]
     Malformed(#[from] MalformedMessage),
-    /// Nothing is wrong with it, but it is larger than [`MAX_RESPONSE_BYTES`].
+    /// The response is valid, but larger than [`MAX_RESPONSE_BYTES`].
     #[error("an answer larger than is passed on")]
     TooLarge,
 }
 
-/// The parameters by which a host reports how it stands; see [`crate::wire::host_report`].
+/// The parameters that carry a host's load report; see [`crate::wire::host_report`].
 #[derive(Debug, Default)]
 pub struct HostParameters {
-    /// The parameter `rank`: the host's role.
+    /// The host's role, parameter `rank`.
     pub role: Option<String>,
-    /// The parameter `as_of`: its replication position.
+    /// The replication position, parameter `as_of`.
     pub position: Option<String>,
-    /// The parameter `vitals`: a load report.
+    /// A load report as text, parameter `vitals`.
     pub load_report: Option<String>,
 }
 
-/// What a host has sent so far.
+/// A host's response, as far as it was received.
 #[derive(Debug, Default)]
 pub struct HostResponse {
     shape: ResponseShape,
-    /// The parameters that came.
+    /// The received parameters.
     pub parameters: HostParameters,
-    /// The SQLSTATE of the error, if one came.
+    /// The SQLSTATE of the error, if there was one.
     pub error_code: Option<String>,
-    /// `RowDescription`, `DataRow` and `CommandComplete` as they came.
+    /// The messages `RowDescription`, `DataRow` and `CommandComplete` as received.
     pub rows: Vec<u8>,
-    /// The `ErrorResponse` as it came, where any rows may come.
+    /// The `ErrorResponse` as received, if it may be forwarded: only with [`ResponseShape::AnyRows`].
     pub error: Vec<u8>,
-    /// The host holds a transaction open: the connection can't carry another's query.
+    /// Whether a transaction is open, so that the connection cannot be reused.
     pub in_transaction: bool,
-    /// Where the body of the last `DataRow` stands in `rows`.
+    /// Byte range in `rows` of the body of the last `DataRow`.
     last_row: Option<Range<usize>>,
     phase: ResponsePhase,
-    /// Some of the rows were streamed already.
+    /// Whether rows were already taken to be streamed.
     rows_taken: bool,
 }
 
-/// What came last.
+/// The last part of the response that was received.
 #[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum ResponsePhase {
     #[default]
@@ -86,7 +90,7 @@
     Ready,
 }
 
-/// The lengths that the body of a message of this type can have.
+/// Returns the possible body lengths of a message type; `None` for an unknown type.
 fn body_lengths(kind: u8, shape: ResponseShape) -> Option<RangeInclusive<usize>> {
     let lengths = match kind {
         backend::AUTHENTICATION => 4..=4,
@@ -94,10 +98,10 @@
         backend::READY_FOR_QUERY => 1..=1,
         backend::EMPTY_QUERY => 0..=0,
         backend::ROW_DESCRIPTION | backend::DATA_ROW if shape == ResponseShape::AnyRows => {
-            2..=MAX_MESSAGE_BYTES - 4
+            COLUMN_COUNT_BYTES..=MAX_MESSAGE_BYTES - LENGTH_BYTES
         }
-        backend::ROW_DESCRIPTION => 2 + 1 + COLUMN_TYPE_BYTES..=MAX_TEXT_BYTES,
-        backend::DATA_ROW => 6..=MAX_MESSAGE_BYTES,
+        backend::ROW_DESCRIPTION => COLUMN_COUNT_BYTES + 1 + COLUMN_TYPE_BYTES..=MAX_TEXT_BYTES,
+        backend::DATA_ROW => COLUMN_COUNT_BYTES + COLUMN_LENGTH_BYTES..=MAX_MESSAGE_BYTES,
         backend::PARAMETER_STATUS
         | backend::COMMAND_COMPLETE
         | backend::ERROR
@@ -109,14 +113,13 @@
     Some(lengths)
 }
 
-/// Checks that the first message in `bytes` can still become a valid one, as far as it has come in. What can't shows
-/// by its first bytes: the rest might be long in coming, or never come.
+/// Checks the received part of the first message in `bytes`, because the rest of an invalid one may never arrive.
 fn check_prefix(bytes: &[u8], shape: ResponseShape) -> Result<(), MalformedMessage> {
     let Some(kind) = bytes.first() else { return Ok(()) };
     let lengths = body_lengths(*kind, shape).ok_or(MalformedMessage("a message of unknown type"))?;
-    let Some(length) = u32_at(bytes, 1) else { return Ok(()) };
+    let Some(length) = u32_at(bytes, LENGTH_OFFSET) else { return Ok(()) };
     let length = length as usize;
-    if length.checked_sub(4).is_none_or(|length| !lengths.contains(&length)) {
+    if length.checked_sub(LENGTH_BYTES).is_none_or(|length| !lengths.contains(&length)) {
         return Err(MalformedMessage("a message has an impossible length"));
     }
     if *kind == backend::DATA_ROW && shape == ResponseShape::SingleValue {
@@ -125,17 +128,19 @@
     Ok(())
 }
 
-/// Checks that a row holds one column, which fills it.
+/// Checks that a row consists of a single column.
 fn check_single_column(bytes: &[u8], length: usize) -> Result<(), MalformedMessage> {
-    let is_one = bytes.get(5..ROW_HEADER_BYTES).is_none_or(|columns| columns == [0, 1]);
-    let fills_row = u32_at(bytes, ROW_HEADER_BYTES).is_none_or(|column| column as usize == length - 10);
+    let is_one = bytes.get(HEADER_BYTES..ROW_HEADER_BYTES).is_none_or(|columns| columns == [0, 1]);
+    let preceding_bytes = LENGTH_BYTES + COLUMN_COUNT_BYTES + COLUMN_LENGTH_BYTES;
+    let fills_row =
+        u32_at(bytes, ROW_HEADER_BYTES).is_none_or(|column| column as usize == length - preceding_bytes);
     if !is_one || !fills_row {
         return Err(MalformedMessage("a row that does not hold one value"));
     }
     Ok(())
 }
 
-/// Texts that each end in a zero byte, with nothing behind the last one.
+/// Splits a body into zero-terminated texts; `None` if it does not end with a zero byte.
 fn zero_terminated(body: &[u8]) -> Option<impl Iterator<Item = &[u8]>> {
     body.strip_suffix(b"\0").map(|body| body.split(|b| *b == 0))
 }
@@ -144,7 +149,7 @@
     zero_terminated(body).is_some_and(|texts| texts.count() == 1)
 }
 
-/// Whether a row's description has one column: its name, and the fields of its type.
+/// Returns whether a row description consists of a single column.
 fn describes_one_column(body: &[u8]) -> bool {
     let Some(column) = body.strip_prefix(&[0, 1]) else { return false };
     let Some(name_length) = column.len().checked_sub(1 + COLUMN_TYPE_BYTES) else { return false };
@@ -152,24 +157,24 @@
 }
 
 impl HostResponse {
-    /// A response of which nothing has come yet.
+    /// Creates an empty response.
     pub fn new(shape: ResponseShape) -> HostResponse {
         HostResponse { shape, ..HostResponse::default() }
     }
 
-    /// Returns the host's next message, or none if it is not complete yet and can still become a valid one.
+    /// Returns the first message in `bytes`, or `None` if it is incomplete.
     ///
     /// # Errors
-    /// If it can't become one, whatever may follow.
+    /// If the message is invalid, as far as its received part shows.
     pub fn next_message<'a>(&self, bytes: &'a [u8]) -> Result<Option<Message<'a>>, MalformedMessage> {
         check_prefix(bytes, self.shape)?;
         message(bytes)
     }
 
-    /// Takes in the host's next message.
+    /// Adds the next message to the response.
     ///
     /// # Errors
-    /// If it must not follow what came before, or makes the response too large.
+    /// If the message is out of order, or makes the response too large.
     pub fn accept(&mut self, message: &Message<'_>) -> Result<(), ResponseError> {
         match message.kind {
             backend::NOTICE
@@ -219,7 +224,10 @@
         Ok(())
     }
 
-    /// The phase that a message leads to; an error if it must not come now.
+    /// Returns the phase that a message leads to.
+    ///
+    /// # Errors
+    /// If the message is out of order.
     fn next_phase(&self, message: &Message<'_>) -> Result<ResponsePhase, MalformedMessage> {
         use ResponsePhase::{CommandComplete, Described, Ready, Row, Started};
         let any_rows = self.shape == ResponseShape::AnyRows;
@@ -250,7 +258,7 @@
             self.in_transaction |= message.body != b"I";
         }
         if next == ResponsePhase::Row {
-            let body_start = self.rows.len() + 5;
+            let body_start = self.rows.len() + HEADER_BYTES;
             self.last_row = Some(body_start..self.rows.len() + message.raw.len());
         }
         if next != ResponsePhase::Ready {
@@ -261,9 +269,9 @@
         Ok(())
     }
 
-    /// Checks that this many more bytes may come. Rows that are streamed in time never reach the limit.
-    fn check_size(&self, more: usize) -> Result<(), ResponseError> {
-        let length = self.rows.len() + more;
+    /// Checks that the response may grow by `added_bytes`. Streamed rows stay below the limit.
+    fn check_size(&self, added_bytes: usize) -> Result<(), ResponseError> {
+        let length = self.rows.len() + added_bytes;
         match self.shape {
             ResponseShape::AnyRows if length > MAX_RESPONSE_BYTES => Err(ResponseError::TooLarge),
             ResponseShape::SingleValue if length > MAX_MESSAGE_BYTES => {
@@ -273,33 +281,33 @@
         }
     }
 
-    /// Takes out the rows that have come so far, to be forwarded before the rest.
+    /// Removes and returns the rows received so far, to be streamed.
     pub fn take_rows(&mut self) -> Vec<u8> {
         self.rows_taken = true;
         std::mem::take(&mut self.rows)
     }
 
-    /// Whether the host has ended the response, and the connection can carry the next query.
+    /// Returns whether `ReadyForQuery` was received, so that the connection can carry the next query.
     pub fn is_ready(&self) -> bool {
         self.phase == ResponsePhase::Ready
     }
 
-    /// Whether all rows have come and no error, whether or not anything follows.
+    /// Returns whether all rows were received without an error, even before `ReadyForQuery`.
     pub fn is_complete(&self) -> bool {
         let has_any_rows = self.shape == ResponseShape::AnyRows && (self.rows_taken || !self.rows.is_empty());
         let has_rows = has_any_rows || self.last_row.is_some();
         has_rows && self.phase >= ResponsePhase::CommandComplete && self.error_code.is_none()
     }
 
-    /// The text of the row's one column.
+    /// Returns the text of the only column of the last row.
     pub fn single_value(&self) -> Option<Cow<'_, str>> {
         let row = &self.rows[self.last_row.clone()?];
-        let length = u32_at(row, 2)? as usize;
-        row.get(6..)?.get(..length).map(String::from_utf8_lossy)
+        let length = u32_at(row, COLUMN_COUNT_BYTES)? as usize;
+        row.get(COLUMN_COUNT_BYTES + COLUMN_LENGTH_BYTES..)?.get(..length).map(String::from_utf8_lossy)
     }
 }
 
-/// The SQLSTATE of an `ErrorResponse` whose fields are well formed.
+/// Returns the SQLSTATE of a well-formed `ErrorResponse`.
 fn error_code(body: &[u8]) -> Option<Cow<'_, str>> {
     let mut fields = zero_terminated(body.strip_suffix(b"\0")?)?.filter_map(|field| field.split_first());
     let code = fields.find(|(name, _)| **name == b'C').map(|(_, code)| code);
--- a/crates/comethitchd/src/wire/postgres/write.rs
+++ b/crates/comethitchd/src/wire/postgres/write.rs
@@ -1,14 +1,14 @@
-//! Serializes messages, to clients and to hosts. Each function appends one message, or a fixed row of them.
+//! Serializes messages to clients and hosts. Each function appends one message, or a fixed sequence of messages.
 
 use super::VERSION_3;
+use super::message::LENGTH_BYTES;
 use super::message_type::{backend, frontend};
 
-const LENGTH_BYTES: usize = 4;
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 const NO_UNKNOWN_OPTIONS: [u8; 4] = [0; 4];
-/// The transaction status of `ReadyForQuery` outside of any transaction.
+/// The transaction status of `ReadyForQuery` outside of a transaction.
 const IDLE: u8 = b'I';
-/// The parameters that are reported to clients at the start of a session.
+/// The parameters sent to clients at the start of a session.
 const SESSION_PARAMETERS: [(&str, &str); 5] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -17,12 +17,12 @@
     ("integer_datetimes", "on"),
 ];
 
-/// How severe an error is.
+/// The severity of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The statement has failed.
+    /// The statement failed.
     Error,
-    /// The connection ends.
+    /// The server closes the connection.
     Fatal,
 }
 
@@ -38,41 +38,41 @@
 /// The fields of an `ErrorResponse`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorFields<'a> {
-    /// How severe the error is.
+    /// The severity.
     pub severity: Severity,
     /// The SQLSTATE.
     pub code: &'a str,
-    /// What is wrong.
+    /// The primary message.
     pub message: &'a str,
-    /// The field `D`.
+    /// The optional detail.
     pub detail: Option<&'a str>,
 }
 
 impl<'a> ErrorFields<'a> {
-    /// An error that ends its statement alone, without a detail.
+    /// Creates an error that ends the statement, without a detail.
     pub fn error(code: &'a str, message: &'a str) -> ErrorFields<'a> {
         ErrorFields { severity: Severity::Error, code, message, detail: None }
     }
 
-    /// An error that ends the connection, without a detail.
+    /// Creates an error that ends the connection, without a detail.
     pub fn fatal(code: &'a str, message: &'a str) -> ErrorFields<'a> {
         ErrorFields { severity: Severity::Fatal, code, message, detail: None }
     }
 }
 
-/// Appends a message of this type whose body the caller writes.
+/// Appends a message of type `kind` with the body that `body` appends.
 fn put(out: &mut Vec<u8>, kind: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     put_sized(out, body);
 }
 
-/// Appends a body behind its length.
+/// Appends the length of a body, then the body.
 fn put_sized(out: &mut Vec<u8>, body: impl FnOnce(&mut Vec<u8>)) {
-    let at = out.len();
+    let start = out.len();
     out.extend([0; LENGTH_BYTES]);
     body(out);
-    let length = (out.len() - at) as u32;
-    out[at..at + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    let length = (out.len() - start) as u32;
+    out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
 fn put_pair(out: &mut Vec<u8>, name: &str, value: &str) {
@@ -80,13 +80,13 @@
     put_text(out, value);
 }
 
-/// Appends a text and its zero byte; zero bytes within are left out.
+/// Appends a zero-terminated text. Zero bytes within the text are omitted.
 fn put_text(out: &mut Vec<u8>, text: &str) {
     out.extend(text.bytes().filter(|b| *b != 0));
     out.push(0);
 }
 
-/// `StartupMessage`, to a host.
+/// Appends a `StartupMessage` to a host.
 pub fn put_startup(out: &mut Vec<u8>, user: &str, database: &str) {
     put_sized(out, |out| {
         out.extend(VERSION_3.to_be_bytes());
@@ -96,7 +96,7 @@
     });
 }
 
-/// Query, to a host, with the parts of the text written one behind the other.
+/// Appends a Query to a host, whose text is the concatenation of `parts`.
 pub fn put_query(out: &mut Vec<u8>, parts: &[&[u8]]) {
     put(out, frontend::QUERY, |out| {
         parts.iter().for_each(|part| out.extend(*part));
@@ -104,7 +104,8 @@
     });
 }
 
-/// Admits a client: `AuthenticationOk`, the session's parameters, the key for cancel requests, and `ReadyForQuery`.
+/// Appends the messages that start a client's session: `AuthenticationOk`, the parameters, the key for cancel requests
+/// and `ReadyForQuery`.
 pub fn put_welcome(out: &mut Vec<u8>, minor_version: u16, connection: u32, key: u32) {
     if minor_version > 0 {
         let version_3_0 = [VERSION_3.to_be_bytes(), NO_UNKNOWN_OPTIONS].concat();
@@ -121,22 +122,22 @@
     put_ready_for_query(out);
 }
 
-/// `ReadyForQuery`, outside of any transaction.
+/// Appends `ReadyForQuery` outside of a transaction.
 pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put(out, backend::READY_FOR_QUERY, |out| out.push(IDLE));
 }
 
-/// `EmptyQueryResponse`.
+/// Appends `EmptyQueryResponse`.
 pub fn put_empty_query(out: &mut Vec<u8>) {
     put(out, backend::EMPTY_QUERY, |_| ());
 }
 
-/// `CommandComplete` with this tag.
+/// Appends `CommandComplete` with a tag.
 pub fn put_command_complete(out: &mut Vec<u8>, tag: &str) {
     put(out, backend::COMMAND_COMPLETE, |out| put_text(out, tag));
 }
 
-/// `ErrorResponse`.
+/// Appends `ErrorResponse`.
 pub fn put_error(out: &mut Vec<u8>, error: &ErrorFields<'_>) {
     let severity = error.severity.name();
     let fields = [(b'S', severity), (b'V', severity), (b'C', error.code), (b'M', error.message)];
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -135,7 +135,7 @@
     let good = b"  /* x=1, after=17,cluster=65535,c=order,d=480,id=9b */ INSERT INTO f (code, data) VALUES('k', '\\x9f')RETURNING data";
     let comment = statement::parse_request_comment(good).expect("a comment");
     assert_eq!((comment.class, comment.shard, comment.after_ms), ("order", 65_535, Some(17)));
-    assert_eq!(&good[comment.wait_at], b"480");
+    assert_eq!(&good[comment.timeout.range], b"480");
     assert_eq!(statement::session_key(good), statement::session_key(b"SELECT 'k'"));
     assert_eq!(statement::session_key(b"SELECT 'k"), 0, "a quote without an end names nothing");
     let ways = [
