--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -5,8 +5,8 @@
 
 use async_io::Async;
 use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Received};
-use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol as RouterProtocol;
+use comethitchd::service::server;
 use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
@@ -98,7 +98,7 @@
     let protocol = RouterProtocol::postgres();
     let state = startup::start(config, Clock::start(), protocol.backend).expect("a router");
     let listener = Async::new(listener).expect("a listener");
-    async_io::block_on(listen::serve(state, protocol.client, vec![listener], async {
+    async_io::block_on(server::serve(state, protocol.client, vec![listener], async {
         let _ = stopped.recv().await;
     }));
 }
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -7,8 +7,8 @@
 use async_io::Async;
 use comethitch_testkit::{Client, Host, Ledger, Protocol, Received};
 use comethitchd::protocols::tds::settings::TdsSettings;
-use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol as RouterProtocol;
+use comethitchd::service::server;
 use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
@@ -65,7 +65,7 @@
             }
         };
         let state = startup::start(config, Clock::start(), protocol.backend).expect("a router");
-        async_io::block_on(listen::serve(state, protocol.client, vec![listener], async {
+        async_io::block_on(server::serve(state, protocol.client, vec![listener], async {
             let _ = stopped.recv().await;
         }));
         thread_cpu_micros()
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -5,9 +5,9 @@
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::classify::{Classify, ClassifyError};
 use comethitchd::service::command_line::{ConfigFiles, exit_code};
-use comethitchd::service::listen::{self, ServeError};
 use comethitchd::service::logger::{self, LogForm};
 use comethitchd::service::protocol::{Protocol, ProtocolError};
+use comethitchd::service::server::{self, ServeError};
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::{Config, ConfigError};
 use log::LevelFilter;
@@ -91,7 +91,7 @@
         let files = ConfigFiles { configuration: self.configuration, statements: self.statements };
         let config = files.load_at_start()?;
         let protocol = choose_protocol(self.tds.as_deref(), &config)?;
-        Ok(listen::run(config, clock, protocol, move || files.load())?)
+        Ok(server::run(config, clock, protocol, move || files.load())?)
     }
 }
 
--- /dev/null
+++ b/crates/comethitchd/src/service/maintenance.rs
@@ -0,0 +1,31 @@
+//! Periodic maintenance: closes expired connections, and logs state transitions and metrics.
+
+use crate::state::metrics_report::log_metrics;
+use crate::state::router_state::RouterState;
+use crate::state::step_times::EventLoopStep;
+use async_io::Timer;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Interval between two sweeps.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of sweeps between two metrics reports, which makes one report every ten seconds.
+const SWEEPS_PER_REPORT: u32 = 40;
+
+/// Sweeps at `SWEEP_INTERVAL` and logs the metrics every `SWEEPS_PER_REPORT` sweeps; never completes.
+pub(crate) async fn run_periodically(state: Rc<RouterState>) {
+    for round in 1.. {
+        Timer::after(SWEEP_INTERVAL).await;
+        state.steps.measure(EventLoopStep::Sweep, || sweep(&state));
+        if round % SWEEPS_PER_REPORT == 0 {
+            log_metrics(&state);
+        }
+    }
+}
+
+fn sweep(state: &RouterState) {
+    let now = state.clock.now();
+    state.pool.borrow_mut().close_expired(now);
+    state.clients.close_expired(now);
+    state.transitions.log_changes(&state.router.borrow());
+}
--- a/crates/comethitchd/src/service/mod.rs
+++ b/crates/comethitchd/src/service/mod.rs
@@ -1,15 +1,18 @@
-//! Start and stop: the request lines, the log, the watch of the endpoint list, and listening until a signal; and the
-//! tools `classify` and `trail`.
+//! Start, background tasks and shutdown of a router, its log, and the command-line tools `classify` and `trail`.
 
-pub mod bind;
+mod accept_loop;
 pub mod classify;
 pub mod command_line;
 pub mod discovery_client;
 pub mod endpoint_watch;
-pub mod listen;
+pub mod listener;
 pub mod logger;
+mod maintenance;
 pub mod protocol;
+mod readiness;
 pub mod received_signals;
 pub mod reload;
+pub mod server;
+mod shutdown;
 pub mod startup;
 pub mod trail;
--- a/crates/comethitchd/src/service/protocol.rs
+++ b/crates/comethitchd/src/service/protocol.rs
@@ -34,13 +34,13 @@
     /// What is spoken with hosts.
     pub backend: Box<dyn BackendProtocol<RouterState>>,
     /// Further addresses to listen on.
-    pub also_listen: Vec<SocketAddr>,
+    pub additional_addresses: Vec<SocketAddr>,
 }
 
 impl Protocol {
     /// PostgreSQL's protocol.
     pub fn postgres() -> Protocol {
-        Protocol { client: Rc::new(Postgres), backend: Box::new(Postgres), also_listen: Vec::new() }
+        Protocol { client: Rc::new(Postgres), backend: Box::new(Postgres), additional_addresses: Vec::new() }
     }
 
     /// TDS, with the operator's settings.
@@ -56,8 +56,8 @@
             }
             Some(_) => {}
         }
-        let also_listen = settings.addresses()?;
+        let additional_addresses = settings.addresses()?;
         let tds = Tds(Rc::new(settings));
-        Ok(Protocol { client: Rc::new(tds.clone()), backend: Box::new(tds), also_listen })
+        Ok(Protocol { client: Rc::new(tds.clone()), backend: Box::new(tds), additional_addresses })
     }
 }
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -8,8 +8,8 @@
 pub(crate) use comethitch_testkit::LONG;
 pub(crate) use comethitch_testkit::postgres::{error, message, query, row};
 use comethitchd::protocols::tds::settings::TdsSettings;
-use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol;
+use comethitchd::service::server;
 use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
@@ -191,9 +191,10 @@
             .expect("started");
         let lines = BufReader::new(child.stderr.take().expect("its log")).lines();
         let mut log: Box<dyn Iterator<Item = String> + Send> = Box::new(lines.map_while(Result::ok));
-        let line = log.find(|line| line.contains(" listens on ")).expect("a line");
-        // The address ends the message, and in JSON its text.
-        let address = line.split(" listens on ").nth(1).and_then(|rest| rest.split([' ', '"']).next());
+        let line = log.find(|line| line.contains("listening")).expect("a line");
+        // `address=HOST:PORT` in the text form, `"address":"HOST:PORT"` in JSON.
+        let value = line.split("address").nth(1).map(|rest| rest.trim_start_matches(['=', ':', '"']));
+        let address = value.and_then(|value| value.split([' ', '"']).next());
         let address = address.and_then(|text| text.parse().ok()).expect("an address");
         Program { child, file, log, address }
     }
@@ -359,7 +360,7 @@
                 }
             };
             let state = startup::start(config, Clock::start(), protocol.backend).expect("a router");
-            async_io::block_on(listen::serve(state, protocol.client, vec![listener], async {
+            async_io::block_on(server::serve(state, protocol.client, vec![listener], async {
                 let _ = stopped.recv().await;
             }));
         });
