--- a/crates/comethitchd/src/service/discovery_client.rs
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -1,4 +1,4 @@
-//! A client of the discovery service: one HTTP request, and the JSON objects and empty lines of its response.
+//! Client of the discovery service: sends one HTTP request, and reads the JSON objects and empty lines of its response.
 
 use crate::state::buffer::Buffer;
 use crate::state::clock::after;
@@ -15,59 +15,58 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where responses are late, they get more time, up to this.
-pub const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The largest buffer for a response, in bytes.
+/// Upper bound of the adaptive response timeout.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of the buffer for a response.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
-/// The status of a response that is read.
 const STATUS_OK: u16 = 200;
 
-/// Why a request to the discovery service brought nothing.
+/// Why a request to the discovery service failed.
 #[derive(Debug, thiserror::Error)]
-pub enum DiscoveryError {
-    /// Another service is followed in its place.
-    #[error("another service is followed now")]
+pub(crate) enum DiscoveryError {
+    /// The configuration names another discovery service since.
+    #[error("replaced by another discovery service")]
     Replaced,
     /// No connection was established in time.
     #[error("no connection within {MIN_RESPONSE_TIMEOUT:?}")]
     ConnectTimeout,
-    /// The head of the response did not come in time.
-    #[error("the response is late")]
+    /// The head of the response did not arrive in time.
+    #[error("response head timed out")]
     HeadTimeout,
-    /// The end of the response did not come in time.
-    #[error("the end of the response is late")]
+    /// The complete list did not arrive in time.
+    #[error("response body timed out")]
     BodyTimeout,
     /// The watch sent no complete line in time.
-    #[error("the watch is silent")]
-    WatchSilent,
+    #[error("watch timed out")]
+    WatchTimeout,
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The connection was closed within the response.
-    #[error("it closed the connection")]
+    /// The connection was closed before the end of the response.
+    #[error("connection closed before the end of the response")]
     Closed,
-    /// The response has another status than 200.
-    #[error("it answers with status {0}")]
+    /// The status of the response is not 200.
+    #[error("response status {0}")]
     Status(u16),
-    /// The response is not HTTP.
+    /// The response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] MalformedMessage),
     /// The response is no stream of JSON objects.
     #[error(transparent)]
     JsonStream(#[from] JsonStreamError),
-    /// An object of the response is no endpoint list.
+    /// An object of the response is no valid endpoint list.
     #[error(transparent)]
     List(#[from] EndpointListError),
     /// The response ends within a list.
-    #[error("its response ends within a list")]
+    #[error("response ends within a list")]
     Incomplete,
-    /// The response holds no list.
-    #[error("its response holds no list")]
+    /// The response contains no list.
+    #[error("response contains no list")]
     NoList,
 }
 
-/// A response of the discovery service as it comes in.
-pub struct DiscoveryResponse {
+/// A response of the discovery service, read incrementally.
+pub(crate) struct DiscoveryResponse {
     stream: Socket,
     buffer: Buffer,
     body: BodyDecoder,
@@ -79,21 +78,21 @@
     ///
     /// # Errors
     ///
-    /// If the service can't be reached, does not respond in time, or responds with an error.
-    pub async fn request(
+    /// If the service can't be reached, does not respond in time, or responds with another status than 200.
+    pub(crate) async fn request(
         address: SocketAddr, path: &str, timeout: Duration, budget: &MemoryBudget,
     ) -> Result<DiscoveryResponse, DiscoveryError> {
         let connect = async { Ok(Socket::connect(address).await?) };
-        let stream = within(MIN_RESPONSE_TIMEOUT, DiscoveryError::ConnectTimeout, connect).await?;
+        let stream = with_timeout(MIN_RESPONSE_TIMEOUT, DiscoveryError::ConnectTimeout, connect).await?;
         let request = http::get_request(path, &address.to_string());
         let mut buffer = Buffer::new(MAX_BUFFER_BYTES, budget);
         let head = async {
             (&stream).write_all(&request).await?;
             read_head(&stream, &mut buffer).await
         };
-        // The timeout is for the whole head: one that comes byte by byte without end is none.
+        // The timeout covers the whole head, which might otherwise arrive byte by byte without end.
         let ResponseHead { status, body, length } =
-            within(timeout, DiscoveryError::HeadTimeout, head).await?;
+            with_timeout(timeout, DiscoveryError::HeadTimeout, head).await?;
         if status != STATUS_OK {
             return Err(DiscoveryError::Status(status));
         }
@@ -101,12 +100,12 @@
         Ok(DiscoveryResponse { stream, buffer, body, objects: JsonStream::default() })
     }
 
-    /// The next object or empty line; none at the end of the response.
+    /// Returns the next object or empty line, or none at the end of the response.
     ///
     /// # Errors
     ///
     /// If the connection fails, or the response is malformed or incomplete.
-    pub async fn next_item(&mut self) -> Result<Option<JsonStreamItem>, DiscoveryError> {
+    pub(crate) async fn next_item(&mut self) -> Result<Option<JsonStreamItem>, DiscoveryError> {
         loop {
             if let Some(item) = self.objects.next_item()? {
                 return Ok(Some(item));
@@ -114,20 +113,20 @@
             if self.body.is_complete() {
                 return if self.objects.in_object() { Err(DiscoveryError::Incomplete) } else { Ok(None) };
             }
-            if self.take_buffered()? == 0 {
+            if self.decode_buffered()? == 0 {
                 self.read_more().await?;
             }
         }
     }
 
-    /// Decodes what the buffer holds of the body; how many bytes that were.
-    fn take_buffered(&mut self) -> Result<usize, DiscoveryError> {
-        let taken = self.body.decode(self.buffer.unread(), self.objects.buffer_mut())?;
-        self.buffer.consume(taken);
-        Ok(taken)
+    /// Decodes the buffered part of the body. Returns the number of bytes consumed.
+    fn decode_buffered(&mut self) -> Result<usize, DiscoveryError> {
+        let consumed = self.body.decode(self.buffer.unread(), self.objects.buffer_mut())?;
+        self.buffer.consume(consumed);
+        Ok(consumed)
     }
 
-    /// Reads more of the response. A reset is an error and never its end.
+    /// Reads more of the response. Only a response without a length may end with the connection, and never by a reset.
     async fn read_more(&mut self) -> Result<(), DiscoveryError> {
         if self.buffer.fill(&self.stream).await? > 0 {
             return Ok(());
@@ -140,7 +139,7 @@
     }
 }
 
-/// Reads the head of a response, and leaves it in the buffer.
+/// Reads until the buffer contains the complete head, and leaves it there.
 async fn read_head(stream: &Socket, buffer: &mut Buffer) -> Result<ResponseHead, DiscoveryError> {
     loop {
         if let Some(head) = http::parse_head(buffer.unread())? {
@@ -152,16 +151,16 @@
     }
 }
 
-/// How long the next response may take, after one that came in `took`, or none that came in `timeout`: late responses get
-/// more time, since a service that is slow or crowded would else never be heard.
-pub fn next_response_timeout(timeout: Duration, took: Option<Duration>) -> Duration {
-    let wanted = took.unwrap_or(timeout) * 2;
-    wanted.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
+/// Returns the timeout of the next response: twice the duration of the last one, or twice the last timeout if it
+/// expired. A slow or overloaded service would otherwise never be heard.
+pub(crate) fn next_response_timeout(timeout: Duration, took: Option<Duration>) -> Duration {
+    let doubled = took.unwrap_or(timeout) * 2;
+    doubled.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
 }
 
-/// A step, or `late` once its time is over.
-pub async fn within<T>(
-    limit: Duration, late: DiscoveryError, step: impl Future<Output = Result<T, DiscoveryError>>,
+/// Runs `step`, and returns `timeout_error` if it does not complete within `limit`.
+pub(crate) async fn with_timeout<T>(
+    limit: Duration, timeout_error: DiscoveryError, step: impl Future<Output = Result<T, DiscoveryError>>,
 ) -> Result<T, DiscoveryError> {
-    step.or(after(limit, Err(late))).await
+    step.or(after(limit, Err(timeout_error))).await
 }
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -1,70 +1,66 @@
-//! Keeps the endpoint list up to date in two independent ways: a watch of changes, restarted whenever a line of it is
-//! overdue ([`follow`]), and polls of the complete list while no watch sends anything ([`poll_while_silent`]).
+//! Keeps the endpoint list up to date in two independent ways: [`follow`] watches for changes and restarts a watch that
+//! sends nothing for too long, and [`poll_while_silent`] polls the complete list while no watch sends anything.
 //!
-//! Rules count a change as known some seconds after discovery had it, whether or not it came here. So whatever happens
-//! to a watch (it may fall silent, never connect, be reset, or send fragments without end), the list held is never
-//! older than `SILENT_WATCH` and one poll.
+//! A router must know a change within some seconds, even if watches hang, can't connect, are reset or send endless
+//! fragments. With the polls the list is never older than `SILENT_WATCH_THRESHOLD` and one poll.
 
-use crate::service::discovery_client::{DiscoveryError, DiscoveryResponse, next_response_timeout, within};
-use crate::stages::updates;
+use crate::service::discovery_client::{
+    DiscoveryError, DiscoveryResponse, next_response_timeout, with_timeout,
+};
+use crate::service::endpoint_update;
 use crate::state::clock::after;
 use crate::state::router_state::RouterState;
-use crate::state::step_times::EventLoopStep;
-use crate::wire::discovery::{self, EndpointList};
+use crate::wire::discovery;
 use crate::wire::json_stream::JsonStreamItem;
 use async_io::Timer;
-use comethitch_policy::Lifecycle;
 use futures_lite::FutureExt;
-use log::Level;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// While nothing changes, discovery sends an empty line at this interval.
+/// Interval at which discovery sends an empty line while nothing changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// A watch whose next complete line is late by a quarter of that is restarted. Only a line's end counts: fragments of
-/// one may come without end.
+/// How long a watch waits for the next complete line: a quarter more than the keep-alive interval. Fragments of a line
+/// don't count, as they may arrive without end.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(KEEP_ALIVE_INTERVAL.as_millis() as u64 * 5 / 4);
-/// The wait before a watch that ended is restarted.
-const RESTART_WAIT: Duration = Duration::from_millis(250);
-/// Once no watch has sent anything for so long, the complete list is polled.
-const SILENT_WATCH: Duration = Duration::from_millis(KEEP_ALIVE_INTERVAL.as_millis() as u64 * 3 / 2);
-/// The wait between two polls.
+/// Delay before a watch that ended is restarted.
+const WATCH_RESTART_DELAY: Duration = Duration::from_millis(250);
+/// How long no watch may have sent anything before the complete list is polled.
+const SILENT_WATCH_THRESHOLD: Duration =
+    Duration::from_millis(KEEP_ALIVE_INTERVAL.as_millis() as u64 * 3 / 2);
+/// Interval between polls of the complete list.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Of a list with more entries than this the log tells only how many there are.
-const MAX_ENTRIES_LOGGED: usize = 32;
-/// The path of the complete list.
+/// Path of the endpoint list at the discovery service.
 const LIST_PATH: &str = "/api/targets";
 
-/// Follows the changes of the endpoint list for ever.
-pub async fn follow(state: Rc<RouterState>) {
+/// Watches the endpoint list for changes; never completes.
+pub(crate) async fn follow(state: Rc<RouterState>) {
     let mut logged = false;
     loop {
         let service = state.discovery.service();
         let version = state.endpoints.borrow().version;
-        // Polled before the watch, so that nothing counts any more that a replaced service sends.
+        // Polled before the watch, so that nothing is applied that a replaced service still sends.
         let replaced = async {
             service.replaced.wait().await;
             Err(DiscoveryError::Replaced)
         };
         match replaced.or(watch_or_fetch(&state, service.address, version)).await {
             Ok(()) => logged = false,
-            // Logged once, as discovery may be down for long.
+            // Discovery may be down for long: only the first failure in a row is logged.
             Err(error) if !logged => {
-                let address = service.address;
-                log::warn!("discovery {address}: {error}; keeping the list, retrying from {version:?}");
+                log::warn!(address:% = service.address, version, error:%; "endpoint watch failed, retrying");
                 logged = true;
             }
             Err(_) => {}
         }
-        // A list that was just fetched is watched at once.
-        let fetched = version.is_none() && state.endpoints.borrow().version.is_some();
-        let wait = if fetched { Duration::ZERO } else { RESTART_WAIT };
-        after(wait, ()).or(service.replaced.wait()).await;
+        // The watch of a list that was just fetched starts without a delay.
+        let was_fetched = version.is_none() && state.endpoints.borrow().version.is_some();
+        let delay = if was_fetched { Duration::ZERO } else { WATCH_RESTART_DELAY };
+        after(delay, ()).or(service.replaced.wait()).await;
     }
 }
 
-/// Watches what changes after the version held; without one, fetches the complete list.
+/// Watches for changes after `version`, or fetches the complete list if there is no version yet.
 async fn watch_or_fetch(
     state: &Rc<RouterState>, address: SocketAddr, version: Option<u64>,
 ) -> Result<(), DiscoveryError> {
@@ -76,13 +72,13 @@
     Ok(())
 }
 
-/// Polls the complete list while no watch sends anything, for ever.
-pub async fn poll_while_silent(state: Rc<RouterState>) {
+/// Polls the complete list while no watch sends anything; never completes.
+pub(crate) async fn poll_while_silent(state: Rc<RouterState>) {
     loop {
         Timer::after(POLL_INTERVAL).await;
         let silence = state.discovery.watch_silence(state.clock.now());
-        // Without a list, `follow` fetches the complete one already.
-        if state.endpoints.borrow().version.is_none() || silence.to_std() < SILENT_WATCH {
+        // Without a version, `follow` fetches the complete list itself.
+        if state.endpoints.borrow().version.is_none() || silence.to_std() < SILENT_WATCH_THRESHOLD {
             continue;
         }
         let service = state.discovery.service();
@@ -92,28 +88,31 @@
         };
         let address = service.address;
         match replaced.or(fetch_list(&state, address)).await {
-            Ok(()) => log::debug!("the watch is silent: the complete list was polled"),
-            Err(error) => log::debug!("discovery {address}: polling the complete list failed: {error}"),
+            Ok(()) => log::debug!(address:%; "endpoint watch silent, complete list polled"),
+            Err(error) => log::debug!(address:%, error:%; "polling the complete endpoint list failed"),
         }
     }
 }
 
-/// One watch, up to its end.
+/// Runs one watch until it ends.
 async fn watch(state: &Rc<RouterState>, address: SocketAddr, since: u64) -> Result<(), DiscoveryError> {
     let path = format!("{LIST_PATH}?follow=1&since={since}");
     let mut response =
         DiscoveryResponse::request(address, &path, state.discovery.response_timeout(), &state.memory).await?;
-    while let Some(item) = within(WATCH_TIMEOUT, DiscoveryError::WatchSilent, response.next_item()).await? {
+    loop {
+        let next_item = with_timeout(WATCH_TIMEOUT, DiscoveryError::WatchTimeout, response.next_item());
+        let Some(item) = next_item.await? else {
+            return Ok(());
+        };
         state.discovery.record_watch_event(state.clock.now());
         if let JsonStreamItem::Object(text) = item {
             let version = state.endpoints.borrow().version;
-            apply(state, &text, version)?;
+            endpoint_update::apply(state, &text, version)?;
         }
     }
-    Ok(())
 }
 
-/// Fetches the complete list, which counts only if all of it came.
+/// Fetches the complete list, and applies it once all of it has arrived.
 async fn fetch_list(state: &Rc<RouterState>, address: SocketAddr) -> Result<(), DiscoveryError> {
     let version_before = state.endpoints.borrow().version;
     let timeout = state.discovery.response_timeout();
@@ -128,7 +127,7 @@
         }
         text.ok_or(DiscoveryError::NoList)
     };
-    let fetched = within(timeout, DiscoveryError::BodyTimeout, fetch).await;
+    let fetched = with_timeout(timeout, DiscoveryError::BodyTimeout, fetch).await;
     let took = fetched.is_ok().then(|| started.elapsed());
     let is_late = matches!(&fetched, Err(DiscoveryError::HeadTimeout | DiscoveryError::BodyTimeout));
     if took.is_some() || is_late {
@@ -136,55 +135,8 @@
     }
     let text = fetched?;
     if version_before.is_some() && discovery::version_of_complete_list(&text) == version_before {
-        log::debug!("list {version_before:?} is the one held");
-        return Ok(());
-    }
-    apply(state, &text, version_before)
-}
-
-/// Applies a list or an update. `version_before` is the version held as it was requested: one that is older than what
-/// another response has brought since then is out of date.
-fn apply(state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>) -> Result<(), DiscoveryError> {
-    let parse = || discovery::parse_endpoint_list(text, &state.config.zones);
-    let list = state.steps.measure(EventLoopStep::ParseList, parse)?;
-    let version = state.endpoints.borrow().version;
-    let may_be_outdated = version != version_before || !list.complete;
-    if may_be_outdated && version.is_some_and(|version| list.seq < version) {
-        log::debug!("list {} is older than the one held, {version:?}", list.seq);
+        log::debug!(version = version_before; "endpoint list unchanged");
         return Ok(());
     }
-    state.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
-    updates::apply_endpoint_list(state, &list);
-    state.ready.set();
-    Ok(())
-}
-
-/// Logs a list, entry by entry if it is short: a line costs as much as applying an entry several times.
-fn log_list(list: &EndpointList) {
-    if list.entries.len() > MAX_ENTRIES_LOGGED {
-        let count =
-            |lifecycle| list.entries.iter().filter(|entry| entry.endpoint.lifecycle == lifecycle).count();
-        log::info!(
-            "list {}: {} entries, {} ready, {} draining, {} removed",
-            list.seq,
-            list.entries.len(),
-            count(Lifecycle::Ready),
-            count(Lifecycle::Draining),
-            count(Lifecycle::Removed)
-        );
-    }
-    let level = if list.entries.len() > MAX_ENTRIES_LOGGED { Level::Debug } else { Level::Info };
-    for entry in &list.entries {
-        let endpoint = &entry.endpoint;
-        let primary = if endpoint.is_primary { ", primary" } else { "" };
-        log::log!(
-            level,
-            "list {}: {} at {} is {:?}{primary}, group {}",
-            list.seq,
-            entry.name,
-            entry.dial,
-            endpoint.lifecycle,
-            endpoint.shard_id
-        );
-    }
+    endpoint_update::apply(state, &text, version_before)
 }
--- a/crates/comethitchd/src/service/received_signals.rs
+++ b/crates/comethitchd/src/service/received_signals.rs
@@ -1,5 +1,5 @@
-//! The signals that the process has received, as flags: no system call is made between a signal and its flag, so that
-//! none can fail and lose it.
+//! Flags for the signals that the process has received. Setting a flag takes no system call that could fail and lose
+//! the signal.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
@@ -7,19 +7,20 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 
-/// Which signals have come.
+/// The signals received so far.
 #[derive(Debug, Default)]
-pub struct ReceivedSignals {
+pub(crate) struct ReceivedSignals {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
 
 impl ReceivedSignals {
-    /// Takes over SIGTERM, SIGINT and SIGHUP from their default actions.
+    /// Registers handlers that replace the default actions of SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// If the system does not allow it.
-    pub fn register() -> io::Result<ReceivedSignals> {
+    ///
+    /// If the system rejects a handler.
+    pub(crate) fn register() -> io::Result<ReceivedSignals> {
         let signals = ReceivedSignals::default();
         flag::register(SIGTERM, signals.stop.clone())?;
         flag::register(SIGINT, signals.stop.clone())?;
@@ -27,14 +28,14 @@
         Ok(signals)
     }
 
-    /// Whether the router was asked to stop, by SIGTERM or SIGINT.
-    pub fn stop_requested(&self) -> bool {
+    /// Returns whether SIGTERM or SIGINT was received.
+    pub(crate) fn stop_requested(&self) -> bool {
         self.stop.load(SeqCst)
     }
 
-    /// Whether the router was asked to reload its configuration (SIGHUP) since the last call. Signals that come
-    /// together count once: the configuration is read after the flag is taken.
-    pub fn take_reload(&self) -> bool {
+    /// Returns whether SIGHUP was received since the last call. Several signals in between count as one: the caller
+    /// reads the configuration after this call, and so sees what all of them announced.
+    pub(crate) fn take_reload(&self) -> bool {
         self.reload.swap(false, SeqCst)
     }
 }
--- a/crates/comethitchd/src/service/reload.rs
+++ b/crates/comethitchd/src/service/reload.rs
@@ -1,4 +1,4 @@
-//! Acts on signals: SIGTERM and SIGINT ask the router to stop, SIGHUP to read its configuration again.
+//! Acts on signals: stops the router on SIGTERM and SIGINT, and reloads its configuration on SIGHUP.
 
 use crate::service::received_signals::ReceivedSignals;
 use crate::stages::updates;
@@ -9,16 +9,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// For so long a configuration that can't be read or is faulty is read again: what it says counts four seconds after the
-/// signal.
-const RELOAD_PATIENCE: Duration = Duration::from_secs(3);
-/// The wait between two of these tries.
-const RELOAD_RETRY_WAIT: Duration = Duration::from_millis(100);
-/// How often it is looked at whether a signal has come.
+/// How long to retry after SIGHUP while the configuration can't be read or is invalid. A new configuration has to be in
+/// effect four seconds after the signal.
+const RELOAD_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay between attempts to reload the configuration.
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which received signals are polled.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Handles signals up to the end: neither signal to stop may kill a router that is shutting down.
-pub async fn handle_signals(
+/// Handles signals; never completes, since a repeated signal must not kill a router that is shutting down.
+pub(crate) async fn handle_signals(
     state: Rc<RouterState>, signals: ReceivedSignals, stop: OneShotEvent,
     load_config: impl Fn() -> Result<Config, ConfigError>,
 ) {
@@ -35,40 +35,38 @@
     }
 }
 
-/// A reload that was asked for. The file may still be being written, or be out of reach for a moment: it is read again for
-/// a while.
+/// A requested reload, retried because the file may still be being written or be unreadable for a moment.
 #[derive(Clone, Copy)]
 struct PendingReload {
-    next_try: Instant,
+    next_attempt_at: Instant,
     give_up_at: Instant,
     has_failed: bool,
 }
 
 impl PendingReload {
     fn new(now: Instant) -> PendingReload {
-        PendingReload { next_try: now, give_up_at: now + RELOAD_PATIENCE, has_failed: false }
+        PendingReload { next_attempt_at: now, give_up_at: now + RELOAD_RETRY_TIMEOUT, has_failed: false }
     }
 
-    /// Reads the configuration if it is time to. Returns what is still pending.
+    /// Reloads the configuration if an attempt is due. Returns the reload if it is still pending.
     fn try_once(
         mut self, state: &RouterState, load_config: &impl Fn() -> Result<Config, ConfigError>,
     ) -> Option<PendingReload> {
         let now = Instant::now();
-        if now < self.next_try {
+        if now < self.next_attempt_at {
             return Some(self);
         }
         let error = updates::reload(state, load_config()).err()?;
         if !self.has_failed {
-            log::error!(
-                "the configuration stays as it was: {error}; it is read again for {RELOAD_PATIENCE:?}"
-            );
+            let retry_timeout_ms = RELOAD_RETRY_TIMEOUT.as_millis() as u64;
+            log::error!(retry_timeout_ms, error:%; "configuration reload failed, retrying");
         }
         if now >= self.give_up_at {
-            log::error!("the configuration stays as it was until the next SIGHUP: {error}");
+            log::error!(error:%; "configuration reload failed, keeping the current configuration");
             return None;
         }
         self.has_failed = true;
-        self.next_try = now + RELOAD_RETRY_WAIT;
+        self.next_attempt_at = now + RELOAD_RETRY_INTERVAL;
         Some(self)
     }
 }
--- a/crates/comethitchd/src/service/startup.rs
+++ b/crates/comethitchd/src/service/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the policy and the state around it, before anything is listened to.
+//! Creates the policy's router and the state around it, before any address is listened on.
 
 use crate::stages::{policy_driver, updates};
 use crate::state::clock::Clock;
@@ -8,11 +8,11 @@
 use comethitch_policy::{ActionQueue, Router};
 use std::rc::Rc;
 
-/// Starts the policy, with the hosts that the configuration knows.
+/// Creates the state of a router, and applies the endpoint list of the configuration if it has one.
 ///
 /// # Errors
 ///
-/// If the rules for statements do not fit the request classes.
+/// If the statement rules don't fit the request classes.
 pub fn start(
     mut config: Config, clock: Clock, backend: Box<dyn BackendProtocol<RouterState>>,
 ) -> Result<Rc<RouterState>, ConfigError> {
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -366,7 +366,7 @@
         }
     });
     let limit = program.ends_after(LONG);
-    program.logs("list 9");
+    program.logs("endpoint received version=9 ");
     limit.store(true, std::sync::atomic::Ordering::SeqCst);
     assert!(back.elapsed() < Duration::from_secs(6), "fresh only after {:?}", back.elapsed());
     drop(idle);
--- a/crates/comethitchd/tests/endpoint_updates.rs
+++ b/crates/comethitchd/tests/endpoint_updates.rs
@@ -206,7 +206,7 @@
     agent.change();
     let changed = Instant::now();
     let limit = program.ends_after(LONG);
-    program.logs("p at 127.0.0.1:1 is Draining");
+    program.logs("host=p address=127.0.0.1:1 lifecycle=Draining");
     limit.store(true, SeqCst);
     (changed.elapsed(), program)
 }
@@ -287,7 +287,7 @@
         assert!(took < UPDATE_DEADLINE, "{name}: applied after {took:?}");
         program.signal("TERM");
         let log: Vec<String> = program.log.by_ref().collect();
-        assert!(!log.iter().any(|line| line.contains("list 99")), "{name}: {log:?}");
+        assert!(!log.iter().any(|line| line.contains("version=99")), "{name}: {log:?}");
         let requests = agent.state.lock().expect("the state").requests.clone();
         assert!(!requests.iter().any(|line| line.contains("since=99")), "{name}: {requests:?}");
         program.ends();
@@ -314,7 +314,7 @@
     std::fs::write(&program.file, all.to_string()).expect("written");
     program.signal("HUP");
     program.signal("CONT");
-    program.logs("list 7: p");
+    program.logs("endpoint received version=7 host=p");
     let requests = new.state.lock().expect("the state").requests.clone();
     assert!(requests[0].starts_with("GET /api/targets "), "{requests:?}");
     program.signal("TERM");
@@ -358,7 +358,7 @@
     let started = Instant::now();
     let mut program = Program::start("newer", &all);
     let limit = program.ends_after(LONG);
-    program.logs("list 8: p at 127.0.0.1:1 is Draining");
+    program.logs("version=8 host=p address=127.0.0.1:1 lifecycle=Draining");
     limit.store(true, SeqCst);
     assert!(started.elapsed() < UPDATE_DEADLINE, "{:?}", started.elapsed());
     program.signal("TERM");
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -505,7 +505,7 @@
     for faulty in [&all.to_string()[..200], "{\"settings\": {}}"] {
         std::fs::write(&program.file, faulty).expect("written");
         program.signal("HUP");
-        program.logs("the configuration stays as it was");
+        program.logs("configuration reload failed");
         assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"first".to_vec()));
     }
     // The new one is silent at the first try; its versions are its own, and lower.
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -306,7 +306,10 @@
         with_fault["groups"][0] = faulty;
         put(&with_fault);
         program.signal("HUP");
-        program.logs(&format!("stays as it was: {}: {key}", file.display()));
+        program.logs(&format!(
+            "configuration reload failed, retrying retry_timeout_ms=3000 error={}: {key}",
+            file.display()
+        ));
         assert_eq!(client.ask("SELECT 1"), ClientReply::Error("42601".into()), "the rules before hold on");
     }
     for (key, change) in [("dialect", json!("tsql")), ("cache", json!({"kib": 8192}))] {
@@ -315,9 +318,9 @@
         put(&fixed);
         program.signal("HUP");
         // Whichever comes first, so that a fault is told and not waited out.
-        let outcomes = ["stays as it was", "statements are judged by"];
+        let outcomes = ["configuration reload failed", "statements are judged by"];
         let told = program.log.find(|line| outcomes.iter().any(|outcome| line.contains(outcome)));
-        assert!(told.is_some_and(|line| line.contains(&format!("stays as it was: {key}"))), "{key} is fixed");
+        assert!(told.is_some_and(|line| line.contains(&format!("error={key}"))), "{key} is fixed");
     }
     rules["commentless"] = json!({"wait_ms": 900});
     put(&rules);
