--- /dev/null
+++ b/crates/comethitchd/src/service/classify/default_rules.rs
@@ -0,0 +1,50 @@
+//! Statement rules and request classes for `classify` when the command line does not name them.
+
+use comethitch_policy::time::Duration;
+use comethitch_policy::{Consistency, DeduplicationScope, Idempotency, RequestClass};
+use comethitch_statement::rules::{CacheSize, ClassRule, Disagreement, Parsing};
+use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
+
+/// Returns rules that only tell reads from writes.
+pub(super) fn default_rules(dialect: Dialect) -> Rules {
+    Rules {
+        dialect,
+        disagreement: Disagreement::Refuse,
+        commentless: None,
+        classes: vec![
+            class_rule("read", &[Effect::Read]),
+            class_rule("write", &[Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write]),
+        ],
+        keys: Vec::new(),
+        elsewhere: Some(0),
+        catalogue: Catalogue::default(),
+        cache: CacheSize::default(),
+        parsing: Parsing::default(),
+    }
+}
+
+fn class_rule(class: &str, effects: &[Effect]) -> ClassRule {
+    ClassRule { class: class.into(), effects: effects.to_vec(), tables: None, from_ms: None, below_ms: None }
+}
+
+/// Returns the request classes that the rules name, each as strict as its effects require, and their names.
+pub(super) fn classes_of(rules: &Rules) -> (Vec<RequestClass>, Vec<String>) {
+    let mut names: Vec<String> = rules.classes.iter().map(|rule| rule.class.clone()).collect();
+    names.sort();
+    names.dedup();
+    (names.iter().map(|name| request_class(rules, name)).collect(), names)
+}
+
+fn request_class(rules: &Rules, name: &str) -> RequestClass {
+    let own_rules = rules.classes.iter().filter(|rule| rule.class == name);
+    let only_reads = own_rules.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
+    RequestClass {
+        latency_objective: Duration::from_micros(1),
+        timeout: Duration::from_micros(1),
+        priority_weight: 1.0,
+        idempotency: if only_reads { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
+        deduplication_scope: DeduplicationScope::Everywhere,
+        deduplication_window: Duration::ZERO,
+        consistency: if only_reads { Consistency::Eventual } else { Consistency::Write },
+    }
+}
--- /dev/null
+++ b/crates/comethitchd/src/service/classify/line_classifier.rs
@@ -0,0 +1,83 @@
+//! Classifies the statement of one input line.
+
+use comethitch_policy::time::Timestamp;
+use comethitch_statement::admission::{StatementAdmission, StatementHints};
+use serde::{Deserialize, Serialize};
+
+/// The client that all statements are attributed to; parsing budgets per client don't apply here.
+const CLIENT: u64 = 0;
+
+/// One line of the input.
+#[derive(Deserialize)]
+struct InputLine {
+    sql: String,
+}
+
+/// One line of the output.
+#[derive(Serialize)]
+#[serde(untagged)]
+pub(super) enum OutputLine {
+    /// The verdict on a statement.
+    Verdict {
+        effect: &'static str,
+        replica: bool,
+        shape: String,
+        #[serde(rename = "group")]
+        class: Option<String>,
+        #[serde(rename = "hosts")]
+        shard: Option<u16>,
+        cost: f64,
+        why: String,
+    },
+    /// Why a line has no verdict.
+    Error { error: String },
+}
+
+/// Classifies input lines one after the other.
+pub(super) struct LineClassifier {
+    admission: StatementAdmission,
+    class_names: Vec<String>,
+    /// Whether the operator gave rules: if so, verdicts name the request class and the shard.
+    has_rules: bool,
+}
+
+impl LineClassifier {
+    pub(super) fn new(
+        admission: StatementAdmission, class_names: Vec<String>, has_rules: bool,
+    ) -> LineClassifier {
+        LineClassifier { admission, class_names, has_rules }
+    }
+
+    /// Classifies the statement of a line.
+    pub(super) fn classify(&mut self, line: &[u8]) -> OutputLine {
+        let input: InputLine = match serde_json::from_slice(line) {
+            Ok(input) => input,
+            Err(error) => return OutputLine::Error { error: format!("no statement: {error}") },
+        };
+        let text = input.sql.as_bytes();
+        let Some(judged) = self.admission.judge(text, CLIENT, &|| Timestamp::ZERO) else {
+            return OutputLine::Error { error: "the budget for parsing is spent".into() };
+        };
+        let known = judged.known.clone();
+        let key = judged.key;
+        let admitted = self.admission.assign(judged, StatementHints::default(), text, &[]);
+        let verdict = &known.verdict;
+        let (class, shard, why) = match admitted {
+            Ok(admitted) if self.has_rules => {
+                let class = self.class_names[admitted.assigned.class].clone();
+                (Some(class), Some(admitted.assigned.shard), verdict.why.to_string())
+            }
+            Err(error) if self.has_rules => (None, None, error.to_string()),
+            _ => (None, None, verdict.why.to_string()),
+        };
+        OutputLine::Verdict {
+            effect: verdict.effect.name(),
+            replica: verdict.effect.on_replica(),
+            shape: key.to_string(),
+            class,
+            shard,
+            cost: (verdict.features.guess() * 100.0).round() / 100.0,
+            why,
+        }
+    }
+}
--- a/crates/comethitchd/src/service/command_line.rs
+++ b/crates/comethitchd/src/service/command_line.rs
@@ -1,5 +1,5 @@
-//! What the command lines of the daemon and of the operator's tool share: where a configuration is loaded from, and
-//! how a failed command ends the program.
+//! Shared by the command lines of the daemon and the operator's tool: loads the configuration files, and turns the
+//! result of a command into an exit code.
 
 use crate::state::config::{Config, ConfigError};
 use crate::state::socket::is_local_shortage;
@@ -10,38 +10,38 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The environment variable that names the configuration if the command line does not.
+/// Environment variable with the path of the configuration, used if the command line names none.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
+/// Maximum number of retries for a configuration that can't be read while the program starts.
+const MAX_START_RETRIES: u32 = 20;
+/// Delay between these retries.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often a configuration that can't be read is tried again as a program starts, and the wait between two tries.
-const START_TRIES: u32 = 20;
-const START_RETRY_WAIT: Duration = Duration::from_millis(50);
-
-/// Whether a file that can't be read for this reason may be readable a moment later.
-fn may_pass(error: &io::Error) -> bool {
+/// Returns whether a file that can't be read for this reason may be readable a moment later.
+fn is_transient(error: &io::Error) -> bool {
     is_local_shortage(error) || Errno::from_io_error(error) == Some(Errno::IO)
 }
 
-/// The files of a configuration, as the command line names them.
+/// Paths of the configuration files, from the command line.
 pub struct ConfigFiles {
-    /// The configuration; without it, the environment names the file.
+    /// The configuration; `RELAY_CONFIG` names the file if this is not set.
     pub configuration: Option<PathBuf>,
-    /// The rules for statements, if there are any.
+    /// The statement rules, if there are any.
     pub statements: Option<PathBuf>,
 }
 
 impl ConfigFiles {
-    /// Loads the configuration as a program starts: while this machine is short of something, or the disk fails, it is
-    /// tried again for a second.
+    /// Loads the configuration while the program starts, and retries for a second if a file can't be read because of an
+    /// I/O error or a shortage of local resources.
     ///
     /// # Errors
     ///
     /// As [`ConfigFiles::load`].
     pub fn load_at_start(&self) -> Result<Config, ConfigError> {
-        for _ in 0..START_TRIES {
+        for _ in 0..MAX_START_RETRIES {
             match self.load() {
-                Err(ConfigError::UnreadableFile { source, .. }) if may_pass(&source) => {
-                    std::thread::sleep(START_RETRY_WAIT);
+                Err(ConfigError::UnreadableFile { source, .. }) if is_transient(&source) => {
+                    std::thread::sleep(START_RETRY_INTERVAL);
                 }
                 result => return result,
             }
@@ -49,11 +49,11 @@
         self.load()
     }
 
-    /// Loads the configuration, with the rules for statements.
+    /// Loads the configuration and the statement rules.
     ///
     /// # Errors
     ///
-    /// If no configuration is named, or a file can't be read or has a fault.
+    /// If no configuration is named, or a file can't be read or is invalid.
     pub fn load(&self) -> Result<Config, ConfigError> {
         let from_environment = || std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from);
         let path = self.configuration.clone().or_else(from_environment).ok_or(ConfigError::NoFile)?;
@@ -65,16 +65,16 @@
     }
 }
 
-/// Loads a configuration; environment variables replace names and addresses that it lacks.
+/// Loads a configuration; environment variables supply the name and the addresses that it does not contain.
 ///
 /// # Errors
 ///
-/// If the file can't be read or has a fault.
+/// If the file can't be read or is invalid.
 pub fn load_config(path: &Path) -> Result<Config, ConfigError> {
     Config::load(path, |name| std::env::var(name).ok())
 }
 
-/// The exit code of a command; an error is printed behind the name of the program.
+/// Returns the exit code of a command, and prints its error after the name of the program.
 pub fn exit_code<E: Display>(program: &str, result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -1,7 +1,7 @@
-//! The log: one line for each record on standard error, as text or as JSON, with times of RFC 3339 in UTC.
+//! Writes the log to standard error: one line per record, as text or JSON, with RFC 3339 timestamps in UTC.
 //!
-//! A line that can't be written (the disk is full, nobody reads any more) is counted and dropped: the log is no reason to
-//! lose a request.
+//! A line that can't be written, as when the disk is full or the reader is gone, is counted and dropped: requests must
+//! not fail because of the log.
 
 use crate::state::log_fields::record_dropped_line;
 use log::LevelFilter;
@@ -14,20 +14,20 @@
 use std::io::{self, Write};
 use std::str::FromStr;
 
-/// The prefix of the targets of this project's own records.
+/// Prefix of the log targets of this project.
 const TARGET_PREFIX: &str = "comethitch";
 
-/// How lines are written.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogForm {
-    /// Timestamp, level, source, message, then the fields as `name=value`.
+    /// Timestamp, level, source, message, and the fields as `name=value`.
     #[default]
     Text,
-    /// One JSON object.
+    /// One JSON object per line, with the fields under `kvs`.
     Json,
 }
 
-/// A form of the log that does not exist.
+/// The name of an unknown log format.
 #[derive(Debug, thiserror::Error)]
 #[error("the log's form is text or json, not {name:?}")]
 pub struct UnknownLogForm {
@@ -46,13 +46,13 @@
     }
 }
 
-/// Writes each line to standard error. It never gives an error: the library panics at one.
+/// Writes each line to standard error, or drops it. It never returns an error, because `logforth` panics on one.
 #[derive(Debug)]
-struct StderrOrNothing {
+struct StderrAppender {
     layout: Box<dyn Layout>,
 }
 
-impl Append for StderrOrNothing {
+impl Append for StderrAppender {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let written = self.layout.format(record, diagnostics).is_ok_and(|mut line| {
             line.push(b'\n');
@@ -69,7 +69,7 @@
     }
 }
 
-/// Leaves out the records of other libraries.
+/// Rejects the records of other libraries.
 #[derive(Debug)]
 struct OwnTargets;
 
@@ -83,13 +83,13 @@
     }
 }
 
-/// Starts the log; a second call changes nothing.
+/// Installs the logger; a second call has no effect.
 pub fn start(level: LevelFilter, form: LogForm) {
     let layout: Box<dyn Layout> = match form {
         LogForm::Text => Box::new(TextLayout::default().no_color().timezone(TimeZone::UTC)),
         LogForm::Json => Box::new(JsonLayout::default().timezone(TimeZone::UTC)),
     };
-    let append = StderrOrNothing { layout };
+    let append = StderrAppender { layout };
     let logger =
         logforth::core::builder().dispatch(|dispatch| dispatch.filter(OwnTargets).append(append)).build();
     if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
--- a/crates/comethitchd/src/service/protocol.rs
+++ b/crates/comethitchd/src/service/protocol.rs
@@ -1,4 +1,4 @@
-//! The choice of the wire protocol that a router speaks with clients and with hosts.
+//! Selects the wire protocol that a router speaks with clients and hosts.
 
 use crate::protocols::postgres::Postgres;
 use crate::protocols::tds::Tds;
@@ -10,44 +10,44 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Why a protocol can't be spoken with a configuration.
+/// Why a protocol can't be used with a configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// Statements of TDS are admitted by their text, and there are no rules for that.
+    /// TDS statements are classified by their text, which needs statement rules.
     #[error("TDS needs rules for statements: give --statements")]
     MissingRules,
-    /// The rules for statements are of another dialect than the protocol's.
+    /// The statement rules are for another dialect than the protocol's.
     #[error("the rules for statements are not of the dialect {expected}")]
     WrongDialect {
         /// The protocol's dialect.
         expected: &'static str,
     },
-    /// The file of TDS settings can't be read, or has a fault.
+    /// The TDS settings can't be read or are invalid.
     #[error(transparent)]
     TdsSettings(#[from] TdsSettingsError),
 }
 
-/// The protocol spoken with clients and with hosts, and where else clients connect.
+/// The protocol spoken with clients and hosts, and its additional listening addresses.
 pub struct Protocol {
-    /// What is spoken with clients.
+    /// The protocol's client side.
     pub client: Rc<dyn ClientProtocol<RouterState>>,
-    /// What is spoken with hosts.
+    /// The protocol's host side.
     pub backend: Box<dyn BackendProtocol<RouterState>>,
-    /// Further addresses to listen on.
+    /// Addresses to listen on in addition to that of the configuration.
     pub additional_addresses: Vec<SocketAddr>,
 }
 
 impl Protocol {
-    /// PostgreSQL's protocol.
+    /// Returns PostgreSQL's protocol.
     pub fn postgres() -> Protocol {
         Protocol { client: Rc::new(Postgres), backend: Box::new(Postgres), additional_addresses: Vec::new() }
     }
 
-    /// TDS, with the operator's settings.
+    /// Returns TDS with the operator's settings.
     ///
     /// # Errors
     ///
-    /// If the configuration has no rules for statements of the dialect `tsql`, or an address is malformed.
+    /// If the configuration has no statement rules for the dialect `tsql`, or an address is malformed.
     pub fn tds(settings: TdsSettings, config: &Config) -> Result<Protocol, ProtocolError> {
         match &config.statements {
             None => return Err(ProtocolError::MissingRules),
