--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -70,7 +70,7 @@
         if client.is_none_or(|client| client.has_ended()) {
             return Err(SendRefused::ClientGone);
         }
-        let router = self.state.router.borrow();
+        let router = self.state.policy();
         let handle = router.handle(self.request).ok_or(SendRefusal::RequestFinished)?;
         Ok(handle.check_send(&router, self.number, self.state.clock.now())?)
     }
@@ -78,7 +78,7 @@
     /// Counts a rule that was broken by its last byte's leaving just now, although it was checked: the process may have
     /// been held up in between.
     pub(super) fn verify_sent(&self) {
-        let router = self.state.router.borrow();
+        let router = self.state.policy();
         let handle = router.handle(self.request);
         let violation =
             handle.and_then(|handle| handle.violation_of_sent(&router, self.number, self.state.clock.now()));
@@ -88,7 +88,7 @@
     }
 
     fn host_name(&self) -> String {
-        self.state.endpoints.borrow().name(self.host).to_string()
+        self.state.hosts.directory().name(self.host).to_string()
     }
 
     /// Logs its start, for whoever follows a request's id.
@@ -117,7 +117,7 @@
     state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
     send: impl FnOnce(Rc<Attempt>) -> F + 'static,
 ) -> Option<u16> {
-    let mut requests = state.requests.borrow_mut();
+    let requests = &state.requests;
     let statement = requests.statement(request)?;
     let number = requests.next_attempt(request);
     if timeout == Duration::ZERO {
@@ -136,7 +136,6 @@
     });
     let task = state.tasks.spawn(run(attempt.clone(), send));
     requests.record_attempt(request, Some(task));
-    drop(requests);
     attempt.log_start();
     None
 }
@@ -149,7 +148,7 @@
     result.already_reported = attempt.streamed_answer.has_started();
     let shape = attempt.statement.shape.as_ref();
     if let Some(shape) = shape.filter(|_| result.completion.is_ok()) {
-        state.record_statement_latency(shape, state.clock.now() - started);
+        state.statement_rules.record_latency(shape, state.clock.now() - started);
     }
     attempt.log_end(result.outcome());
     state.record_host_outcome(attempt.host, result.outcome(), result.trailer.role);
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -16,7 +16,7 @@
 use crate::state::clock::after;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::pending_requests::Reply;
-use crate::state::router_state::RouterState;
+use crate::state::router_state::{RouterState, log_rejection};
 use crate::state::signals::{CloseRequest, ConnectionSignal};
 use crate::state::socket::Socket;
 use async_channel::Receiver;
@@ -80,7 +80,7 @@
         state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, max_buffer_bytes: usize,
     ) -> ClientConnection {
         let stream = Rc::new(Socket::new(stream));
-        let arrived = state.now();
+        let arrived = state.clock.observe();
         let (number, signal) = state.clients.register(arrived);
         let buffer = Buffer::new(max_buffer_bytes, &state.memory);
         let origin = origin_of(&stream);
@@ -133,14 +133,14 @@
             Err(AdmissionError::Invalid(error)) => return Ok(Admission::Invalid(error)),
             Err(AdmissionError::Throttled) => {
                 self.state.metrics.throttled.increment();
-                self.state.log_rejection("", "statement_budget");
+                log_rejection("", "statement_budget");
                 return Ok(Admission::Throttled);
             }
         };
         // A hard limit, which the policy has no say in.
         if self.state.at_request_limit() {
             self.state.metrics.throttled_at_limit.increment();
-            self.state.log_rejection(&admitted.client_id, "at_limit");
+            log_rejection(&admitted.client_id, "at_limit");
             return Ok(Admission::Throttled);
         }
         if self.stream.has_ended() {
@@ -180,7 +180,7 @@
     pub(super) async fn write(&self, bytes: &[u8]) -> Result<(), Disconnect> {
         let mut stream = &*self.stream;
         let timed_out = Err(io::ErrorKind::TimedOut.into());
-        let limit = self.state.longest_timeout.to_std();
+        let limit = self.state.config.longest_timeout().to_std();
         Ok(stream.write_all(bytes).or(after(limit, timed_out)).await?)
     }
 
@@ -240,7 +240,7 @@
         self.write(last_bytes).await.ok()?;
         self.stream.shut_down_write().ok()?;
         self.consume(self.buffer.unread().len());
-        while self.stream.read_into(&self.state.discard_buffer).await.ok()? > 0 {}
+        while self.stream.read_into(self.state.clients.discard_buffer()).await.ok()? > 0 {}
         None
     }
 }
--- a/crates/comethitchd/src/protocols/connect.rs
+++ b/crates/comethitchd/src/protocols/connect.rs
@@ -61,7 +61,7 @@
 async fn acquire_descriptor(state: &RouterState) -> Result<DescriptorPermit, ConnectionError> {
     let permit = async {
         loop {
-            if let Some(permit) = state.acquire_host_descriptor() {
+            if let Some(permit) = state.hosts.acquire_descriptor() {
                 return Ok(permit);
             }
             Timer::after(DESCRIPTOR_POLL_INTERVAL).await;
--- a/crates/comethitchd/src/protocols/exchange.rs
+++ b/crates/comethitchd/src/protocols/exchange.rs
@@ -69,7 +69,7 @@
         let timeout = async {
             Timer::after((self.ends_at - self.state.clock.now()).to_std()).await;
             if let Some(streamed) = self.streamed_answer() {
-                streamed.wait_until_stalled(self.state.longest_timeout.to_std()).await;
+                streamed.wait_until_stalled(self.state.config.longest_timeout().to_std()).await;
             }
             if self.sent.get() {
                 return Err(ConnectionError::TimedOut);
@@ -88,9 +88,9 @@
         &self, connect: impl AsyncFn(SocketAddr) -> Result<HostConnection, ConnectionError>,
         encode: impl Fn(&HostConnection) -> Vec<u8>,
     ) -> Result<HostConnection, ConnectionError> {
-        let address = self.state.endpoints.borrow().address(self.host).ok_or(ConnectionError::NotSent)?;
+        let address = self.state.hosts.directory().address(self.host).ok_or(ConnectionError::NotSent)?;
         loop {
-            let idle = self.state.pool.borrow_mut().take(self.host, address, self.state.clock.now());
+            let idle = self.state.hosts.take_idle(self.host, address, self.state.clock.now());
             let is_new = idle.is_none();
             let connection = match idle {
                 Some(idle) => idle,
@@ -139,16 +139,13 @@
 
     fn record_connect_error(&self, error: &ConnectionError) {
         if *error == ConnectionError::NoConnectionSlot {
-            self.state.pool.borrow_mut().record_no_slot(self.state.clock.now());
+            self.state.hosts.record_no_slot(self.state.clock.now());
         }
     }
 
     /// Returns a connection to the pool, if the host is still listed at its address and nothing is left to read.
     pub(super) fn release(&self, connection: HostConnection) {
-        let is_listed = self.state.endpoints.borrow().is_listed_at(self.host, connection.address);
-        if is_listed && connection.buffer.unread().is_empty() {
-            self.state.pool.borrow_mut().put(self.host, connection, self.state.clock.now());
-        }
+        self.state.hosts.release(self.host, connection, self.state.clock.now());
     }
 }
 
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -34,7 +34,7 @@
     }
     let outcome = attempt_outcome(&completion);
     state.record_host_outcome(host, outcome, report.role);
-    log::debug!("health check of {}: {completion:?}, {report:?}", state.endpoints.borrow().name(host));
+    log::debug!("health check of {}: {completion:?}, {report:?}", state.hosts.directory().name(host));
     policy_driver::call(&state, EventLoopStep::HealthChecked, |router, actions| {
         router.health_checked(host, outcome, report, actions);
     });
--- a/crates/comethitchd/src/protocols/postgres/backend.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -94,7 +94,7 @@
     let state = exchange.state;
     let connect = async |address| connect_to_host(state, address).await;
     let mut connection = exchange.send(connect, |_| encode()).await?;
-    let has_rules = state.admission.borrow().is_some();
+    let has_rules = state.statement_rules.are_present();
     let shape = if has_rules { ResponseShape::AnyRows } else { ResponseShape::SingleValue };
     let streamed = exchange.streamed_answer().filter(|_| has_rules);
     let reservation = has_rules.then(|| Reservation::new(&state.memory));
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -171,7 +171,7 @@
         let mut out = Vec::new();
         if is_empty_query(&text) {
             let state = self.connection.state.clone();
-            self.connection.wait_while_connected(state.ready.wait()).await?;
+            self.connection.wait_while_connected(state.discovery.wait_until_ready()).await?;
             postgres::put_empty_query(&mut out);
         } else if let Some(tag) = session_statement(&self.connection.state, &text) {
             postgres::put_command_complete(&mut out, tag);
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -28,7 +28,7 @@
         }
         // Until an endpoint list is held, no request could be served.
         let state = self.connection.state.clone();
-        self.connection.wait_while_connected(state.ready.wait()).await?;
+        self.connection.wait_while_connected(state.discovery.wait_until_ready()).await?;
         let packet_size = self.negotiate_packet_size(&login);
         let tokens = self.login_answer(&login, packet_size);
         self.connection.write(&encode_packets(FIRST_SIZE, &tokens)).await?;
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -41,7 +41,7 @@
     let mut logged = false;
     loop {
         let service = state.discovery.service();
-        let version = state.endpoints.borrow().version;
+        let version = state.hosts.directory().version();
         // Polled before the watch, so that nothing counts any more that a replaced service sends.
         let replaced = async {
             service.replaced.wait().await;
@@ -58,7 +58,7 @@
             Err(_) => {}
         }
         // A list that was just fetched is watched at once.
-        let fetched = version.is_none() && state.endpoints.borrow().version.is_some();
+        let fetched = version.is_none() && state.hosts.directory().version().is_some();
         let wait = if fetched { Duration::ZERO } else { RESTART_WAIT };
         after(wait, ()).or(service.replaced.wait()).await;
     }
@@ -82,7 +82,7 @@
         Timer::after(POLL_INTERVAL).await;
         let silence = state.discovery.watch_silence(state.clock.now());
         // Without a list, `follow` fetches the complete one already.
-        if state.endpoints.borrow().version.is_none() || silence.to_std() < SILENT_WATCH {
+        if state.hosts.directory().version().is_none() || silence.to_std() < SILENT_WATCH {
             continue;
         }
         let service = state.discovery.service();
@@ -106,7 +106,7 @@
     while let Some(item) = within(WATCH_TIMEOUT, DiscoveryError::WatchSilent, response.next_item()).await? {
         state.discovery.record_watch_event(state.clock.now());
         if let JsonStreamItem::Object(text) = item {
-            let version = state.endpoints.borrow().version;
+            let version = state.hosts.directory().version();
             apply(state, &text, version)?;
         }
     }
@@ -115,7 +115,7 @@
 
 /// Fetches the complete list, which counts only if all of it came.
 async fn fetch_list(state: &Rc<RouterState>, address: SocketAddr) -> Result<(), DiscoveryError> {
-    let version_before = state.endpoints.borrow().version;
+    let version_before = state.hosts.directory().version();
     let timeout = state.discovery.response_timeout();
     let started = Instant::now();
     let fetch = async {
@@ -146,16 +146,16 @@
 /// another response has brought since then is out of date.
 fn apply(state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>) -> Result<(), DiscoveryError> {
     let parse = || discovery::parse_endpoint_list(text, &state.config.zones);
-    let list = state.steps.measure(EventLoopStep::ParseList, parse)?;
-    let version = state.endpoints.borrow().version;
+    let list = state.metrics.steps.measure(EventLoopStep::ParseList, parse)?;
+    let version = state.hosts.directory().version();
     let may_be_outdated = version != version_before || !list.complete;
     if may_be_outdated && version.is_some_and(|version| list.seq < version) {
         log::debug!("list {} is older than the one held, {version:?}", list.seq);
         return Ok(());
     }
-    state.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
+    state.metrics.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
     updates::apply_endpoint_list(state, &list);
-    state.ready.set();
+    state.discovery.set_ready();
     Ok(())
 }
 
--- a/crates/comethitchd/src/service/listen.rs
+++ b/crates/comethitchd/src/service/listen.rs
@@ -120,18 +120,18 @@
     state.tasks.spawn(endpoint_watch::follow(state.clone())).detach();
     state.tasks.spawn(sweep(state.clone())).detach();
     state.tasks.spawn(endpoint_watch::poll_while_silent(state.clone())).detach();
-    let has_list = !state.endpoints.borrow().is_empty();
+    let has_list = !state.hosts.directory().is_empty();
     let wait = if has_list { KNOWN_LIST_WAIT } else { FIRST_LIST_WAIT };
     let waiting_state = state.clone();
     let ready = async move {
         Timer::after(wait).await;
-        waiting_state.ready.set();
+        waiting_state.discovery.set_ready();
     };
     state.tasks.spawn(ready).detach();
 }
 
 fn requests_in_progress(state: &RouterState) -> usize {
-    state.requests.borrow().len()
+    state.requests.len()
 }
 
 async fn all_clients_closed(state: &RouterState) {
@@ -143,7 +143,7 @@
 /// Rejects what is still in progress as the time to shut down ends, and leaves a moment for the answers. A client may
 /// wait longer than its request class says: it is answered while there is time to.
 async fn reject_remaining_requests(state: &Rc<RouterState>) {
-    let granted = state.longest_timeout.to_std().min(LONGEST_TIMEOUT_GRANTED);
+    let granted = state.config.longest_timeout().to_std().min(LONGEST_TIMEOUT_GRANTED);
     let limit = granted + SHUTDOWN_GRACE - ACCEPT_AFTER_STOP;
     Timer::after(limit.saturating_sub(LAST_WRITES)).await;
     policy_driver::call(state, EventLoopStep::ShutDown, |router, actions| router.shut_down(actions));
@@ -172,10 +172,10 @@
     let mut incoming = std::pin::pin!(listener.incoming());
     let mut failures_in_row = 0;
     loop {
-        let Some(permit) = state.acquire_client_descriptor() else {
+        let Some(permit) = state.clients.acquire_descriptor(state.clock.now()) else {
             // Nobody is closed that may yet send a request, unless somebody waits for the place.
             if listener.readable().await.is_ok() {
-                state.make_room_for_waiting_client();
+                state.clients.make_room_for_waiting_client(state.clock.now());
             }
             Timer::after(RETRY_WAIT).await;
             continue;
@@ -201,16 +201,16 @@
 
 fn sweep_once(state: &RouterState) {
     let now = state.clock.now();
-    state.pool.borrow_mut().close_expired(now);
+    state.hosts.close_expired(now);
     state.clients.close_expired(now);
-    state.transitions.log_changes(&state.router.borrow());
+    state.log_transitions();
 }
 
 /// Closes connections that have been idle too long, logs what changed and, at longer intervals, the counts.
 async fn sweep(state: Rc<RouterState>) {
     for round in 1.. {
         Timer::after(SWEEP_INTERVAL).await;
-        state.steps.measure(EventLoopStep::Sweep, || sweep_once(&state));
+        state.metrics.steps.measure(EventLoopStep::Sweep, || sweep_once(&state));
         if round % SWEEPS_PER_REPORT == 0 {
             log_metrics(&state);
         }
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -106,10 +106,10 @@
 ///
 /// If the statement is no valid request, or its client's budget for parsing statements is spent.
 pub fn admit(state: &RouterState, request: &StatementRequest<'_>) -> Result<AdmittedRequest, AdmissionError> {
-    match &mut *state.admission.borrow_mut() {
+    state.statement_rules.with_admission(|admission| match admission {
         None => Ok(admit_by_comment(state, request)?),
         Some(admission) => admit_by_text(state, admission, request),
-    }
+    })
 }
 
 fn admit_by_comment(
@@ -138,7 +138,7 @@
     let fields = comment_fields(text)?;
     let timeout_ms = timeout_ms(admission, &fields)?;
     let class = fields.class.map(|name| find_class(state, name)).transpose()?;
-    let client_id = fields.id.map_or_else(|| state.requests.borrow_mut().generate_id(), String::from);
+    let client_id = fields.id.map_or_else(|| state.requests.generate_id(), String::from);
     check_id_and_timeout(state, &client_id, timeout_ms)?;
     let hints = StatementHints { class, shard: fields.shard };
     let clock = || state.clock.now();
@@ -187,7 +187,7 @@
 }
 
 fn check_id_and_timeout(state: &RouterState, id: &str, timeout_ms: u64) -> Result<(), StatementError> {
-    if state.requests.borrow().is_unanswered(id) {
+    if state.requests.is_unanswered(id) {
         return Err(StatementError::IdInUse { id: id.to_string() });
     }
     if timeout_ms > MAX_TIMEOUT_MS {
@@ -199,7 +199,7 @@
 /// The tag that answers a statement about the session alone, which has no effect here.
 pub fn session_statement(state: &RouterState, text: &[u8]) -> Option<&'static str> {
     // With rules, any text may come: one that goes on behind a semicolon is admitted as a whole.
-    if state.admission.borrow().is_some() && has_several_statements(text) {
+    if state.statement_rules.are_present() && has_several_statements(text) {
         return None;
     }
     let word = text.trim_ascii_start().split(|b| !b.is_ascii_alphabetic()).next().unwrap_or_default();
--- a/crates/comethitchd/src/stages/attempt_end.rs
+++ b/crates/comethitchd/src/stages/attempt_end.rs
@@ -16,9 +16,9 @@
     if completion.is_ok() {
         reply::answer(state, id, Reply::Value(payload));
     } else if outcome == AttemptOutcome::Error && !payload.is_empty() {
-        state.requests.borrow_mut().record_host_error(id, payload);
+        state.requests.record_host_error(id, payload);
     }
-    let mut requests = state.requests.borrow_mut();
+    let requests = &state.requests;
     if let Some(task) = requests.take_attempt(id, attempt) {
         task.detach();
     }
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -23,9 +23,8 @@
 
 /// Calls into the policy, then carries out what it decided.
 pub fn call(state: &Rc<RouterState>, step: EventLoopStep, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
-    let mut queue = ActionQueue::at(state.now());
-    state.steps.measure(step, || call(&mut state.router.borrow_mut(), &mut queue));
-    carry_out(state, queue);
+    let actions = state.call_policy(step, call);
+    carry_out(state, actions);
 }
 
 /// An attempt that ended while the actions were carried out.
@@ -48,7 +47,7 @@
             }
             Action::CancelAttempt { request, attempt } => {
                 // Dropping the task closes its connection.
-                let task = state.requests.borrow_mut().take_attempt(request, attempt);
+                let task = state.requests.take_attempt(request, attempt);
                 let error = ConnectionError::Cancelled;
                 ended.extend(task.map(|_| EndedAttempt { request, attempt, error }));
             }
@@ -72,7 +71,7 @@
 fn reject(
     state: &RouterState, request: RequestId, rejection: Reply, reason: RejectionReason, answer: &'static str,
 ) {
-    let statement = state.requests.borrow().statement(request);
+    let statement = state.requests.statement(request);
     if reply::answer(state, request, rejection) {
         state.metrics.rejections.increment(reason.name());
         let id = statement.map(|statement| statement.client_id.clone()).unwrap_or_default();
@@ -81,19 +80,19 @@
 }
 
 fn close_idle_connections(state: &RouterState, host: Host) {
-    log::warn!("failover: {} is no longer considered primary", state.endpoints.borrow().name(host));
-    state.pool.borrow_mut().close_host(host);
+    log::warn!("failover: {} is no longer considered primary", state.hosts.directory().name(host));
+    state.hosts.close_idle(host);
 }
 
 fn wake_after(state: &Rc<RouterState>, delay: Duration) {
-    state.stalls.set_tick(delay, state.clock.now());
+    state.clock.schedule_tick(delay);
     let woken_state = state.clone();
     let tick = async move {
         Timer::after(delay.to_std()).await;
-        if woken_state.stalls.has_just_stalled(woken_state.clock.now()) {
+        if woken_state.clock.has_just_stalled() {
             Timer::after(READ_AFTER_STALL).await;
         }
-        woken_state.stalls.record_tick(woken_state.clock.now());
+        woken_state.clock.record_tick();
         call(&woken_state, EventLoopStep::Tick, |router, actions| router.tick(actions));
     };
     state.tasks.spawn(tick).detach();
@@ -138,7 +137,7 @@
     let AdmittedRequest { client_id, timeout_range, shape, class, shard: shard_id, session, after, deadline } =
         admitted;
     let statement = Statement { text, message_kind, client_id, timeout_range, shape };
-    let (id, reply) = state.requests.borrow_mut().register(statement, client);
+    let (id, reply) = state.requests.register(statement, client);
     call(state, EventLoopStep::Submit, |router, actions| {
         let now = actions.now();
         let timeout = deadline - now;
@@ -150,10 +149,10 @@
 /// The client has disconnected, or has cancelled its request: the request needs no answer any more.
 pub fn client_disconnected(state: &Rc<RouterState>, id: RequestId) {
     state.metrics.clients_disconnected.increment();
-    if let Some(statement) = state.requests.borrow().statement(id) {
+    if let Some(statement) = state.requests.statement(id) {
         log::debug!(id = statement.client_id; "client disconnected or cancelled");
     }
-    state.requests.borrow_mut().abandon(id);
+    state.requests.abandon(id);
     call(state, EventLoopStep::ClientDisconnected, |router, actions| {
         if let Some(handle) = router.handle(id) {
             handle.client_disconnected(router, actions);
--- a/crates/comethitchd/src/stages/reply.rs
+++ b/crates/comethitchd/src/stages/reply.rs
@@ -10,7 +10,7 @@
 pub fn answer(state: &RouterState, id: RequestId, reply: Reply) -> bool {
     let reply = with_host_error(state, id, reply);
     let counter = counter_of(state, &reply);
-    let delivered = state.requests.borrow_mut().answer(id, reply);
+    let delivered = state.requests.answer(id, reply);
     if delivered {
         counter.increment();
     }
@@ -20,7 +20,7 @@
 fn with_host_error(state: &RouterState, id: RequestId, reply: Reply) -> Reply {
     match reply {
         Reply::Failed => {
-            let host_error = state.requests.borrow_mut().take_host_error(id);
+            let host_error = state.requests.take_host_error(id);
             host_error.map_or(Reply::Failed, Reply::FailedWithHostError)
         }
         reply => reply,
--- a/crates/comethitchd/src/stages/updates.rs
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -6,7 +6,7 @@
 use crate::state::step_times::EventLoopStep;
 use crate::wire::discovery::EndpointList;
 use comethitch_policy::EndpointUpdate;
-use comethitch_statement::{Rules, StatementAdmission};
+use comethitch_statement::Rules;
 use std::rc::Rc;
 
 /// Why a reloaded configuration is not applied.
@@ -25,9 +25,8 @@
 
 /// Applies an endpoint list or an update of it: to the directory, the idle connections and the policy.
 pub fn apply_endpoint_list(state: &Rc<RouterState>, list: &EndpointList) {
-    state.steps.measure(EventLoopStep::ApplyList, || {
-        let removed_or_moved = state.endpoints.borrow_mut().apply(list);
-        removed_or_moved.iter().for_each(|host| state.pool.borrow_mut().close_host(*host));
+    state.metrics.steps.measure(EventLoopStep::ApplyList, || {
+        state.hosts.apply_endpoint_list(list);
     });
     let endpoints = list.entries.iter().map(|entry| entry.endpoint).collect();
     let update = EndpointUpdate { complete: list.complete, endpoints };
@@ -57,28 +56,33 @@
         return;
     }
     log::info!("discovery is {} from now on", config.discovery);
-    state.endpoints.borrow_mut().version = None;
+    state.hosts.forget_list_version();
     state.discovery.replace(config.discovery);
 }
 
 /// Replaces the rules for statements if they have changed. They are made for the request classes that this router runs
 /// with; what was known of statement shapes is dropped with the rules that it was found by.
 fn reload_statement_rules(state: &RouterState, config: &Config) -> Result<(), ReloadError> {
-    let mut admission = state.admission.borrow_mut();
-    let current = admission.as_ref().map(StatementAdmission::rules);
-    if current == config.statements.as_ref() {
+    if !check_rules_changed(state, config)? {
         return Ok(());
     }
-    if let (Some(current), Some(new)) = (current, &config.statements) {
-        check_fixed_rules(current, new)?;
-    }
     let rules = config.statements.clone();
-    *admission = rules.map(|rules| state.config.admission_by(rules, state.clock.now())).transpose()?;
+    let admission = rules.map(|rules| state.config.admission_by(rules, state.clock.now())).transpose()?;
     let which = if admission.is_some() { "other" } else { "no" };
+    state.statement_rules.replace(admission);
     log::info!("statements are judged by {which} rules from now on");
     Ok(())
 }
 
+/// Returns whether the rules for statements have changed; checks that a running router can take the change over.
+fn check_rules_changed(state: &RouterState, config: &Config) -> Result<bool, ReloadError> {
+    let current = state.statement_rules.current();
+    if let (Some(current), Some(new)) = (&current, &config.statements) {
+        check_fixed_rules(current, new)?;
+    }
+    Ok(current.as_deref() != config.statements.as_ref())
+}
+
 /// Checks that no rule has changed that can't be changed in a running router.
 fn check_fixed_rules(current: &Rules, new: &Rules) -> Result<(), ReloadError> {
     if current.dialect != new.dialect {
--- a/crates/comethitchd/src/state/client_registry.rs
+++ b/crates/comethitchd/src/state/client_registry.rs
@@ -1,6 +1,7 @@
-//! The registry of open client connections: their phases, their idle timeouts, and which one is evicted first as
-//! descriptors run short.
+//! The registry of open client connections: their phases, their idle timeouts, the descriptors that they use, and which
+//! one is evicted first when descriptors run short.
 
+use crate::state::descriptors::{DescriptorLimit, DescriptorPermit};
 use crate::state::signals::{CloseRequest, ConnectionSignal};
 use comethitch_policy::time::{Duration, Timestamp};
 use std::cell::{Cell, RefCell};
@@ -9,16 +10,28 @@
 use std::hash::{BuildHasher, Hasher};
 use std::rc::Rc;
 
-/// With no descriptor left, a connection may be evicted before its first request after this part of the shortened
-/// timeout.
-const LAST_RESORT_DIVISOR: u64 = 8;
+/// Timeout for reading a complete request, and for discarding input after an error. A connection that is idle for as
+/// long may be evicted. With the interval of the sweep, incomplete requests end their connections within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of idle connections.
+const IDLE_TIMEOUT: Duration = Duration::from_micros(REQUEST_TIMEOUT.as_micros() * 5);
+/// Replaces [`REQUEST_TIMEOUT`] while descriptors run short or the router shuts down.
+const SHORTENED_REQUEST_TIMEOUT: Duration = Duration::from_micros(REQUEST_TIMEOUT.as_micros() / 32);
+/// Minimum age of a connection that is evicted before its first request, while no descriptor is free.
+const LAST_RESORT_TIMEOUT: Duration = Duration::from_micros(SHORTENED_REQUEST_TIMEOUT.as_micros() / 8);
+/// Fraction of the descriptors whose connections may have a request in progress.
+const BUSY_DESCRIPTORS_PART: (usize, usize) = (4, 5);
+/// Idle connections are evicted while fewer than one in this many descriptors is free.
+const FREE_DESCRIPTORS_DIVISOR: usize = 8;
+/// Bytes of discarded input that are read at once.
+const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPhase {
-    /// It was sent an error that ends it; what it still sends is discarded.
+    /// It was sent an error that ends it, and its further input is discarded.
     Closing,
-    /// Its first request, or the rest of a request that has begun, is awaited.
+    /// It is expected to send its first request, or the rest of a request.
     Reading,
     /// Its last request was answered, and no other has begun.
     Idle,
@@ -27,7 +40,6 @@
 }
 
 impl ConnectionPhase {
-    /// Whether the client has to send something next, or has something to discard sent.
     fn awaits_input(self) -> bool {
         matches!(self, ConnectionPhase::Reading | ConnectionPhase::Closing)
     }
@@ -39,13 +51,13 @@
     signal: Rc<ConnectionSignal>,
 }
 
-/// The open connections, and their order: who is to be closed next is found without looking at all.
+/// The open connections, indexed so that the next one to close is found without a scan.
 #[derive(Default)]
 struct OpenConnections {
     by_number: BTreeMap<u32, OpenConnection>,
-    /// Those that were not asked to close at once, by phase and by the time since which they are in it.
+    /// Connections that were not asked to close at once, by phase and by when the phase began.
     by_phase: BTreeSet<(ConnectionPhase, Timestamp, u32)>,
-    /// How many await input, also of those that were asked to close.
+    /// Number of connections that await input, including those that were asked to close.
     awaiting_input: usize,
 }
 
@@ -78,13 +90,12 @@
         }
     }
 
-    /// The connection that has been in a phase the longest, and since when.
+    /// Returns the connection that has been in a phase the longest, and since when.
     fn longest_in(&self, phase: ConnectionPhase) -> Option<(Timestamp, u32)> {
         let (found, since, number) = self.by_phase.range((phase, Timestamp::ZERO, 0)..).next()?;
         (*found == phase).then_some((*since, *number))
     }
 
-    /// Asks a connection to close at once.
     fn close_now(&mut self, number: u32) {
         if let Some(connection) = self.by_number.get(&number) {
             connection.signal.request_close(CloseRequest::Now);
@@ -93,39 +104,57 @@
     }
 }
 
-/// How long a connection may stay in a phase.
-pub struct IdleTimeouts {
-    /// For reading a complete request, and for discarding what is sent after an error. A connection that is idle for
-    /// as long may be evicted.
-    pub request: Duration,
-    /// Until an idle connection is closed in any case.
-    pub idle: Duration,
-    /// In place of `request` while descriptors are short or the router stops.
-    pub shortened: Duration,
-}
-
-/// The clients' open connections.
+/// The open connections of clients.
 pub struct ClientRegistry {
-    timeouts: IdleTimeouts,
+    descriptors: DescriptorLimit,
     next_number: Cell<u32>,
-    stopping: Cell<bool>,
+    shutting_down: Cell<bool>,
     open: RefCell<OpenConnections>,
+    discard_buffer: RefCell<Vec<u8>>,
 }
 
 impl ClientRegistry {
-    /// An empty registry.
-    pub fn new(timeouts: IdleTimeouts) -> ClientRegistry {
+    /// Creates an empty registry.
+    pub fn new(descriptors: DescriptorLimit) -> ClientRegistry {
         ClientRegistry {
-            timeouts,
+            descriptors,
             next_number: Cell::default(),
-            stopping: Cell::default(),
+            shutting_down: Cell::default(),
             open: RefCell::default(),
+            discard_buffer: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
+        }
+    }
+
+    /// Acquires a descriptor for one more connection; none at the limit. When few descriptors are left, a connection
+    /// that has been idle for long is evicted first.
+    pub fn acquire_descriptor(&self, now: Timestamp) -> Option<DescriptorPermit> {
+        let limit = self.descriptors.limit();
+        if self.descriptors.in_use() >= limit - limit / FREE_DESCRIPTORS_DIVISOR {
+            self.evict_one(now, false);
         }
+        self.descriptors.acquire()
+    }
+
+    /// Evicts one connection for a client that waits to be accepted, if no descriptor is free.
+    pub fn make_room_for_waiting_client(&self, now: Timestamp) {
+        if self.descriptors.is_exhausted() {
+            self.evict_one(now, true);
+        }
+    }
+
+    /// Returns the maximum number of requests in progress.
+    pub fn max_requests(&self) -> usize {
+        self.descriptors.limit() * BUSY_DESCRIPTORS_PART.0 / BUSY_DESCRIPTORS_PART.1
+    }
+
+    /// Returns the buffer that all connections read discarded input to. Its contents have no meaning.
+    pub fn discard_buffer(&self) -> &RefCell<Vec<u8>> {
+        &self.discard_buffer
     }
 
     /// Registers a connection; returns its number, and the signal that asks it to close.
     pub fn register(&self, now: Timestamp) -> (u32, Rc<ConnectionSignal>) {
-        // From the operating system's random numbers: no other client may guess it.
+        // The hasher's seed comes from the operating system's random numbers: no other client can guess the key.
         let cancel_key = RandomState::new().build_hasher().finish() as u32;
         let signal = Rc::new(ConnectionSignal::new(cancel_key));
         let number = self.next_number.get();
@@ -136,12 +165,11 @@
         (number, signal)
     }
 
-    /// Cancels the request in progress on a connection, if the caller knows its cancel key.
+    /// Cancels the request in progress on a connection, if `cancel_key` is the connection's.
     pub fn cancel_request(&self, number: u32, cancel_key: u32) {
         let open = self.open.borrow();
-        if let Some(connection) =
-            open.by_number.get(&number).filter(|open| open.signal.cancel_key == cancel_key)
-        {
+        let connection = open.by_number.get(&number);
+        if let Some(connection) = connection.filter(|open| open.signal.cancel_key == cancel_key) {
             connection.signal.cancel();
         }
     }
@@ -151,72 +179,72 @@
         self.open.borrow_mut().remove(number);
     }
 
-    /// Sets what a connection is doing; setting the same phase again does not restart its timeout.
+    /// Sets what a connection is doing. Setting the same phase again does not restart its timeout.
     pub fn set_phase(&self, number: u32, phase: ConnectionPhase, now: Timestamp) {
         self.open.borrow_mut().set_phase(number, phase, now);
     }
 
-    /// Asks one connection to close, to free its descriptor: one that was sent an error, or has sent no request for a
-    /// while, or has long been idle. With no descriptor left (`exhausted`), also one that hardly had the time to send
-    /// a request; and any idle one only if no connection is new.
-    pub fn evict_idle(&self, now: Timestamp, exhausted: bool) {
+    fn evict_one(&self, now: Timestamp, exhausted: bool) {
         let mut open = self.open.borrow_mut();
-        if let Some(number) = self.next_to_evict(&open, now, exhausted) {
+        if let Some(number) = next_to_evict(&open, now, exhausted) {
             open.close_now(number);
         }
     }
 
-    /// The connection that is evicted first; none if no connection may be evicted.
-    fn next_to_evict(&self, open: &OpenConnections, now: Timestamp, exhausted: bool) -> Option<u32> {
-        let IdleTimeouts { request, shortened, .. } = self.timeouts;
-        let longest_in = |phase, at_least: Duration| {
-            let (since, number) = open.longest_in(phase)?;
-            (now - since >= at_least).then_some(number)
-        };
-        let closing = longest_in(ConnectionPhase::Closing, shortened);
-        let reading = || longest_in(ConnectionPhase::Reading, shortened);
-        let idle = || longest_in(ConnectionPhase::Idle, request);
-        let usual = closing.or_else(reading).or_else(idle);
-        if usual.is_some() || !exhausted {
-            return usual;
-        }
-        let last_resort = longest_in(ConnectionPhase::Reading, shortened / LAST_RESORT_DIVISOR);
-        let any_idle = || longest_in(ConnectionPhase::Idle, Duration::ZERO);
-        last_resort.or_else(|| if open.awaiting_input > 0 { None } else { any_idle() })
-    }
-
-    /// Asks connections to close that have been in one phase for too long.
+    /// Asks connections to close that have exceeded the timeout of their phase.
     pub fn close_expired(&self, now: Timestamp) {
-        let IdleTimeouts { request, idle, shortened } = self.timeouts;
-        let reading = if self.stopping.get() { shortened } else { request };
-        let limits = [
-            (ConnectionPhase::Closing, reading),
-            (ConnectionPhase::Reading, reading),
-            (ConnectionPhase::Idle, idle),
+        let request_timeout =
+            if self.shutting_down.get() { SHORTENED_REQUEST_TIMEOUT } else { REQUEST_TIMEOUT };
+        let timeouts = [
+            (ConnectionPhase::Closing, request_timeout),
+            (ConnectionPhase::Reading, request_timeout),
+            (ConnectionPhase::Idle, IDLE_TIMEOUT),
         ];
         let mut open = self.open.borrow_mut();
-        for (phase, limit) in limits {
-            while let Some((_, number)) = open.longest_in(phase).filter(|(since, _)| now - *since >= limit) {
+        for (phase, timeout) in timeouts {
+            while let Some((_, number)) = open.longest_in(phase).filter(|(since, _)| now - *since >= timeout)
+            {
                 open.close_now(number);
             }
         }
     }
 
-    /// Asks every connection to close once it has no request in progress.
+    /// Asks every connection to close once it has no request in progress, as the router shuts down.
     pub fn close_all(&self) {
-        self.stopping.set(true);
+        self.shutting_down.set(true);
         let open = self.open.borrow();
         let connections = open.by_number.values();
         connections.for_each(|connection| connection.signal.request_close(CloseRequest::WhenIdle));
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.open.borrow().by_number.len()
     }
 
-    /// Whether no connection is open.
+    /// Returns whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
+
+/// Returns the connection to evict first; none if no connection may be evicted.
+///
+/// Candidates are connections that were sent an error, that have sent no complete request for a while, or that have
+/// been idle for long. If descriptors are `exhausted`, connections that had little time to send a request follow, and
+/// then any idle one, unless a connection still awaits input.
+fn next_to_evict(open: &OpenConnections, now: Timestamp, exhausted: bool) -> Option<u32> {
+    let longest_in = |phase, min_duration: Duration| {
+        let (since, number) = open.longest_in(phase)?;
+        (now - since >= min_duration).then_some(number)
+    };
+    let candidate = longest_in(ConnectionPhase::Closing, SHORTENED_REQUEST_TIMEOUT)
+        .or_else(|| longest_in(ConnectionPhase::Reading, SHORTENED_REQUEST_TIMEOUT))
+        .or_else(|| longest_in(ConnectionPhase::Idle, REQUEST_TIMEOUT));
+    if candidate.is_some() || !exhausted {
+        return candidate;
+    }
+    let last_resort = longest_in(ConnectionPhase::Reading, LAST_RESORT_TIMEOUT);
+    let any_idle = || longest_in(ConnectionPhase::Idle, Duration::ZERO);
+    last_resort.or_else(|| if open.awaiting_input > 0 { None } else { any_idle() })
+}
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -101,6 +101,11 @@
         })
     }
 
+    /// Returns the longest timeout of any request class.
+    pub fn longest_timeout(&self) -> Duration {
+        self.deployment.classes.iter().map(|class| class.timeout).max().unwrap_or_default()
+    }
+
     /// The keys that differ in another configuration and can't be changed in a running router.
     pub fn fixed_keys_changed(&self, other: &Config) -> Vec<&'static str> {
         let changed = [
--- a/crates/comethitchd/src/state/descriptors.rs
+++ b/crates/comethitchd/src/state/descriptors.rs
@@ -3,54 +3,36 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are no connections of clients or hosts: standard streams, poller, signals, listener,
-/// discovery, the log.
+/// Descriptors that are no connections of clients or hosts: standard streams, poller, signals, listener, discovery.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Of the others, clients get this part and hosts the rest, so that neither waits for what the other holds.
+/// Fraction of the other descriptors for clients; hosts get the rest, so that neither side can starve the other.
 const CLIENT_DESCRIPTORS_PART: (usize, usize) = (5, 8);
-/// Requests may be in progress on this part of the clients' connections.
-const BUSY_CLIENTS_PART: (usize, usize) = (4, 5);
-/// While less than one part in so many of the clients' descriptors is free, idle connections are evicted.
-const FREE_CLIENTS_DIVISOR: usize = 8;
 
-/// The limits of both kinds of connection.
+/// The descriptor limits of both kinds of connection.
 pub struct DescriptorLimits {
-    /// For connections of clients.
+    /// The limit of connections of clients.
     pub clients: DescriptorLimit,
-    /// For connections to hosts.
+    /// The limit of connections to hosts.
     pub hosts: DescriptorLimit,
 }
 
-impl DescriptorLimits {
-    /// Divides the descriptors that the process may use.
-    pub fn new(descriptors: usize) -> DescriptorLimits {
-        let connections = descriptors - RESERVED_DESCRIPTORS;
-        let clients = connections * CLIENT_DESCRIPTORS_PART.0 / CLIENT_DESCRIPTORS_PART.1;
-        DescriptorLimits {
-            clients: DescriptorLimit::new(clients),
-            hosts: DescriptorLimit::new(connections - clients),
-        }
-    }
-
-    /// How many requests may be in progress.
-    pub fn max_requests(&self) -> usize {
-        self.clients.limit() * BUSY_CLIENTS_PART.0 / BUSY_CLIENTS_PART.1
-    }
-
-    /// Whether few of the clients' descriptors are free, so that idle connections are to be evicted.
-    pub fn clients_run_short(&self) -> bool {
-        let limit = self.clients.limit();
-        self.clients.in_use() >= limit - limit / FREE_CLIENTS_DIVISOR
+/// Divides the descriptors that the process may use between clients and hosts.
+pub fn divide_descriptors(descriptors: usize) -> DescriptorLimits {
+    let connections = descriptors - RESERVED_DESCRIPTORS;
+    let clients = connections * CLIENT_DESCRIPTORS_PART.0 / CLIENT_DESCRIPTORS_PART.1;
+    DescriptorLimits {
+        clients: DescriptorLimit::new(clients),
+        hosts: DescriptorLimit::new(connections - clients),
     }
 }
 
-/// How many descriptors one kind of connection may use, and how many it does.
+/// Limits and counts the descriptors of one kind of connection.
 pub struct DescriptorLimit {
     limit: usize,
     in_use: Rc<Cell<usize>>,
 }
 
-/// The right to one descriptor, given back when dropped.
+/// The right to use one descriptor, released on drop.
 pub struct DescriptorPermit(Rc<Cell<usize>>);
 
 impl Drop for DescriptorPermit {
@@ -60,32 +42,31 @@
 }
 
 impl DescriptorLimit {
-    /// A limit of this many descriptors, none of them in use.
+    /// Creates a limit of `limit` descriptors, none of them in use.
     pub fn new(limit: usize) -> DescriptorLimit {
         DescriptorLimit { limit, in_use: Rc::default() }
     }
 
-    /// A permit for one more descriptor, or none at the limit.
+    /// Acquires a permit for one more descriptor; none at the limit.
     pub fn acquire(&self) -> Option<DescriptorPermit> {
-        let in_use = self.in_use.get();
-        if in_use >= self.limit {
+        if self.is_exhausted() {
             return None;
         }
-        self.in_use.set(in_use + 1);
+        self.in_use.set(self.in_use.get() + 1);
         Some(DescriptorPermit(self.in_use.clone()))
     }
 
-    /// The most descriptors that may be in use.
+    /// Returns the maximum number of descriptors in use.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Whether no descriptor is left.
+    /// Returns whether no descriptor is free.
     pub fn is_exhausted(&self) -> bool {
-        self.in_use.get() == self.limit
+        self.in_use.get() >= self.limit
     }
 
-    /// The descriptors in use.
+    /// Returns the number of descriptors in use.
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
--- a/crates/comethitchd/src/state/discovery_state.rs
+++ b/crates/comethitchd/src/state/discovery_state.rs
@@ -24,6 +24,7 @@
     last_watch_event: Cell<Timestamp>,
     /// How long a response may take.
     response_timeout: Cell<StdDuration>,
+    ready: OneShotEvent,
 }
 
 impl DiscoveryState {
@@ -34,6 +35,7 @@
             service: RefCell::new(service),
             last_watch_event: Cell::new(now),
             response_timeout: Cell::new(MIN_RESPONSE_TIMEOUT),
+            ready: OneShotEvent::default(),
         }
     }
 
@@ -48,6 +50,16 @@
         self.service.replace(service).replaced.set();
     }
 
+    /// Lets clients be served, as there is an endpoint list or none is waited for any longer.
+    pub fn set_ready(&self) {
+        self.ready.set();
+    }
+
+    /// Waits until clients may be served.
+    pub async fn wait_until_ready(&self) {
+        self.ready.wait().await;
+    }
+
     /// How long a response may take.
     pub fn response_timeout(&self) -> StdDuration {
         self.response_timeout.get()
--- a/crates/comethitchd/src/state/endpoints.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -17,8 +17,7 @@
 /// The hosts that are listed, and the latest ones that were removed.
 #[derive(Default)]
 pub struct EndpointDirectory {
-    /// The version of the list last received from the current discovery service; none of another one's.
-    pub version: Option<u64>,
+    version: Option<u64>,
     hosts: BTreeMap<Host, KnownHost>,
     /// The roles that hosts last reported, for the log.
     roles: BTreeMap<Host, Role>,
@@ -71,6 +70,16 @@
         }
     }
 
+    /// Returns the version of the list last received from the current discovery service.
+    pub fn version(&self) -> Option<u64> {
+        self.version
+    }
+
+    /// Forgets the version, as another discovery service counts its own.
+    pub fn forget_version(&mut self) {
+        self.version = None;
+    }
+
     /// How many hosts are known, listed or removed.
     pub fn len(&self) -> usize {
         self.hosts.len()
--- a/crates/comethitchd/src/state/metrics.rs
+++ b/crates/comethitchd/src/state/metrics.rs
@@ -1,5 +1,6 @@
 //! Counters of what the router did, for the log.
 
+use crate::state::step_times::StepTimes;
 use comethitch_policy::{AttemptOutcome, Host};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -41,9 +42,11 @@
     }
 }
 
-/// The counters of a router.
+/// The counters and step times of a router.
 #[derive(Default)]
 pub struct Metrics {
+    /// Time that the event loop's steps took.
+    pub steps: StepTimes,
     /// Requests handed to the policy.
     pub requests_received: Counter,
     /// Requests answered with a value.
--- a/crates/comethitchd/src/state/metrics_report.rs
+++ b/crates/comethitchd/src/state/metrics_report.rs
@@ -27,10 +27,10 @@
         return;
     }
     let gauges = [
-        ("now_commands_in_progress", state.requests.borrow().len()),
+        ("now_commands_in_progress", state.requests.len()),
         ("now_client_connections", state.clients.len()),
-        ("now_idle_host_connections", state.pool.borrow().len()),
-        ("now_host_connections", state.descriptors.hosts.in_use()),
+        ("now_idle_host_connections", state.hosts.idle_connections()),
+        ("now_host_connections", state.hosts.open_connections()),
     ];
     counts.extend(gauges.map(|(name, number)| (name.to_string(), number as u64)));
     log_with_fields(Level::Info, module_path!(), "counts", &LogFields(counts));
@@ -39,7 +39,7 @@
 /// Logs how often each step of the event loop was taken, and how long all and the longest of them took, in microseconds.
 fn log_steps(state: &RouterState) {
     let mut fields = Vec::new();
-    for (step, time) in state.steps.take() {
+    for (step, time) in state.metrics.steps.take() {
         let name = step.name();
         fields.push((format!("{name}_count"), time.count));
         fields.push((format!("{name}_us"), time.total.as_micros() as u64));
@@ -51,11 +51,9 @@
 }
 
 fn log_statements(state: &RouterState) {
-    if let Some(admission) = &mut *state.admission.borrow_mut() {
-        let counts = statement_counts(admission);
-        if !counts.is_empty() {
-            log_with_fields(Level::Info, module_path!(), "statements", &LogFields(counts));
-        }
+    let counts = state.statement_rules.with_admission(|admission| admission.map(statement_counts));
+    if let Some(counts) = counts.filter(|counts| !counts.is_empty()) {
+        log_with_fields(Level::Info, module_path!(), "statements", &LogFields(counts));
     }
 }
 
@@ -94,7 +92,7 @@
     faults.sort_unstable_by_key(|(_, number)| std::cmp::Reverse(*number));
     let others = faults.split_off(faults.len().min(MAX_HOST_FAULTS_LOGGED));
     for ((host, outcome), number) in faults {
-        log::warn!(number; "{}: {outcome:?} {number} times", state.endpoints.borrow().name(host));
+        log::warn!(number; "{}: {outcome:?} {number} times", state.hosts.directory().name(host));
     }
     if !others.is_empty() {
         let number: u64 = others.iter().map(|(_, number)| number).sum();
--- a/crates/comethitchd/src/state/pending_requests.rs
+++ b/crates/comethitchd/src/state/pending_requests.rs
@@ -6,6 +6,7 @@
 use comethitch_policy::RequestId;
 use comethitch_policy::time::Duration;
 use comethitch_statement::admission::KnownShape;
+use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::rc::{Rc, Weak};
@@ -68,21 +69,42 @@
     }
 }
 
-/// All requests in progress, by the number that the policy knows them under.
 #[derive(Default)]
-pub struct PendingRequests {
+struct Table {
     last_id: RequestId,
     generated_ids: u64,
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// The client ids of the requests that are not answered yet.
+    /// Client ids of the requests that are not answered yet.
     unanswered: BTreeSet<String>,
 }
 
+impl Table {
+    /// Takes the channel of the final answer; the client may use the request's id again.
+    fn take_reply_sender(&mut self, id: RequestId) -> Option<Sender<Reply>> {
+        let request = self.requests.get_mut(&id)?;
+        let sender = request.reply.take()?;
+        self.unanswered.remove(&request.statement.client_id);
+        Some(sender)
+    }
+
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(PendingRequest::is_finished) {
+            self.requests.remove(&id);
+        }
+    }
+}
+
+/// All requests in progress, by the id that the policy knows them under.
+#[derive(Default)]
+pub struct PendingRequests(RefCell<Table>);
+
 impl PendingRequests {
-    /// Registers a request of a client; its final answer comes through the channel.
-    pub fn register(&mut self, statement: Statement, client: Weak<Socket>) -> (RequestId, Receiver<Reply>) {
-        self.last_id = self.last_id.wrapping_add(1);
-        self.unanswered.insert(statement.client_id.clone());
+    /// Registers a request of a client; returns its id, and the channel that its final answer is sent to.
+    pub fn register(&self, statement: Statement, client: Weak<Socket>) -> (RequestId, Receiver<Reply>) {
+        let mut table = self.0.borrow_mut();
+        let id = table.last_id.wrapping_add(1);
+        table.last_id = id;
+        table.unanswered.insert(statement.client_id.clone());
         let (sender, receiver) = async_channel::bounded(1);
         let request = PendingRequest {
             statement: Rc::new(statement),
@@ -91,103 +113,96 @@
             attempts: Vec::new(),
             host_error: None,
         };
-        self.requests.insert(self.last_id, request);
-        (self.last_id, receiver)
+        table.requests.insert(id, request);
+        (id, receiver)
     }
 
-    /// An id for a request whose client gave it none; no client can give the same.
-    pub fn generate_id(&mut self) -> String {
-        self.generated_ids += 1;
-        format!("~{}", self.generated_ids)
+    /// Generates an id for a request whose client gave it none; no client can give the same.
+    pub fn generate_id(&self) -> String {
+        let mut table = self.0.borrow_mut();
+        table.generated_ids += 1;
+        format!("~{}", table.generated_ids)
     }
 
-    /// Whether a request with this client id waits for its answer.
+    /// Returns whether a request with this client id is not answered yet.
     pub fn is_unanswered(&self, client_id: &str) -> bool {
-        self.unanswered.contains(client_id)
+        self.0.borrow().unanswered.contains(client_id)
     }
 
-    /// The statement of a request in progress.
+    /// Returns the statement of a request in progress.
     pub fn statement(&self, id: RequestId) -> Option<Rc<Statement>> {
-        self.requests.get(&id).map(|request| request.statement.clone())
+        self.0.borrow().requests.get(&id).map(|request| request.statement.clone())
     }
 
-    /// The connection of a request's client.
+    /// Returns the connection of a request's client, if it is still open.
     pub fn client(&self, id: RequestId) -> Weak<Socket> {
-        self.requests.get(&id).map(|request| request.client.clone()).unwrap_or_default()
+        self.0.borrow().requests.get(&id).map(|request| request.client.clone()).unwrap_or_default()
     }
 
-    /// The number of the request's next attempt, counted from 0.
+    /// Returns the number of the request's next attempt, counted from 0.
     pub fn next_attempt(&self, id: RequestId) -> u16 {
-        self.requests.get(&id).map_or(0, |request| request.attempts.len() as u16)
+        self.0.borrow().requests.get(&id).map_or(0, |request| request.attempts.len() as u16)
     }
 
-    /// Records the request's next attempt; without a task it has ended already.
-    pub fn record_attempt(&mut self, id: RequestId, task: Option<Task<()>>) {
-        if let Some(request) = self.requests.get_mut(&id) {
+    /// Records the request's next attempt; without a task the attempt has ended already.
+    pub fn record_attempt(&self, id: RequestId, task: Option<Task<()>>) {
+        if let Some(request) = self.0.borrow_mut().requests.get_mut(&id) {
             request.attempts.push(task);
             request.host_error = None;
         }
     }
 
     /// Records the error that a host answered the latest attempt with.
-    pub fn record_host_error(&mut self, id: RequestId, error: Vec<u8>) {
-        if let Some(request) = self.requests.get_mut(&id) {
+    pub fn record_host_error(&self, id: RequestId, error: Vec<u8>) {
+        if let Some(request) = self.0.borrow_mut().requests.get_mut(&id) {
             request.host_error = Some(error);
         }
     }
 
     /// Takes the host's error of the latest attempt, if it ended in one.
-    pub fn take_host_error(&mut self, id: RequestId) -> Option<Vec<u8>> {
-        self.requests.get_mut(&id)?.host_error.take()
+    pub fn take_host_error(&self, id: RequestId) -> Option<Vec<u8>> {
+        self.0.borrow_mut().requests.get_mut(&id)?.host_error.take()
     }
 
-    /// Gives the final answer, once; false if there was one before, or the client is gone.
-    pub fn answer(&mut self, id: RequestId, reply: Reply) -> bool {
-        let sender = self.take_reply_sender(id);
+    /// Gives the final answer. Returns false if the request was answered before or its client has disconnected.
+    pub fn answer(&self, id: RequestId, reply: Reply) -> bool {
+        let mut table = self.0.borrow_mut();
+        let sender = table.take_reply_sender(id);
         let delivered = sender.is_some_and(|sender| sender.try_send(reply).is_ok());
-        self.remove_if_finished(id);
+        table.remove_if_finished(id);
         delivered
     }
 
-    /// The client is gone: no answer can be given any more.
-    pub fn abandon(&mut self, id: RequestId) {
-        self.take_reply_sender(id);
-        self.remove_if_finished(id);
-    }
-
-    /// Takes the channel of the final answer; the client may use the request's id again.
-    fn take_reply_sender(&mut self, id: RequestId) -> Option<Sender<Reply>> {
-        let request = self.requests.get_mut(&id)?;
-        let sender = request.reply.take()?;
-        self.unanswered.remove(&request.statement.client_id);
-        Some(sender)
+    /// Gives up the final answer, as the client has disconnected or cancelled the request.
+    pub fn abandon(&self, id: RequestId) {
+        let mut table = self.0.borrow_mut();
+        table.take_reply_sender(id);
+        table.remove_if_finished(id);
     }
 
-    /// Whether the request has its final answer, or is not in progress at all.
+    /// Returns whether the request has its final answer, or is not in progress at all.
     pub fn is_answered(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_none_or(|request| request.reply.is_none())
+        self.0.borrow().requests.get(&id).is_none_or(|request| request.reply.is_none())
     }
 
     /// Takes the task of an attempt in flight, to cancel it or because it has ended.
-    pub fn take_attempt(&mut self, id: RequestId, attempt: u16) -> Option<Task<()>> {
-        let request = self.requests.get_mut(&id)?;
-        request.attempts.get_mut(usize::from(attempt))?.take()
+    pub fn take_attempt(&self, id: RequestId, attempt: u16) -> Option<Task<()>> {
+        let mut table = self.0.borrow_mut();
+        table.requests.get_mut(&id)?.attempts.get_mut(usize::from(attempt))?.take()
     }
 
     /// Removes a request that is answered and has no attempt in flight.
-    pub fn remove_if_finished(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(PendingRequest::is_finished) {
-            self.requests.remove(&id);
-        }
+    pub fn remove_if_finished(&self, id: RequestId) {
+        self.0.borrow_mut().remove_if_finished(id);
     }
 
-    /// How many requests are in progress.
+    /// Returns the number of requests in progress.
     pub fn len(&self) -> usize {
-        self.requests.len()
+        self.0.borrow().requests.len()
     }
 
-    /// Whether no request is in progress.
+    /// Returns whether no request is in progress.
     pub fn is_empty(&self) -> bool {
-        self.requests.is_empty()
+        self.0.borrow().requests.is_empty()
     }
 }
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -1,201 +1,144 @@
 //! The state of one running router, shared by all its tasks on their one thread.
-//!
-//! It owns the policy, the tasks, the configuration and one small structure for each concern; no task may hold a
-//! borrow of any of them across an await.
 
-use crate::state::client_registry::{ClientRegistry, IdleTimeouts};
+use crate::state::client_registry::ClientRegistry;
 use crate::state::clock::Clock;
 use crate::state::config::{Config, ConfigError};
-use crate::state::connection_pool::ConnectionPool;
-use crate::state::descriptors::{DescriptorLimits, DescriptorPermit};
+use crate::state::descriptors::divide_descriptors;
 use crate::state::discovery_state::DiscoveryState;
-use crate::state::endpoints::EndpointDirectory;
+use crate::state::event_loop_clock::EventLoopClock;
+use crate::state::hosts::Hosts;
 use crate::state::memory_budget::MemoryBudget;
 use crate::state::metrics::Metrics;
 use crate::state::pending_requests::PendingRequests;
 use crate::state::protocol::BackendProtocol;
-use crate::state::signals::OneShotEvent;
-use crate::state::stall_detector::StallDetector;
-use crate::state::step_times::StepTimes;
+use crate::state::statement_rules::StatementRules;
+use crate::state::step_times::EventLoopStep;
 use crate::state::transition_log::TransitionLog;
 use async_executor::LocalExecutor;
-use comethitch_policy::time::{Duration, Timestamp};
-use comethitch_policy::{AttemptOutcome, Host, Role, Router};
-use comethitch_statement::StatementAdmission;
-use comethitch_statement::admission::KnownShape;
-use std::cell::RefCell;
+use comethitch_policy::time::Timestamp;
+use comethitch_policy::{ActionQueue, AttemptOutcome, Host, Role, Router};
+use std::cell::{Ref, RefCell};
 use std::rc::Rc;
 
-/// Memory, in bytes, that is not a connection's buffer.
-const OTHER_MEMORY: u64 = 12 << 20;
-/// The part of the remaining memory that buffers get, as what they hold is copied once.
+/// Memory reserved for everything but connection buffers and the cache of statement shapes.
+const OTHER_MEMORY_BYTES: u64 = 12 << 20;
+/// Divisor of the remaining memory for buffers: their contents are copied once.
 const BUFFER_MEMORY_DIVISOR: usize = 2;
-/// A client connection with no request in progress may be closed after this long.
-const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Of client connections: one that sends no complete request is closed within 3 s, checks included.
-const IDLE_TIMEOUTS: IdleTimeouts = IdleTimeouts {
-    request: COMMAND_TIMEOUT,
-    idle: Duration::from_micros(COMMAND_TIMEOUT.as_micros() * 5),
-    shortened: Duration::from_micros(COMMAND_TIMEOUT.as_micros() / 32),
-};
-/// Bytes read at once from a connection whose input is discarded.
-const DISCARD_BYTES: usize = 64 * 1024;
 
-/// The state of one running router.
+/// The state of one running router: one owner for each concern, each with an interface of its own. No borrow from any
+/// of them may be kept across an await.
 pub struct RouterState {
-    /// The configuration that the router runs with.
-    pub config: Config,
-    /// The clock; [`RouterState::now`] detects stalls besides.
-    pub clock: Clock,
-    /// All tasks but the one that runs these.
-    pub tasks: LocalExecutor<'static>,
-    /// The policy, which makes all decisions.
-    pub router: RefCell<Router>,
+    /// The configuration that the router was started with.
+    pub(crate) config: Config,
+    /// The clock, which also observes the event loop.
+    pub(crate) clock: EventLoopClock,
+    /// Runs all other tasks; it is itself run by the task that serves.
+    pub(crate) tasks: LocalExecutor<'static>,
     /// The protocol spoken with hosts.
-    pub backend: Box<dyn BackendProtocol<RouterState>>,
+    pub(crate) backend: Box<dyn BackendProtocol<RouterState>>,
     /// Requests in progress.
-    pub requests: RefCell<PendingRequests>,
-    /// Idle connections to hosts.
-    pub pool: RefCell<ConnectionPool>,
-    /// Names and addresses of hosts.
-    pub endpoints: RefCell<EndpointDirectory>,
-    /// Open connections of clients.
-    pub clients: ClientRegistry,
-    /// The memory that buffers may take.
-    pub memory: MemoryBudget,
-    /// Where input that is discarded is read to.
-    pub discard_buffer: RefCell<Vec<u8>>,
-    /// How many connections may be open.
-    pub descriptors: DescriptorLimits,
-    /// The discovery service that is followed.
-    pub discovery: DiscoveryState,
-    /// Set once there is an endpoint list, or none is waited for any longer: clients may connect.
-    pub ready: OneShotEvent,
-    /// Classifies statements by their text, if there are rules for it.
-    pub admission: RefCell<Option<StatementAdmission>>,
-    /// Counts for the log.
-    pub metrics: Metrics,
-    /// What was logged of the policy's view.
-    pub transitions: TransitionLog,
-    /// Detects stalls of the event loop.
-    pub stalls: StallDetector,
-    /// How long the event loop's steps take.
-    pub steps: StepTimes,
-    /// The longest timeout of any request class.
-    pub longest_timeout: Duration,
+    pub(crate) requests: PendingRequests,
+    /// Addresses of hosts, and connections to them.
+    pub(crate) hosts: Hosts,
+    /// Connections of clients.
+    pub(crate) clients: ClientRegistry,
+    /// The memory that buffers may use.
+    pub(crate) memory: MemoryBudget,
+    /// The discovery service that is followed, and whether there is an endpoint list to serve with.
+    pub(crate) discovery: DiscoveryState,
+    /// The rules by which statements are classified by their text.
+    pub(crate) statement_rules: StatementRules,
+    /// Counters and step times for the log.
+    pub(crate) metrics: Metrics,
+    policy: RefCell<Router>,
+    transitions: TransitionLog,
 }
 
 impl RouterState {
-    /// The state around a policy that has been started, and that knows no hosts yet.
+    /// Creates the state around a policy that has been started and knows no hosts yet.
     ///
     /// # Errors
     ///
     /// If the rules for statements do not fit the request classes.
     pub fn new(
-        config: Config, clock: Clock, router: Router, backend: Box<dyn BackendProtocol<RouterState>>,
+        config: Config, clock: Clock, policy: Router, backend: Box<dyn BackendProtocol<RouterState>>,
     ) -> Result<Rc<RouterState>, ConfigError> {
         let admission = config.admission(clock.now())?;
-        let timeouts = config.deployment.classes.iter().map(|class| class.timeout);
+        let descriptors = divide_descriptors(config.sockets);
         Ok(Rc::new(RouterState {
-            clock,
+            clock: EventLoopClock::new(clock),
             tasks: LocalExecutor::new(),
-            router: RefCell::new(router),
             backend,
-            requests: RefCell::default(),
-            pool: RefCell::new(ConnectionPool::new(config.host_idle)),
-            endpoints: RefCell::default(),
-            clients: ClientRegistry::new(IDLE_TIMEOUTS),
-            memory: MemoryBudget::new(buffer_memory(&config)),
-            discard_buffer: RefCell::new(vec![0; DISCARD_BYTES]),
-            descriptors: DescriptorLimits::new(config.sockets),
+            requests: PendingRequests::default(),
+            hosts: Hosts::new(config.host_idle, descriptors.hosts),
+            clients: ClientRegistry::new(descriptors.clients),
+            memory: MemoryBudget::new(buffer_memory_bytes(&config)),
             discovery: DiscoveryState::new(config.discovery, clock.now()),
-            ready: OneShotEvent::default(),
-            admission: RefCell::new(admission),
+            statement_rules: StatementRules::new(admission),
             metrics: Metrics::default(),
+            policy: RefCell::new(policy),
             transitions: TransitionLog::default(),
-            stalls: StallDetector::new(clock.now()),
-            steps: StepTimes::default(),
-            longest_timeout: timeouts.max().unwrap_or_default(),
             config,
         }))
     }
 
-    /// The present time; logs if the event loop stalled before.
-    pub fn now(&self) -> Timestamp {
-        let now = self.clock.now();
-        self.stalls.observe(now);
-        now
+    /// Returns the policy for reading, which must not be kept across an await.
+    pub(crate) fn policy(&self) -> Ref<'_, Router> {
+        self.policy.borrow()
     }
 
-    /// When bytes that are read now arrived: if the event loop stalled, perhaps as that began.
-    pub fn arrival_time(&self) -> Timestamp {
-        self.stalls.earliest_arrival(self.now(), self.config.deployment.tick)
+    /// Calls the policy, measured as `step`, and returns the actions that it decided on.
+    pub(crate) fn call_policy(
+        &self, step: EventLoopStep, call: impl FnOnce(&mut Router, &mut ActionQueue),
+    ) -> ActionQueue {
+        let mut queue = ActionQueue::at(self.clock.observe());
+        self.metrics.steps.measure(step, || call(&mut self.policy.borrow_mut(), &mut queue));
+        queue
     }
 
-    /// Records for the log how an attempt or a health check ended, and the role that the host reported.
-    pub fn record_host_outcome(&self, host: Host, outcome: AttemptOutcome, role: Option<Role>) {
+    /// Returns when bytes that are read now may have arrived at the earliest, see [`EventLoopClock::earliest_arrival`].
+    pub(crate) fn arrival_time(&self) -> Timestamp {
+        self.clock.earliest_arrival(self.config.deployment.tick)
+    }
+
+    /// Records how an attempt or a health check ended, and the role that the host reported.
+    pub(crate) fn record_host_outcome(&self, host: Host, outcome: AttemptOutcome, role: Option<Role>) {
         if !matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::Cancelled) {
             self.metrics.host_faults.increment((host, outcome));
         }
-        let mut endpoints = self.endpoints.borrow_mut();
-        if let Some(role) = role.filter(|role| endpoints.record_role(host, *role)) {
-            log::info!("{} reports its role as {role:?}", endpoints.name(host));
+        if let Some(role) = role {
+            self.hosts.record_role(host, role);
         }
     }
 
-    /// Records how long a host took to answer a statement whose shape is known.
-    pub fn record_statement_latency(&self, shape: &KnownShape, latency: Duration) {
-        if let Some(admission) = &*self.admission.borrow() {
-            admission.learn(shape, latency);
-        }
-    }
-
-    /// Logs a request that was throttled before the policy saw it: `at_limit` where
-    /// [`RouterState::at_request_limit`], `statement_budget` where its client's budget for parsing statements was
-    /// spent (its id is not read yet: empty). Counted by the caller, as `throttled_at_limit` or `throttled`.
-    pub fn log_rejection(&self, id: &str, reason: &'static str) {
-        log::info!(id, reason, answer = "throttled"; "request rejected");
-    }
-
-    /// Counts and logs that a rule was broken: a check that ran after the fact found it.
-    pub fn record_violation(&self, rule: &'static str, subject: &str) {
+    /// Counts and logs the violation of a rule that a check found after the fact.
+    pub(crate) fn record_violation(&self, rule: &'static str, subject: &str) {
         self.metrics.violations.increment(rule);
         log::error!(rule, subject; "rule broken");
     }
 
-    /// Whether as many requests are in progress as connections allow. Past that, clients' connections are still
-    /// accepted, and their requests throttled at once.
-    pub fn at_request_limit(&self) -> bool {
-        self.requests.borrow().len() >= self.descriptors.max_requests()
+    /// Logs what has changed in the policy's view of the fleet since the last call.
+    pub(crate) fn log_transitions(&self) {
+        self.transitions.log_changes(&self.policy());
     }
 
-    /// A descriptor for one more client. As they run short, clients that have long been idle are evicted.
-    pub fn acquire_client_descriptor(&self) -> Option<DescriptorPermit> {
-        if self.descriptors.clients_run_short() {
-            self.clients.evict_idle(self.clock.now(), false);
-        }
-        self.descriptors.clients.acquire()
-    }
-
-    /// Evicts a client to make room for one that waits to be accepted, while no descriptor is free.
-    pub fn make_room_for_waiting_client(&self) {
-        if self.descriptors.clients.is_exhausted() {
-            self.clients.evict_idle(self.clock.now(), true);
-        }
+    /// Returns whether as many requests are in progress as connections allow. Clients' connections are still accepted
+    /// beyond that, and their requests throttled at once.
+    pub(crate) fn at_request_limit(&self) -> bool {
+        self.requests.len() >= self.clients.max_requests()
     }
+}
 
-    /// A descriptor for one more connection to a host, if need be that of the one idle longest.
-    pub fn acquire_host_descriptor(&self) -> Option<DescriptorPermit> {
-        self.descriptors.hosts.acquire().or_else(|| {
-            self.pool.borrow_mut().evict_longest_idle();
-            self.descriptors.hosts.acquire()
-        })
-    }
+/// Logs a request that was throttled before it reached the policy; the caller counts it.
+///
+/// `id` is empty if the request was throttled before its id was read.
+pub(crate) fn log_rejection(id: &str, reason: &'static str) {
+    log::info!(id, reason, answer = "throttled"; "request rejected");
 }
 
-/// The memory in bytes that buffers may take: what the cache of statement shapes and all else leave.
-fn buffer_memory(config: &Config) -> usize {
-    let shape_cache = config.statements.as_ref().map_or(0, |rules| rules.cache.kib as u64) << 10;
-    let limit = config.memory_mb << 20;
-    limit.saturating_sub(OTHER_MEMORY + shape_cache) as usize / BUFFER_MEMORY_DIVISOR
+/// Returns the memory that the cache of statement shapes and everything else leave to buffers.
+fn buffer_memory_bytes(config: &Config) -> usize {
+    let shape_cache_bytes = config.statements.as_ref().map_or(0, |rules| rules.cache.kib as u64) << 10;
+    let limit_bytes = config.memory_mb << 20;
+    limit_bytes.saturating_sub(OTHER_MEMORY_BYTES + shape_cache_bytes) as usize / BUFFER_MEMORY_DIVISOR
 }
