--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -100,8 +100,8 @@
         let files = ConfigFiles { configuration: self.configuration, statements: self.statements };
         let config = files.load()?;
         choose_protocol(self.tds.as_deref(), &config)?;
-        let classes = config.classes.len();
-        let hosts = config.known.entries.len();
+        let classes = config.class_names.len();
+        let hosts = config.initial_endpoints.entries.len();
         println!(
             "{} would listen on {}: {classes} command groups, {hosts} hosts known",
             config.name, config.listen
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -113,7 +113,7 @@
         let (classes, class_names) = match &self.configuration {
             Some(path) => {
                 let config = load_config(path)?;
-                (config.deployment.classes, config.classes)
+                (config.deployment.classes, config.class_names)
             }
             None => groups_of(&rules),
         };
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -145,7 +145,7 @@
 /// Applies a list or an update. `version_before` is the version held as it was requested: one that is older than what
 /// another response has brought since then is out of date.
 fn apply(state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>) -> Result<(), DiscoveryError> {
-    let parse = || discovery::parse_endpoint_list(text, &state.config.zones);
+    let parse = || discovery::parse_endpoint_list(text, &state.config.zone_names);
     let list = state.metrics.steps.measure(EventLoopStep::ParseList, parse)?;
     let version = state.hosts.directory().version();
     let may_be_outdated = version != version_before || !list.complete;
--- a/crates/comethitchd/src/service/startup.rs
+++ b/crates/comethitchd/src/service/startup.rs
@@ -16,7 +16,7 @@
 pub fn start(
     mut config: Config, clock: Clock, backend: Box<dyn BackendProtocol<RouterState>>,
 ) -> Result<Rc<RouterState>, ConfigError> {
-    let known = std::mem::take(&mut config.known);
+    let known = std::mem::take(&mut config.initial_endpoints);
     let mut actions = ActionQueue::at(clock.now());
     let router = Router::start(config.deployment.clone(), config.seed, &mut actions);
     let state = RouterState::new(config, clock, router, backend)?;
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -182,7 +182,7 @@
 }
 
 fn find_class(state: &RouterState, name: &str) -> Result<usize, StatementError> {
-    let class = state.config.classes.iter().position(|known| known == name);
+    let class = state.config.class_names.iter().position(|known| known == name);
     class.ok_or_else(|| StatementError::UnknownClass { name: name.to_string() })
 }
 
--- a/crates/comethitchd/src/state/config/error.rs
+++ b/crates/comethitchd/src/state/config/error.rs
@@ -1,4 +1,4 @@
-//! The error of reading a configuration or the rules for statements.
+//! The errors of reading a configuration or the rules for statements.
 
 use crate::wire::discovery::EndpointListError;
 use comethitch_policy::DeploymentError;
@@ -6,6 +6,32 @@
 use std::io;
 use std::path::PathBuf;
 
+/// What a key of the configuration accepts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ExpectedValue {
+    /// An IP address with a port.
+    #[error("an address with a port")]
+    SocketAddress,
+    /// A seed.
+    #[error("up to 16 hexadecimal digits")]
+    Seed,
+    /// A JSON string.
+    #[error("a text")]
+    Text,
+    /// A JSON array.
+    #[error("a list")]
+    List,
+    /// An integer of at least this minimum.
+    #[error("a whole number of {0} or more")]
+    IntegerOfAtLeast(u64),
+    /// A positive integer.
+    #[error("1 or more")]
+    Positive,
+    /// A number from 0 to 1.
+    #[error("0 to 1")]
+    Fraction,
+}
+
 /// What is wrong with a configuration or with the rules for statements.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -17,15 +43,15 @@
     UnreadableFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A file has a fault.
+    /// The contents of a file are not valid.
     #[error("{}: {source}", path.display())]
     InFile {
         /// The file.
         path: PathBuf,
-        /// Its fault.
+        /// What is wrong with its contents.
         source: Box<ConfigError>,
     },
     /// The text is not JSON.
@@ -41,9 +67,9 @@
     #[error("{key} is missing, and {variable} is not set")]
     MissingWithVariable {
         /// The path of the key.
-        key: String,
+        key: &'static str,
         /// The name of the variable.
-        variable: String,
+        variable: &'static str,
     },
     /// A key has a value that is not accepted.
     #[error("{key} must be {expected}, not {found}")]
@@ -51,8 +77,8 @@
         /// The path of the key.
         key: String,
         /// What is accepted.
-        expected: String,
-        /// The value, as it stands in the file.
+        expected: ExpectedValue,
+        /// The value as it stands in the file.
         found: String,
     },
     /// A key has a value of the wrong kind or range.
@@ -61,42 +87,49 @@
         /// The path of the key.
         key: String,
         /// What is accepted.
-        expected: &'static str,
+        expected: ExpectedValue,
     },
     /// The list of request classes is empty.
     #[error("settings.classes must name one command group or more")]
     NoRequestClasses,
-    /// The policy does not accept its settings; the error begins with the key.
+    /// The policy does not accept its settings; its error begins with the key.
     #[error("settings.{0}")]
     Settings(#[source] DeploymentError),
-    /// The list of known hosts has a fault; the error begins with the key.
+    /// The initial endpoint list is not valid; its error begins with the key.
     #[error("known.{0}")]
-    KnownHosts(#[source] EndpointListError),
-    /// A key of the rules for statements has a value that can't be read.
+    InitialEndpoints(#[source] EndpointListError),
+    /// A key of the rules for statements has a value that is not accepted.
     #[error("{key}: {source}")]
     RulesKey {
         /// The path of the key.
         key: String,
-        /// Why.
+        /// Why the value is not accepted.
         source: serde_json::Error,
     },
-    /// Something stands behind the rules for statements.
+    /// The rules for statements are followed by something else.
     #[error("behind the rules: {0}")]
     AfterRules(#[source] serde_json::Error),
     /// The rules for statements do not fit the request classes; the error begins with the key.
     #[error("{0}")]
     Rules(#[source] RulesError),
-    /// The cache of statement shapes takes too much of the memory limit.
-    #[error("cache.kib is more than a quarter of {memory_mb} MB, the limit")]
+    /// The cache of statement shapes is too large for the memory limit.
+    #[error("cache.kib is more than a quarter of {memory_limit_mb} MB, the limit")]
     CacheTooLarge {
         /// The memory limit in MB.
-        memory_mb: u64,
+        memory_limit_mb: u64,
     },
 }
 
 impl ConfigError {
-    /// A missing key.
     pub(super) fn missing(key: &str) -> ConfigError {
         ConfigError::Missing { key: key.to_string() }
     }
+
+    pub(super) fn unexpected(key: &str, expected: ExpectedValue, found: impl ToString) -> ConfigError {
+        ConfigError::Unexpected { key: key.to_string(), expected, found: found.to_string() }
+    }
+
+    pub(super) fn required(key: impl ToString, expected: ExpectedValue) -> ConfigError {
+        ConfigError::Required { key: key.to_string(), expected }
+    }
 }
--- /dev/null
+++ b/crates/comethitchd/src/state/config/statement_rules_file.rs
@@ -0,0 +1,32 @@
+//! Reads the rules for statements, which are a file of their own.
+
+use super::error::ConfigError;
+use comethitch_statement::{Rules, Secret};
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hasher};
+
+/// Reads the rules for statements.
+///
+/// # Errors
+///
+/// If they can't be read; the error names the key.
+pub fn read_rules(text: &str) -> Result<Rules, ConfigError> {
+    let mut reader = serde_json::Deserializer::from_str(text);
+    let rules = serde_path_to_error::deserialize(&mut reader).map_err(|error| ConfigError::RulesKey {
+        key: error.path().to_string(),
+        source: error.into_inner(),
+    })?;
+    reader.end().map_err(ConfigError::AfterRules)?;
+    Ok(rules)
+}
+
+/// Draws a new secret from the operating system's random numbers.
+pub fn random_secret() -> Secret {
+    // Each state is seeded by the system, so that the hash of nothing is a random number.
+    let draw = || RandomState::new().build_hasher().finish().to_le_bytes();
+    let mut secret = [0; 16];
+    let (first, second) = secret.split_at_mut(8);
+    first.copy_from_slice(&draw());
+    second.copy_from_slice(&draw());
+    Secret(secret)
+}
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -64,13 +64,13 @@
         config: Config, clock: Clock, policy: Router, backend: Box<dyn BackendProtocol<RouterState>>,
     ) -> Result<Rc<RouterState>, ConfigError> {
         let admission = config.admission(clock.now())?;
-        let descriptors = divide_descriptors(config.sockets);
+        let descriptors = divide_descriptors(config.max_descriptors);
         Ok(Rc::new(RouterState {
             clock: EventLoopClock::new(clock),
             tasks: LocalExecutor::new(),
             backend,
             requests: PendingRequests::default(),
-            hosts: Hosts::new(config.host_idle, descriptors.hosts),
+            hosts: Hosts::new(config.host_idle_timeout, descriptors.hosts),
             clients: ClientRegistry::new(descriptors.clients),
             memory: MemoryBudget::new(buffer_memory_bytes(&config)),
             discovery: DiscoveryState::new(config.discovery, clock.now()),
@@ -139,6 +139,6 @@
 /// Returns the memory that the cache of statement shapes and everything else leave to buffers.
 fn buffer_memory_bytes(config: &Config) -> usize {
     let shape_cache_bytes = config.statements.as_ref().map_or(0, |rules| rules.cache.kib as u64) << 10;
-    let limit_bytes = config.memory_mb << 20;
+    let limit_bytes = config.memory_limit_mb << 20;
     limit_bytes.saturating_sub(OTHER_MEMORY_BYTES + shape_cache_bytes) as usize / BUFFER_MEMORY_DIVISOR
 }
