--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -169,7 +169,7 @@
     }
 
     fn record_read(&mut self, length: usize) {
-        self.arrivals.read(length, self.state.arrival_time());
+        self.arrivals.record_read(length, self.state.arrival_time());
         self.closing_at_last_read = self.signal.close_requested() != CloseRequest::Never;
     }
 
--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -79,7 +79,7 @@
     /// Records the bytes that wait in the system to be read: they have arrived by now.
     fn record_waiting_input(&mut self) {
         let waiting = self.stream.peek(&mut self.state.clients.discard_buffer().borrow_mut());
-        self.arrivals.waiting(waiting.unwrap_or(0), self.state.arrival_time());
+        self.arrivals.record_waiting(waiting.unwrap_or(0), self.state.arrival_time());
     }
 
     /// Waits for an event.
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -3,7 +3,7 @@
 //! A line that can't be written (the disk is full, nobody reads any more) is counted and dropped: the log is no reason to
 //! lose a request.
 
-use crate::state::log_fields::record_dropped_line;
+use crate::state::dropped_log_lines::record_dropped_line;
 use log::LevelFilter;
 use logforth::bridge::log::LogBridge;
 use logforth::filter::FilterResult;
--- a/crates/comethitchd/src/state/arrivals.rs
+++ b/crates/comethitchd/src/state/arrivals.rs
@@ -1,60 +1,57 @@
-//! When the bytes of a connection arrived, so that each message on it is timed by its own last byte.
+//! Arrival times of a connection's bytes, so that the deadline of each message counts from its own last byte.
 //!
-//! A read moves any number of messages into the buffer, and the end of one may come with the beginning of the next.
-//! One timestamp for the whole buffer would give a message that waits behind others the time of bytes that came later,
-//! and so more time than its client allows.
+//! One read may bring several messages and a part of the next. One timestamp for the whole buffer would give a message
+//! that is queued behind others the arrival time of later bytes, and so more time than its client allows.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Arrivals closer together than this share one record, which keeps the earlier time.
+/// Arrivals within this time of a record share it, with the earlier time.
 const RESOLUTION: Duration = Duration::from_millis(1);
-/// Records of one connection: 1 KiB. Past that the two closest together are merged, so that some messages are timed
-/// from slightly earlier, and none from later.
+/// Maximum number of records of one connection, 1 KiB of memory. Beyond it the two records closest together are merged:
+/// some arrival times become slightly earlier, and none later.
 const MAX_RECORDS: usize = 64;
 
-/// All bytes of the stream before `end`, back to the record before this one, had arrived at this time.
+/// The bytes of the stream from the previous record's end up to `end` had arrived at this time.
 #[derive(Clone, Copy)]
 struct Arrival {
     end: u64,
     arrived: Timestamp,
 }
 
-/// The arrival times of the bytes of one connection that are not consumed yet.
+/// The arrival times of a connection's bytes that are not consumed yet.
 #[derive(Default)]
 pub struct Arrivals {
     records: VecDeque<Arrival>,
-    /// Bytes of the stream that were read.
-    read: u64,
-    /// Bytes of the stream that were consumed.
-    consumed: u64,
+    bytes_read: u64,
+    bytes_consumed: u64,
 }
 
 impl Arrivals {
-    /// Records that this many more bytes were read now, where none of them was seen waiting before.
-    pub fn read(&mut self, length: usize, now: Timestamp) {
-        self.read += length as u64;
-        self.record(self.read, now);
+    /// Records that `length` more bytes were read now. Those that were recorded as waiting keep their earlier time.
+    pub fn record_read(&mut self, length: usize, now: Timestamp) {
+        self.bytes_read += length as u64;
+        self.record(self.bytes_read, now);
     }
 
-    /// Records that this many bytes wait behind those that were read: they are read later, and arrived by now.
-    pub fn waiting(&mut self, length: usize, now: Timestamp) {
-        self.record(self.read + length as u64, now);
+    /// Records that `length` bytes have arrived by now that are not read yet.
+    pub fn record_waiting(&mut self, length: usize, now: Timestamp) {
+        self.record(self.bytes_read + length as u64, now);
     }
 
-    /// Consumes bytes that were read, and returns when the last one of them arrived.
+    /// Consumes `length` bytes that were read, and returns when the last of them arrived.
     pub fn consume(&mut self, length: usize) -> Option<Timestamp> {
-        self.consumed += length as u64;
-        let covering = self.records.iter().position(|record| record.end >= self.consumed);
+        self.bytes_consumed += length as u64;
+        let covering = self.records.iter().position(|record| record.end >= self.bytes_consumed);
         self.records.drain(..covering.unwrap_or(self.records.len()));
         let arrived = self.records.front().map(|record| record.arrived);
-        if self.records.front().is_some_and(|record| record.end == self.consumed) {
+        if self.records.front().is_some_and(|record| record.end == self.bytes_consumed) {
             self.records.pop_front();
         }
         arrived
     }
 
-    /// All bytes before `end` have arrived by now.
+    /// Records that all bytes before `end` have arrived by now.
     fn record(&mut self, end: u64, now: Timestamp) {
         match self.records.back_mut() {
             Some(last) if end <= last.end => return,
--- a/crates/comethitchd/src/state/arrivals/tests.rs
+++ b/crates/comethitchd/src/state/arrivals/tests.rs
@@ -4,36 +4,36 @@
 const MS: u64 = 1_000;
 
 #[test]
-fn a_message_arrived_with_its_own_last_byte_whatever_the_reads_hold() {
+fn messages_are_timed_by_their_own_last_byte() {
     let mut arrivals = Arrivals::default();
-    // Messages of 10, 10 and 5 bytes; the second read brings the end of the second and all of the third.
-    arrivals.read(15, Timestamp::from_micros(10 * MS));
-    arrivals.read(10, Timestamp::from_micros(90 * MS));
+    // Messages of 10, 10 and 5 bytes: the second read ends the second message and brings the third.
+    arrivals.record_read(15, Timestamp::from_micros(10 * MS));
+    arrivals.record_read(10, Timestamp::from_micros(90 * MS));
     assert_eq!(arrivals.consume(10), Some(Timestamp::from_micros(10 * MS)));
     assert_eq!(arrivals.consume(10), Some(Timestamp::from_micros(90 * MS)));
     assert_eq!(arrivals.consume(5), Some(Timestamp::from_micros(90 * MS)));
-    arrivals.read(1, Timestamp::from_micros(200 * MS));
+    arrivals.record_read(1, Timestamp::from_micros(200 * MS));
     assert_eq!(arrivals.consume(1), Some(Timestamp::from_micros(200 * MS)));
 }
 
 #[test]
-fn bytes_seen_waiting_keep_the_moment_in_which_they_were_seen() {
+fn bytes_recorded_as_waiting_keep_that_time_when_read() {
     let mut arrivals = Arrivals::default();
-    arrivals.read(10, Timestamp::from_micros(10 * MS));
-    arrivals.waiting(10, Timestamp::from_micros(40 * MS));
-    arrivals.waiting(30, Timestamp::from_micros(65 * MS));
-    // Read in two pieces, long after; five more bytes come with them.
-    arrivals.read(10, Timestamp::from_micros(500 * MS));
-    arrivals.read(25, Timestamp::from_micros(500 * MS));
+    arrivals.record_read(10, Timestamp::from_micros(10 * MS));
+    arrivals.record_waiting(10, Timestamp::from_micros(40 * MS));
+    arrivals.record_waiting(30, Timestamp::from_micros(65 * MS));
+    // Read later in two pieces, together with five bytes that were not recorded before.
+    arrivals.record_read(10, Timestamp::from_micros(500 * MS));
+    arrivals.record_read(25, Timestamp::from_micros(500 * MS));
     let arrived: Vec<_> = [10, 10, 20, 5].map(|length| arrivals.consume(length)).into();
     assert_eq!(arrived, [10, 40, 65, 500].map(|ms| Some(Timestamp::from_micros(ms * MS))));
 }
 
 #[test]
-fn the_record_is_bounded_and_never_later_than_the_truth() {
+fn merged_records_are_bounded_and_never_later_than_the_arrival() {
     let mut arrivals = Arrivals::default();
     let at = |nth: u64| Timestamp::from_micros(nth * nth * RESOLUTION.as_micros());
-    (1..=1_000).for_each(|nth| arrivals.read(1, at(nth)));
+    (1..=1_000).for_each(|nth| arrivals.record_read(1, at(nth)));
     assert!(arrivals.records.len() <= MAX_RECORDS);
     for nth in 1..=1_000 {
         let arrived = arrivals.consume(1).expect("a record");
--- a/crates/comethitchd/src/state/buffer.rs
+++ b/crates/comethitchd/src/state/buffer.rs
@@ -1,12 +1,12 @@
-//! The read buffer of a connection: grows on demand within the shared memory budget, and is compacted in place.
+//! The read buffer of a connection, which grows on demand within the shared memory budget and is compacted in place.
 
 use crate::state::memory_budget::MemoryBudget;
 use futures_lite::{AsyncRead, AsyncReadExt};
 use std::io;
 
-/// The least free space that is worth a read.
+/// Minimum free space before a read.
 const MIN_FREE_BYTES: usize = 1024;
-/// An empty buffer larger than this gives its memory back.
+/// Maximum size of an empty buffer; larger ones release their memory.
 const MAX_IDLE_BYTES: usize = 8 * MIN_FREE_BYTES;
 
 /// The bytes read from a connection and not consumed yet.
@@ -19,17 +19,17 @@
 }
 
 impl Buffer {
-    /// An empty buffer that may grow to `max_bytes`, all of it taken from `budget`.
+    /// Creates an empty buffer that may grow to `max_bytes`, reserved from `budget`.
     pub fn new(max_bytes: usize, budget: &MemoryBudget) -> Buffer {
         Buffer { budget: budget.clone(), bytes: Vec::new(), start: 0, end: 0, max_bytes }
     }
 
-    /// The bytes that were read and not consumed.
+    /// Returns the bytes that were read and not consumed.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Drops the first `length` unread bytes. A large buffer that becomes empty gives its memory back.
+    /// Consumes the first `length` unread bytes. A large buffer that becomes empty releases its memory.
     pub fn consume(&mut self, length: usize) {
         self.start = (self.start + length).min(self.end);
         if self.start == self.end {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Reads once, and returns how many bytes came; 0 is the end of the stream. Cancel safe: dropping the future
+    /// Reads once, and returns the number of bytes read; 0 is the end of the stream. Cancel safe: dropping the future
     /// loses no data.
     ///
     /// # Errors
--- a/crates/comethitchd/src/state/clock.rs
+++ b/crates/comethitchd/src/state/clock.rs
@@ -1,4 +1,4 @@
-//! Unix time that never goes back: the system's clock once, the monotonic one from there.
+//! Unix time that never goes back: the wall clock as read at the start, advanced by the monotonic clock.
 
 use async_io::Timer;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -7,24 +7,24 @@
 /// The router's clock. Copies show the same time.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    started: Timestamp,
-    since: Instant,
+    wall_start: Timestamp,
+    monotonic_start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts from the system's time.
+    /// Starts a clock from the system's wall clock.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Timestamp::from_micros(unix.as_micros() as u64), since: Instant::now() }
+        Clock { wall_start: Timestamp::from_micros(unix.as_micros() as u64), monotonic_start: Instant::now() }
     }
 
-    /// The present time.
+    /// Returns the present time.
     pub fn now(&self) -> Timestamp {
-        self.started + Duration::from_micros(self.since.elapsed().as_micros() as u64)
+        self.wall_start + Duration::from_micros(self.monotonic_start.elapsed().as_micros() as u64)
     }
 }
 
-/// Waits for a while, then returns `value`; with [`futures_lite::FutureExt::or`] this is a timeout.
+/// Waits, then returns `value`. With [`futures_lite::FutureExt::or`] this is a timeout.
 pub async fn after<T>(wait: StdDuration, value: T) -> T {
     Timer::after(wait).await;
     value
--- a/crates/comethitchd/src/state/discovery_state.rs
+++ b/crates/comethitchd/src/state/discovery_state.rs
@@ -1,4 +1,4 @@
-//! Which discovery service is followed, and whether its watch is alive.
+//! The discovery service that is followed, whether its watch is alive, and whether clients may be served.
 
 use crate::state::signals::OneShotEvent;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -6,29 +6,28 @@
 use std::net::SocketAddr;
 use std::time::Duration as StdDuration;
 
-/// Discovery usually answers at once: a connection, or a response, that takes longer is abandoned at first.
+/// Initial and minimum timeout of connections to discovery and of its responses.
 pub const MIN_RESPONSE_TIMEOUT: StdDuration = StdDuration::from_millis(750);
 
 /// The discovery service that is followed.
 #[derive(Clone)]
 pub struct DiscoveryService {
-    /// Its address.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// Set once another one is followed in its place.
+    /// Set when another service is followed instead.
     pub replaced: OneShotEvent,
 }
 
-/// The discovery service that is followed, and when its watch last sent something.
+/// Owns what is known about the discovery service.
 pub struct DiscoveryState {
     service: RefCell<DiscoveryService>,
     last_watch_event: Cell<Timestamp>,
-    /// How long a response may take.
     response_timeout: Cell<StdDuration>,
     ready: OneShotEvent,
 }
 
 impl DiscoveryState {
-    /// Follows the service at `address`.
+    /// Starts to follow the service at `address`.
     pub fn new(address: SocketAddr, now: Timestamp) -> DiscoveryState {
         let service = DiscoveryService { address, replaced: OneShotEvent::default() };
         DiscoveryState {
@@ -39,18 +38,18 @@
         }
     }
 
-    /// The service that is followed now.
+    /// Returns the service that is followed now.
     pub fn service(&self) -> DiscoveryService {
         self.service.borrow().clone()
     }
 
-    /// Follows the service at `address` in place of the one before.
+    /// Follows the service at `address` instead of the current one.
     pub fn replace(&self, address: SocketAddr) {
         let service = DiscoveryService { address, replaced: OneShotEvent::default() };
         self.service.replace(service).replaced.set();
     }
 
-    /// Lets clients be served, as there is an endpoint list or none is waited for any longer.
+    /// Lets clients be served: there is an endpoint list, or the wait for the first one has ended.
     pub fn set_ready(&self) {
         self.ready.set();
     }
@@ -60,22 +59,22 @@
         self.ready.wait().await;
     }
 
-    /// How long a response may take.
+    /// Returns the timeout of a response.
     pub fn response_timeout(&self) -> StdDuration {
         self.response_timeout.get()
     }
 
-    /// Sets how long a response may take from now on.
+    /// Sets the timeout of later responses.
     pub fn set_response_timeout(&self, timeout: StdDuration) {
         self.response_timeout.set(timeout);
     }
 
-    /// Records that the watch sent something, were it an empty line.
+    /// Records that the watch sent a line; empty lines are keep-alives.
     pub fn record_watch_event(&self, now: Timestamp) {
         self.last_watch_event.set(now);
     }
 
-    /// For how long the watch has sent nothing.
+    /// Returns how long the watch has sent nothing.
     pub fn watch_silence(&self, now: Timestamp) -> Duration {
         now - self.last_watch_event.get()
     }
--- a/crates/comethitchd/src/state/host_connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a host, the errors it can end with, and the policy's [`AttemptOutcome`] for each of them.
+//! A connection to a host, the errors that it can end with, and the [`AttemptOutcome`] that the policy gets for each.
 
 use crate::state::buffer::Buffer;
 use crate::state::descriptors::DescriptorPermit;
@@ -6,105 +6,123 @@
 use comethitch_policy::AttemptOutcome;
 use std::net::SocketAddr;
 
+/// SQLSTATE of a write in a read-only transaction, as on a replica.
+const READ_ONLY_TRANSACTION: &str = "25006";
+const SNAPSHOT_TOO_OLD: &str = "72000";
+const TOO_MANY_CONNECTIONS: &str = "53300";
+/// TDS errors of a database that is read-only, or of a replica that does not accept the request.
+const TDS_NOT_PRIMARY: [i32; 7] = [3906, 3908, 976, 978, 979, 982, 983];
+/// TDS errors for a lack of resources before anything was executed.
+const TDS_OUT_OF_RESOURCES: [i32; 6] = [10_928, 10_929, 17_809, 49_918, 49_919, 49_920];
+/// Minimum severity class of TDS errors that end the connection.
+const TDS_MIN_FATAL_CLASS: u8 = 20;
+
 /// An established connection to a host, in use or idle in the pool.
 pub struct HostConnection {
     /// The socket.
     pub stream: Socket,
-    /// What was read and not consumed.
+    /// The bytes that were read and not consumed.
     pub buffer: Buffer,
-    /// The address that it was opened to.
+    /// The address that the connection was opened to.
     pub address: SocketAddr,
-    /// What its protocol remembers of it.
+    /// The state of the protocol's session.
     pub session: SessionState,
-    /// Its descriptor.
+    /// The permit for the connection's descriptor.
     pub permit: DescriptorPermit,
 }
 
-/// What a protocol remembers of a connection from one use to the next.
+/// The state of a protocol's session that outlasts one use of the connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionState {
     /// The negotiated packet size in bytes, in protocols with packets.
     pub packet_size: usize,
-    /// It was used before: the session must be reset before the next request.
+    /// Whether the connection was used before: the session must be reset before the next request.
     pub reused: bool,
 }
 
 impl HostConnection {
-    /// Whether nothing came while it was idle. An end of stream, an error or a stray message make it unusable.
+    /// Returns whether nothing was received while the connection was idle. The end of the stream, an error or an
+    /// unexpected message make it unusable.
     pub fn is_quiet(&self) -> bool {
         self.buffer.unread().is_empty() && self.stream.is_quiet()
     }
 }
 
-/// The code of an error that a host answered with.
+/// The code of a host's error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostErrorCode {
-    /// An SQLSTATE of PostgreSQL.
+    /// The SQLSTATE of a PostgreSQL error.
     Postgres(String),
-    /// An error of TDS.
+    /// A TDS error.
     Tds {
-        /// Its number.
+        /// The error number.
         number: i32,
-        /// Its severity class; from 20 on the connection ends.
+        /// The severity class.
         class: u8,
-        /// No row or row count came before it.
+        /// Whether no row or row count preceded the error.
         first: bool,
     },
 }
 
 impl HostErrorCode {
-    /// The outcome that the policy gets for an attempt that ended with this error.
     fn outcome(&self) -> AttemptOutcome {
         match self {
-            HostErrorCode::Postgres(code) => match code.as_str() {
-                "25006" | "72000" => AttemptOutcome::NotPrimary,
-                "53300" => AttemptOutcome::Overloaded,
-                _ => AttemptOutcome::Error,
-            },
-            // The database is read-only, or this replica takes no such requests. Behind another statement of
-            // the batch it would say nothing of that one.
-            HostErrorCode::Tds { number: 3906 | 3908 | 976 | 978 | 979 | 982 | 983, first: true, .. } => {
-                AttemptOutcome::NotPrimary
-            }
-            // Out of resources before anything was begun.
-            HostErrorCode::Tds {
-                number: 10_928 | 10_929 | 17_809 | 49_918..=49_920, first: true, ..
-            } => AttemptOutcome::Overloaded,
-            // The connection ends with such an error.
-            HostErrorCode::Tds { class: 20.., .. } => AttemptOutcome::ConnectionReset,
-            HostErrorCode::Tds { .. } => AttemptOutcome::Error,
+            HostErrorCode::Postgres(sqlstate) => postgres_outcome(sqlstate),
+            HostErrorCode::Tds { number, class, first } => tds_outcome(*number, *class, *first),
         }
     }
 }
 
-/// Why a connection to a host, or its use for one query, brought no complete answer.
+fn postgres_outcome(sqlstate: &str) -> AttemptOutcome {
+    match sqlstate {
+        READ_ONLY_TRANSACTION | SNAPSHOT_TOO_OLD => AttemptOutcome::NotPrimary,
+        TOO_MANY_CONNECTIONS => AttemptOutcome::Overloaded,
+        _ => AttemptOutcome::Error,
+    }
+}
+
+fn tds_outcome(number: i32, class: u8, first: bool) -> AttemptOutcome {
+    // An error after another statement of the batch does not show that nothing ran.
+    if first && TDS_NOT_PRIMARY.contains(&number) {
+        return AttemptOutcome::NotPrimary;
+    }
+    if first && TDS_OUT_OF_RESOURCES.contains(&number) {
+        return AttemptOutcome::Overloaded;
+    }
+    if class >= TDS_MIN_FATAL_CLASS {
+        return AttemptOutcome::ConnectionReset;
+    }
+    AttemptOutcome::Error
+}
+
+/// Why a connection to a host, or its use for one query, ended without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionError {
     /// The host answered with an error.
     #[error("the host answered with the error {0:?}")]
     HostError(HostErrorCode),
-    /// There was no time, descriptor or such host, or the query was no longer wanted once the connection was up.
+    /// The query was not sent: for lack of time or descriptors, an unknown host, or a refusal right before the send.
     #[error("the query was not sent")]
     NotSent,
-    /// The host has no slot for one more connection.
+    /// The host rejected the connection for lack of slots.
     #[error("the host has no free connection slot")]
     NoConnectionSlot,
     /// The connection was refused, or broke before it could be used.
     #[error("no connection could be established")]
     ConnectFailed,
-    /// The connection broke, or time ran out, before the query's last byte was written.
+    /// The connection broke, or the timeout expired, before the query's last byte was written.
     #[error("the connection broke before the query was sent")]
     BrokenBeforeSend,
-    /// The connection broke or ended after that.
+    /// The connection broke or ended after the query's last byte was written.
     #[error("the connection broke after the query was sent")]
     BrokenAfterSend,
-    /// What the host sent after that could not be understood.
+    /// The host violated the protocol after the query was sent.
     #[error("the host's answer is malformed")]
     Malformed,
-    /// The answer is larger than what is passed on, or than the memory budget allows.
+    /// The answer exceeds the maximum size or the memory budget.
     #[error("the host's answer is too large")]
     TooLarge,
-    /// Nothing more came until the router stopped waiting.
+    /// The answer was not complete when the timeout expired.
     #[error("the host did not answer in time")]
     TimedOut,
     /// The router cancelled the query.
@@ -113,7 +131,7 @@
 }
 
 impl ConnectionError {
-    /// The outcome that the policy gets for an attempt or a health check that ended with this error.
+    /// Returns the outcome that the policy gets for an attempt or a health check that ended with this error.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             ConnectionError::HostError(code) => code.outcome(),
@@ -130,7 +148,7 @@
     }
 }
 
-/// The outcome that the policy gets for an attempt or a health check; a complete answer is the only success.
+/// Returns the outcome that the policy gets for an attempt or a health check; only a complete answer is a success.
 pub fn attempt_outcome(completion: &Result<(), ConnectionError>) -> AttemptOutcome {
     match completion {
         Ok(()) => AttemptOutcome::Answered,
--- a/crates/comethitchd/src/state/memory_budget.rs
+++ b/crates/comethitchd/src/state/memory_budget.rs
@@ -1,47 +1,47 @@
-//! The memory budget that all connection buffers share, so that memory use is bounded however many connections
-//! there are.
+//! The memory budget that all connection buffers share: it bounds memory use whatever the number of connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The bytes that buffers and reservations may still take. Clones share one budget.
+/// The bytes that are not reserved yet. Clones share one budget.
 #[derive(Clone)]
 pub struct MemoryBudget(Rc<Cell<usize>>);
 
 impl MemoryBudget {
-    /// A budget of this many bytes, all of them available.
+    /// Creates a budget of `bytes`, all of them available.
     pub fn new(bytes: usize) -> MemoryBudget {
         MemoryBudget(Rc::new(Cell::new(bytes)))
     }
 
-    /// The bytes that are not reserved.
+    /// Returns the number of bytes that are not reserved.
     pub fn available(&self) -> usize {
         self.0.get()
     }
 
-    /// Replaces a reservation of `reserved` bytes by one of `wanted` bytes, if the budget allows it.
-    pub(super) fn exchange(&self, reserved: usize, wanted: usize) -> bool {
-        let allowed = self.0.get() + reserved >= wanted;
+    /// Replaces a reservation of `reserved` bytes by one of `requested` bytes. Returns false and changes nothing if the
+    /// budget does not allow it.
+    pub(super) fn exchange(&self, reserved: usize, requested: usize) -> bool {
+        let allowed = self.0.get() + reserved >= requested;
         if allowed {
-            self.0.set(self.0.get() + reserved - wanted);
+            self.0.set(self.0.get() + reserved - requested);
         }
         allowed
     }
 }
 
-/// Bytes reserved from a budget for memory that is not a buffer; given back when this is dropped.
+/// Bytes reserved from a budget for memory that is not a buffer; released on drop.
 pub struct Reservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
 impl Reservation {
-    /// An empty reservation from this budget.
+    /// Creates an empty reservation.
     pub fn new(budget: &MemoryBudget) -> Reservation {
         Reservation { budget: budget.clone(), bytes: 0 }
     }
 
-    /// Grows or shrinks the reservation to this many bytes; false, and no change, if the budget is exhausted.
+    /// Grows or shrinks the reservation to `bytes`. Returns false and changes nothing if the budget is exhausted.
     pub fn resize_to(&mut self, bytes: usize) -> bool {
         let allowed = self.budget.exchange(self.bytes, bytes);
         if allowed {
--- a/crates/comethitchd/src/state/mod.rs
+++ b/crates/comethitchd/src/state/mod.rs
@@ -1,7 +1,6 @@
-//! What a running router holds: its configuration, buffers, connections, requests in progress, the endpoint list and
-//! its counts.
+//! The state of a running router: configuration, connections, requests in progress, endpoint list, memory and metrics.
 //!
-//! [`router_state::RouterState`] owns all of it.
+//! [`router_state::RouterState`] joins the owners of each.
 
 pub mod arrivals;
 pub mod buffer;
@@ -11,6 +10,7 @@
 pub mod connection_pool;
 pub mod descriptors;
 pub mod discovery_state;
+pub mod dropped_log_lines;
 pub mod endpoints;
 pub mod event_loop_clock;
 pub mod host_connection;
--- a/crates/comethitchd/src/state/pending_requests.rs
+++ b/crates/comethitchd/src/state/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The requests in progress: received, and not yet answered or with an attempt still in flight.
+//! The requests in progress: not yet answered, or with an attempt still in flight.
 
 use crate::state::socket::Socket;
 use async_channel::{Receiver, Sender};
@@ -11,38 +11,38 @@
 use std::ops::Range;
 use std::rc::{Rc, Weak};
 
-/// The statement of a request, as it is sent to hosts.
+/// The statement of a request as it is sent to hosts.
 pub struct Statement {
     /// The statement in the encoding of the backend protocol.
     pub text: Vec<u8>,
-    /// The type of the message that it came in, in protocols with several.
+    /// The type of the message that it was received in, in protocols with several.
     pub message_kind: u8,
     /// The id that the client gave the request, or a generated one.
     pub client_id: String,
-    /// Where the text holds the client's timeout, if it does; each attempt writes its own there.
+    /// The position of the client's timeout in the text, if there is one; each attempt replaces it by its own.
     pub timeout_range: Option<Range<usize>>,
-    /// What is known of the statement's shape, where statements are classified by their text.
+    /// The statement's shape, if statements are classified by their text.
     pub shape: Option<Rc<KnownShape>>,
 }
 
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// Answered: a value as a host gave it for this request.
+    /// Answered with a host's value.
     Value(Vec<u8>),
-    /// Answered with a large value: its first part, and the channel that the others come through.
+    /// Answered with a large value: its first part, and the channel of the further parts.
     Streaming(Vec<u8>, Receiver<ValuePart>),
-    /// Throttled: nothing ran; the client may retry, after this time if one is given.
+    /// Throttled: nothing was executed, and the client may retry after the given time, if any.
     Throttled(Option<Duration>),
-    /// Failed: nothing is known of the effect.
+    /// Failed, with an unknown effect.
     Failed,
-    /// Failed, with the host's own error.
+    /// Failed with a host's error.
     FailedWithHostError(Vec<u8>),
-    /// Failed, as its client cancelled it.
+    /// Failed because its client cancelled it.
     Cancelled,
 }
 
-/// A further part of a streamed value. A channel that closes without an end leaves the value incomplete.
+/// A further part of a streamed value, which is incomplete if the channel closes without [`ValuePart::End`].
 #[derive(Debug)]
 pub enum ValuePart {
     /// The next bytes of the value.
@@ -53,13 +53,13 @@
 
 struct PendingRequest {
     statement: Rc<Statement>,
-    /// The connection of its client, while that is open.
+    /// The client's connection, while it is open.
     client: Weak<Socket>,
-    /// None once the final answer is given.
+    /// The channel of the final answer; none once it was given.
     reply: Option<Sender<Reply>>,
-    /// The task of each attempt, by its number; none once it has ended.
+    /// The task of each attempt by number; none once the attempt has ended.
     attempts: Vec<Option<Task<()>>>,
-    /// The error that a host answered the latest attempt with.
+    /// The host's error response to the latest attempt.
     host_error: Option<Vec<u8>>,
 }
 
--- a/crates/comethitchd/src/state/signals.rs
+++ b/crates/comethitchd/src/state/signals.rs
@@ -1,12 +1,12 @@
-//! Signals between tasks of the one thread: a one-shot event, and the requests to close a client's connection or to
-//! cancel its request.
+//! Signals between tasks of the same thread: one-shot events, and requests to close a client's connection or to cancel
+//! its request.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// An event that is set once and stays set; any number of tasks can wait for it. Clones share one event.
+/// An event that is set once and stays set. Any number of tasks may wait for it. Clones share one event.
 #[derive(Clone)]
 pub struct OneShotEvent {
     sender: Sender<()>,
@@ -21,12 +21,12 @@
 }
 
 impl OneShotEvent {
-    /// Sets the event and wakes every task that waits for it.
+    /// Sets the event and wakes all tasks that wait for it.
     pub fn set(&self) {
         self.sender.close();
     }
 
-    /// Whether the event is set.
+    /// Returns whether the event is set.
     pub fn is_set(&self) -> bool {
         self.sender.is_closed()
     }
@@ -37,23 +37,24 @@
     }
 }
 
-/// When a connection is to close.
+/// How urgently a connection was asked to close, in ascending order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseRequest {
-    /// It may stay open.
+    /// Not at all.
     #[default]
     Never,
-    /// Once no request is in progress or has begun to come in.
+    /// Once no request is in progress or partly received.
     WhenIdle,
-    /// At once.
+    /// Immediately.
     Now,
 }
 
-/// The requests made to one client connection. Only the connection's own task waits on it, many times over its
-/// life, so that waiting costs nothing while nothing is requested.
+/// Requests to one client connection to close or to cancel its request.
+///
+/// Only the connection's own task may wait on it: there is a single waker, so that waiting allocates nothing.
 #[derive(Default)]
 pub struct ConnectionSignal {
-    /// Whoever presents this key may cancel the connection's request.
+    /// The key that a client must present to cancel the connection's request.
     pub cancel_key: u32,
     close: Cell<CloseRequest>,
     cancelled: Cell<bool>,
@@ -61,18 +62,18 @@
 }
 
 impl ConnectionSignal {
-    /// A signal with nothing requested.
+    /// Creates a signal with nothing requested.
     pub fn new(cancel_key: u32) -> ConnectionSignal {
         ConnectionSignal { cancel_key, ..ConnectionSignal::default() }
     }
 
-    /// Requests a close; the most urgent request made so far holds.
+    /// Requests a close. A more urgent earlier request stays in effect.
     pub fn request_close(&self, close: CloseRequest) {
         self.close.set(self.close.get().max(close));
         self.wake();
     }
 
-    /// A new request begins: a cancellation of an earlier one does not concern it.
+    /// Clears the cancellation of an earlier request, as a new one begins.
     pub fn reset_cancel(&self) {
         self.cancelled.set(false);
     }
@@ -88,7 +89,7 @@
         self.wait_until(|| self.cancelled.get()).await;
     }
 
-    /// The most urgent close requested so far.
+    /// Returns the most urgent close requested so far.
     pub fn close_requested(&self) -> CloseRequest {
         self.close.get()
     }
--- a/crates/comethitchd/src/state/socket.rs
+++ b/crates/comethitchd/src/state/socket.rs
@@ -1,9 +1,7 @@
-//! A TCP connection whose system calls may fail for a moment: interrupted ones are made again, and one that can't be
-//! opened for a shortage of this machine is tried again shortly.
+//! A TCP connection that retries interrupted system calls, and connection attempts that failed for a local shortage.
 //!
-//! Linux lets any read, write, peek or poll return `EINTR`, and a new socket may meet a shortage of descriptors,
-//! buffers or ports. None of that says anything of the peer, so no error of this kind leaves this module before it
-//! was tried again.
+//! Linux may return `EINTR` from any read, write, peek or poll, and a new socket may meet a shortage of descriptors,
+//! buffers or ports. Such errors are no fault of the peer, so that they are retried here before they are returned.
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -18,12 +16,12 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// A request of more bytes than this may not fit into what its host has room for.
-const LONG_REQUEST_BYTES: usize = 4096;
-/// The system holds about so much back of what was written, in bytes.
+/// Maximum size of a request that surely fits into the receive buffer of its host.
+const MAX_BUFFERED_REQUEST_BYTES: usize = 4096;
+/// Size of the send buffer of connections to hosts.
 const SEND_BUFFER_BYTES: usize = 16 * 1024;
-/// How long is waited before each further try to open a connection that met a momentary failure of this machine.
-const CONNECT_RETRY_WAITS: [Duration; 5] = [
+/// Wait before each retry of a connection attempt that failed for a transient local error.
+const CONNECT_BACKOFF: [Duration; 5] = [
     Duration::from_millis(1),
     Duration::from_millis(2),
     Duration::from_millis(4),
@@ -31,7 +29,7 @@
     Duration::from_millis(16),
 ];
 
-/// Makes a call again for as long as it is interrupted.
+/// Retries a call while it is interrupted.
 ///
 /// # Errors
 /// Any other error of the call.
@@ -44,7 +42,7 @@
     }
 }
 
-/// Whether an error tells of a shortage of this machine (descriptors, buffers, ports) and nothing of any peer.
+/// Returns whether an error is a shortage of the local machine (descriptors, buffers, ports) and no fault of a peer.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     let shortages = [
         Errno::INTR,
@@ -58,15 +56,14 @@
     Errno::from_io_error(error).is_some_and(|errno| shortages.contains(&errno))
 }
 
-/// Whether an attempt to connect that ended so may succeed a moment later.
-fn may_pass(error: &io::Error) -> bool {
+fn is_transient(error: &io::Error) -> bool {
     is_local_shortage(error) || Errno::from_io_error(error) == Some(Errno::NETUNREACH)
 }
 
 /// Why not all bytes were written.
 #[derive(Debug)]
 pub enum WriteError<R> {
-    /// The check refused to go on, before the last byte was handed to the system.
+    /// The check refused to continue before the last byte was passed to the system.
     Refused(R),
     /// The connection failed.
     Io(io::Error),
@@ -76,14 +73,14 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: Async<TcpStream>,
-    /// A long request was written, and nothing was read since: the system may still hold a part of it.
+    /// A large request was written, and nothing was read since: a part of it may still be in the send buffer.
     unconfirmed: Cell<bool>,
 }
 
 impl Socket {
-    /// Takes over an open connection; small writes go out at once.
+    /// Wraps an open connection, and disables the delay of small writes.
     pub fn new(stream: Async<TcpStream>) -> Socket {
-        // Without it, answers are late, not wrong.
+        // A failure would only delay answers.
         let _ = stream.get_ref().set_nodelay(true);
         Socket { stream, unconfirmed: Cell::new(false) }
     }
@@ -91,47 +88,47 @@
     /// Connects to an address.
     ///
     /// # Errors
-    /// If the connection is refused or fails, or a momentary failure of this machine lasts.
+    /// If the connection is refused or fails, or a transient local error persists.
     pub async fn connect(address: SocketAddr) -> io::Result<Socket> {
-        for wait in CONNECT_RETRY_WAITS {
+        for wait in CONNECT_BACKOFF {
             match Async::<TcpStream>::connect(address).await {
-                Err(error) if may_pass(&error) => Timer::after(wait).await,
+                Err(error) if is_transient(&error) => Timer::after(wait).await,
                 result => return result.map(Socket::new),
             };
         }
         Async::<TcpStream>::connect(address).await.map(Socket::new)
     }
 
-    /// The address of the other end.
+    /// Returns the IP address of the peer.
     pub fn peer_ip(&self) -> Option<IpAddr> {
         self.stream.get_ref().peer_addr().ok().map(|address| address.ip())
     }
 
-    /// Looks at bytes that wait to be read, without waiting for any; 0 is the end of the stream.
+    /// Copies received bytes without consuming them or waiting for any; 0 is the end of the stream.
     ///
     /// # Errors
-    /// `WouldBlock` if none wait, and the connection's own errors.
+    /// `WouldBlock` if there are none, and the connection's own errors.
     pub fn peek(&self, buffer: &mut [u8]) -> io::Result<usize> {
         retry_interrupted(|| self.stream.get_ref().peek(buffer))
     }
 
-    /// Whether bytes wait to be read.
+    /// Returns whether there are bytes to read.
     pub fn has_input(&self) -> bool {
         self.peek(&mut [0]).is_ok_and(|length| length > 0)
     }
 
-    /// Whether there is nothing to read, and neither an end nor an error.
+    /// Returns whether there is nothing to read, neither bytes nor the end of the stream nor an error.
     pub fn is_quiet(&self) -> bool {
         self.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the peer has closed the connection or its sending half, or the connection was reset; also behind bytes
-    /// that are not read yet.
+    /// Returns whether the peer has closed the connection or its sending half, or the connection was reset, even if
+    /// there are bytes to read before that.
     pub fn has_ended(&self) -> bool {
         match self.peek(&mut [0]) {
             Ok(0) => true,
             Err(error) => error.kind() != ErrorKind::WouldBlock,
-            // Behind bytes that are not read only the system sees the end.
+            // A peek does not see the end behind unread bytes.
             Ok(_) => self.is_hung_up(),
         }
     }
@@ -139,15 +136,16 @@
     fn is_hung_up(&self) -> bool {
         let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut polled = [PollFd::new(&self.stream, hang_up)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let ready = retry_interrupted(|| Ok(poll(&mut polled, Some(&at_once))?));
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let ready = retry_interrupted(|| Ok(poll(&mut polled, Some(&no_wait))?));
         ready.is_ok_and(|number| number > 0) && polled[0].revents().intersects(hang_up)
     }
 
-    /// Waits for bytes and reads them into a buffer that is borrowed only for the call; 0 is the end of the stream.
+    /// Waits for bytes and reads them into a buffer that is borrowed only for the system call; 0 is the end of the
+    /// stream.
     ///
     /// # Errors
-    /// The connection's own.
+    /// The connection's own error.
     pub async fn read_into(&self, buffer: &RefCell<Vec<u8>>) -> io::Result<usize> {
         loop {
             self.stream.readable().await?;
@@ -158,11 +156,11 @@
         }
     }
 
-    /// Writes all of the bytes, and asks `check` right before each call that may hand the last one to the system: a
-    /// peer that reads slowly can hold a write up for long.
+    /// Writes all bytes, and calls `check` right before each system call that may write the last one, as a peer that
+    /// reads slowly can delay a write for long.
     ///
     /// # Errors
-    /// The refusal, or the connection's own error. In both cases the last byte was not written.
+    /// The refusal of `check`, or the connection's own error. In both cases the last byte was not written.
     pub async fn write_checked<R>(
         &self, bytes: &[u8], check: impl Fn() -> Result<(), R>,
     ) -> Result<(), WriteError<R>> {
@@ -175,17 +173,17 @@
             })
             .await?;
         }
-        self.unconfirmed.set(bytes.len() > LONG_REQUEST_BYTES);
+        self.unconfirmed.set(bytes.len() > MAX_BUFFERED_REQUEST_BYTES);
         Ok(())
     }
 
-    /// Limits how much that was written the system holds back from a peer that reads slowly.
+    /// Limits how many written bytes the system buffers for a peer that reads slowly.
     pub fn limit_send_buffer(&self) {
-        // Without the limit, a check before a write says less of when its last byte leaves.
+        // A failure would only let more time pass between the check of a write and the last byte's departure.
         let _ = sockopt::set_socket_send_buffer_size(&self.stream, SEND_BUFFER_BYTES);
     }
 
-    /// Ends the sending half.
+    /// Shuts down the sending half.
     ///
     /// # Errors
     /// If the connection is broken.
@@ -210,7 +208,7 @@
     }
 }
 
-/// A request that is given up is not delivered behind its connection's end: what the system still holds of it is dropped.
+/// Discards the rest of an abandoned request in the send buffer, which would otherwise still be delivered after the close.
 impl Drop for Socket {
     fn drop(&mut self) {
         if self.unconfirmed.get() {
--- a/crates/comethitchd/src/state/step_times.rs
+++ b/crates/comethitchd/src/state/step_times.rs
@@ -1,36 +1,36 @@
-//! How long the event loop's own steps take. A router has one thread: a step that takes long holds up every answer.
+//! Measures how long the event loop's steps take. A router has one thread, so that a long step delays every answer.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Work that the event loop does in one go.
+/// Work that the event loop does without interruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventLoopStep {
-    /// A request is handed to the policy.
+    /// Submits a request to the policy.
     Submit,
-    /// The end of an attempt is reported to the policy.
+    /// Reports the end of an attempt to the policy.
     AttemptEnded,
-    /// The end of a health check is reported to the policy.
+    /// Reports the end of a health check to the policy.
     HealthChecked,
-    /// The policy reviews what depends on the time.
+    /// Runs a tick of the policy.
     Tick,
-    /// A client that has gone is reported to the policy.
+    /// Reports the disconnect of a client to the policy.
     ClientDisconnected,
-    /// An endpoint list is parsed.
+    /// Parses an endpoint list.
     ParseList,
-    /// An endpoint list is applied to the directory and the connection pool, and logged.
+    /// Applies an endpoint list to the directory and the connection pool, and logs it.
     ApplyList,
-    /// An endpoint list is applied by the policy.
+    /// Applies an endpoint list in the policy.
     UpdateEndpoints,
-    /// The policy answers what is left, as the router ends.
+    /// Rejects the remaining requests at the end of a shutdown.
     ShutDown,
-    /// Expired connections are closed.
+    /// Closes expired connections.
     Sweep,
 }
 
 impl EventLoopStep {
-    /// The name in the log.
+    /// Returns the name in the log.
     pub fn name(self) -> &'static str {
         match self {
             EventLoopStep::Submit => "submit",
@@ -47,23 +47,23 @@
     }
 }
 
-/// What steps of one kind took together.
+/// The time that steps of one kind took.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StepTime {
-    /// How many there were.
+    /// Number of steps.
     pub count: u64,
-    /// How long they took together.
+    /// Time that all steps took.
     pub total: Duration,
-    /// How long the longest took.
-    pub longest: Duration,
+    /// Time that the longest step took.
+    pub max: Duration,
 }
 
-/// The time that steps took, by kind, since it was last taken.
+/// The times of steps by kind, since they were last taken.
 #[derive(Default)]
 pub struct StepTimes(RefCell<BTreeMap<EventLoopStep, StepTime>>);
 
 impl StepTimes {
-    /// Carries out a step, and records how long it took.
+    /// Runs a step and records how long it took.
     pub fn measure<T>(&self, step: EventLoopStep, work: impl FnOnce() -> T) -> T {
         let started = Instant::now();
         let result = work();
@@ -71,15 +71,15 @@
         result
     }
 
-    fn record(&self, step: EventLoopStep, took: Duration) {
+    fn record(&self, step: EventLoopStep, elapsed: Duration) {
         let mut times = self.0.borrow_mut();
         let time = times.entry(step).or_default();
         time.count += 1;
-        time.total += took;
-        time.longest = time.longest.max(took);
+        time.total += elapsed;
+        time.max = time.max.max(elapsed);
     }
 
-    /// The times by kind, which start from zero again.
+    /// Returns the times by kind and resets them.
     pub fn take(&self) -> BTreeMap<EventLoopStep, StepTime> {
         self.0.take()
     }
--- a/crates/comethitchd/src/state/transition_log.rs
+++ b/crates/comethitchd/src/state/transition_log.rs
@@ -1,49 +1,56 @@
-//! Logs what changed of the policy's view of the fleet: the states of shards, and how the router's clock stands to
+//! Logs changes in the policy's view of the fleet: the states of shards, and the offset between the router's clock and
 //! the hosts'.
 
 use comethitch_policy::{ClockState, Router, ShardId, ShardState};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// The view that was logged last.
+/// What was last logged of a shard.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+struct LoggedShard {
+    state: ShardState,
+    /// Number of failovers that the shard has entered.
+    failovers: u32,
+}
+
+/// The view of the fleet that was last logged.
 #[derive(Default)]
 pub struct TransitionLog {
-    groups: RefCell<BTreeMap<ShardId, (ShardState, u32)>>,
+    shards: RefCell<BTreeMap<ShardId, LoggedShard>>,
     clock: Cell<ClockState>,
 }
 
 impl TransitionLog {
-    /// Logs what has changed since the last call. Changes that came and went in between are not seen.
-    pub fn log_changes(&self, router: &Router) {
-        self.log_shards(router);
-        self.log_clock(router.clock_state());
+    /// Logs what has changed since the last call. A change that was reverted in between is not noticed.
+    pub fn log_changes(&self, policy: &Router) {
+        self.log_shards(policy);
+        self.log_clock(policy.clock_state());
     }
 
-    fn log_shards(&self, router: &Router) {
-        let mut groups = self.groups.borrow_mut();
-        for (shard, state, serial) in router.shard_states() {
-            let before = groups.insert(shard, (state, serial)).unwrap_or_default();
-            if before != (state, serial) {
-                log::info!(group = shard, serial; "group {shard} went from {:?} to {state:?}", before.0);
+    fn log_shards(&self, policy: &Router) {
+        let mut shards = self.shards.borrow_mut();
+        for (shard, state, failovers) in policy.shard_states() {
+            let current = LoggedShard { state, failovers };
+            let previous = shards.insert(shard, current).unwrap_or_default();
+            if previous != current {
+                log::info!(shard, failovers, from:? = previous.state, to:? = state; "shard state changed");
             }
         }
     }
 
     fn log_clock(&self, state: ClockState) {
-        let before = self.clock.replace(state);
-        if std::mem::discriminant(&before) == std::mem::discriminant(&state) {
+        let previous = self.clock.replace(state);
+        if std::mem::discriminant(&previous) == std::mem::discriminant(&state) {
             return;
         }
         match state {
             ClockState::Corrected { offset, uncertainty } => log::warn!(
-                "the wall clock at the start was wrong: the hosts' time is {} to {} ms past it",
-                offset / 1000,
-                (offset + uncertainty) / 1000
+                min_offset_ms = offset / 1000,
+                max_offset_ms = (offset + uncertainty) / 1000;
+                "wall clock wrong at start, corrected by the hosts' clocks"
             ),
-            ClockState::Wrong => {
-                log::warn!("the wall clock at the start was wrong; hosts are asked for the time");
-            }
-            ClockState::Agrees => log::info!("the hosts' time agrees with the wall clock at the start"),
+            ClockState::Wrong => log::warn!("wall clock wrong at start, polling hosts for the time"),
+            ClockState::Agrees => log::info!("wall clock at start agrees with the hosts' clocks"),
             ClockState::Unproven => {}
         }
     }
