--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -78,8 +78,8 @@
 
     /// Records the arrival of bytes in the socket's receive buffer.
     fn record_waiting_input(&mut self) {
-        let waiting = self.stream.peek(&mut self.state.discard_buffer.borrow_mut());
-        self.arrivals.waiting(waiting.unwrap_or(0), self.state.arrival_time());
+        let waiting = self.stream.peek(&mut self.state.clients.discard_buffer().borrow_mut());
+        self.arrivals.record_waiting(waiting.unwrap_or(0), self.state.arrival_time());
     }
 
     /// Waits for an event.
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -44,7 +44,7 @@
 fn log_result(
     state: &RouterState, host: Host, completion: &Result<(), ConnectionError>, report: &LoadReport,
 ) {
-    let endpoints = state.endpoints.borrow();
+    let endpoints = state.hosts.directory();
     log::debug!(
         host = endpoints.name(host),
         result:? = completion,
--- a/crates/comethitchd/src/service/endpoint_update.rs
+++ b/crates/comethitchd/src/service/endpoint_update.rs
@@ -21,17 +21,17 @@
 pub(crate) fn apply(
     state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>,
 ) -> Result<(), DiscoveryError> {
-    let parse = || discovery::parse_endpoint_list(text, &state.config.zones);
-    let list = state.steps.measure(EventLoopStep::ParseList, parse)?;
-    let current_version = state.endpoints.borrow().version;
+    let parse = || discovery::parse_endpoint_list(text, &state.config.zone_names);
+    let list = state.metrics.steps.measure(EventLoopStep::ParseList, parse)?;
+    let current_version = state.hosts.directory().version();
     let may_be_outdated = current_version != version_before || !list.complete;
     if may_be_outdated && current_version.is_some_and(|current| list.version < current) {
         log::debug!(version = list.version, current_version; "outdated endpoint list ignored");
         return Ok(());
     }
-    state.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
+    state.metrics.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
     updates::apply_endpoint_list(state, &list);
-    state.ready.set();
+    state.discovery.set_ready();
     Ok(())
 }
 
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -38,7 +38,7 @@
     let mut logged = false;
     loop {
         let service = state.discovery.service();
-        let version = state.endpoints.borrow().version;
+        let version = state.hosts.directory().version();
         // Polled before the watch, so that nothing is applied that a replaced service still sends.
         let replaced = async {
             service.replaced.wait().await;
@@ -54,7 +54,7 @@
             Err(_) => {}
         }
         // The watch of a list that was just fetched starts without a delay.
-        let was_fetched = version.is_none() && state.endpoints.borrow().version.is_some();
+        let was_fetched = version.is_none() && state.hosts.directory().version().is_some();
         let delay = if was_fetched { Duration::ZERO } else { WATCH_RESTART_DELAY };
         after(delay, ()).or(service.replaced.wait()).await;
     }
@@ -78,7 +78,7 @@
         Timer::after(POLL_INTERVAL).await;
         let silence = state.discovery.watch_silence(state.clock.now());
         // Without a version, `follow` fetches the complete list itself.
-        if state.endpoints.borrow().version.is_none() || silence.to_std() < SILENT_WATCH_THRESHOLD {
+        if state.hosts.directory().version().is_none() || silence.to_std() < SILENT_WATCH_THRESHOLD {
             continue;
         }
         let service = state.discovery.service();
@@ -106,7 +106,7 @@
         };
         state.discovery.record_watch_event(state.clock.now());
         if let JsonStreamItem::Object(text) = item {
-            let version = state.endpoints.borrow().version;
+            let version = state.hosts.directory().version();
             endpoint_update::apply(state, &text, version)?;
         }
     }
@@ -114,7 +114,7 @@
 
 /// Fetches the complete list, and applies it once all of it has arrived.
 async fn fetch_list(state: &Rc<RouterState>, address: SocketAddr) -> Result<(), DiscoveryError> {
-    let version_before = state.endpoints.borrow().version;
+    let version_before = state.hosts.directory().version();
     let timeout = state.discovery.response_timeout();
     let started = Instant::now();
     let fetch = async {
--- a/crates/comethitchd/src/service/maintenance.rs
+++ b/crates/comethitchd/src/service/maintenance.rs
@@ -16,7 +16,7 @@
 pub(crate) async fn run_periodically(state: Rc<RouterState>) {
     for round in 1.. {
         Timer::after(SWEEP_INTERVAL).await;
-        state.steps.measure(EventLoopStep::Sweep, || sweep(&state));
+        state.metrics.steps.measure(EventLoopStep::Sweep, || sweep(&state));
         if round % SWEEPS_PER_REPORT == 0 {
             log_metrics(&state);
         }
@@ -25,7 +25,7 @@
 
 fn sweep(state: &RouterState) {
     let now = state.clock.now();
-    state.pool.borrow_mut().close_expired(now);
+    state.hosts.close_expired(now);
     state.clients.close_expired(now);
-    state.transitions.log_changes(&state.router.borrow());
+    state.log_transitions();
 }
--- a/crates/comethitchd/src/service/readiness.rs
+++ b/crates/comethitchd/src/service/readiness.rs
@@ -16,10 +16,10 @@
 /// Marks the router ready after a timeout, unless an endpoint list from discovery did so before. The timeout depends on
 /// whether the router has an endpoint list at the time of the call.
 pub(crate) fn become_ready_after_timeout(state: Rc<RouterState>) -> impl Future<Output = ()> {
-    let has_list = !state.endpoints.borrow().is_empty();
+    let has_list = !state.hosts.directory().is_empty();
     let timeout = if has_list { KNOWN_LIST_TIMEOUT } else { NO_LIST_TIMEOUT };
     async move {
         Timer::after(timeout).await;
-        state.ready.set();
+        state.discovery.set_ready();
     }
 }
--- a/crates/comethitchd/src/service/shutdown.rs
+++ b/crates/comethitchd/src/service/shutdown.rs
@@ -43,7 +43,7 @@
 }
 
 fn requests_in_progress(state: &RouterState) -> usize {
-    state.requests.borrow().len()
+    state.requests.len()
 }
 
 async fn all_clients_closed(state: &RouterState) {
@@ -55,7 +55,7 @@
 /// Rejects the requests that are still in progress shortly before the time to shut down is over, and leaves
 /// `LAST_WRITES` for their answers. Clients may wait longer than the timeout of their request class.
 async fn reject_remaining_requests(state: &Rc<RouterState>) {
-    let granted = state.longest_timeout.to_std().min(MAX_TIMEOUT_GRANTED);
+    let granted = state.config.longest_timeout().to_std().min(MAX_TIMEOUT_GRANTED);
     let limit = granted + SHUTDOWN_GRACE - ACCEPT_AFTER_STOP;
     Timer::after(limit.saturating_sub(LAST_WRITES)).await;
     policy_driver::call(state, EventLoopStep::ShutDown, |router, actions| router.shut_down(actions));
