--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -151,19 +151,19 @@
 }
 
 fn health_checked(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
-    let HealthCheckEnd { host, outcome, report } = HealthCheckEnd::decode(record, &router.deployment)?;
+    let HealthCheckEnd { host, outcome, report } = HealthCheckEnd::decode(record, router.deployment())?;
     router.health_checked(host, outcome, report, out);
     Ok(())
 }
 
 fn request_submitted(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
-    let request = event::request(record, &router.deployment, out.now())?;
+    let request = event::request(record, router.deployment(), out.now())?;
     router.submit(request, out);
     Ok(())
 }
 
 fn attempt_ended(router: &mut Router, record: RecordReader, out: &mut Reply) -> Result<(), RecordError> {
-    let EndedAttempt { request, end } = EndedAttempt::decode(record, &router.deployment)?;
+    let EndedAttempt { request, end } = EndedAttempt::decode(record, router.deployment())?;
     if let Some(handle) = router.handle(request) {
         handle.attempt_ended(router, end, out);
     }
--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -177,7 +177,7 @@
 const DEDUPLICATION_SCOPES: [(&str, DeduplicationScope); 3] = [
     ("all", DeduplicationScope::Everywhere),
     ("zone", DeduplicationScope::Zone),
-    ("cell", DeduplicationScope::ShardId),
+    ("cell", DeduplicationScope::Shard),
 ];
 
 const CONSISTENCIES: &str = "domain.class_read";
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -128,7 +128,7 @@
         match scope {
             DeduplicationScope::Everywhere => true,
             DeduplicationScope::Zone => self.zone == other.zone,
-            DeduplicationScope::ShardId => self.shard_id == other.shard_id,
+            DeduplicationScope::Shard => self.shard_id == other.shard_id,
         }
     }
 
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -77,7 +77,7 @@
         let host = &mut self.hosts[index];
         // A process that started anew holds no role and none of what was sent to it.
         let newer = endpoint.started > host.started;
-        let last_answer = self.host_clock.probably(host.last_answer);
+        let last_answer = self.host_clock.estimated(host.last_answer);
         let restarted = known.is_some() && newer && last_answer < endpoint.started.unwrap_or_default();
         host.apply_endpoint(endpoint, now);
         let Some(shard) = self.shards.get_mut(&endpoint.shard_id) else { return };
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -19,7 +19,7 @@
         &mut self, index: HostIndex, report: LoadReport, trailer: Option<LoadReport>, out: &mut dyn Actions,
     ) {
         let now = out.now();
-        self.observe_host_time(index, &report, now);
+        self.record_host_time(index, &report, now);
         if let Some(position) = report.position {
             // Where the hosts' time is not known yet, nothing is known of a lag either.
             let age = self.latest_host_time(now).map_or(Duration::ZERO, |host_time| host_time - position);
@@ -33,7 +33,7 @@
         }
         let host = &mut self.hosts[index];
         // A report may be older than an answer: one from before it last answered as primary is void.
-        let last_seen_primary = self.host_clock.probably(host.last_seen_primary);
+        let last_seen_primary = self.host_clock.estimated(host.last_seen_primary);
         let newer = report.position.is_none_or(|position| position > last_seen_primary);
         let reported_role = report.role.filter(|role| *role == Role::Primary || newer);
         let Some(role) = trailer.and_then(|trailer| trailer.role).or(reported_role) else { return };
@@ -72,7 +72,7 @@
             ShardState::Unhealthy => by_answer || !host.unresponsive,
             // Failover ends with evidence newer than it: a report made earlier tells of the time before.
             ShardState::Failover => {
-                let since = self.host_clock.probably(shard.state_since);
+                let since = self.host_clock.estimated(shard.state_since);
                 by_answer || (host.position > since && !host.unresponsive)
             }
         }
@@ -153,7 +153,7 @@
     /// member's position moves on; with one, it is tried further, as no other could do its work.
     fn keeps_primary(&self, shard: &Shard, now: Timestamp) -> bool {
         let mut others = shard.members.iter().filter(|member| shard.primary != Some(**member));
-        let host_time = self.host_clock.probably(now);
+        let host_time = self.host_clock.estimated(now);
         let moving = others.any(|member| host_time - self.hosts[*member].position < SILENCE_TIMEOUT);
         moving && shard.primary.is_some_and(|primary| !self.hosts[primary].unresponsive)
     }
--- /dev/null
+++ b/crates/comethitch-policy/src/policy/host_time.rs
@@ -0,0 +1,68 @@
+//! The hosts' time as the decisions use it, and the polls of primaries that establish it.
+
+use super::host_clock::ClockState;
+use super::{Actions, HostIndex, LoadReport, Role, Router, StalenessCheck, Timestamp};
+
+impl Router {
+    /// Returns how the router's clock stands to the hosts', for the log.
+    pub fn clock_state(&self) -> ClockState {
+        self.host_clock.state()
+    }
+
+    /// Returns whether the age of positions depends on the hosts' clocks, and primaries can be polled for them.
+    ///
+    /// Elsewhere replicas check the age of their data themselves, or reports arrive with responses only.
+    fn depends_on_host_clock(&self) -> bool {
+        self.deployment.may_check_health && self.deployment.staleness_check == StalenessCheck::Off
+    }
+
+    /// Returns the latest possible time at the hosts, for the age of their data, if known.
+    pub(super) fn latest_host_time(&self, now: Timestamp) -> Option<Timestamp> {
+        self.host_clock.latest(now).or_else(|| (!self.depends_on_host_clock()).then_some(now))
+    }
+
+    /// Returns the earliest possible time at the hosts, for how long ago they started, if known.
+    pub(crate) fn earliest_host_time(&self, now: Timestamp) -> Option<Timestamp> {
+        self.host_clock.earliest(now).or_else(|| (!self.depends_on_host_clock()).then_some(now))
+    }
+
+    /// Records the position of a host's report for the estimate of the hosts' time.
+    ///
+    /// Ignores a position that has not advanced: its age is unknown, and it would make the router's clock seem ahead.
+    pub(super) fn record_host_time(&mut self, index: HostIndex, report: &LoadReport, now: Timestamp) {
+        let advanced = |position: &Timestamp| *position > self.hosts[index].position;
+        let Some(position) = report.position.filter(advanced) else { return };
+        let by_primary = match report.role {
+            Some(role) => role == Role::Primary,
+            None => self.shard_of(index).primary == Some(index),
+        };
+        self.host_clock.record_position(position, by_primary, now);
+    }
+
+    /// Polls one believed primary for the hosts' time while that is unknown, each time another one.
+    ///
+    /// The polls back off while no primary reports anything new, as hundreds of routers may poll at once.
+    pub(super) fn poll_host_clock(&mut self, out: &mut dyn Actions) {
+        let now = out.now();
+        if !self.depends_on_host_clock() || !self.host_clock.needs_reports() {
+            return;
+        }
+        self.host_clock.wait_for_primary(now);
+        if !self.host_clock.is_poll_due(now) {
+            return;
+        }
+        let primaries: Vec<HostIndex> = self.pollable_primaries(now).collect();
+        if let Some(index) = self.host_clock.next_to_poll(&primaries, now) {
+            self.send_health_check(index, out);
+        }
+    }
+
+    /// Returns the believed primaries of shards in use that have no health check in flight.
+    fn pollable_primaries(&self, now: Timestamp) -> impl Iterator<Item = HostIndex> {
+        let in_use = self.shards.values().filter(move |shard| self.is_in_use(shard, now));
+        in_use.filter_map(|shard| shard.primary).filter(move |index| {
+            let host = &self.hosts[*index];
+            host.health_check_sent.is_none() && !host.removed && host.connection_slots.has_free(now)
+        })
+    }
+}
--- a/crates/comethitch-policy/src/policy/mod.rs
+++ b/crates/comethitch-policy/src/policy/mod.rs
@@ -15,6 +15,7 @@
 mod failover;
 mod health;
 mod host_clock;
+mod host_time;
 mod lateness;
 mod load;
 mod position_refresh;
@@ -76,7 +77,7 @@
         self.requests.insert(request.id, RequestState::new(&request, required_position, now));
         self.fund_retries();
         self.fund_health_checks(request.shard_id, now);
-        self.prove_clock(out);
+        self.poll_host_clock(out);
         self.refresh_positions(request.id, out);
         self.schedule(request.id, out);
         Handle(request.id)
@@ -92,7 +93,7 @@
         }
         self.forget_removed(out.now());
         self.run_due_health_checks(out);
-        self.prove_clock(out);
+        self.poll_host_clock(out);
         for id in self.requests.keys().copied().collect::<Vec<_>>() {
             self.review_request(id, out);
         }
--- a/crates/comethitch-policy/src/request_class.rs
+++ b/crates/comethitch-policy/src/request_class.rs
@@ -39,8 +39,8 @@
     Everywhere,
     /// Hosts of the same zone.
     Zone,
-    /// Hosts of the same group.
-    ShardId,
+    /// Hosts of the same shard.
+    Shard,
 }
 
 /// How new the data must be that a request is answered from.
--- a/crates/comethitch-policy/src/router.rs
+++ b/crates/comethitch-policy/src/router.rs
@@ -17,8 +17,7 @@
 
 /// Decides where each request goes. Hosts and request classes are given by their indices.
 pub struct Router {
-    /// The settings that it was started with.
-    pub deployment: Deployment,
+    pub(crate) deployment: Deployment,
     pub(crate) random: RandomGenerator,
     /// Makes the hashed draws of this router differ from those of others.
     pub(crate) hash_seed: u64,
@@ -53,12 +52,6 @@
     pub(crate) service_times: Vec<Histogram>,
     /// What reports show of the hosts' clock.
     pub(crate) host_clock: HostClock,
-    /// How often a primary was asked for the hosts' time alone.
-    pub(crate) clock_checks: usize,
-    /// How often since a primary last reported anything new.
-    pub(crate) unanswered_clock_checks: u32,
-    /// When one may be asked again.
-    pub(crate) next_clock_check: Timestamp,
     /// How old a primary's report of its position is: pure age, as a primary has all commits.
     pub(crate) report_age: Histogram,
     /// The latest commit that each session has written, where this router has to remember.
@@ -128,9 +121,6 @@
             error_rate: 0.0,
             service_times: Vec::new(),
             host_clock: HostClock::default(),
-            clock_checks: 0,
-            unanswered_clock_checks: 0,
-            next_clock_check: Timestamp::ZERO,
             report_age: Histogram::default(),
             session_commits: SessionCommits::default(),
             shortest_objective,
@@ -141,6 +131,11 @@
         }
     }
 
+    /// Returns the settings that the router was started with.
+    pub fn deployment(&self) -> &Deployment {
+        &self.deployment
+    }
+
     /// The handle of a request that was submitted and has an attempt in flight or no final answer yet.
     pub fn handle(&self, id: RequestId) -> Option<Handle> {
         self.requests.contains_key(&id).then_some(Handle(id))
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -15,7 +15,7 @@
         timeout: Duration::from_millis(600),
         priority_weight: 1.0,
         idempotency: effect,
-        deduplication_scope: DeduplicationScope::ShardId,
+        deduplication_scope: DeduplicationScope::Shard,
         deduplication_window: Duration::ZERO,
         consistency: need,
     };
--- a/crates/comethitch-time/src/lib.rs
+++ b/crates/comethitch-time/src/lib.rs
@@ -1,8 +1,8 @@
-//! Timestamps and durations as two types that cannot be mixed up.
+//! Timestamps and durations as distinct types that cannot be mixed up.
 //!
-//! Both count whole microseconds. Unlike their namesakes in `std::time` they carry no clock: the caller says what
-//! time it is, so that code which uses them can be driven in simulated time. Arithmetic saturates: a duration is
-//! never negative, and a timestamp never overflows.
+//! All types count whole microseconds. Unlike their namesakes in `std::time` they have no clock: the caller passes the
+//! current time, so code that uses them can run in simulated time. Arithmetic saturates: a [`Duration`] is never
+//! negative, and a [`Timestamp`] never overflows. A [`SignedDuration`] is a difference that may be negative.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
@@ -21,20 +21,25 @@
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// The point this many microseconds after the origin.
+    /// Returns the point this many microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Timestamp {
         Timestamp(micros)
     }
 
-    /// The point this many milliseconds after the origin.
+    /// Returns the point this many milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Timestamp {
         Timestamp(millis.saturating_mul(1_000))
     }
 
-    /// Microseconds since the origin.
+    /// Returns the number of microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
+
+    /// Returns how far this timestamp is past `reference`; negative if it is before it.
+    pub const fn offset_from(self, reference: Timestamp) -> SignedDuration {
+        SignedDuration((self.0 as i64).saturating_sub(reference.0 as i64))
+    }
 }
 
 /// A length of time, in microseconds.
@@ -54,42 +59,102 @@
     /// The longest duration.
     pub const MAX: Duration = Duration(u64::MAX);
 
-    /// This many microseconds.
+    /// Returns a duration of this many microseconds.
     pub const fn from_micros(micros: u64) -> Duration {
         Duration(micros)
     }
 
-    /// This many milliseconds.
+    /// Returns a duration of this many milliseconds.
     pub const fn from_millis(millis: u64) -> Duration {
         Duration(millis.saturating_mul(1_000))
     }
 
-    /// This many seconds.
+    /// Returns a duration of this many seconds.
     pub const fn from_secs(seconds: u64) -> Duration {
         Duration(seconds.saturating_mul(1_000_000))
     }
 
-    /// The number of microseconds.
+    /// Returns the number of microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The standard library's type for the same length of time.
+    /// Converts to the standard library's type.
     pub const fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
 
-    /// The duration multiplied by a factor, rounded down.
+    /// Returns the duration multiplied by a factor, rounded down.
     pub fn scaled(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
     }
 
-    /// How many times `other` fits into this duration; a duration of zero counts as one microsecond.
+    /// Returns this duration divided by `other`; a divisor of zero counts as one microsecond.
     pub fn ratio(self, other: Duration) -> f64 {
         self.0 as f64 / other.0.max(1) as f64
     }
 }
 
+/// A signed difference between two timestamps, in microseconds.
+///
+/// ```
+/// use comethitch_time::{Duration, SignedDuration, Timestamp};
+/// let (ours, theirs) = (Timestamp::from_millis(10), Timestamp::from_millis(7));
+/// let offset = theirs.offset_from(ours);
+/// assert_eq!(offset, SignedDuration::from_millis(-3));
+/// assert_eq!(ours + offset, theirs);
+/// assert_eq!((offset + Duration::from_millis(5)).as_millis(), 2);
+/// ```
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SignedDuration(i64);
+
+impl SignedDuration {
+    /// No difference.
+    pub const ZERO: SignedDuration = SignedDuration(0);
+
+    /// Returns a difference of this many microseconds.
+    pub const fn from_micros(micros: i64) -> SignedDuration {
+        SignedDuration(micros)
+    }
+
+    /// Returns a difference of this many milliseconds.
+    pub const fn from_millis(millis: i64) -> SignedDuration {
+        SignedDuration(millis.saturating_mul(1_000))
+    }
+
+    /// Returns the number of microseconds.
+    pub const fn as_micros(self) -> i64 {
+        self.0
+    }
+
+    /// Returns the number of whole milliseconds, rounded towards zero.
+    pub const fn as_millis(self) -> i64 {
+        self.0 / 1_000
+    }
+}
+
+impl Add<Duration> for SignedDuration {
+    type Output = SignedDuration;
+    fn add(self, duration: Duration) -> SignedDuration {
+        SignedDuration(self.0.saturating_add_unsigned(duration.0))
+    }
+}
+
+/// The difference as a duration; zero if `earlier` is the greater one.
+impl Sub for SignedDuration {
+    type Output = Duration;
+    fn sub(self, earlier: SignedDuration) -> Duration {
+        Duration(u64::try_from(self.0.saturating_sub(earlier.0)).unwrap_or(0))
+    }
+}
+
+impl Add<SignedDuration> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, offset: SignedDuration) -> Timestamp {
+        Timestamp(self.0.saturating_add_signed(offset.0))
+    }
+}
+
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
     fn add(self, duration: Duration) -> Timestamp {
--- a/crates/comethitchd/src/state/transition_log.rs
+++ b/crates/comethitchd/src/state/transition_log.rs
@@ -37,8 +37,8 @@
         match state {
             ClockState::Corrected { offset, uncertainty } => log::warn!(
                 "the wall clock at the start was wrong: the hosts' time is {} to {} ms past it",
-                offset / 1000,
-                (offset + uncertainty) / 1000
+                offset.as_millis(),
+                (offset + uncertainty).as_millis()
             ),
             ClockState::Wrong => {
                 log::warn!("the wall clock at the start was wrong; hosts are asked for the time");
