--- a/crates/comethitch-policy/src/policy/admission.rs
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -1,8 +1,9 @@
 //! Admission: requests are sent, queued for capacity, or rejected, at once or when their time runs out.
 
 use super::{
-    Actions, DeduplicationScope, Duration, Estimate, HEALTH_CHECK_INTERVAL, Idempotency, RejectionReason,
-    RequestId, RequestState, Router, Selection, ShardId, ShardState, Timestamp, WaitingFor, health,
+    Actions, DeduplicationScope, Duration, Estimate, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL,
+    Idempotency, RejectionReason, RequestId, RequestState, Router, Selection, ShardId, ShardState, Timestamp,
+    WaitingFor,
 };
 
 /// For so many shards, one after the other, waiting requests are tried at a tick: capacity may have come with
@@ -111,7 +112,7 @@
     /// Whether all that may have run is still remembered when the client's own repeat is at its latest: it waits, sends
     /// again, and that again has all of the client's time.
     fn is_remembered_for_repeat(&self, request: &RequestState, now: Timestamp) -> bool {
-        let wait = self.retry_after(request).unwrap_or_default().max(health::HEALTH_CHECK_RETRY);
+        let wait = self.retry_after(request).unwrap_or_default().max(HEALTH_CHECK_RETRY_INTERVAL);
         let latest_repeat = now + wait + (request.deadline - request.submitted_at);
         let window = self.settings(request).deduplication_window;
         let mut maybe_ran = request.attempts.iter().filter(|attempt| attempt.maybe_ran());
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -4,7 +4,7 @@
 //! surely lost, and a member that proves itself primary ends both.
 
 use super::{
-    Actions, Duration, HELD_UP, HostIndex, LoadReport, Role, Router, SILENCE_TIMEOUT, Shard, ShardId,
+    Actions, Duration, HostIndex, LoadReport, Role, Router, SILENCE_TIMEOUT, STALL_ALLOWANCE, Shard, ShardId,
     ShardState, Timestamp,
 };
 
@@ -162,7 +162,7 @@
     /// router that is held up before it writes.
     pub(super) fn past_drain_grace(&self, index: HostIndex, now: Timestamp) -> bool {
         let grace = self.deployment.drain_grace;
-        let usable = (grace / 2).min(grace - HELD_UP);
+        let usable = (grace / 2).min(grace - STALL_ALLOWANCE);
         self.hosts[index].draining_since.is_some_and(|since| now - since > usable)
     }
 }
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -1,9 +1,8 @@
 //! The ends of health checks, who pays for them, and what makes a host unreachable, unresponsive or ejected.
 
-use super::check_schedule::MIN_RECENT_COMMANDS;
 use super::{
-    Actions, AttemptOutcome, Duration, HostState, LoadReport, RECENT_COMMANDS_WINDOW, Router,
-    SILENCE_TIMEOUT, ShardId, Timestamp,
+    Actions, AttemptOutcome, Duration, HEALTH_CHECK_RETRY_INTERVAL, HostState, LoadReport,
+    RECENT_REQUESTS_WINDOW, Router, SILENCE_TIMEOUT, ShardId, Timestamp, is_in_use,
 };
 use crate::Host;
 
@@ -13,8 +12,6 @@
 const TIMER_PART: f64 = 0.25;
 /// How many health checks may be saved up for each member of a group.
 const SAVED_PER_MEMBER: f64 = 2.0;
-/// How soon a health check that reported nothing is sent again, and how often hosts are checked urgently.
-pub(super) const HEALTH_CHECK_RETRY: Duration = Duration::from_millis(250);
 /// Attempts in a row, cancelled late or timed out without any answer since, that make a host unresponsive.
 const UNRESPONSIVE_AFTER: u32 = 2;
 /// How often an unresponsive host is tried with a request.
@@ -49,16 +46,16 @@
     }
 
     pub(super) fn fund_health_checks(&mut self, shard_id: ShardId, now: Timestamp) {
-        self.recent_requests.add(1.0, now, RECENT_COMMANDS_WINDOW);
+        self.recent_requests.add(1.0, now, RECENT_REQUESTS_WINDOW);
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
         let points = POINTS_PER_COMMAND * if self.refresh_on_demand { TIMER_PART } else { 1.0 };
         let funded = shard.health_check_budget + points / self.deployment.health_check_price;
         shard.health_check_budget = funded.min(shard.members.len() as f64 * SAVED_PER_MEMBER);
-        if shard.recent_requests.value(now, RECENT_COMMANDS_WINDOW) < MIN_RECENT_COMMANDS {
+        if !is_in_use(shard, now) {
             // Nobody needed to know its state before.
             shard.next_check_review = now;
         }
-        shard.recent_requests.add(1.0, now, RECENT_COMMANDS_WINDOW);
+        shard.recent_requests.add(1.0, now, RECENT_REQUESTS_WINDOW);
     }
 }
 
@@ -107,6 +104,6 @@
     /// It runs but reports nothing: it has just started, is overloaded, or only its health checks fail.
     fn retry_health_check(&mut self, now: Timestamp) {
         let divisor = if self.position == Timestamp::ZERO { 4 } else { 1 };
-        self.next_health_check = self.next_health_check.min(now + HEALTH_CHECK_RETRY / divisor);
+        self.next_health_check = self.next_health_check.min(now + HEALTH_CHECK_RETRY_INTERVAL / divisor);
     }
 }
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -10,7 +10,7 @@
 //! reports for half a second because the primaries are unreachable, replicas whose positions agree with the router's
 //! clock are used instead.
 
-use super::health::HEALTH_CHECK_RETRY;
+use super::intervals::HEALTH_CHECK_RETRY_INTERVAL;
 use crate::time::{Duration, SignedDuration, Timestamp};
 use std::collections::VecDeque;
 
@@ -82,7 +82,7 @@
 impl PollSchedule {
     fn record_poll(&mut self, now: Timestamp) {
         let doublings = self.unanswered.saturating_sub(POLLS_BEFORE_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
-        self.next_at = now + HEALTH_CHECK_RETRY * (1 << doublings);
+        self.next_at = now + HEALTH_CHECK_RETRY_INTERVAL * (1 << doublings);
         self.sent += 1;
         self.unanswered += 1;
     }
--- a/crates/comethitch-policy/src/policy/host_time.rs
+++ b/crates/comethitch-policy/src/policy/host_time.rs
@@ -1,7 +1,7 @@
 //! The hosts' time as the decisions use it, and the polls of primaries that establish it.
 
 use super::host_clock::ClockState;
-use super::{Actions, HostIndex, LoadReport, Role, Router, StalenessCheck, Timestamp};
+use super::{Actions, HostIndex, LoadReport, Role, Router, StalenessCheck, Timestamp, is_in_use};
 
 impl Router {
     /// Returns how the router's clock stands to the hosts', for the log.
@@ -59,7 +59,7 @@
 
     /// Returns the believed primaries of shards in use that have no health check in flight.
     fn pollable_primaries(&self, now: Timestamp) -> impl Iterator<Item = HostIndex> {
-        let in_use = self.shards.values().filter(move |shard| self.is_in_use(shard, now));
+        let in_use = self.shards.values().filter(move |shard| is_in_use(shard, now));
         in_use.filter_map(|shard| shard.primary).filter(move |index| {
             let host = &self.hosts[*index];
             host.health_check_sent.is_none() && !host.removed && host.connection_slots.has_free(now)
--- a/crates/comethitch-policy/src/policy/load.rs
+++ b/crates/comethitch-policy/src/policy/load.rs
@@ -4,7 +4,7 @@
 //! gets a budget for each window besides.
 
 use super::{
-    Attempt, AttemptOutcome, Duration, Estimate, HostIndex, Member, RECENT_COMMANDS_WINDOW, Router,
+    Attempt, AttemptOutcome, Duration, Estimate, HostIndex, Member, RECENT_REQUESTS_WINDOW, Router,
     Timestamp, retries,
 };
 use comethitch_fleet::concurrency_limit::EndedWork;
@@ -189,8 +189,8 @@
         let host = &mut self.hosts[attempt.host];
         let shard = self.shards.get_mut(&host.shard_id).expect("a host's group is known");
         // Nor less than its requests need at their usual pace: some see many times what others do.
-        let rate = shard.recent_requests.rate(now, RECENT_COMMANDS_WINDOW);
-        let needed = work.scaled(rate * work.ratio(RECENT_COMMANDS_WINDOW));
+        let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
+        let needed = work.scaled(rate * work.ratio(RECENT_REQUESTS_WINDOW));
         let min_limit = (least * shard.members.len() as u64).max(needed).max(work);
         let mut ended =
             EndedWork { work, late, other_late_share: 0.0, min_limit, cut_interval: objective / 2 };
--- a/crates/comethitch-policy/src/policy/mod.rs
+++ b/crates/comethitch-policy/src/policy/mod.rs
@@ -5,20 +5,23 @@
 //!
 //! `admission` queues and rejects requests, `selection` chooses a host, `retries` says what may be sent
 //! again, `attempts` sends and takes in ends, `send_guard` checks what is about to leave, `load` limits the work at each host,
-//! `check_schedule` says which hosts are checked, `health` takes in the checks and ejects outliers, `position_refresh` asks for positions, `shard` follows failovers, `endpoints` applies the endpoint list, `host_clock` tells
+//! `periodic_checks` says which hosts are checked, `health` takes in the checks and ejects outliers, `position_refresh` asks for positions, `shard` follows failovers, `endpoints` applies the endpoint list, `host_clock` tells
 //! what time it is at the hosts, `lateness` how late the router itself is. The mechanism is described in `docs/design.md`; "Beyond the design" marks departures from it.
 
 mod admission;
 mod attempts;
-mod check_schedule;
 mod endpoints;
 mod failover;
 mod health;
+mod health_check_scheduler;
 mod host_clock;
 mod host_time;
+mod intervals;
 mod lateness;
 mod load;
+mod periodic_checks;
 mod position_refresh;
+mod recent_requests;
 mod retries;
 mod selection;
 mod send_guard;
@@ -39,14 +42,9 @@
 use crate::{estimates::Estimate, host_state::HostState, host_table::HostIndex};
 use comethitch_fleet::{freshness, subset::Member};
 
-/// How often each host's health is checked, from the design page.
-const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// After how long a host that owes an answer and gave no sign of life is silent, from the design page.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// For how long a router may be held up between a check and the write that it allows.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// The time constant over which a group's recent requests are counted.
-const RECENT_COMMANDS_WINDOW: Duration = Duration::from_secs(10);
+pub(crate) use health_check_scheduler::HealthCheckScheduler;
+use intervals::{HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL, SILENCE_TIMEOUT, STALL_ALLOWANCE};
+use recent_requests::{RECENT_REQUESTS_WINDOW, is_in_use};
 
 impl Router {
     /// A router that knows no hosts yet. The same seed and the same calls give the same decisions.
@@ -56,7 +54,6 @@
         let deployment = &router.deployment;
         router.tick_interval = deployment.tick.max(router.shortest_objective / 16);
         router.retry_budget = retries::MAX_RETRY_BUDGET;
-        router.timed_checks_left = check_schedule::MAX_TIMED_CHECKS_PER_TICK;
         router.service_times = deployment.classes.iter().map(service_times).collect();
         router.report_age = Histogram::new(deployment.tick, 256);
         router.refresh_on_demand =
@@ -87,7 +84,7 @@
     pub fn tick(&mut self, out: &mut dyn Actions) {
         out.wake_after(self.tick_interval);
         self.lateness.record_tick(out.now(), self.tick_interval);
-        self.timed_checks_left = check_schedule::MAX_TIMED_CHECKS_PER_TICK;
+        self.health_checks.start_tick();
         for shard_id in self.shards_to_review(out.now()) {
             self.check_primary(shard_id, out);
         }
--- a/crates/comethitch-policy/src/policy/check_schedule.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -1,24 +1,13 @@
 //! Which health checks are due by time, and when it is looked: an amount of work for each tick that does not grow with
 //! the hosts.
 
-use super::health::HEALTH_CHECK_RETRY;
 use super::{
-    Actions, Duration, HEALTH_CHECK_INTERVAL, HostIndex, RECENT_COMMANDS_WINDOW, Role, Router, Shard,
-    ShardId, ShardState, Timestamp,
+    Actions, Duration, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL, HostIndex, Role, Router, Shard,
+    ShardId, ShardState, Timestamp, is_in_use,
 };
 
-/// A group of which fewer recent requests are left than this is not checked.
-pub(super) const MIN_RECENT_COMMANDS: f64 = 0.5;
 /// How often a group in use is reviewed for what time alone has changed, at the least.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a host may go without a health check that no request has paid for.
-const UNPAID_INTERVAL: Duration = Duration::from_secs(10);
-/// The time between two health checks that no request has paid for, of all hosts: a router's own cost for them must not
-/// grow with the hosts.
-const UNPAID_CHECK_SPACING: Duration = Duration::from_millis(40);
-/// So many health checks that are due by time are sent from one tick to the next; the others wait for the next.
-pub(super) const MAX_TIMED_CHECKS_PER_TICK: usize = 16;
-
 impl Router {
     /// Checks each host whose time has come, if there is need and someone has paid for it.
     pub(super) fn run_due_health_checks(&mut self, out: &mut dyn Actions) {
@@ -27,14 +16,12 @@
         }
         let now = out.now();
         let mut due = self.shards_to_review(now);
-        // The round goes on where it ended: the first groups must not use up what there is for all.
-        let looked_at = due.partition_point(|shard_id| Some(*shard_id) <= self.last_checked_shard);
-        due.rotate_left(looked_at);
+        self.health_checks.continue_round(&mut due);
         for shard_id in due {
-            if self.timed_checks_left == 0 {
+            if self.health_checks.is_exhausted() {
                 return;
             }
-            self.last_checked_shard = Some(shard_id);
+            self.health_checks.record_visited(shard_id);
             self.run_due_health_checks_of(shard_id, out);
             let next_check_review = self.next_check_review(shard_id, now);
             let shard = self.shards.get_mut(&shard_id).expect("a group that was just reviewed");
@@ -53,8 +40,8 @@
     /// needs to be known, and its next request brings the review forward.
     fn next_check_review(&self, shard_id: ShardId, now: Timestamp) -> Timestamp {
         let shard = &self.shards[&shard_id];
-        let is_idle = self.refresh_on_demand && !self.is_in_use(shard, now);
-        if self.timed_checks_left == 0 {
+        let is_idle = self.refresh_on_demand && !is_in_use(shard, now);
+        if self.health_checks.is_exhausted() {
             return now;
         }
         let latest = now + if is_idle { HEALTH_CHECK_INTERVAL } else { REVIEW_INTERVAL };
@@ -74,7 +61,7 @@
     /// [`Router::is_check_needed`]).
     fn members_to_check<'a>(&self, shard: &'a Shard, now: Timestamp) -> &'a [HostIndex] {
         match &shard.primary {
-            _ if self.refresh_on_demand && !self.is_in_use(shard, now) => &[],
+            _ if self.refresh_on_demand && !is_in_use(shard, now) => &[],
             Some(primary) if self.refresh_on_demand && shard.state != ShardState::Failover => {
                 std::slice::from_ref(primary)
             }
@@ -86,18 +73,18 @@
         let now = out.now();
         let calm_interval = self.tightest_bound.clamp(HEALTH_CHECK_INTERVAL / 5, HEALTH_CHECK_INTERVAL);
         for index in self.due_health_checks(shard_id, now) {
-            if self.timed_checks_left == 0 {
+            if self.health_checks.is_exhausted() {
                 return;
             }
             let urgent = self.is_check_urgent(index);
-            let interval = if urgent { HEALTH_CHECK_RETRY } else { calm_interval };
+            let interval = if urgent { HEALTH_CHECK_RETRY_INTERVAL } else { calm_interval };
             let host = &mut self.hosts[index];
             // An answer that carried a report is as good as a health check.
             let reported = now - host.lag_reported_at < interval && now - host.last_sign_of_life < interval;
             if !urgent && reported {
                 host.next_health_check = now + interval;
             } else if self.pay_for_health_check(index, now) {
-                self.timed_checks_left -= 1;
+                self.health_checks.record_started();
                 self.hosts[index].next_health_check = now + interval;
                 self.send_health_check(index, out);
             }
@@ -143,12 +130,7 @@
         let needed = (shard.state == ShardState::Failover || shard.primary.is_none())
             || self.is_doubtful_primary(index)
             || shard.primary == Some(index) && silent;
-        !self.refresh_on_demand || needed && self.is_in_use(shard, now)
-    }
-
-    /// Whether requests came for a group lately.
-    pub(super) fn is_in_use(&self, shard: &Shard, now: Timestamp) -> bool {
-        shard.recent_requests.value(now, RECENT_COMMANDS_WINDOW) >= MIN_RECENT_COMMANDS
+        !self.refresh_on_demand || needed && is_in_use(shard, now)
     }
 
     /// Takes the price from the group's budget. What nothing has paid for is free after a long while.
@@ -158,12 +140,10 @@
             shard.health_check_budget -= 1.0;
             return true;
         }
-        let long_unchecked = now >= self.hosts[index].next_health_check + UNPAID_INTERVAL;
-        let is_free = long_unchecked && now >= self.next_unpaid_check;
-        if is_free {
+        let admitted = self.health_checks.admit_unpaid(self.hosts[index].next_health_check, now);
+        if admitted {
             self.shard_of_mut(index).health_check_budget = 0.0;
-            self.next_unpaid_check = now + UNPAID_CHECK_SPACING;
         }
-        is_free
+        admitted
     }
 }
--- a/crates/comethitch-policy/src/policy/position_refresh.rs
+++ b/crates/comethitch-policy/src/policy/position_refresh.rs
@@ -1,9 +1,9 @@
 //! Refreshes of positions, on demand: which members of a group are asked for their position as a request needs it.
 
-use super::health::HEALTH_CHECK_RETRY;
 use super::{
-    Actions, Consistency, Duration, HELD_UP, Member, RECENT_COMMANDS_WINDOW, RequestId, RequestState, Router,
-    SILENCE_TIMEOUT, ShardId, ShardState, StalenessCheck, Timestamp, freshness,
+    Actions, Consistency, Duration, HEALTH_CHECK_RETRY_INTERVAL, Member, RECENT_REQUESTS_WINDOW, RequestId,
+    RequestState, Router, SILENCE_TIMEOUT, STALL_ALLOWANCE, ShardId, ShardState, StalenessCheck, Timestamp,
+    freshness,
 };
 
 /// A group is quiet of which this router sees fewer requests than this while a position stays fresh.
@@ -18,7 +18,7 @@
 
 /// How old a position may be for a read with this bound where only positions guard it.
 pub(super) fn usable_age(bound: Duration) -> Duration {
-    bound - (bound / STALENESS_MARGIN).max(HELD_UP.min(bound / HELD_UP_MARGIN))
+    bound - (bound / STALENESS_MARGIN).max(STALL_ALLOWANCE.min(bound / HELD_UP_MARGIN))
 }
 
 impl Router {
@@ -39,7 +39,8 @@
             let asked = host.health_check_sent.is_some() || now < host.next_position_refresh;
             if host.position < oldest && !asked && self.has_capacity(&member, request_class, now) {
                 let lag = Some(host.lag).filter(|_| host.position > Timestamp::ZERO);
-                let backoff = freshness::refresh_backoff(lag, HEALTH_CHECK_RETRY).min(RECENT_COMMANDS_WINDOW);
+                let backoff =
+                    freshness::refresh_backoff(lag, HEALTH_CHECK_RETRY_INTERVAL).min(RECENT_REQUESTS_WINDOW);
                 self.hosts[member.index].next_position_refresh = now + backoff;
                 self.send_health_check(member.index, out);
                 if one_at_a_time {
@@ -53,10 +54,10 @@
     /// of a subset alone. Then one member is asked for its position, and the next one only if that is late. A group that
     /// is new here is expected to see as much as others do.
     fn is_quiet(&self, shard_id: ShardId, now: Timestamp) -> bool {
-        let lasts = freshness::refresh_after(self.tightest_bound, HEALTH_CHECK_RETRY);
-        let usual = self.recent_requests.rate(now, RECENT_COMMANDS_WINDOW) / self.shards.len() as f64;
-        let own = self.shards[&shard_id].recent_requests.value(now, RECENT_COMMANDS_WINDOW);
-        usual.max(own) * lasts.ratio(RECENT_COMMANDS_WINDOW) < QUIET_COMMANDS_PER_REFRESH
+        let lasts = freshness::refresh_after(self.tightest_bound, HEALTH_CHECK_RETRY_INTERVAL);
+        let usual = self.recent_requests.rate(now, RECENT_REQUESTS_WINDOW) / self.shards.len() as f64;
+        let own = self.shards[&shard_id].recent_requests.value(now, RECENT_REQUESTS_WINDOW);
+        usual.max(own) * lasts.ratio(RECENT_REQUESTS_WINDOW) < QUIET_COMMANDS_PER_REFRESH
     }
 
     /// Whether a member can take a request and its position does for it, or was asked for a moment ago.
@@ -75,7 +76,7 @@
         let guard =
             self.deployment.staleness_check == StalenessCheck::Off && self.deployment.may_check_health;
         let shard = self.shards.get(&request.shard_id).filter(|_| guard)?;
-        let lasts = |bound| freshness::refresh_after(usable_age(bound), HEALTH_CHECK_RETRY);
+        let lasts = |bound| freshness::refresh_after(usable_age(bound), HEALTH_CHECK_RETRY_INTERVAL);
         let host_time = self.latest_host_time(now).unwrap_or(now);
         match self.settings(request).consistency {
             Consistency::BoundedStaleness(bound) => Some(host_time - lasts(bound)),
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -3,12 +3,11 @@
 //! Writes and strong reads go to the believed primary. Other reads are drawn at random among the fresh
 //! replicas of the router's subset; if none is fresh, the freshest that checks takes them, else the primary.
 
-use super::health::HEALTH_CHECK_RETRY;
 use super::position_refresh::usable_age;
 use super::{
-    Consistency, Duration, HEALTH_CHECK_INTERVAL, HostIndex, Idempotency, Member, RECENT_COMMANDS_WINDOW,
-    RequestId, RequestState, Role, Router, SILENCE_TIMEOUT, Selection, Shard, ShardId, ShardState,
-    StalenessCheck, Timestamp, freshness,
+    Consistency, Duration, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL, HostIndex, Idempotency,
+    Member, RECENT_REQUESTS_WINDOW, RequestId, RequestState, Role, Router, SILENCE_TIMEOUT, Selection, Shard,
+    ShardId, ShardState, StalenessCheck, Timestamp, freshness,
 };
 use comethitch_fleet::subset::{self, Candidate};
 
@@ -184,8 +183,8 @@
     }
 
     pub(super) fn subset_size(&self, shard: &Shard, now: Timestamp) -> usize {
-        let lasts = freshness::refresh_after(self.tightest_bound, HEALTH_CHECK_RETRY);
-        let rate = shard.recent_requests.rate(now, RECENT_COMMANDS_WINDOW);
-        subset::size(rate * lasts.ratio(RECENT_COMMANDS_WINDOW))
+        let lasts = freshness::refresh_after(self.tightest_bound, HEALTH_CHECK_RETRY_INTERVAL);
+        let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
+        subset::size(rate * lasts.ratio(RECENT_REQUESTS_WINDOW))
     }
 }
--- a/crates/comethitch-policy/src/router.rs
+++ b/crates/comethitch-policy/src/router.rs
@@ -4,7 +4,7 @@
 
 use crate::histogram::Histogram;
 use crate::host_table::{HostIndex, HostTable};
-use crate::policy::{HostClock, Lateness, PeerLoad};
+use crate::policy::{HealthCheckScheduler, HostClock, Lateness, PeerLoad};
 use crate::request_state::{Attempt, RequestState};
 use crate::shard::{Shard, ShardState};
 use crate::time::{Duration, Timestamp};
@@ -38,12 +38,7 @@
     pub(crate) peer_load: Cell<PeerLoad>,
     /// How many retries the requests so far have paid for.
     pub(crate) retry_budget: f64,
-    /// How many health checks that are due by time may still be sent before the next tick.
-    pub(crate) timed_checks_left: usize,
-    /// The group whose health checks were looked at last.
-    pub(crate) last_checked_shard: Option<ShardId>,
-    /// When a health check that no request has paid for may be sent again.
-    pub(crate) next_unpaid_check: Timestamp,
+    pub(crate) health_checks: HealthCheckScheduler,
     /// Requests submitted lately, for any shard.
     pub(crate) recent_requests: DecayingCounter,
     /// The share of errors among the last answers, of all hosts together.
@@ -114,9 +109,7 @@
             removed_hosts: BTreeSet::new(),
             peer_load: Cell::default(),
             retry_budget: 0.0,
-            timed_checks_left: 0,
-            last_checked_shard: None,
-            next_unpaid_check: Timestamp::ZERO,
+            health_checks: HealthCheckScheduler::new(),
             recent_requests: DecayingCounter::default(),
             error_rate: 0.0,
             service_times: Vec::new(),
