--- a/crates/comethitch-policy/src/waiting_requests.rs
+++ b/crates/comethitch-policy/src/admission_queue.rs
@@ -1,21 +1,21 @@
-//! The requests that wait for capacity, by the shard that they wait for: an event at one group need not look at
-//! what waits for others.
+//! The admission queue: requests that wait for capacity, by shard.
 //!
-//! Who waits, in which order, and who goes next is decided in [`policy`](crate::policy).
+//! An event at one shard does not touch what waits for others. Which requests wait, in which order, and which go next is
+//! decided in [`policy`](crate::policy).
 
 use crate::{RequestId, ShardId};
 use std::collections::BTreeMap;
 
-/// What a waiting request has behind it.
+/// What a queued request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaitingFor {
-    /// It was not sent yet.
+    /// Its first attempt.
     FirstAttempt,
-    /// Its attempts have failed.
+    /// A retry, as its attempts have failed.
     Retry,
 }
 
-/// The requests that wait for one shard, in the order in which they are to go.
+/// The requests that wait for one shard, in the order in which they are to be sent.
 #[derive(Default)]
 struct ShardQueues {
     first_attempts: Vec<RequestId>,
@@ -35,37 +35,39 @@
     }
 }
 
-/// All waiting requests. There are never more than requests in progress.
+/// All requests that wait for capacity; at most the requests in progress.
 #[derive(Default)]
-pub(crate) struct WaitingRequests {
-    /// No group stands here for which nothing waits.
+pub(crate) struct AdmissionQueue {
+    /// Holds no shard whose queues are empty, except while one is being drained.
     shards: BTreeMap<ShardId, ShardQueues>,
+    /// The last shard of the previous round over all shards.
+    cursor: Option<ShardId>,
 }
 
-impl WaitingRequests {
-    /// Whether no request waits.
+impl AdmissionQueue {
+    /// Returns whether no request waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.shards.is_empty()
     }
 
-    /// Inserts a request behind all for which `goes_before` holds. They must stand first in the queue.
+    /// Inserts a request behind all for which `goes_before` holds; these must be at the front of the queue.
     pub(crate) fn insert(
         &mut self, shard_id: ShardId, waiting_for: WaitingFor, id: RequestId,
         goes_before: impl Fn(RequestId) -> bool,
     ) {
         let queue = self.shards.entry(shard_id).or_default().queue_mut(waiting_for);
-        let place = queue.partition_point(|other| goes_before(*other));
-        queue.insert(place, id);
+        let position = queue.partition_point(|other| goes_before(*other));
+        queue.insert(position, id);
     }
 
-    /// Takes out a queue, to be gone through and given back.
+    /// Removes and returns a whole queue, to be drained; [`AdmissionQueue::restore`] takes back the rest of it.
     pub(crate) fn take(&mut self, shard_id: ShardId, waiting_for: WaitingFor) -> Vec<RequestId> {
         let shard = self.shards.get_mut(&shard_id);
         shard.map(|shard| std::mem::take(shard.queue_mut(waiting_for))).unwrap_or_default()
     }
 
-    /// Gives back what is left of a queue. What has come meanwhile goes behind it.
-    pub(crate) fn give_back(
+    /// Puts back the requests of a drained queue that still wait, ahead of any that were queued meanwhile.
+    pub(crate) fn restore(
         &mut self, shard_id: ShardId, waiting_for: WaitingFor, mut remaining: Vec<RequestId>,
     ) {
         let Some(shard) = self.shards.get_mut(&shard_id) else { return };
@@ -77,10 +79,15 @@
         }
     }
 
-    /// The next groups for which requests wait, this many at the most, in a round that goes on behind `last`.
-    pub(crate) fn next_shards(&self, last: Option<ShardId>, most: usize) -> Vec<ShardId> {
-        let behind = self.shards.range(last.map_or(0, |last| last.saturating_add(1))..);
+    /// Returns the next shards with waiting requests, at most `max_shards`, continuing behind the previous round.
+    pub(crate) fn next_round(&mut self, max_shards: usize) -> Vec<ShardId> {
+        let first = self.cursor.map_or(0, |last| last.saturating_add(1));
+        let behind_cursor = self.shards.range(first..);
         let from_start = self.shards.iter();
-        behind.chain(from_start).map(|(shard_id, _)| *shard_id).take(most.min(self.shards.len())).collect()
+        let max_shards = max_shards.min(self.shards.len());
+        let round: Vec<ShardId> =
+            behind_cursor.chain(from_start).map(|(shard_id, _)| *shard_id).take(max_shards).collect();
+        self.cursor = round.last().copied().or(self.cursor);
+        round
     }
 }
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -11,8 +11,8 @@
 //! - [`histogram`], [`random`], [`session_commits`]: data structures that know nothing of databases.
 
 pub mod actions;
+mod admission_queue;
 pub mod deployment;
-mod estimates;
 pub mod histogram;
 pub mod host;
 mod host_state;
@@ -21,13 +21,12 @@
 pub mod outcome;
 pub mod policy;
 pub mod random;
+mod random_source;
 pub mod request_class;
 mod request_state;
-mod router;
 pub mod send;
 pub mod session_commits;
 mod shard;
-mod waiting_requests;
 
 pub use actions::{Action, ActionQueue, Actions};
 pub use comethitch_fleet::quota::SlowStart;
@@ -36,8 +35,7 @@
 pub use host::{Host, Lifecycle, LoadReport, Role, ShardId};
 pub use messages::{AttemptEnd, Endpoint, EndpointUpdate, Request, RequestId};
 pub use outcome::{AttemptOutcome, RejectionReason};
-pub use policy::ClockState;
+pub use policy::{ClockState, Handle, Router};
 pub use request_class::{Consistency, DeduplicationScope, Idempotency, RequestClass, StalenessCheck};
-pub use router::{Handle, Router};
 pub use send::{SendRefusal, SendViolation};
 pub use shard::ShardState;
--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -1,10 +1,10 @@
 //! The life of an attempt: it is sent, and ends or is cancelled.
 
-use super::{
-    Actions, Attempt, AttemptOutcome, Consistency, Handle, HostIndex, RejectionReason, RequestId, Router,
-    Timestamp, health,
-};
-use crate::AttemptEnd;
+use super::router::{Handle, Router};
+use crate::host_table::HostIndex;
+use crate::request_state::Attempt;
+use crate::time::Timestamp;
+use crate::{Actions, AttemptEnd, AttemptOutcome, Consistency, RejectionReason, RequestId};
 
 impl Handle {
     /// Takes in the end of an attempt, and answers the request or tries it further.
@@ -16,7 +16,7 @@
         request.finished |= end.request_finished;
         router.record_outcome(&attempt, now);
         router.record_primary_fault(&attempt, now);
-        if end.outcome == AttemptOutcome::Answered && !router.deployment.session_tokens_carried {
+        if end.outcome == AttemptOutcome::Answered && !router.settings.deployment().session_tokens_carried {
             router.session_commits.record(session, end.trailer.position.unwrap_or_default());
         }
         let sent_at = router.host_clock.earliest(attempt.sent_at);
@@ -36,13 +36,13 @@
         self.record_sent(&attempt, self.cost(attempt.work, request_class));
         let request = self.requests.get_mut(&id).expect("a submitted command");
         if !request.attempts.is_empty() {
-            self.retry_budget -= 1.0;
+            self.retry_budget.withdraw();
         }
         request.queued = false;
         request.attempts.push(attempt);
         let host = &mut self.hosts[index];
         if host.unresponsive {
-            host.ejected_until = now + health::UNRESPONSIVE_TRIAL_INTERVAL;
+            host.ejected_until = now + super::outliers::UNRESPONSIVE_TRIAL_INTERVAL;
         }
         out.send_attempt(id, host.host, request.deadline - now);
     }
@@ -59,7 +59,7 @@
     /// A write that the believed primary rejects as a replica shows a failover.
     fn fail_over_if_not_primary(&mut self, attempt: &Attempt, out: &mut dyn Actions) {
         if attempt.ended_as(AttemptOutcome::NotPrimary)
-            && self.deployment.classes[attempt.request_class].consistency == Consistency::Write
+            && self.settings.class(attempt.request_class).consistency == Consistency::Write
             && self.shard_of(attempt.host).primary == Some(attempt.host)
         {
             self.fail_over(self.hosts[attempt.host].shard_id, out);
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -1,10 +1,12 @@
 //! The endpoint list: hosts that are added, drained, restarted, named primary or removed.
 
-use super::{
-    Actions, Duration, HEALTH_CHECK_INTERVAL, Histogram, HostIndex, HostState, Router, ShardId, Timestamp,
-};
-use crate::router::RemovedHost;
-use crate::{Endpoint, EndpointUpdate, Host, Lifecycle};
+use super::intervals::HEALTH_CHECK_INTERVAL;
+use super::router::{RemovedHost, Router};
+use crate::histogram::Histogram;
+use crate::host_state::HostState;
+use crate::host_table::HostIndex;
+use crate::time::{Duration, Timestamp};
+use crate::{Actions, Endpoint, EndpointUpdate, Host, Lifecycle, ShardId};
 use std::collections::BTreeSet;
 
 /// How long after its removal a host is forgotten.
@@ -50,7 +52,7 @@
     }
 
     fn remove_host(&mut self, index: HostIndex, now: Timestamp) {
-        let removal_is_binding = !self.deployment.removal_is_advisory;
+        let removal_is_binding = !self.settings.deployment().removal_is_advisory;
         let host = &mut self.hosts[index];
         host.removed = true;
         if removal_is_binding {
@@ -106,7 +108,7 @@
         let latency = Histogram::new(Duration::from_micros(250), 64);
         let index = self.hosts.insert(HostState::new(endpoint, latency, now));
         let shard = self.shards.entry(endpoint.shard_id).or_default();
-        shard.add_member(index, self.deployment.classes.len());
+        shard.add_member(index, self.settings.deployment().classes.len());
         shard.health_check_budget += 1.0;
         index
     }
@@ -146,7 +148,7 @@
         for index in shard.members.clone() {
             if self.hosts[index].last_answer == Timestamp::ZERO {
                 let users = self.expected_users(index, subset_size);
-                self.hosts[index].concurrency.limit = self.longest_objective.scaled(1.0 / users);
+                self.hosts[index].concurrency.limit = self.settings.longest_objective().scaled(1.0 / users);
             }
         }
     }
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -3,10 +3,12 @@
 //! Healthy becomes Unhealthy at the primary's first fault, Unhealthy becomes Failover when the primary is
 //! surely lost, and a member that proves itself primary ends both.
 
-use super::{
-    Actions, Duration, HostIndex, LoadReport, Role, Router, SILENCE_TIMEOUT, STALL_ALLOWANCE, Shard, ShardId,
-    ShardState, Timestamp,
-};
+use super::intervals::{SILENCE_TIMEOUT, STALL_ALLOWANCE};
+use super::router::Router;
+use crate::host_table::HostIndex;
+use crate::shard::Shard;
+use crate::time::{Duration, Timestamp};
+use crate::{Actions, Role, ShardId, ShardState};
 
 /// How long a group stays Unhealthy at the least before it goes to Failover, from the design page.
 const FAILOVER_DELAY: Duration = Duration::from_secs(3);
@@ -14,70 +16,6 @@
 const FAILOVER_LOST_SHARE: f64 = 0.6;
 
 impl Router {
-    /// Applies a host's load report and, if it answered a request, the note on the answer.
-    pub(super) fn apply_report(
-        &mut self, index: HostIndex, report: LoadReport, trailer: Option<LoadReport>, out: &mut dyn Actions,
-    ) {
-        let now = out.now();
-        self.record_host_time(index, &report, now);
-        if let Some(position) = report.position {
-            // Where the hosts' time is not known yet, nothing is known of a lag either.
-            let age = self.latest_host_time(now).map_or(Duration::ZERO, |host_time| host_time - position);
-            if report.role == Some(Role::Primary) {
-                self.report_age.add(age);
-            }
-            let report_age = self.report_age.quantile(0.5).unwrap_or_default();
-            let host = &mut self.hosts[index];
-            host.position = host.position.max(position);
-            host.apply_position(age - report_age, &report, now);
-        }
-        let host = &mut self.hosts[index];
-        // A report may be older than an answer: one from before it last answered as primary is void.
-        let last_seen_primary = self.host_clock.estimated(host.last_seen_primary);
-        let newer = report.position.is_none_or(|position| position > last_seen_primary);
-        let reported_role = report.role.filter(|role| *role == Role::Primary || newer);
-        let Some(role) = trailer.and_then(|trailer| trailer.role).or(reported_role) else { return };
-        host.role = Some(role);
-        if role == Role::Primary && self.proves_primary(index, trailer.is_some()) {
-            self.confirm_primary(index, out);
-        } else if role == Role::Replica && self.shard_of(index).primary == Some(index) {
-            self.fail_over(self.hosts[index].shard_id, out);
-        }
-    }
-
-    fn confirm_primary(&mut self, index: HostIndex, out: &mut dyn Actions) {
-        let now = out.now();
-        if self.shard_of(index).primary.is_some_and(|primary| primary != index) {
-            self.fail_over(self.hosts[index].shard_id, out);
-        }
-        self.hosts[index].last_seen_primary = now;
-        let shard = self.shard_of_mut(index);
-        if shard.state != ShardState::Healthy || shard.primary != Some(index) {
-            shard.primary = Some(index);
-            shard.enter(ShardState::Healthy, now);
-            self.drain_queues(self.hosts[index].shard_id, out);
-        }
-    }
-
-    fn proves_primary(&self, index: HostIndex, by_answer: bool) -> bool {
-        let host = &self.hosts[index];
-        let shard = self.shard_of(index);
-        if shard.primary != Some(index) {
-            // Two claim the role: the one whose data are newer took over.
-            let newer = |primary: HostIndex| host.position > self.hosts[primary].position;
-            return by_answer || shard.primary.is_none_or(newer);
-        }
-        match shard.state {
-            ShardState::Healthy => true,
-            ShardState::Unhealthy => by_answer || !host.unresponsive,
-            // Failover ends with evidence newer than it: a report made earlier tells of the time before.
-            ShardState::Failover => {
-                let since = self.host_clock.estimated(shard.state_since);
-                by_answer || (host.position > since && !host.unresponsive)
-            }
-        }
-    }
-
     /// Healthy to Unhealthy: something went wrong at the believed primary.
     pub(super) fn mark_unhealthy(&mut self, index: HostIndex, now: Timestamp) {
         let shard = self.shard_of(index);
@@ -161,7 +99,7 @@
     /// Whether a host has been draining for over half of its grace: the rest is left for what is in flight, and for a
     /// router that is held up before it writes.
     pub(super) fn past_drain_grace(&self, index: HostIndex, now: Timestamp) -> bool {
-        let grace = self.deployment.drain_grace;
+        let grace = self.settings.deployment().drain_grace;
         let usable = (grace / 2).min(grace - STALL_ALLOWANCE);
         self.hosts[index].draining_since.is_some_and(|since| now - since > usable)
     }
--- a/crates/comethitch-policy/src/policy/health_check_scheduler.rs
+++ b/crates/comethitch-policy/src/policy/health_check_scheduler.rs
@@ -11,7 +11,7 @@
 const UNPAID_SPACING: Duration = Duration::from_millis(40);
 
 /// Allowances for periodic health checks.
-pub(crate) struct HealthCheckScheduler {
+pub(super) struct HealthCheckScheduler {
     /// How many may still be started before the next tick.
     remaining: usize,
     /// The shard that was visited last: the next round continues behind it.
@@ -20,7 +20,7 @@
 }
 
 impl HealthCheckScheduler {
-    pub(crate) fn new() -> HealthCheckScheduler {
+    pub(super) fn new() -> HealthCheckScheduler {
         HealthCheckScheduler { remaining: MAX_CHECKS_PER_TICK, cursor: None, next_unpaid_at: Timestamp::ZERO }
     }
 
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -50,7 +50,7 @@
 
 /// Estimator of the hosts' time, fed by the positions in their reports.
 #[derive(Debug, Default)]
-pub(crate) struct HostClock {
+pub(super) struct HostClock {
     /// Offsets of primaries' recent positions from the router's clock.
     primary_offsets: VecDeque<SignedDuration>,
     /// The same for replicas, whose positions lag.
--- a/crates/comethitch-policy/src/policy/host_time.rs
+++ b/crates/comethitch-policy/src/policy/host_time.rs
@@ -1,7 +1,11 @@
 //! The hosts' time as the decisions use it, and the polls of primaries that establish it.
 
 use super::host_clock::ClockState;
-use super::{Actions, HostIndex, LoadReport, Role, Router, StalenessCheck, Timestamp, is_in_use};
+use super::recent_requests::is_in_use;
+use super::router::Router;
+use crate::host_table::HostIndex;
+use crate::time::Timestamp;
+use crate::{Actions, LoadReport, Role};
 
 impl Router {
     /// Returns how the router's clock stands to the hosts', for the log.
@@ -13,7 +17,7 @@
     ///
     /// Elsewhere replicas check the age of their data themselves, or reports arrive with responses only.
     fn depends_on_host_clock(&self) -> bool {
-        self.deployment.may_check_health && self.deployment.staleness_check == StalenessCheck::Off
+        self.settings.deployment().may_check_health && self.settings.positions_guard_reads()
     }
 
     /// Returns the latest possible time at the hosts, for the age of their data, if known.
@@ -22,7 +26,7 @@
     }
 
     /// Returns the earliest possible time at the hosts, for how long ago they started, if known.
-    pub(crate) fn earliest_host_time(&self, now: Timestamp) -> Option<Timestamp> {
+    pub(super) fn earliest_host_time(&self, now: Timestamp) -> Option<Timestamp> {
         self.host_clock.earliest(now).or_else(|| (!self.depends_on_host_clock()).then_some(now))
     }
 
--- a/crates/comethitch-policy/src/policy/periodic_checks.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -1,17 +1,20 @@
 //! Which health checks are due by time, and when it is looked: an amount of work for each tick that does not grow with
 //! the hosts.
 
-use super::{
-    Actions, Duration, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL, HostIndex, Role, Router, Shard,
-    ShardId, ShardState, Timestamp, is_in_use,
-};
+use super::intervals::{HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL};
+use super::recent_requests::is_in_use;
+use super::router::Router;
+use crate::host_table::HostIndex;
+use crate::shard::Shard;
+use crate::time::{Duration, Timestamp};
+use crate::{Actions, Role, ShardId, ShardState};
 
 /// How often a group in use is reviewed for what time alone has changed, at the least.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
 impl Router {
     /// Checks each host whose time has come, if there is need and someone has paid for it.
     pub(super) fn run_due_health_checks(&mut self, out: &mut dyn Actions) {
-        if !self.deployment.may_check_health {
+        if !self.settings.deployment().may_check_health {
             return;
         }
         let now = out.now();
@@ -40,7 +43,7 @@
     /// needs to be known, and its next request brings the review forward.
     fn next_check_review(&self, shard_id: ShardId, now: Timestamp) -> Timestamp {
         let shard = &self.shards[&shard_id];
-        let is_idle = self.refresh_on_demand && !is_in_use(shard, now);
+        let is_idle = self.settings.refreshes_on_demand() && !is_in_use(shard, now);
         if self.health_checks.is_exhausted() {
             return now;
         }
@@ -61,8 +64,8 @@
     /// [`Router::is_check_needed`]).
     fn members_to_check<'a>(&self, shard: &'a Shard, now: Timestamp) -> &'a [HostIndex] {
         match &shard.primary {
-            _ if self.refresh_on_demand && !is_in_use(shard, now) => &[],
-            Some(primary) if self.refresh_on_demand && shard.state != ShardState::Failover => {
+            _ if self.settings.refreshes_on_demand() && !is_in_use(shard, now) => &[],
+            Some(primary) if self.settings.refreshes_on_demand() && shard.state != ShardState::Failover => {
                 std::slice::from_ref(primary)
             }
             _ => &shard.members,
@@ -71,7 +74,8 @@
 
     fn run_due_health_checks_of(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
-        let calm_interval = self.tightest_bound.clamp(HEALTH_CHECK_INTERVAL / 5, HEALTH_CHECK_INTERVAL);
+        let calm_interval =
+            self.settings.tightest_bound().clamp(HEALTH_CHECK_INTERVAL / 5, HEALTH_CHECK_INTERVAL);
         for index in self.due_health_checks(shard_id, now) {
             if self.health_checks.is_exhausted() {
                 return;
@@ -130,7 +134,7 @@
         let needed = (shard.state == ShardState::Failover || shard.primary.is_none())
             || self.is_doubtful_primary(index)
             || shard.primary == Some(index) && silent;
-        !self.refresh_on_demand || needed && is_in_use(shard, now)
+        !self.settings.refreshes_on_demand() || needed && is_in_use(shard, now)
     }
 
     /// Takes the price from the group's budget. What nothing has paid for is free after a long while.
--- a/crates/comethitch-policy/src/policy/position_refresh.rs
+++ b/crates/comethitch-policy/src/policy/position_refresh.rs
@@ -1,26 +1,20 @@
 //! Refreshes of positions, on demand: which members of a group are asked for their position as a request needs it.
 
-use super::{
-    Actions, Consistency, Duration, HEALTH_CHECK_RETRY_INTERVAL, Member, RECENT_REQUESTS_WINDOW, RequestId,
-    RequestState, Router, SILENCE_TIMEOUT, STALL_ALLOWANCE, ShardId, ShardState, StalenessCheck, Timestamp,
-    freshness,
-};
+use super::intervals::{HEALTH_CHECK_RETRY_INTERVAL, SILENCE_TIMEOUT};
+use super::recent_requests::RECENT_REQUESTS_WINDOW;
+use super::router::Router;
+use super::staleness::usable_age;
+use crate::request_state::RequestState;
+use crate::time::Timestamp;
+use crate::{Actions, Consistency, RequestId, ShardId, ShardState};
+use comethitch_fleet::freshness;
+use comethitch_fleet::subset::Member;
 
 /// A group is quiet of which this router sees fewer requests than this while a position stays fresh.
 const QUIET_COMMANDS_PER_REFRESH: f64 = 0.5;
 /// The part of the shortest latency objective, as a divisor, for which the one member of a quiet group that was asked
 /// for its position is waited for.
 const POSITION_PATIENCE_DIVISOR: u64 = 8;
-/// The part of a staleness bound, as a divisor, kept as a margin at the least where only positions guard a read.
-const STALENESS_MARGIN: u64 = 32;
-/// The part of it, as a divisor, that is kept at the most for a router that is held up before it writes.
-const HELD_UP_MARGIN: u64 = 8;
-
-/// How old a position may be for a read with this bound where only positions guard it.
-pub(super) fn usable_age(bound: Duration) -> Duration {
-    bound - (bound / STALENESS_MARGIN).max(STALL_ALLOWANCE.min(bound / HELD_UP_MARGIN))
-}
-
 impl Router {
     /// Asks the subset's members for positions that would soon be too old for this request.
     pub(super) fn refresh_positions(&mut self, id: RequestId, out: &mut dyn Actions) {
@@ -54,8 +48,8 @@
     /// of a subset alone. Then one member is asked for its position, and the next one only if that is late. A group that
     /// is new here is expected to see as much as others do.
     fn is_quiet(&self, shard_id: ShardId, now: Timestamp) -> bool {
-        let lasts = freshness::refresh_after(self.tightest_bound, HEALTH_CHECK_RETRY_INTERVAL);
-        let usual = self.recent_requests.rate(now, RECENT_REQUESTS_WINDOW) / self.shards.len() as f64;
+        let lasts = freshness::refresh_after(self.settings.tightest_bound(), HEALTH_CHECK_RETRY_INTERVAL);
+        let usual = self.statistics.request_rate(now) / self.shards.len() as f64;
         let own = self.shards[&shard_id].recent_requests.value(now, RECENT_REQUESTS_WINDOW);
         usual.max(own) * lasts.ratio(RECENT_REQUESTS_WINDOW) < QUIET_COMMANDS_PER_REFRESH
     }
@@ -65,7 +59,7 @@
         &self, member: &Member, request_class: usize, oldest: Timestamp, now: Timestamp,
     ) -> bool {
         let host = &self.hosts[member.index];
-        let patience = self.shortest_objective / POSITION_PATIENCE_DIVISOR;
+        let patience = self.settings.shortest_objective() / POSITION_PATIENCE_DIVISOR;
         let just_asked = host.health_check_sent.is_some_and(|sent_at| now - sent_at < patience);
         just_asked || host.position >= oldest && self.has_capacity(member, request_class, now)
     }
@@ -73,12 +67,11 @@
     /// Positions older than this must be refreshed for a request; none where positions do not guard it.
     fn oldest_useful_position(&self, request: &RequestState, now: Timestamp) -> Option<Timestamp> {
         // Where sessions are served besides, timers ask too, but few of them are paid for by a quiet router.
-        let guard =
-            self.deployment.staleness_check == StalenessCheck::Off && self.deployment.may_check_health;
+        let guard = self.settings.positions_guard_reads() && self.settings.deployment().may_check_health;
         let shard = self.shards.get(&request.shard_id).filter(|_| guard)?;
         let lasts = |bound| freshness::refresh_after(usable_age(bound), HEALTH_CHECK_RETRY_INTERVAL);
         let host_time = self.latest_host_time(now).unwrap_or(now);
-        match self.settings(request).consistency {
+        match self.class_of(request).consistency {
             Consistency::BoundedStaleness(bound) => Some(host_time - lasts(bound)),
             Consistency::Session => Some(request.required_position).filter(|past| *past > Timestamp::ZERO),
             Consistency::Eventual => None,
--- a/crates/comethitch-policy/src/router.rs
+++ b/crates/comethitch-policy/src/policy/router.rs
@@ -2,84 +2,51 @@
 //!
 //! What follows from the state is decided in [`policy`](crate::policy), which adds the entry points to [`Router`].
 
-use crate::histogram::Histogram;
+use super::event_loop_lag::EventLoopLag;
+use super::health_check_scheduler::HealthCheckScheduler;
+use super::host_clock::HostClock;
+use super::load_statistics::LoadStatistics;
+use super::retry_budget::RetryBudget;
+use super::settings::Settings;
+use crate::admission_queue::AdmissionQueue;
 use crate::host_table::{HostIndex, HostTable};
-use crate::policy::{HealthCheckScheduler, HostClock, Lateness, PeerLoad};
+use crate::random_source::RandomSource;
 use crate::request_state::{Attempt, RequestState};
-use crate::shard::{Shard, ShardState};
-use crate::time::{Duration, Timestamp};
-use crate::waiting_requests::WaitingRequests;
-use crate::{Actions, Deployment, RequestId, ShardId};
-use crate::{random::RandomGenerator, session_commits::SessionCommits};
-use comethitch_fleet::decaying_counter::DecayingCounter;
-use std::cell::Cell;
+use crate::session_commits::SessionCommits;
+use crate::shard::Shard;
+use crate::time::Timestamp;
+use crate::{Actions, Deployment, RejectionReason, Request, RequestId, ShardId, ShardState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Decides where each request goes. Hosts and request classes are given by their indices.
 pub struct Router {
-    pub(crate) deployment: Deployment,
-    pub(crate) random: RandomGenerator,
-    /// Makes the hashed draws of this router differ from those of others.
-    pub(crate) hash_seed: u64,
-    /// How often [`Router::tick`] asks to be called.
-    pub(crate) tick_interval: Duration,
-    /// How late this router's own calls come.
-    pub(crate) lateness: Lateness,
-    pub(crate) shards: BTreeMap<ShardId, Shard>,
-    pub(crate) hosts: HostTable,
-    pub(crate) requests: BTreeMap<RequestId, RequestState>,
-    /// Requests that wait for capacity; those of highest priority go first.
-    pub(crate) waiting: WaitingRequests,
-    /// The shard whose waiting requests were tried last for the time alone.
-    pub(crate) last_tried_shard: Option<ShardId>,
+    pub(super) settings: Settings,
+    pub(super) random: RandomSource,
+    pub(super) shards: BTreeMap<ShardId, Shard>,
+    pub(super) hosts: HostTable,
+    pub(super) requests: BTreeMap<RequestId, RequestState>,
+    pub(super) queue: AdmissionQueue,
+    pub(super) retry_budget: RetryBudget,
+    pub(super) health_checks: HealthCheckScheduler,
+    pub(super) statistics: LoadStatistics,
+    pub(super) event_loop_lag: EventLoopLag,
+    pub(super) host_clock: HostClock,
+    /// The latest commit that each session has written, where clients do not carry it.
+    pub(super) session_commits: SessionCommits,
     /// Removed hosts that are to be forgotten.
-    pub(crate) removed_hosts: BTreeSet<RemovedHost>,
-    /// What this router sends to warm hosts, as it was last added up.
-    pub(crate) peer_load: Cell<PeerLoad>,
-    /// How many retries the requests so far have paid for.
-    pub(crate) retry_budget: f64,
-    pub(crate) health_checks: HealthCheckScheduler,
-    /// Requests submitted lately, for any shard.
-    pub(crate) recent_requests: DecayingCounter,
-    /// The share of errors among the last answers, of all hosts together.
-    pub(crate) error_rate: f64,
-    /// Answer times by request class.
-    pub(crate) service_times: Vec<Histogram>,
-    /// What reports show of the hosts' clock.
-    pub(crate) host_clock: HostClock,
-    /// How old a primary's report of its position is: pure age, as a primary has all commits.
-    pub(crate) report_age: Histogram,
-    /// The latest commit that each session has written, where this router has to remember.
-    pub(crate) session_commits: SessionCommits,
-    /// The shortest latency objective of all request classes.
-    pub(crate) shortest_objective: Duration,
-    /// The longest latency objective of all request classes.
-    pub(crate) longest_objective: Duration,
-    /// The tightest staleness bound of all request classes.
-    pub(crate) tightest_bound: Duration,
-    /// Whether positions alone guard reads, and bounds alone need them: then they are refreshed on demand.
-    pub(crate) refresh_on_demand: bool,
+    pub(super) removed_hosts: BTreeSet<RemovedHost>,
 }
 
 /// A removed host, and when it is looked whether it can be forgotten; ordered by that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct RemovedHost {
+pub(super) struct RemovedHost {
     pub review_at: Timestamp,
     pub index: HostIndex,
 }
 
-/// Where a request can go now.
-pub(crate) enum Selection {
-    Host(HostIndex),
-    /// It must wait: no host that may take it has capacity.
-    Wait,
-    /// It needs a primary, and none serves.
-    Rejected,
-}
-
 /// A submitted request. All that happens to it after it was submitted is a call on this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Handle(pub(crate) RequestId);
+pub struct Handle(pub(super) RequestId);
 
 impl Handle {
     /// The client went away, or its time is up: no answer is owed any more.
@@ -92,41 +59,77 @@
 }
 
 impl Router {
-    /// A router that knows no hosts yet. What depends on the policy's own values is empty or zero.
-    pub(crate) fn empty(deployment: Deployment, seed: u64, default_interval: Duration) -> Router {
-        let shortest_objective = deployment.shortest_latency_objective().unwrap_or(default_interval);
-        let longest_objective = deployment.classes.iter().map(|shard| shard.latency_objective).max();
+    /// Returns a router that knows no hosts yet. The same seed and the same calls give the same decisions.
+    pub fn start(deployment: Deployment, seed: u64, out: &mut dyn Actions) -> Router {
+        let router = Router::empty(deployment, seed);
+        router.watch_endpoints(out);
+        out.wake_after(router.settings.tick_interval());
+        router
+    }
+
+    /// Accepts a request. What happens to it later is a call on the handle.
+    pub fn submit(&mut self, request: Request, out: &mut dyn Actions) -> Handle {
+        let now = out.now();
+        let required_position = if self.settings.deployment().session_tokens_carried {
+            request.after.unwrap_or_default()
+        } else {
+            self.session_commits.latest(request.session)
+        };
+        self.requests.insert(request.id, RequestState::new(&request, required_position, now));
+        self.retry_budget.deposit();
+        self.statistics.record_request(now);
+        self.fund_health_checks(request.shard_id, now);
+        self.poll_host_clock(out);
+        self.refresh_positions(request.id, out);
+        self.schedule(request.id, out);
+        Handle(request.id)
+    }
+
+    /// Reviews everything that depends on the time; to be called as [`Actions::wake_after`] asked.
+    pub fn tick(&mut self, out: &mut dyn Actions) {
+        out.wake_after(self.settings.tick_interval());
+        self.event_loop_lag.record_tick(out.now(), self.settings.tick_interval());
+        self.health_checks.start_tick();
+        for shard_id in self.shards_to_review(out.now()) {
+            self.check_primary(shard_id, out);
+        }
+        self.forget_removed(out.now());
+        self.run_due_health_checks(out);
+        self.poll_host_clock(out);
+        for id in self.requests.keys().copied().collect::<Vec<_>>() {
+            self.review_request(id, out);
+        }
+        self.retry_waiting_requests(out);
+    }
+
+    /// Gives every request that is left its final answer, as the router ends.
+    pub fn shut_down(&mut self, out: &mut dyn Actions) {
+        for id in self.requests.keys().copied().collect::<Vec<_>>() {
+            self.reject(id, RejectionReason::DeadlineExceeded, out);
+        }
+    }
+
+    pub(super) fn empty(deployment: Deployment, seed: u64) -> Router {
         Router {
-            random: RandomGenerator::new(seed),
-            hash_seed: seed,
-            tick_interval: deployment.tick,
-            lateness: Lateness::default(),
+            random: RandomSource::new(seed),
             shards: BTreeMap::new(),
             hosts: HostTable::default(),
             requests: BTreeMap::new(),
-            waiting: WaitingRequests::default(),
-            last_tried_shard: None,
-            removed_hosts: BTreeSet::new(),
-            peer_load: Cell::default(),
-            retry_budget: 0.0,
+            queue: AdmissionQueue::default(),
+            retry_budget: RetryBudget::full(),
             health_checks: HealthCheckScheduler::new(),
-            recent_requests: DecayingCounter::default(),
-            error_rate: 0.0,
-            service_times: Vec::new(),
+            statistics: LoadStatistics::new(&deployment),
+            event_loop_lag: EventLoopLag::default(),
             host_clock: HostClock::default(),
-            report_age: Histogram::default(),
             session_commits: SessionCommits::default(),
-            shortest_objective,
-            longest_objective: longest_objective.unwrap_or(shortest_objective),
-            tightest_bound: deployment.tightest_staleness_bound().unwrap_or(default_interval),
-            refresh_on_demand: false,
-            deployment,
+            removed_hosts: BTreeSet::new(),
+            settings: Settings::new(deployment),
         }
     }
 
     /// Returns the settings that the router was started with.
     pub fn deployment(&self) -> &Deployment {
-        &self.deployment
+        self.settings.deployment()
     }
 
     /// The handle of a request that was submitted and has an attempt in flight or no final answer yet.
@@ -150,16 +153,16 @@
     }
 
     /// Asks for the endpoint list where it must be asked for.
-    pub(crate) fn watch_endpoints(&self, out: &mut dyn Actions) {
-        if self.deployment.must_watch_endpoints {
+    pub(super) fn watch_endpoints(&self, out: &mut dyn Actions) {
+        if self.settings.deployment().must_watch_endpoints {
             out.watch_endpoints();
         }
     }
 
     /// Counts an attempt as in flight at its host; `cost` is what it is charged in slow start.
-    pub(crate) fn record_sent(&mut self, attempt: &Attempt, cost: f64) {
+    pub(super) fn record_sent(&mut self, attempt: &Attempt, cost: f64) {
         let now = attempt.sent_at;
-        let window = self.window(attempt.host, now, self.deployment.slow_start.window);
+        let window = self.window(attempt.host, now, self.settings.slow_start().window);
         let shard = self.shard_of_mut(attempt.host);
         shard.concurrency_limits[attempt.request_class].in_flight += attempt.work;
         let host = &mut self.hosts[attempt.host];
@@ -172,7 +175,7 @@
     }
 
     /// Marks the attempts in flight to a host as such at its fault, and counts them.
-    pub(crate) fn mark_in_flight_at_fault(&mut self, index: HostIndex) -> u32 {
+    pub(super) fn mark_in_flight_at_fault(&mut self, index: HostIndex) -> u32 {
         let mut in_flight = 0;
         let attempts = self.requests.values_mut().flat_map(|request| &mut request.attempts);
         for attempt in attempts.filter(|attempt| attempt.host == index) {
@@ -183,7 +186,7 @@
     }
 
     /// Sends a health check to a host.
-    pub(crate) fn send_health_check(&mut self, index: HostIndex, out: &mut dyn Actions) {
+    pub(super) fn send_health_check(&mut self, index: HostIndex, out: &mut dyn Actions) {
         let host = &mut self.hosts[index];
         host.health_check_sent = Some(out.now());
         host.expect_answer(out.now());
@@ -191,10 +194,10 @@
     }
 
     /// Cancels what is still in flight of a finished request, if that is allowed, and forgets it once nothing is.
-    pub(crate) fn cancel_attempts(&mut self, id: RequestId, out: &mut dyn Actions) {
+    pub(super) fn cancel_attempts(&mut self, id: RequestId, out: &mut dyn Actions) {
         let Some(request) = self.requests.get(&id) else { return };
         for (nth, attempt) in request.attempts.iter().enumerate() {
-            if self.deployment.may_cancel && attempt.outcome.is_none() {
+            if self.settings.deployment().may_cancel && attempt.outcome.is_none() {
                 out.cancel_attempt(id, nth as u16);
             }
         }
@@ -212,7 +215,7 @@
     }
 
     /// Sets when a host's health is to be checked next, and sees to it that its group is reviewed by then.
-    pub(crate) fn set_next_health_check(&mut self, index: HostIndex, at: Timestamp) {
+    pub(super) fn set_next_health_check(&mut self, index: HostIndex, at: Timestamp) {
         self.hosts[index].next_health_check = at;
         let shard = self.shard_of_mut(index);
         shard.next_check_review = shard.next_check_review.min(at);
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -3,13 +3,17 @@
 //! Writes and strong reads go to the believed primary. Other reads are drawn at random among the fresh
 //! replicas of the router's subset; if none is fresh, the freshest that checks takes them, else the primary.
 
-use super::position_refresh::usable_age;
-use super::{
-    Consistency, Duration, HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL, HostIndex, Idempotency,
-    Member, RECENT_REQUESTS_WINDOW, RequestId, RequestState, Role, Router, SILENCE_TIMEOUT, Selection, Shard,
-    ShardId, ShardState, StalenessCheck, Timestamp, freshness,
-};
-use comethitch_fleet::subset::{self, Candidate};
+use super::intervals::{HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL, SILENCE_TIMEOUT};
+use super::recent_requests::RECENT_REQUESTS_WINDOW;
+use super::router::Router;
+use super::staleness::usable_age;
+use crate::host_table::HostIndex;
+use crate::request_state::RequestState;
+use crate::shard::Shard;
+use crate::time::{Duration, Timestamp};
+use crate::{Consistency, Idempotency, RequestId, Role, ShardId, ShardState};
+use comethitch_fleet::subset::{Candidate, Member};
+use comethitch_fleet::{freshness, subset};
 
 /// The part of a staleness bound up to which a replica that checks reads itself is tried.
 const CHECKED_LAG_SHARE: f64 = 0.75;
@@ -18,11 +22,20 @@
 /// For so long the order of a group's replicas is kept. Weights change by the second, as hosts warm up.
 const RANKING_LIFETIME: Duration = Duration::from_millis(100);
 
+/// Where a request can go now.
+pub(super) enum Selection {
+    Host(HostIndex),
+    /// It must wait: no host that may take it has capacity.
+    Wait,
+    /// It needs a primary, and none serves.
+    Rejected,
+}
+
 impl Router {
     pub(super) fn select_host(&mut self, id: RequestId, now: Timestamp) -> Selection {
         let request = &self.requests[&id];
         let Some(shard) = self.shards.get(&request.shard_id) else { return Selection::Wait };
-        let consistency = self.settings(request).consistency;
+        let consistency = self.class_of(request).consistency;
         if consistency.needs_primary() {
             return self.select_primary(request, shard, now);
         }
@@ -43,7 +56,7 @@
     }
 
     fn select_primary(&self, request: &RequestState, shard: &Shard, now: Timestamp) -> Selection {
-        let repeatable = self.settings(request).idempotency != Idempotency::NonIdempotent;
+        let repeatable = self.class_of(request).idempotency != Idempotency::NonIdempotent;
         match shard.primary {
             // A fresh router that the list names no primary to checks all hosts first.
             None if shard.serial == 0 => Selection::Wait,
@@ -72,8 +85,12 @@
     ) -> Option<HostIndex> {
         let rank = |index: HostIndex| {
             let host = &self.hosts[index];
-            let fresh =
-                self.is_fresh(index, Consistency::BoundedStaleness(self.tightest_bound), request, now);
+            let fresh = self.is_fresh(
+                index,
+                Consistency::BoundedStaleness(self.settings.tightest_bound()),
+                request,
+                now,
+            );
             let position = if fresh { Timestamp::ZERO } else { host.position };
             (fresh, position, u64::MAX - host.capacity.to_bits(), host.host, index)
         };
@@ -86,7 +103,7 @@
         let freshest = self.freshest_that_checks(request, open);
         // A refresh that is on its way is waited for: the primary could not bear what falls to it meanwhile.
         let is_refreshing = |member: &Member| self.hosts[member.index].health_check_sent.is_some();
-        if freshest.is_some() || self.refresh_on_demand && open.iter().any(is_refreshing) {
+        if freshest.is_some() || self.settings.refreshes_on_demand() && open.iter().any(is_refreshing) {
             return freshest;
         }
         let primary = self.shards[&request.shard_id].primary;
@@ -95,12 +112,12 @@
 
     /// Beyond the design: not the freshest where it would surely reject the read.
     fn freshest_that_checks(&self, request: &RequestState, open: &[Member]) -> Option<HostIndex> {
-        if self.deployment.staleness_check == StalenessCheck::Off {
+        if self.settings.positions_guard_reads() {
             return None;
         }
         let position = |index: &HostIndex| self.hosts[*index].position;
         let freshest = open.iter().map(|member| member.index).rev().max_by_key(position)?;
-        match self.settings(request).consistency {
+        match self.class_of(request).consistency {
             Consistency::BoundedStaleness(bound) if self.hosts[freshest].lag > bound => None,
             _ => Some(freshest),
         }
@@ -111,7 +128,7 @@
     /// session's read, which may have no other host, it takes as often as that limit holds of a request.
     fn primary_takes_read(&self, request: &RequestState, primary: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
-        let session = self.settings(request).consistency == Consistency::Session;
+        let session = self.class_of(request).consistency == Consistency::Session;
         let mut work = self.work(request.request_class);
         if session && host.concurrency.in_flight == Duration::ZERO {
             work = work.scaled(self.admission_draw(primary, now));
@@ -140,7 +157,7 @@
         &self, host: HostIndex, need: Consistency, of: &RequestState, now: Timestamp,
     ) -> bool {
         let host = &self.hosts[host];
-        let checks = self.deployment.staleness_check != StalenessCheck::Off;
+        let checks = !self.settings.positions_guard_reads();
         let reported = now - host.lag_reported_at <= HEALTH_CHECK_INTERVAL * 2;
         match need {
             Consistency::Eventual => true,
@@ -163,8 +180,8 @@
         let mut ranking = shard.ranking.borrow_mut();
         if ranking.is_outdated(now) {
             let replicas = shard.members.iter().map(|index| self.replica_to_rank(*index, now));
-            let drift = self.deployment.slow_start.warmup * 8;
-            ranking.renew(self.hash_seed, now, drift, RANKING_LIFETIME, replicas);
+            let drift = self.settings.slow_start().warmup * 8;
+            ranking.renew(self.random.hash_seed(), now, drift, RANKING_LIFETIME, replicas);
         }
         ranking.members(self.subset_size(shard, now), is_candidate)
     }
@@ -178,12 +195,15 @@
     /// One that was just reported to be too far behind gives way too, until it is time to ask again.
     fn is_candidate(&self, index: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let host = &self.hosts[index];
-        let behind = now - host.lag_reported_at < SILENCE_TIMEOUT && host.lag > self.tightest_bound;
-        shard.primary != Some(index) && self.is_usable(index, now) && !(self.refresh_on_demand && behind)
+        let behind =
+            now - host.lag_reported_at < SILENCE_TIMEOUT && host.lag > self.settings.tightest_bound();
+        shard.primary != Some(index)
+            && self.is_usable(index, now)
+            && !(self.settings.refreshes_on_demand() && behind)
     }
 
     pub(super) fn subset_size(&self, shard: &Shard, now: Timestamp) -> usize {
-        let lasts = freshness::refresh_after(self.tightest_bound, HEALTH_CHECK_RETRY_INTERVAL);
+        let lasts = freshness::refresh_after(self.settings.tightest_bound(), HEALTH_CHECK_RETRY_INTERVAL);
         let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
         subset::size(rate * lasts.ratio(RECENT_REQUESTS_WINDOW))
     }
--- a/crates/comethitch-policy/src/policy/send_guard.rs
+++ b/crates/comethitch-policy/src/policy/send_guard.rs
@@ -4,8 +4,11 @@
 //! An attempt is decided on, and leaves some time later: its connection may take long to come up, its host may read
 //! slowly, the process may be held up.
 
-use super::{Consistency, Duration, Handle, HostIndex, RequestState, Router, StalenessCheck, Timestamp};
-use crate::{SendRefusal, SendViolation};
+use super::router::{Handle, Router};
+use crate::host_table::HostIndex;
+use crate::request_state::RequestState;
+use crate::time::{Duration, Timestamp};
+use crate::{Consistency, SendRefusal, SendViolation};
 
 impl Handle {
     /// Whether an attempt may leave now. Meanwhile its request may have been rejected, its host begun to drain, or the
@@ -23,7 +26,7 @@
             return Err(SendRefusal::DeadlinePassed);
         }
         if router.guarded_bound(request, index).is_some()
-            && !router.is_fresh(index, router.settings(request).consistency, request, now)
+            && !router.is_fresh(index, router.class_of(request).consistency, request, now)
         {
             return Err(SendRefusal::DataTooOld);
         }
@@ -43,7 +46,7 @@
         let nth = usize::from(nth);
         let index = request.attempts.get(nth)?.host;
         let host = &router.hosts[index];
-        let drain_grace = router.deployment.drain_grace;
+        let drain_grace = router.settings.deployment().drain_grace;
         if now > request.deadline {
             return Some(SendViolation::AfterDeadline);
         }
@@ -55,7 +58,7 @@
             return Some(SendViolation::DataTooOld);
         }
         // The margin of a tick is the check's, not the rule's.
-        let may_follow = router.may_follow(request, nth, index, now - router.tick_interval);
+        let may_follow = router.may_follow(request, nth, index, now - router.settings.tick_interval());
         (!may_follow).then_some(SendViolation::Repeated)
     }
 }
@@ -63,9 +66,9 @@
 impl Router {
     /// The staleness bound of a read that nothing but the position known here guards at this host.
     fn guarded_bound(&self, request: &RequestState, index: HostIndex) -> Option<Duration> {
-        let guarded = self.deployment.staleness_check == StalenessCheck::Off
-            && self.shards[&request.shard_id].primary != Some(index);
-        match self.settings(request).consistency {
+        let guarded =
+            self.settings.positions_guard_reads() && self.shards[&request.shard_id].primary != Some(index);
+        match self.class_of(request).consistency {
             Consistency::BoundedStaleness(bound) if guarded => Some(bound),
             _ => None,
         }
