--- a/crates/comethitch-policy/src/histogram.rs
+++ b/crates/comethitch-policy/src/histogram.rs
@@ -45,12 +45,6 @@
         }
     }
 
-    /// Of a host's answer times, as thousandths of the usual ones: how many times as long it takes. A fast host counts
-    /// as a usual one.
-    pub fn slowness(&self) -> f64 {
-        self.quantile(0.5).map_or(1.0, |median| (median.as_micros() as f64 / 1000.0).max(1.0))
-    }
-
     fn middle(&self, bin: usize) -> Duration {
         self.lowest.scaled(2f64.powf((bin as f64 - 0.5) / BINS_PER_DOUBLING))
     }
--- a/crates/comethitch-policy/src/host_table.rs
+++ b/crates/comethitch-policy/src/host_table.rs
@@ -1,39 +1,50 @@
-//! The table of hosts: one entry for each, found by index or by host. Entries of forgotten hosts are used again.
+//! The table of hosts, found by index or by host. Entries of forgotten hosts are reused.
 //!
 //! When a host is forgotten is decided in [`policy`](crate::policy).
 
+use crate::time::Timestamp;
 use crate::{Host, host_state::HostState};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut, Range};
 
-/// The place of a host in the table.
+/// The index of a host in the table.
 pub(crate) type HostIndex = usize;
 
-/// All hosts that the router knows, and the entries that are free.
+/// When a removed host is to be reviewed, ordered by time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RemovalReview {
+    at: Timestamp,
+    index: HostIndex,
+}
+
+/// All hosts that the router knows, and which of them are to be forgotten.
 #[derive(Default)]
 pub(crate) struct HostTable {
     entries: Vec<HostState>,
     free: Vec<HostIndex>,
     index_of: BTreeMap<Host, HostIndex>,
+    removal_reviews: BTreeSet<RemovalReview>,
+    /// The hosts in `removal_reviews`, each of which has one review.
+    under_review: BTreeSet<HostIndex>,
 }
 
 impl HostTable {
-    /// How many entries are allocated, in use or free.
+    /// Returns the number of allocated entries, in use or free.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// All indices, also those of free entries.
+    /// Returns all indices, including those of free entries.
     pub(crate) fn indices(&self) -> Range<HostIndex> {
         0..self.entries.len()
     }
 
-    /// Where a host is, if it is in the table.
+    /// Returns the index of a host that is in the table.
     pub(crate) fn index_of(&self, host: Host) -> Option<HostIndex> {
         self.index_of.get(&host).copied()
     }
 
-    /// Whether this entry is in use.
+    /// Returns whether an entry is in use.
     pub(crate) fn is_used(&self, index: HostIndex) -> bool {
         self.index_of(self.entries[index].host) == Some(index)
     }
@@ -47,11 +58,26 @@
         index
     }
 
-    /// Frees an entry that is in use. What it holds stays until the entry is used again.
+    /// Frees an entry that is in use. Its content stays until the entry is reused.
     pub(crate) fn release(&mut self, index: HostIndex) {
         self.index_of.remove(&self.entries[index].host);
         self.free.push(index);
     }
+
+    /// Schedules a review of a removed host, unless one is scheduled already.
+    pub(crate) fn schedule_removal_review(&mut self, index: HostIndex, at: Timestamp) {
+        if self.under_review.insert(index) {
+            self.removal_reviews.insert(RemovalReview { at, index });
+        }
+    }
+
+    /// Removes and returns the next host whose removal review was due before `now`.
+    pub(crate) fn next_removal_review(&mut self, now: Timestamp) -> Option<HostIndex> {
+        let due = self.removal_reviews.first().filter(|review| review.at < now)?.index;
+        self.removal_reviews.pop_first();
+        self.under_review.remove(&due);
+        Some(due)
+    }
 }
 
 impl Index<HostIndex> for HostTable {
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -13,20 +13,27 @@
 pub mod actions;
 mod admission_queue;
 pub mod deployment;
+mod health_check_state;
 pub mod histogram;
 pub mod host;
+mod host_health;
+mod host_load;
 mod host_state;
 mod host_table;
+mod listing;
 pub mod messages;
 pub mod outcome;
 pub mod policy;
 pub mod random;
 mod random_source;
+mod replication_status;
 pub mod request_class;
 mod request_state;
+mod request_table;
 pub mod send;
 pub mod session_commits;
 mod shard;
+mod shard_table;
 
 pub use actions::{Action, ActionQueue, Actions};
 pub use comethitch_fleet::quota::SlowStart;
--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: it is sent, and ends or is cancelled.
+//! The lifecycle of an attempt: it is sent, and it ends or is cancelled.
 
 use super::router::{Handle, Router};
 use crate::host_table::HostIndex;
@@ -7,10 +7,10 @@
 use crate::{Actions, AttemptEnd, AttemptOutcome, Consistency, RejectionReason, RequestId};
 
 impl Handle {
-    /// Takes in the end of an attempt, and answers the request or tries it further.
+    /// Records the end of an attempt, then finishes, retries or rejects its request.
     pub fn attempt_ended(self, router: &mut Router, end: AttemptEnd, out: &mut dyn Actions) {
         let now = out.now();
-        let Some(request) = router.requests.get_mut(&self.0) else { return };
+        let Some(request) = router.requests.get_mut(self.0) else { return };
         let Some(attempt) = request.end_attempt(end.attempt, end.outcome) else { return };
         let session = request.session;
         request.finished |= end.request_finished;
@@ -20,59 +20,87 @@
             router.session_commits.record(session, end.trailer.position.unwrap_or_default());
         }
         let sent_at = router.host_clock.earliest(attempt.sent_at);
-        router.hosts[attempt.host].apply_trailer(&end.trailer, sent_at);
+        router.hosts[attempt.host].replication.apply_trailer(&end.trailer, sent_at);
         router.apply_report(attempt.host, end.report, attempt.was_answered().then_some(end.trailer), out);
         router.fail_over_if_not_primary(&attempt, out);
         router.continue_request(self.0, &attempt, out);
-        router.drain_queues(router.hosts[attempt.host].shard_id, out);
+        router.drain_queues(router.hosts[attempt.host].listing.shard_id(), out);
     }
 }
 
 impl Router {
+    /// Sends an attempt of a request, which is taken out of the queue.
     pub(super) fn send(&mut self, id: RequestId, index: HostIndex, out: &mut dyn Actions) {
         let now = out.now();
-        let request_class = self.requests[&id].request_class;
+        let request_class = self.requests[id].request_class;
         let attempt = Attempt::new(request_class, index, self.work(request_class), now);
         self.record_sent(&attempt, self.cost(attempt.work, request_class));
-        let request = self.requests.get_mut(&id).expect("a submitted command");
+        let request = self.requests.get_mut(id).expect("only submitted requests are sent");
         if !request.attempts.is_empty() {
             self.retry_budget.withdraw();
         }
         request.queued = false;
         request.attempts.push(attempt);
         let host = &mut self.hosts[index];
-        if host.unresponsive {
-            host.ejected_until = now + super::outliers::UNRESPONSIVE_TRIAL_INTERVAL;
-        }
+        host.health.record_trial(now);
         out.send_attempt(id, host.host, request.deadline - now);
     }
 
-    /// An attempt that was lost is a fault of the primary, if it went there.
+    /// Counts an attempt as in flight; `cost` is what it counts for in slow start.
+    fn record_sent(&mut self, attempt: &Attempt, cost: f64) {
+        let window = self.window(attempt.host, attempt.sent_at, self.settings.slow_start().window);
+        let shard = self.shard_of_mut(attempt.host);
+        shard.concurrency_limits[attempt.request_class].in_flight += attempt.work;
+        self.hosts[attempt.host].record_attempt(attempt.work, cost, &window);
+    }
+
+    /// Cancels the attempts in flight of a finished request, where that is allowed, and forgets the request once none is
+    /// in flight.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId, out: &mut dyn Actions) {
+        let Some(request) = self.requests.get(id) else { return };
+        for (nth, attempt) in request.attempts.iter().enumerate() {
+            if self.settings.deployment().may_cancel && attempt.outcome.is_none() {
+                out.cancel_attempt(id, nth as u16);
+            }
+        }
+        if request.in_flight().next().is_none() {
+            self.forget_request(id);
+        }
+    }
+
+    fn forget_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.remove(id) else { return };
+        for attempt in &request.attempts {
+            self.hosts[attempt.host].forget_attempt();
+        }
+    }
+
+    /// Records a lost attempt as a fault of the primary, if it was sent there.
     fn record_primary_fault(&mut self, attempt: &Attempt, now: Timestamp) {
-        if attempt.was_lost() || self.hosts[attempt.host].unresponsive {
+        if attempt.was_lost() || self.hosts[attempt.host].health.is_unresponsive() {
             self.mark_unhealthy(attempt.host, now);
             let shard = self.shard_of_mut(attempt.host);
             shard.lost_since_fault += u32::from(attempt.in_flight_at_fault);
         }
     }
 
-    /// A write that the believed primary rejects as a replica shows a failover.
+    /// Fails over if the believed primary has rejected a write as a replica.
     fn fail_over_if_not_primary(&mut self, attempt: &Attempt, out: &mut dyn Actions) {
         if attempt.ended_as(AttemptOutcome::NotPrimary)
             && self.settings.class(attempt.request_class).consistency == Consistency::Write
-            && self.shard_of(attempt.host).primary == Some(attempt.host)
+            && self.is_primary(attempt.host)
         {
-            self.fail_over(self.hosts[attempt.host].shard_id, out);
+            self.fail_over(self.hosts[attempt.host].listing.shard_id(), out);
         }
     }
 
     fn continue_request(&mut self, id: RequestId, ended: &Attempt, out: &mut dyn Actions) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(id) else { return };
         if request.finished {
             self.cancel_attempts(id, out);
-        } else if request.is_stalled() && self.may_retry(request, ended, out.now()) {
+        } else if request.is_idle() && self.may_retry(request, ended, out.now()) {
             self.schedule(id, out);
-        } else if request.is_stalled() {
+        } else if request.is_idle() {
             self.reject(id, RejectionReason::NotRetryable, out);
         }
     }
--- a/crates/comethitch-policy/src/policy/capacity.rs
+++ b/crates/comethitch-policy/src/policy/capacity.rs
@@ -1,7 +1,7 @@
-//! Load control: how much work each host may get from this router, and what ended attempts tell of it.
+//! Capacity: how much work each host may get from this router.
 //!
-//! Work is the time that a host needs for a request. Limits shrink with late answers; a host in slow start
-//! gets a budget for each window besides.
+//! Work is the time that a host needs for a request. Concurrency limits bound the work in flight; a host in slow start
+//! has a budget per window besides.
 
 use super::router::Router;
 use crate::host_table::HostIndex;
@@ -9,81 +9,115 @@
 use comethitch_fleet::quota;
 use comethitch_fleet::subset::Member;
 
+/// Cost of a request in slow start, as a multiple of its work: long requests are what overloads a host.
+const COST_PER_WORK: u64 = 2;
+/// Minimum cost of a request in slow start: its latency objective over this.
+const MIN_COST_DIVISOR: u64 = 8;
+/// The admission sample stays the same for the shortest latency objective over this.
+const SAMPLE_WINDOW_DIVISOR: u64 = 2;
+/// A class whose median answer time exceeds its latency objective over this waits in queues instead of being long.
+const LONG_CLASS_DIVISOR: u64 = 4;
+
 impl Router {
-    /// Whether a host can take a request of this request class in time, and is not overloaded by it.
+    /// Returns whether a host can take a request of this class in time, and is not overloaded by it.
     pub(super) fn has_capacity(&self, member: &Member, request_class: usize, now: Timestamp) -> bool {
         self.fits_limits(member, request_class, now) && self.fits_slow_start(member, request_class, now)
     }
 
     fn fits_limits(&self, member: &Member, request_class: usize, now: Timestamp) -> bool {
-        let host = &self.hosts[member.index];
-        let shard = self.shard_of(member.index);
-        // Limits are set for the shortest objective: a long request, with one to match, finds more capacity.
-        let objective = self.settings.class(request_class).latency_objective;
-        let stretch = if self.is_long(request_class) {
-            objective.ratio(self.settings.shortest_objective())
-        } else {
-            1.0
-        };
+        let load = &self.hosts[member.index].load;
+        let shard_limit = &self.shard_of(member.index).concurrency_limits[request_class];
         let work = self.work(request_class);
-        let draw = self.admission_draw(member.index, now);
-        // One that nobody here has used comes in as the others fail: hundreds of routers turn to it at once.
-        let is_new = self.settings.refreshes_on_demand()
-            && host.last_answer == Timestamp::ZERO
-            && shard.primary != Some(member.index)
+        let sample = self.admission_sample(member.index, now);
+        load.has_free_connection(now)
+            && self.admits_first_use(member, work, sample)
+            && load.admits(work, self.limit_multiple(request_class), sample)
+            && shard_limit.admits(work, 1.0, 0.0)
+    }
+
+    /// Admits a previously unused host probabilistically: during an outage every router fails over to it at the same
+    /// time.
+    fn admits_first_use(&self, member: &Member, work: Duration, sample: f64) -> bool {
+        let shard = self.shard_of(member.index);
+        let is_first_use = self.settings.refreshes_on_demand()
+            && !self.hosts[member.index].health.has_answered()
+            && !shard.is_primary(member.index)
             && shard.answered_members > 0;
         let users = quota::expected_users(self.settings.slow_start().routers, member.router_share);
-        let own_part = self.settings.longest_objective().scaled(1.0 / users).ratio(work);
-        host.connection_slots.has_free(now)
-            && !(is_new && draw >= own_part)
-            && host.concurrency.admits(work, stretch, draw)
-            && shard.concurrency_limits[request_class].admits(work, 1.0, 0.0)
+        let quota = self.settings.longest_objective().scaled(1.0 / users).ratio(work);
+        !is_first_use || sample < quota
     }
 
-    /// A host in slow start gets no more than this router's part of what its ramp surely allows.
+    /// Returns the multiple of a host's limit that applies to a request class. Limits are adapted to the shortest
+    /// latency objective; a long class has a longer one, and so a higher limit.
+    fn limit_multiple(&self, request_class: usize) -> f64 {
+        if !self.is_long(request_class) {
+            return 1.0;
+        }
+        let objective = self.settings.class(request_class).latency_objective;
+        objective.ratio(self.settings.shortest_objective())
+    }
+
+    /// Returns whether a host in slow start stays within this router's quota of what its ramp allows.
     fn fits_slow_start(&self, member: &Member, request_class: usize, now: Timestamp) -> bool {
-        let warm_part = self.warm_part(member.index, now);
-        if warm_part >= 1.0 {
+        let warmup_fraction = self.warmup_fraction(member.index, now);
+        if warmup_fraction >= 1.0 {
             return true;
         }
         let host = &self.hosts[member.index];
         let slow_start = self.settings.slow_start();
-        let peer_load = self.warm_peer_load(now) * host.capacity;
-        let answered = host.work_answered.value(now, slow_start.window);
-        let budget = slow_start.budget(warm_part, member.router_share, peer_load, answered);
+        let peer_load = self.warm_peer_load(now) * host.listing.capacity();
+        let answered = host.load.work_answered(now, slow_start.window);
+        let budget = slow_start.budget(warmup_fraction, member.router_share, peer_load, answered);
         let window = self.window(member.index, now, slow_start.window);
         let cost = self.cost(self.work(request_class), request_class);
-        host.slow_start_usage.admits(cost, budget, &window)
+        host.load.slow_start_admits(cost, budget, &window)
     }
 
-    /// What this router sends in a slow-start window to warm hosts that it can use, for each unit of their capacity. Walks
-    /// all hosts, as the mean is over all; hence a few times a window only.
+    /// Returns the work that this router sends in a slow-start window to usable warm hosts, per unit of their capacity.
+    /// Walks all hosts, as it is the mean over all; hence it is cached.
     fn warm_peer_load(&self, now: Timestamp) -> f64 {
-        let is_warm = |peer: &HostIndex| self.is_usable(*peer, now) && self.warm_part(*peer, now) >= 1.0;
+        let is_warm =
+            |peer: &HostIndex| self.is_usable(*peer, now) && self.warmup_fraction(*peer, now) >= 1.0;
         self.statistics.peer_load.get_or_compute(now, self.settings.slow_start().window, || {
             self.load_per_capacity(self.hosts.indices().filter(is_warm), now)
         })
     }
 
-    /// The draw by which a host that may have less than one request gets one now and then.
-    pub(super) fn admission_draw(&self, index: HostIndex, now: Timestamp) -> f64 {
-        self.window(index, now, self.settings.shortest_objective() / 2).draw()
+    /// Returns the work sent to these hosts in a slow-start window per unit of their capacity; 0 without hosts.
+    fn load_per_capacity(&self, peers: impl Iterator<Item = HostIndex>, now: Timestamp) -> f64 {
+        let window = self.settings.slow_start().window;
+        let mut work_sent = 0.0;
+        let mut capacity = 0.0;
+        for peer in peers {
+            work_sent += self.hosts[peer].load.work_sent(now, window);
+            capacity += self.hosts[peer].listing.capacity();
+        }
+        if capacity > 0.0 { work_sent / capacity } else { 0.0 }
+    }
+
+    /// Returns a hashed sample, uniform from 0 to 1, by which a host whose quota is less than one request gets one
+    /// occasionally.
+    pub(super) fn admission_sample(&self, index: HostIndex, now: Timestamp) -> f64 {
+        let length = self.settings.shortest_objective() / SAMPLE_WINDOW_DIVISOR;
+        self.window(index, now, length).draw()
     }
 
-    /// The work of a request class's usual request, as seen from here.
+    /// Returns the estimated work of a request of this class.
     pub(super) fn work(&self, request_class: usize) -> Duration {
         self.statistics.service_times.work(request_class)
     }
 
-    /// What a request is charged to the budget of a host in slow start: the long ones are what overloads it.
+    /// Returns what a request counts for in the budget of a host in slow start, in microseconds.
     pub(super) fn cost(&self, work: Duration, request_class: usize) -> f64 {
-        let least = self.settings.class(request_class).latency_objective / 8;
-        (work * 2).max(least).as_micros() as f64
+        let min = self.settings.class(request_class).latency_objective / MIN_COST_DIVISOR;
+        (work * COST_PER_WORK).max(min).as_micros() as f64
     }
 
-    /// Whether its requests take longer than short ones may, as its objective allows and not for a queue.
+    /// Returns whether requests of a class take longer than the shortest latency objective by nature, and not for a
+    /// queue.
     pub(super) fn is_long(&self, request_class: usize) -> bool {
-        let allowed = self.settings.class(request_class).latency_objective / 4;
-        self.statistics.service_times.median(request_class).min(allowed) > self.settings.shortest_objective()
+        let max = self.settings.class(request_class).latency_objective / LONG_CLASS_DIVISOR;
+        self.statistics.service_times.median(request_class).min(max) > self.settings.shortest_objective()
     }
 }
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: hosts that are added, drained, restarted, named primary or removed.
 
 use super::intervals::HEALTH_CHECK_INTERVAL;
-use super::router::{RemovedHost, Router};
+use super::router::Router;
 use crate::histogram::Histogram;
 use crate::host_state::HostState;
 use crate::host_table::HostIndex;
@@ -11,8 +11,12 @@
 
 /// How long after its removal a host is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
-/// When one is looked at again that something still referred to then.
-const FORGET_RETRY: Duration = Duration::from_secs(1);
+/// Interval of further reviews while something still refers to a removed host.
+const FORGET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// End of the lowest bin of relative latencies, of which a millisecond is one.
+const MIN_RELATIVE_LATENCY: Duration = Duration::from_micros(250);
+/// Number of answers at which a histogram of relative latencies halves its counts.
+const RELATIVE_LATENCY_CAPACITY: u32 = 64;
 
 impl Router {
     /// Applies a change of the endpoint list. Only a complete list costs work for hosts that it does not name.
@@ -24,10 +28,10 @@
         let mut changed_shards: BTreeSet<ShardId> =
             update.endpoints.iter().map(|entry| entry.shard_id).collect();
         for index in self.removed_by(update) {
-            changed_shards.insert(self.hosts[index].shard_id);
+            changed_shards.insert(self.hosts[index].listing.shard_id());
             self.remove_host(index, now);
         }
-        self.forget_removed(now);
+        self.forget_removed_hosts(now);
         for shard_id in &changed_shards {
             self.members_changed(*shard_id, now);
         }
@@ -37,7 +41,8 @@
         }
     }
 
-    /// The hosts that an update lists as removed or, if it is complete, does not name: then all hosts are walked.
+    /// Returns the hosts that an update lists as removed and, if it is complete, those that it does not name: in that
+    /// case all hosts are walked.
     fn removed_by(&self, update: &EndpointUpdate) -> Vec<HostIndex> {
         let is_removed = |entry: &&Endpoint| entry.lifecycle == Lifecycle::Removed;
         let listed = update.endpoints.iter().filter(is_removed);
@@ -53,39 +58,30 @@
 
     fn remove_host(&mut self, index: HostIndex, now: Timestamp) {
         let removal_is_binding = !self.settings.deployment().removal_is_advisory;
-        let host = &mut self.hosts[index];
-        host.removed = true;
-        if removal_is_binding {
-            host.draining_since = host.draining_since.or(Some(now));
-        }
-        if !std::mem::replace(&mut host.awaits_forgetting, true) {
-            let since = host.draining_since.unwrap_or(now);
-            self.removed_hosts.insert(RemovedHost { review_at: since + FORGET_AFTER, index });
-        }
+        let listing = &mut self.hosts[index].listing;
+        listing.remove(removal_is_binding, now);
+        let since = listing.draining_since().unwrap_or(now);
+        self.hosts.schedule_removal_review(index, since + FORGET_AFTER);
     }
 
-    /// What follows from a change of a group's members for the group alone.
+    /// Updates what depends on the members of a shard.
     fn members_changed(&mut self, shard_id: ShardId, now: Timestamp) {
-        let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        shard.ranking.get_mut().invalidate();
+        let Some(shard) = self.shards.get_mut(shard_id) else { return };
+        shard.ranking.invalidate();
         shard.next_check_review = now;
-        self.limit_unknown_hosts(shard_id, now);
+        self.limit_unused_hosts(shard_id, now);
     }
 
     fn update_endpoint(&mut self, endpoint: &Endpoint, out: &mut dyn Actions) {
         let now = out.now();
         let known = self.hosts.index_of(endpoint.host);
         let index = known.unwrap_or_else(|| self.add_host(endpoint, now));
-        let host = &mut self.hosts[index];
-        // A process that started anew holds no role and none of what was sent to it.
-        let newer = endpoint.started > host.started;
-        let last_answer = self.host_clock.estimated(host.last_answer);
-        let restarted = known.is_some() && newer && last_answer < endpoint.started.unwrap_or_default();
-        host.apply_endpoint(endpoint, now);
-        let Some(shard) = self.shards.get_mut(&endpoint.shard_id) else { return };
+        let restarted = known.is_some() && self.has_restarted(index, endpoint);
+        self.hosts[index].listing.apply(endpoint, now);
+        let Some(shard) = self.shards.get_mut(endpoint.shard_id) else { return };
         let newly_named = endpoint.is_primary && shard.listed_primary != Some(index);
         if newly_named {
-            host.next_health_check = now;
+            self.hosts[index].checks.schedule(now);
             shard.next_check_review = now;
         }
         if endpoint.is_primary {
@@ -96,59 +92,70 @@
             if primary == index {
                 return restarted || endpoint.lifecycle == Lifecycle::Removed;
             }
-            // The list is seconds late: a primary that has just answered as one outweighs it.
-            newly_named && now - self.hosts[primary].last_seen_primary > HEALTH_CHECK_INTERVAL
+            // The list lags by seconds: a primary that has just answered as one outweighs it.
+            let last_seen_primary = self.hosts[primary].replication.last_seen_primary();
+            newly_named && now - last_seen_primary > HEALTH_CHECK_INTERVAL
         });
         if primary_lost {
             self.fail_over(endpoint.shard_id, out);
         }
     }
 
+    /// Returns whether a host's process has restarted since its last answer: it has lost its role and what was sent to
+    /// it.
+    fn has_restarted(&self, index: HostIndex, endpoint: &Endpoint) -> bool {
+        let host = &self.hosts[index];
+        let last_answer = self.host_clock.estimated(host.health.last_answer());
+        endpoint.started > host.listing.started() && last_answer < endpoint.started.unwrap_or_default()
+    }
+
     fn add_host(&mut self, endpoint: &Endpoint, now: Timestamp) -> HostIndex {
-        let latency = Histogram::new(Duration::from_micros(250), 64);
-        let index = self.hosts.insert(HostState::new(endpoint, latency, now));
-        let shard = self.shards.entry(endpoint.shard_id).or_default();
+        let relative_latency = Histogram::new(MIN_RELATIVE_LATENCY, RELATIVE_LATENCY_CAPACITY);
+        let index = self.hosts.insert(HostState::new(endpoint, relative_latency, now));
+        let shard = self.shards.get_or_add(endpoint.shard_id);
         shard.add_member(index, self.settings.deployment().classes.len());
         shard.health_check_budget += 1.0;
         index
     }
 
-    /// Forgets the hosts whose time has come. Those that were listed again are just taken off the list.
-    pub(super) fn forget_removed(&mut self, now: Timestamp) {
-        while self.removed_hosts.first().is_some_and(|removed| removed.review_at < now) {
-            let Some(RemovedHost { index, .. }) = self.removed_hosts.pop_first() else { return };
-            let host = &mut self.hosts[index];
-            if !host.removed {
-                host.awaits_forgetting = false;
+    /// Forgets the removed hosts whose time has come, except those that were listed again.
+    pub(super) fn forget_removed_hosts(&mut self, now: Timestamp) {
+        while let Some(index) = self.hosts.next_removal_review(now) {
+            let listing = &self.hosts[index].listing;
+            if !listing.is_removed() {
                 continue;
             }
-            let expired = host.draining_since.is_some_and(|since| now - since > FORGET_AFTER);
+            let expired = listing.draining_since().is_some_and(|since| now - since > FORGET_AFTER);
             if expired && !self.is_referred_to(index) {
                 self.forget_host(index);
             } else {
-                self.removed_hosts.insert(RemovedHost { review_at: now + FORGET_RETRY, index });
+                self.hosts.schedule_removal_review(index, now + FORGET_RETRY_INTERVAL);
             }
         }
     }
 
+    /// Returns whether the shard, a request in progress or a health check in flight still refers to a host.
+    fn is_referred_to(&self, index: HostIndex) -> bool {
+        let shard = self.shard_of(index);
+        shard.is_primary(index) || shard.listed_primary == Some(index) || self.hosts[index].is_referred_to()
+    }
+
     fn forget_host(&mut self, index: HostIndex) {
-        let has_answered = self.hosts[index].last_answer > Timestamp::ZERO;
-        let shard = self.shard_of_mut(index);
-        shard.members.retain(|member| *member != index);
-        shard.answered_members -= usize::from(has_answered);
-        shard.ranking.get_mut().invalidate();
+        let has_answered = self.hosts[index].health.has_answered();
+        self.shard_of_mut(index).remove_member(index, has_answered);
         self.hosts.release(index);
     }
 
-    /// Until a host has answered, all routers together put no more there than the work of the longest
-    /// objective: one that comes into many subsets is else filled for seconds before any answer is late.
-    fn limit_unknown_hosts(&mut self, shard_id: ShardId, now: Timestamp) {
-        let shard = &self.shards[&shard_id];
+    /// Limits the hosts that have not answered yet to the work of the longest latency objective from all routers
+    /// together. A host that enters many subsets at once would otherwise be filled for seconds before any answer is late.
+    fn limit_unused_hosts(&mut self, shard_id: ShardId, now: Timestamp) {
+        let shard = &self.shards[shard_id];
         let subset_size = self.subset_size(shard, now);
         for index in shard.members.clone() {
-            if self.hosts[index].last_answer == Timestamp::ZERO {
+            if !self.hosts[index].health.has_answered() {
                 let users = self.expected_users(index, subset_size);
-                self.hosts[index].concurrency.limit = self.settings.longest_objective().scaled(1.0 / users);
+                let limit = self.settings.longest_objective().scaled(1.0 / users);
+                self.hosts[index].load.set_limit(limit);
             }
         }
     }
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -1,18 +1,23 @@
-//! The ends of health checks, who pays for them, and what makes a host unreachable, unresponsive or ejected.
+//! Health checks: how they are sent, what their ends show, and how requests pay for them.
 
+use super::intervals::HEALTH_CHECK_RETRY_INTERVAL;
 use super::recent_requests::{RECENT_REQUESTS_WINDOW, is_in_use};
 use super::router::Router;
+use crate::host_table::HostIndex;
 use crate::time::Timestamp;
 use crate::{Actions, AttemptOutcome, Host, LoadReport, ShardId};
 
-/// Points of service that each request spends on health checks: quiet routers pay more than once for each.
-const POINTS_PER_COMMAND: f64 = 0.02;
-/// The part of these that timers get where positions are refreshed on demand besides.
-const TIMER_PART: f64 = 0.25;
-/// How many health checks may be saved up for each member of a group.
-const SAVED_PER_MEMBER: f64 = 2.0;
+/// Points of service that each request spends on health checks.
+const POINTS_PER_REQUEST: f64 = 0.02;
+/// The fraction of these that periodic health checks get where positions are refreshed on demand besides.
+const PERIODIC_FRACTION: f64 = 0.25;
+/// Maximum number of health checks saved up per member of a shard.
+const MAX_BUDGET_PER_MEMBER: f64 = 2.0;
+/// A host that has reported no position yet is checked again after the retry interval over this.
+const STARTING_HOST_RETRY_DIVISOR: u64 = 4;
+
 impl Router {
-    /// Takes in the end of a health check, with the load report that came back.
+    /// Records the end of a health check, with the load report that came back.
     pub fn health_checked(
         &mut self, host: Host, outcome: AttemptOutcome, report: LoadReport, out: &mut dyn Actions,
     ) {
@@ -20,32 +25,52 @@
         let Some(index) = self.hosts.index_of(host) else { return };
         let connect_timeout = self.settings.deployment().connect_timeout;
         let host = &mut self.hosts[index];
-        let sent_at = host.health_check_sent.take().unwrap_or(now);
+        let sent_at = host.checks.record_end().unwrap_or(now);
         match outcome {
             AttemptOutcome::NoConnectionSlot => {
-                host.record_rejection(self.random.hash_seed(), connect_timeout, now);
+                host.record_connection_rejected(self.random.hash_seed(), connect_timeout, now);
             }
             AttemptOutcome::Answered | AttemptOutcome::Error | AttemptOutcome::Overloaded => {
-                host.record_sign_of_life(now);
+                host.health.record_sign_of_life(now);
                 if report == LoadReport::default() {
-                    host.retry_health_check(now);
+                    self.retry_health_check(index, now);
                 }
             }
-            _ if host.last_sign_of_life < sent_at => host.record_failure(connect_timeout, now),
+            _ if host.health.last_sign_of_life() < sent_at => {
+                host.health.record_failure(connect_timeout, now);
+            }
             _ => {}
         }
-        self.review_checks_by(index);
+        let next_check_at = self.hosts[index].checks.next_at();
+        self.shard_of_mut(index).review_by(next_check_at);
         self.apply_report(index, report, None, out);
-        self.drain_queues(self.hosts[index].shard_id, out);
+        self.drain_queues(self.hosts[index].listing.shard_id(), out);
+    }
+
+    /// Repeats a health check that reported nothing: the host has just started, is overloaded, or only its health checks
+    /// fail.
+    fn retry_health_check(&mut self, index: HostIndex, now: Timestamp) {
+        let host = &mut self.hosts[index];
+        let divisor = if host.replication.has_position() { 1 } else { STARTING_HOST_RETRY_DIVISOR };
+        host.checks.bring_forward(now + HEALTH_CHECK_RETRY_INTERVAL / divisor);
+    }
+
+    /// Sends a health check to a host.
+    pub(super) fn send_health_check(&mut self, index: HostIndex, out: &mut dyn Actions) {
+        let host = &mut self.hosts[index];
+        host.record_health_check(out.now());
+        out.check_health(host.host);
     }
 
-    pub(super) fn fund_health_checks(&mut self, shard_id: ShardId, now: Timestamp) {
-        let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        let points = POINTS_PER_COMMAND * if self.settings.refreshes_on_demand() { TIMER_PART } else { 1.0 };
+    /// Records a request of a shard, which pays for a fraction of a health check there.
+    pub(super) fn record_request_of_shard(&mut self, shard_id: ShardId, now: Timestamp) {
+        let Some(shard) = self.shards.get_mut(shard_id) else { return };
+        let fraction = if self.settings.refreshes_on_demand() { PERIODIC_FRACTION } else { 1.0 };
+        let points = POINTS_PER_REQUEST * fraction;
         let funded = shard.health_check_budget + points / self.settings.deployment().health_check_price;
-        shard.health_check_budget = funded.min(shard.members.len() as f64 * SAVED_PER_MEMBER);
+        shard.health_check_budget = funded.min(shard.members.len() as f64 * MAX_BUDGET_PER_MEMBER);
         if !is_in_use(shard, now) {
-            // Nobody needed to know its state before.
+            // The state of an unused shard may be outdated.
             shard.next_check_review = now;
         }
         shard.recent_requests.add(1.0, now, RECENT_REQUESTS_WINDOW);
--- a/crates/comethitch-policy/src/policy/host_time.rs
+++ b/crates/comethitch-policy/src/policy/host_time.rs
@@ -34,11 +34,11 @@
     ///
     /// Ignores a position that has not advanced: its age is unknown, and it would make the router's clock seem ahead.
     pub(super) fn record_host_time(&mut self, index: HostIndex, report: &LoadReport, now: Timestamp) {
-        let advanced = |position: &Timestamp| *position > self.hosts[index].position;
+        let advanced = |position: &Timestamp| *position > self.hosts[index].replication.position();
         let Some(position) = report.position.filter(advanced) else { return };
         let by_primary = match report.role {
             Some(role) => role == Role::Primary,
-            None => self.shard_of(index).primary == Some(index),
+            None => self.is_primary(index),
         };
         self.host_clock.record_position(position, by_primary, now);
     }
@@ -63,10 +63,10 @@
 
     /// Returns the believed primaries of shards in use that have no health check in flight.
     fn pollable_primaries(&self, now: Timestamp) -> impl Iterator<Item = HostIndex> {
-        let in_use = self.shards.values().filter(move |shard| is_in_use(shard, now));
+        let in_use = self.shards.iter().map(|(_, shard)| shard).filter(move |shard| is_in_use(shard, now));
         in_use.filter_map(|shard| shard.primary).filter(move |index| {
             let host = &self.hosts[*index];
-            host.health_check_sent.is_none() && !host.removed && host.connection_slots.has_free(now)
+            !host.checks.is_in_flight() && !host.listing.is_removed() && host.load.has_free_connection(now)
         })
     }
 }
--- a/crates/comethitch-policy/src/policy/outcomes.rs
+++ b/crates/comethitch-policy/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What ended attempts show of hosts and load.
+//! What the end of an attempt shows of its host's health, of service times and of load.
 
 use super::recent_requests::RECENT_REQUESTS_WINDOW;
 use super::router::Router;
@@ -7,16 +7,23 @@
 use crate::time::{Duration, Timestamp};
 use comethitch_fleet::concurrency_limit::EndedWork;
 
+/// Minimum limit of a host, as latency objectives of work that all routers together have in flight there.
+const MIN_HOST_LIMIT_OBJECTIVES: u64 = 2;
+/// Minimum limit of a host where few routers use it: the latency objective over this.
+const MIN_HOST_LIMIT_DIVISOR: u64 = 2;
+/// Minimum time between two cuts of a limit: the latency objective over this.
+const CUT_INTERVAL_DIVISOR: u64 = 2;
+
 impl Router {
-    /// Counts the end of an attempt: for its host's health, its request class's times and all limits.
+    /// Records how an attempt ended: for its host's health, its class's service times, and all limits.
     pub(super) fn record_outcome(&mut self, attempt: &Attempt, now: Timestamp) {
         let answered = attempt.ended_as(AttemptOutcome::Answered);
-        let used_up = attempt.maybe_ran() && !attempt.ended_as(AttemptOutcome::Error);
-        if !used_up && self.warm_part(attempt.host, now) >= 1.0 {
+        let did_work = attempt.maybe_ran() && !attempt.ended_as(AttemptOutcome::Error);
+        if !did_work && self.warmup_fraction(attempt.host, now) >= 1.0 {
             let cost = self.cost(self.work(attempt.request_class), attempt.request_class);
-            self.hosts[attempt.host].work_sent.subtract(cost);
+            self.hosts[attempt.host].load.refund_sent(cost);
         }
-        self.hosts[attempt.host].connection_slots.attempt_ended(attempt.sent_at, answered);
+        self.hosts[attempt.host].load.release_connection(attempt.sent_at, answered);
         self.record_host_health(attempt, now);
         if answered {
             self.record_answer(attempt, now);
@@ -24,10 +31,9 @@
         self.release_work(attempt, now);
     }
 
-    /// Whether an ended attempt was late; none where its end says nothing of the load.
-    fn lateness(&self, attempt: &Attempt, now: Timestamp) -> Option<bool> {
-        let objective = self.settings.class(attempt.request_class).latency_objective;
-        let late = now - attempt.sent_at > objective / 2;
+    /// Returns whether an ended attempt was late; none where its end says nothing about load.
+    fn was_late(&self, attempt: &Attempt, now: Timestamp) -> Option<bool> {
+        let late = now - attempt.sent_at > self.settings.late_after(attempt.request_class);
         match attempt.outcome? {
             AttemptOutcome::Answered => Some(late),
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => late.then_some(true),
@@ -37,72 +43,85 @@
 
     fn record_host_health(&mut self, attempt: &Attempt, now: Timestamp) {
         let connect_timeout = self.settings.deployment().connect_timeout;
-        let late = self.lateness(attempt, now).is_some();
-        if attempt.was_answered() && self.hosts[attempt.host].last_answer == Timestamp::ZERO {
+        let is_evidence_of_load = self.was_late(attempt, now).is_some();
+        if attempt.was_answered() && !self.hosts[attempt.host].health.has_answered() {
             self.shard_of_mut(attempt.host).answered_members += 1;
         }
         let host = &mut self.hosts[attempt.host];
         if attempt.was_answered() {
-            host.last_answer = now;
-            host.unanswered_attempts = 0;
-            host.unresponsive = false;
+            host.health.record_answer(now);
             self.statistics.error_rate.record(attempt.ended_as(AttemptOutcome::Error));
         }
         match attempt.outcome.expect("an attempt that ended") {
-            // Errors are the host's while they are rare; spread over all hosts they are the requests'.
             AttemptOutcome::Error if !self.statistics.error_rate.is_widespread() => {
-                host.record_failure(connect_timeout, now);
+                host.health.record_failure(connect_timeout, now);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
-                if late && host.last_answer <= attempt.sent_at {
-                    host.record_unanswered(now);
+                if is_evidence_of_load && host.health.last_answer() <= attempt.sent_at {
+                    host.health.record_unanswered(now);
                 }
             }
             AttemptOutcome::ConnectionFailed | AttemptOutcome::ConnectionReset => {
-                host.record_failure(connect_timeout, now);
-                self.set_next_health_check(attempt.host, now);
+                host.health.record_failure(connect_timeout, now);
+                self.schedule_health_check(attempt.host, now);
             }
             AttemptOutcome::NoConnectionSlot => {
-                host.record_rejection(self.random.hash_seed(), connect_timeout, now);
+                host.record_connection_rejected(self.random.hash_seed(), connect_timeout, now);
             }
             AttemptOutcome::NotSent => {}
-            _ => host.record_sign_of_life(now),
+            _ => host.health.record_sign_of_life(now),
         }
     }
 
     fn record_answer(&mut self, attempt: &Attempt, now: Timestamp) {
-        let took = now - attempt.sent_at;
-        let relative = took.ratio(self.statistics.service_times.median(attempt.request_class)) * 1000.0;
+        let service_time = now - attempt.sent_at;
+        let relative = service_time.ratio(self.statistics.service_times.median(attempt.request_class));
         let cost = self.cost(attempt.work, attempt.request_class);
-        let host = &mut self.hosts[attempt.host];
-        host.work_answered.add(cost, now, self.settings.slow_start().window);
-        host.relative_latency.add(Duration::from_micros(relative as u64));
-        self.statistics.service_times.record(attempt.request_class, took);
+        let window = self.settings.slow_start().window;
+        self.hosts[attempt.host].load.record_answer(cost, window, relative, now);
+        self.statistics.service_times.record(attempt.request_class, service_time);
     }
 
-    /// Takes an ended attempt out of what is in flight, and adapts the limits to whether it was late.
+    /// Releases the work of an ended attempt, and adapts the limits of its host and shard.
     fn release_work(&mut self, attempt: &Attempt, now: Timestamp) {
-        let work = attempt.work;
-        let late = self.lateness(attempt, now);
+        let late = self.was_late(attempt, now);
+        let overloaded = attempt.ended_as(AttemptOutcome::Overloaded);
         let objective = self.settings.class(attempt.request_class).latency_objective;
-        // Every router may hold this much at a host at once.
-        let size = self.subset_size(self.shard_of(attempt.host), now);
-        let users = self.expected_users(attempt.host, size);
-        let least = (objective * 2).scaled(1.0 / users).min(objective / 2);
-        let host = &mut self.hosts[attempt.host];
-        let shard = self.shards.get_mut(&host.shard_id).expect("a host's group is known");
-        // Nor less than its requests need at their usual pace: some see many times what others do.
-        let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
-        let needed = work.scaled(rate * work.ratio(RECENT_REQUESTS_WINDOW));
-        let min_limit = (least * shard.members.len() as u64).max(needed).max(work);
-        let mut ended =
-            EndedWork { work, late, other_late_share: 0.0, min_limit, cut_interval: objective / 2 };
-        let shard_limit = &mut shard.concurrency_limits[attempt.request_class];
+        let min_host_limit = self.min_host_limit(attempt, now);
+        let min_shard_limit = self.min_shard_limit(attempt, min_host_limit, now);
+        let ended = EndedWork {
+            work: attempt.work,
+            late,
+            other_late_share: 0.0,
+            min_limit: min_shard_limit,
+            cut_interval: objective / CUT_INTERVAL_DIVISOR,
+        };
+        let shard_limit = &mut self.shard_of_mut(attempt.host).concurrency_limits[attempt.request_class];
         shard_limit.record_end(ended, now);
-        let overloaded = attempt.ended_as(AttemptOutcome::Overloaded);
-        ended.late = late.or(overloaded.then_some(true));
-        ended.other_late_share = shard_limit.late_share.max(f64::from(overloaded));
-        ended.min_limit = least;
-        host.concurrency.record_end(ended, now);
+        let at_host = EndedWork {
+            late: late.or(overloaded.then_some(true)),
+            other_late_share: shard_limit.late_share.max(f64::from(overloaded)),
+            min_limit: min_host_limit,
+            ..ended
+        };
+        self.hosts[attempt.host].load.release_work(at_host, now);
+    }
+
+    /// Returns the minimum limit at an attempt's host: every router may have this much in flight there at once.
+    fn min_host_limit(&self, attempt: &Attempt, now: Timestamp) -> Duration {
+        let objective = self.settings.class(attempt.request_class).latency_objective;
+        let subset_size = self.subset_size(self.shard_of(attempt.host), now);
+        let users = self.expected_users(attempt.host, subset_size);
+        let of_all_routers = objective * MIN_HOST_LIMIT_OBJECTIVES;
+        of_all_routers.scaled(1.0 / users).min(objective / MIN_HOST_LIMIT_DIVISOR)
+    }
+
+    /// Returns the minimum limit of an attempt's shard: that of its members, and what its requests need at their usual
+    /// rate, as some routers see many times the requests of others.
+    fn min_shard_limit(&self, attempt: &Attempt, min_host_limit: Duration, now: Timestamp) -> Duration {
+        let shard = self.shard_of(attempt.host);
+        let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
+        let needed = attempt.work.scaled(rate * attempt.work.ratio(RECENT_REQUESTS_WINDOW));
+        (min_host_limit * shard.members.len() as u64).max(needed).max(attempt.work)
     }
 }
--- a/crates/comethitch-policy/src/policy/outliers.rs
+++ b/crates/comethitch-policy/src/policy/outliers.rs
@@ -1,61 +1,49 @@
-//! Outliers.
+//! Outlier ejection: when a host counts as unreachable or unresponsive, and for how long it is ejected.
 
-use super::intervals::{HEALTH_CHECK_RETRY_INTERVAL, SILENCE_TIMEOUT};
-use crate::host_state::HostState;
+use super::intervals::SILENCE_TIMEOUT;
+use crate::host_health::HostHealth;
 use crate::time::{Duration, Timestamp};
 
-/// Attempts in a row, cancelled late or timed out without any answer since, that make a host unresponsive.
+/// Number of consecutive failures, of connections, attempts and health checks, that make a host unreachable.
+const UNREACHABLE_AFTER: u32 = 3;
+/// Number of consecutive attempts, cancelled late or timed out, that make a host unresponsive.
 const UNRESPONSIVE_AFTER: u32 = 2;
 /// How often an unresponsive host is tried with a request.
-pub(super) const UNRESPONSIVE_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
-/// Failures in a row, of connections, attempts and health checks, that make a host unreachable.
-const UNREACHABLE_AFTER: u32 = 3;
-
-impl HostState {
-    pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
-        now < self.ejected_until
-    }
-
-    /// Whether nothing has reached it for a while. One failure is no proof: the host may lack a connection
-    /// to spare, or be hard to reach from here alone, and serve all the same.
+const UNRESPONSIVE_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of times that the ejection of an unreachable host doubles.
+const MAX_EJECTION_DOUBLINGS: u32 = 16;
+
+impl HostHealth {
+    /// Returns whether the host cannot be reached.
+    ///
+    /// Fewer failures prove nothing: the host may lack a free connection slot, or be hard to reach from here alone.
     pub(super) fn is_unreachable(&self) -> bool {
-        self.consecutive_failures >= UNREACHABLE_AFTER
+        self.consecutive_failures() >= UNREACHABLE_AFTER
     }
 
-    pub(super) fn record_sign_of_life(&mut self, now: Timestamp) {
-        self.last_sign_of_life = now;
-        self.consecutive_failures = 0;
-        if !self.unresponsive {
-            self.ejected_until = self.ejected_until.min(now);
-        }
-    }
-
-    /// Ejects an unreachable host, for twice as long each time: hundreds of routers try one that is down.
+    /// Records a failure, and ejects an unreachable host for twice as long each time: hundreds of routers try one that
+    /// is down.
     pub(super) fn record_failure(&mut self, connect_timeout: Duration, now: Timestamp) {
-        self.consecutive_failures += 1;
+        let failures = self.count_failure();
         if self.is_unreachable() {
-            let doublings = (self.consecutive_failures - UNREACHABLE_AFTER).min(16);
-            self.ejected_until = now + (connect_timeout * (1 << doublings)).min(SILENCE_TIMEOUT);
+            let doublings = (failures - UNREACHABLE_AFTER).min(MAX_EJECTION_DOUBLINGS);
+            self.eject_until(now + (connect_timeout * (1 << doublings)).min(SILENCE_TIMEOUT));
         }
     }
 
-    /// Hangs, one-way links, hosts too slow to wait for, whatever their health checks say.
+    /// Records an unanswered attempt, and ejects a host that becomes unresponsive, whatever its health checks say: it
+    /// hangs, its link works in one direction only, or it is too slow to wait for.
     pub(super) fn record_unanswered(&mut self, now: Timestamp) {
-        self.unanswered_attempts += 1;
-        if self.unanswered_attempts >= UNRESPONSIVE_AFTER && !self.unresponsive {
-            self.unresponsive = true;
-            self.ejected_until = self.ejected_until.max(now + UNRESPONSIVE_TRIAL_INTERVAL);
+        let unanswered = self.count_unanswered();
+        if unanswered >= UNRESPONSIVE_AFTER && !self.is_unresponsive() {
+            self.mark_unresponsive(now + UNRESPONSIVE_TRIAL_INTERVAL);
         }
     }
 
-    pub(super) fn record_rejection(&mut self, hash_seed: u64, connect_timeout: Duration, now: Timestamp) {
-        self.record_sign_of_life(now);
-        self.connection_slots.connection_rejected(hash_seed, self.host.number(), connect_timeout, now);
-    }
-
-    /// It runs but reports nothing: it has just started, is overloaded, or only its health checks fail.
-    pub(super) fn retry_health_check(&mut self, now: Timestamp) {
-        let divisor = if self.position == Timestamp::ZERO { 4 } else { 1 };
-        self.next_health_check = self.next_health_check.min(now + HEALTH_CHECK_RETRY_INTERVAL / divisor);
+    /// Records that a request is sent to the host: an unresponsive one gets the next after an interval.
+    pub(super) fn record_trial(&mut self, now: Timestamp) {
+        if self.is_unresponsive() {
+            self.eject_until(now + UNRESPONSIVE_TRIAL_INTERVAL);
+        }
     }
 }
--- a/crates/comethitch-policy/src/policy/periodic_checks.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -1,5 +1,4 @@
-//! Which health checks are due by time, and when it is looked: an amount of work for each tick that does not grow with
-//! the hosts.
+//! Schedules periodic health checks with a bounded amount of work per tick.
 
 use super::intervals::{HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL};
 use super::recent_requests::is_in_use;
@@ -9,16 +8,21 @@
 use crate::time::{Duration, Timestamp};
 use crate::{Actions, Role, ShardId, ShardState};
 
-/// How often a group in use is reviewed for what time alone has changed, at the least.
+/// Maximum time between two reviews of a shard in use.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval of health checks that are not urgent, for tight staleness bounds.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Silence after which a primary that should have answered is checked, where only answers show its state.
+const PRIMARY_CHECK_AFTER_SILENCE: Duration = Duration::from_millis(500);
+
 impl Router {
-    /// Checks each host whose time has come, if there is need and someone has paid for it.
+    /// Checks each host whose health check is due, if it is needed and paid for.
     pub(super) fn run_due_health_checks(&mut self, out: &mut dyn Actions) {
         if !self.settings.deployment().may_check_health {
             return;
         }
         let now = out.now();
-        let mut due = self.shards_to_review(now);
+        let mut due = self.shards.due_for_review(now);
         self.health_checks.continue_round(&mut due);
         for shard_id in due {
             if self.health_checks.is_exhausted() {
@@ -26,46 +30,41 @@
             }
             self.health_checks.record_visited(shard_id);
             self.run_due_health_checks_of(shard_id, out);
-            let next_check_review = self.next_check_review(shard_id, now);
-            let shard = self.shards.get_mut(&shard_id).expect("a group that was just reviewed");
-            shard.next_check_review = next_check_review;
+            self.shards[shard_id].next_check_review = self.next_check_review(shard_id, now);
         }
     }
 
-    /// The groups of which time alone may have changed something.
-    pub(super) fn shards_to_review(&self, now: Timestamp) -> Vec<ShardId> {
-        let due = self.shards.iter().filter(|(_, shard)| shard.next_check_review <= now);
-        due.map(|(shard_id, _)| *shard_id).collect()
+    /// Moves a host's next health check to this time, and its shard's next review forward to it.
+    pub(super) fn schedule_health_check(&mut self, index: HostIndex, at: Timestamp) {
+        self.hosts[index].checks.schedule(at);
+        self.shard_of_mut(index).review_by(at);
     }
 
-    /// When a check of a member may be due next, as far as time alone tells: at the latest after a review interval, as
-    /// requests may need a check, or have paid for it, without any other event. Of a group that is not in use little
-    /// needs to be known, and its next request brings the review forward.
+    /// Returns when a member's health check may be due next.
+    ///
+    /// The time is bounded by a review interval, as requests may need a check, or pay for one, without any other event.
+    /// A shard that is not in use is reviewed less often; its next request brings the review forward.
     fn next_check_review(&self, shard_id: ShardId, now: Timestamp) -> Timestamp {
-        let shard = &self.shards[&shard_id];
-        let is_idle = self.settings.refreshes_on_demand() && !is_in_use(shard, now);
         if self.health_checks.is_exhausted() {
             return now;
         }
+        let shard = &self.shards[shard_id];
+        let is_idle = self.settings.refreshes_on_demand() && !is_in_use(shard, now);
         let latest = now + if is_idle { HEALTH_CHECK_INTERVAL } else { REVIEW_INTERVAL };
         let members = self.members_to_check(shard, now).iter();
-        let next = members.map(|member| self.hosts[*member].next_health_check).filter(|at| *at > now).min();
+        let next = members.map(|member| self.hosts[*member].checks.next_at()).filter(|at| *at > now).min();
         next.map_or(latest, |next| next.min(latest))
     }
 
-    /// Sees to it that a host's group is reviewed by the time that the host is to be checked.
-    pub(super) fn review_checks_by(&mut self, index: HostIndex) {
-        let at = self.hosts[index].next_health_check;
-        self.set_next_health_check(index, at);
-    }
-
-    /// The members that a health check may be needed for. Where positions are refreshed on demand, these are none of a
-    /// group that is not in use, and only the primary of one that has one and is not in Failover (see
-    /// [`Router::is_check_needed`]).
+    /// Returns the members that may need a health check.
+    ///
+    /// Where positions are refreshed on demand, these are none of a shard that is not in use, and only the primary of
+    /// one that has one and is not in Failover (see [`Router::is_check_needed`]).
     fn members_to_check<'a>(&self, shard: &'a Shard, now: Timestamp) -> &'a [HostIndex] {
+        let refreshes_on_demand = self.settings.refreshes_on_demand();
         match &shard.primary {
-            _ if self.settings.refreshes_on_demand() && !is_in_use(shard, now) => &[],
-            Some(primary) if self.settings.refreshes_on_demand() && shard.state != ShardState::Failover => {
+            _ if refreshes_on_demand && !is_in_use(shard, now) => &[],
+            Some(primary) if refreshes_on_demand && shard.state != ShardState::Failover => {
                 std::slice::from_ref(primary)
             }
             _ => &shard.members,
@@ -74,79 +73,87 @@
 
     fn run_due_health_checks_of(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
-        let calm_interval =
-            self.settings.tightest_bound().clamp(HEALTH_CHECK_INTERVAL / 5, HEALTH_CHECK_INTERVAL);
+        let calm_interval = self.settings.tightest_bound().clamp(MIN_CHECK_INTERVAL, HEALTH_CHECK_INTERVAL);
         for index in self.due_health_checks(shard_id, now) {
             if self.health_checks.is_exhausted() {
                 return;
             }
-            let urgent = self.is_check_urgent(index);
-            let interval = if urgent { HEALTH_CHECK_RETRY_INTERVAL } else { calm_interval };
-            let host = &mut self.hosts[index];
-            // An answer that carried a report is as good as a health check.
-            let reported = now - host.lag_reported_at < interval && now - host.last_sign_of_life < interval;
-            if !urgent && reported {
-                host.next_health_check = now + interval;
-            } else if self.pay_for_health_check(index, now) {
+            let is_urgent = self.is_check_urgent(index);
+            let interval = if is_urgent { HEALTH_CHECK_RETRY_INTERVAL } else { calm_interval };
+            if !is_urgent && self.has_reported_within(index, interval, now) {
+                self.hosts[index].checks.schedule(now + interval);
+            } else if self.charge_health_check(index, now) {
                 self.health_checks.record_started();
-                self.hosts[index].next_health_check = now + interval;
+                self.hosts[index].checks.schedule(now + interval);
                 self.send_health_check(index, out);
             }
         }
     }
 
-    /// The listed primaries, then the longest due: where few are paid for, each has its turn.
+    /// Returns whether an answer that carried a load report makes a health check unnecessary.
+    fn has_reported_within(&self, index: HostIndex, interval: Duration, now: Timestamp) -> bool {
+        let host = &self.hosts[index];
+        now - host.replication.lag_reported_at() < interval
+            && now - host.health.last_sign_of_life() < interval
+    }
+
+    /// Returns the members to check: listed primaries first, then the longest overdue, so that each has its turn where
+    /// few checks are paid for.
     fn due_health_checks(&self, shard_id: ShardId, now: Timestamp) -> Vec<HostIndex> {
+        let shard = &self.shards[shard_id];
         let is_due = |index: &HostIndex| self.is_check_due(*index, now) && self.is_check_needed(*index, now);
-        let members = self.members_to_check(&self.shards[&shard_id], now).iter().copied();
+        let members = self.members_to_check(shard, now).iter().copied();
         let mut due: Vec<HostIndex> = members.filter(is_due).collect();
-        let is_listed = |index: HostIndex| self.shard_of(index).listed_primary == Some(index);
-        due.sort_by_key(|index| (!is_listed(*index), self.hosts[*index].next_health_check));
+        let is_listed = |index: HostIndex| shard.listed_primary == Some(index);
+        due.sort_by_key(|index| (!is_listed(*index), self.hosts[*index].checks.next_at()));
         due
     }
 
     fn is_check_due(&self, index: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[index];
-        let drained = host.draining_since.is_some() && host.concurrency.in_flight == Duration::ZERO;
-        let is_due = host.next_health_check <= now && host.health_check_sent.is_none();
-        is_due && !drained && host.connection_slots.has_free(now)
+        let is_drained = host.listing.is_draining() && host.load.in_flight() == Duration::ZERO;
+        let is_due = host.checks.next_at() <= now && !host.checks.is_in_flight();
+        is_due && !is_drained && host.load.has_free_connection(now)
     }
 
     fn is_check_urgent(&self, index: HostIndex) -> bool {
         let shard = self.shard_of(index);
-        let is_draining = |primary: HostIndex| self.hosts[primary].draining_since.is_some();
+        let is_draining = |primary: HostIndex| self.hosts[primary].listing.is_draining();
         let lacks_primary = shard.state == ShardState::Failover || shard.primary.is_none_or(is_draining);
-        lacks_primary || self.hosts[index].unresponsive || self.is_doubtful_primary(index)
+        lacks_primary || self.hosts[index].health.is_unresponsive() || self.is_doubtful_primary(index)
     }
 
-    /// Whether it is a primary that is Unhealthy or was last seen as a replica: nothing else asks it.
+    /// Returns whether a host is a primary that is Unhealthy or was last seen as a replica: no request checks it.
     fn is_doubtful_primary(&self, index: HostIndex) -> bool {
         let shard = self.shard_of(index);
-        let was_replica = self.hosts[index].role == Some(Role::Replica);
-        shard.primary == Some(index) && (shard.state == ShardState::Unhealthy || was_replica)
+        let was_replica = self.hosts[index].replication.role() == Some(Role::Replica);
+        shard.is_primary(index) && (shard.state == ShardState::Unhealthy || was_replica)
     }
 
-    /// Where positions are refreshed on demand, replicas are asked as requests need it, and a primary proves
-    /// itself by its answers: it is checked if they stay out. Without requests nobody need know.
+    /// Returns whether a health check would show what nothing else does.
+    ///
+    /// Where positions are refreshed on demand, requests check the replicas, and a primary's answers show its state; it
+    /// is checked if they fail to come. Without requests no check is needed.
     fn is_check_needed(&self, index: HostIndex, now: Timestamp) -> bool {
         let shard = self.shard_of(index);
-        let silent = self.hosts[index].silent_for(now) >= HEALTH_CHECK_INTERVAL / 2;
-        let needed = (shard.state == ShardState::Failover || shard.primary.is_none())
+        let is_silent = self.hosts[index].health.silent_for(now) >= PRIMARY_CHECK_AFTER_SILENCE;
+        let is_needed = (shard.state == ShardState::Failover || shard.primary.is_none())
             || self.is_doubtful_primary(index)
-            || shard.primary == Some(index) && silent;
-        !self.settings.refreshes_on_demand() || needed && is_in_use(shard, now)
+            || shard.is_primary(index) && is_silent;
+        !self.settings.refreshes_on_demand() || is_needed && is_in_use(shard, now)
     }
 
-    /// Takes the price from the group's budget. What nothing has paid for is free after a long while.
-    fn pay_for_health_check(&mut self, index: HostIndex, now: Timestamp) -> bool {
-        let shard = self.shard_of_mut(index);
+    /// Charges a health check to the shard's budget, or admits an unpaid one. Returns whether it may be sent.
+    fn charge_health_check(&mut self, index: HostIndex, now: Timestamp) -> bool {
+        let due_at = self.hosts[index].checks.next_at();
+        let shard = &mut self.shards[self.hosts[index].listing.shard_id()];
         if shard.health_check_budget >= 1.0 {
             shard.health_check_budget -= 1.0;
             return true;
         }
-        let admitted = self.health_checks.admit_unpaid(self.hosts[index].next_health_check, now);
+        let admitted = self.health_checks.admit_unpaid(due_at, now);
         if admitted {
-            self.shard_of_mut(index).health_check_budget = 0.0;
+            shard.health_check_budget = 0.0;
         }
         admitted
     }
--- a/crates/comethitch-policy/src/policy/retries.rs
+++ b/crates/comethitch-policy/src/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests: what may be sent again, and what requests have paid for.
+//! Retries and hedged requests: what may be sent again.
 
 use super::router::Router;
 use crate::host_table::HostIndex;
@@ -6,58 +6,66 @@
 use crate::time::Timestamp;
 use crate::{AttemptOutcome, Idempotency};
 
-/// From this many times the usual answer time on a host counts as slow beside the others.
+/// Slowness from which a host counts as slow compared to the others.
 const SLOW_HOST_FACTOR: f64 = 2.0;
 
 impl Router {
+    /// Returns whether one more attempt of a request may be sent to a host now.
     pub(super) fn may_attempt(&self, request: &RequestState, index: HostIndex, now: Timestamp) -> bool {
         let nth = request.attempts.len();
-        // A retry must arrive while the first is remembered: the way there may take a connection.
-        let arrival = now + self.settings.deployment().connect_timeout;
-        nth == 0
-            || nth < self.settings.deployment().max_attempts && self.may_follow(request, nth, index, arrival)
+        let deployment = self.settings.deployment();
+        // A retry must arrive within the deduplication window, even if it needs a new connection.
+        let arrival = now + deployment.connect_timeout;
+        nth == 0 || nth < deployment.max_attempts && self.may_follow_earlier(request, nth, index, arrival)
     }
 
-    /// Whether the `nth` attempt may arrive at this host at that moment, beside what was sent before it.
-    pub(super) fn may_follow(
-        &self, request: &RequestState, nth: usize, host: HostIndex, at: Timestamp,
+    /// Returns whether the `nth` attempt may arrive at a host at this time, given the attempts before it.
+    pub(super) fn may_follow_earlier(
+        &self, request: &RequestState, nth: usize, index: HostIndex, at: Timestamp,
     ) -> bool {
         let earlier = &request.attempts[..nth];
-        if !self.settings.deployment().hedging_allowed
-            && earlier.iter().any(|attempt| attempt.outcome.is_none())
-        {
+        let is_hedged = earlier.iter().any(|attempt| attempt.outcome.is_none());
+        if is_hedged && !self.settings.deployment().hedging_allowed {
             return false;
         }
         let mut maybe_ran = earlier.iter().filter(|attempt| attempt.maybe_ran());
-        let settings = self.class_of(request);
-        match settings.idempotency {
+        match self.class_of(request).idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => maybe_ran.next().is_none(),
-            Idempotency::Keyed => maybe_ran.all(|ran| {
-                self.hosts[host].shares_keys(&self.hosts[ran.host], settings.deduplication_scope)
-                    && at + self.settings.tick_interval() < ran.sent_at + settings.deduplication_window
-            }),
+            Idempotency::Keyed => maybe_ran.all(|ran| self.is_deduplicated(request, ran, index, at)),
         }
     }
 
+    /// Returns whether a host drops a repetition of an attempt that arrives there at this time.
+    fn is_deduplicated(
+        &self, request: &RequestState, ran: &Attempt, index: HostIndex, at: Timestamp,
+    ) -> bool {
+        let class = self.class_of(request);
+        let listing = &self.hosts[index].listing;
+        listing.deduplicates_with(&self.hosts[ran.host].listing, class.deduplication_scope)
+            && at + self.settings.tick_interval() < ran.sent_at + class.deduplication_window
+    }
+
+    /// Returns whether a request may be retried after this attempt.
     pub(super) fn may_retry(&self, request: &RequestState, ended: &Attempt, now: Timestamp) -> bool {
-        // Errors spread over all hosts are the requests' fault: what failed here would fail at the next.
-        let own_fault = ended.ended_as(AttemptOutcome::Error) && self.statistics.error_rate.is_widespread();
-        let in_time = now + self.settings.tick_interval() < request.deadline;
-        !own_fault && in_time && self.may_attempt(request, ended.host, now)
+        // Widespread errors are the requests' fault: the next host would fail them too.
+        let is_own_fault =
+            ended.ended_as(AttemptOutcome::Error) && self.statistics.error_rate.is_widespread();
+        let is_in_time = now + self.settings.tick_interval() < request.deadline;
+        !is_own_fault && is_in_time && self.may_attempt(request, ended.host, now)
     }
 
-    /// Whether a second copy is sent, as the attempt is at a host that fails, or that is slow beside the
-    /// others: where all are slow, copies of whatever was late fed the overload.
+    /// Returns whether a hedged request is sent, as the attempt is at a host that fails, or that is slow compared to the
+    /// others. Where all hosts are slow, hedged requests would add to the overload.
     pub(super) fn should_hedge(&self, request: &RequestState, attempt: &Attempt, now: Timestamp) -> bool {
-        let settings = self.class_of(request);
+        let class = self.class_of(request);
         let host = &self.hosts[attempt.host];
-        let late = now - attempt.sent_at > settings.latency_objective / 2;
-        let slow = host.relative_latency.slowness() > SLOW_HOST_FACTOR && late;
-        settings.idempotency == Idempotency::Idempotent
-            && (host.unresponsive || host.is_unreachable() || slow)
+        let is_late = now - attempt.sent_at > self.settings.late_after(request.request_class);
+        let is_slow = host.load.slowness() > SLOW_HOST_FACTOR && is_late;
+        class.idempotency == Idempotency::Idempotent
+            && (host.health.is_unresponsive() || host.health.is_unreachable() || is_slow)
             && self.retry_budget.allows_hedging()
             && self.queue.is_empty()
-            && now < request.submitted_at + settings.latency_objective
+            && now < request.submitted_at + class.latency_objective
     }
 }
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -1,12 +1,12 @@
-//! Host selection: where a request can go now.
+//! Host selection: where a request can be sent now.
 //!
-//! Writes and strong reads go to the believed primary. Other reads are drawn at random among the fresh
-//! replicas of the router's subset; if none is fresh, the freshest that checks takes them, else the primary.
+//! Writes and strong reads go to the believed primary. Other reads go to a weighted random one of the fresh replicas in
+//! the router's subset. If none is fresh, they go to the freshest replica that checks staleness itself, else to the
+//! primary.
 
-use super::intervals::{HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL, SILENCE_TIMEOUT};
+use super::intervals::{HEALTH_CHECK_RETRY_INTERVAL, SILENCE_TIMEOUT};
 use super::recent_requests::RECENT_REQUESTS_WINDOW;
 use super::router::Router;
-use super::staleness::usable_age;
 use crate::host_table::HostIndex;
 use crate::request_state::RequestState;
 use crate::shard::Shard;
@@ -15,31 +15,35 @@
 use comethitch_fleet::subset::{Candidate, Member};
 use comethitch_fleet::{freshness, subset};
 
-/// The part of a staleness bound up to which a replica that checks reads itself is tried.
-const CHECKED_LAG_SHARE: f64 = 0.75;
-/// The part of a primary's concurrency limit that reads may use which others could take.
-const PRIMARY_READ_SHARE: f64 = 0.75;
-/// For so long the order of a group's replicas is kept. Weights change by the second, as hosts warm up.
+/// The fraction of a primary's concurrency limit that reads may use which replicas could take.
+const PRIMARY_READ_FRACTION: f64 = 0.75;
+/// How long the ranking of a shard's replicas is cached; weights change by the second, as hosts warm up.
 const RANKING_LIFETIME: Duration = Duration::from_millis(100);
+/// The drift period of rankings, in warm-up times.
+const RANKING_DRIFT_WARMUPS: u64 = 8;
 
-/// Where a request can go now.
+/// Where a request can be sent now.
 pub(super) enum Selection {
+    /// To this host.
     Host(HostIndex),
-    /// It must wait: no host that may take it has capacity.
+    /// Nowhere yet: no suitable host has capacity.
     Wait,
-    /// It needs a primary, and none serves.
+    /// Nowhere: the request needs a primary, and none serves.
     Rejected,
 }
 
 impl Router {
+    /// Selects the host for a request's next attempt.
     pub(super) fn select_host(&mut self, id: RequestId, now: Timestamp) -> Selection {
-        let request = &self.requests[&id];
-        let Some(shard) = self.shards.get(&request.shard_id) else { return Selection::Wait };
+        let request = &self.requests[id];
+        let (shard_id, request_class) = (request.shard_id, request.request_class);
+        let Some(shard) = self.shards.get(shard_id) else { return Selection::Wait };
         let consistency = self.class_of(request).consistency;
         if consistency.needs_primary() {
             return self.select_primary(request, shard, now);
         }
-        let mut open = self.subset(request.shard_id, now);
+        let mut open = self.subset(shard_id, now);
+        let request = &self.requests[id];
         open.retain(|member| !request.tried(member.index) && self.is_open(request, member, now));
         let is_fresh = |member: &Member| self.is_fresh(member.index, consistency, request, now);
         let fresh: Vec<Member> = open.iter().copied().filter(is_fresh).collect();
@@ -49,25 +53,29 @@
             return Selection::Host(index);
         }
         let fallback = if fresh.is_empty() { self.fallback(request, &open, now) } else { None };
-        let weight = |member| self.draw_weight(member, request.request_class);
-        let weights: Vec<f64> = fresh.iter().map(weight).collect();
-        let drawn = self.random.pick(&weights).map(|nth| fresh[nth].index);
-        drawn.or(fallback).map_or(Selection::Wait, Selection::Host)
+        let weights: Vec<f64> =
+            fresh.iter().map(|member| self.selection_weight(member, request_class)).collect();
+        let selected = self.random.pick(&weights).map(|nth| fresh[nth].index);
+        selected.or(fallback).map_or(Selection::Wait, Selection::Host)
     }
 
     fn select_primary(&self, request: &RequestState, shard: &Shard, now: Timestamp) -> Selection {
-        let repeatable = self.class_of(request).idempotency != Idempotency::NonIdempotent;
+        let may_repeat = self.class_of(request).idempotency != Idempotency::NonIdempotent;
         match shard.primary {
-            // A fresh router that the list names no primary to checks all hosts first.
+            // A router that has just started checks all hosts before it gives up on a primary.
             None if shard.serial == 0 => Selection::Wait,
             Some(primary) if self.primary_serves(primary, shard, now) => {
-                let free = self.has_capacity(&Member::of_all_routers(primary), request.request_class, now)
-                    && self.may_attempt(request, primary, now);
-                if free { Selection::Host(primary) } else { Selection::Wait }
+                let member = Member::of_all_routers(primary);
+                let has_capacity = self.has_capacity(&member, request.request_class, now);
+                if has_capacity && self.may_attempt(request, primary, now) {
+                    Selection::Host(primary)
+                } else {
+                    Selection::Wait
+                }
             }
-            // Beyond the design: a keyed request that may have run waits for the next primary while its
-            // retry is still deduplicated; a throttle is forbidden and a failure would lose it.
-            _ if request.maybe_ran() && repeatable => Selection::Wait,
+            // Beyond the design: a keyed write that may have run waits for the next primary, as it may neither be
+            // throttled nor lost.
+            _ if request.maybe_ran() && may_repeat => Selection::Wait,
             _ => Selection::Rejected,
         }
     }
@@ -78,133 +86,129 @@
             && self.may_attempt(request, member.index, now)
     }
 
-    /// Beyond the design: a read of any age spares fresh replicas and goes to the one furthest behind. As
-    /// long ones hold up a log, where none is behind all routers agree on the largest replica of lowest id.
+    /// Returns the replica that a read of any age is sent to, if it need not be random.
+    ///
+    /// Beyond the design: the one furthest behind, to spare fresh replicas. If none is behind, long reads go to the one
+    /// that all routers agree on, the largest of lowest address, as they delay replication.
     fn most_stale_replica(
         &self, request: &RequestState, open: &[Member], now: Timestamp,
     ) -> Option<HostIndex> {
+        let tightest = Consistency::BoundedStaleness(self.settings.tightest_bound());
         let rank = |index: HostIndex| {
             let host = &self.hosts[index];
-            let fresh = self.is_fresh(
-                index,
-                Consistency::BoundedStaleness(self.settings.tightest_bound()),
-                request,
-                now,
-            );
-            let position = if fresh { Timestamp::ZERO } else { host.position };
-            (fresh, position, u64::MAX - host.capacity.to_bits(), host.host, index)
+            let is_fresh = self.is_fresh(index, tightest, request, now);
+            let position = if is_fresh { Timestamp::ZERO } else { host.replication.position() };
+            let by_descending_capacity = u64::MAX - host.listing.capacity().to_bits();
+            (is_fresh, position, by_descending_capacity, host.host, index)
         };
-        let (fresh, .., index) = open.iter().map(|member| rank(member.index)).min()?;
-        (!fresh || self.is_long(request.request_class)).then_some(index)
+        let (is_fresh, .., index) = open.iter().map(|member| rank(member.index)).min()?;
+        (!is_fresh || self.is_long(request.request_class)).then_some(index)
     }
 
-    /// Where a read goes that no open replica is fresh enough for.
+    /// Returns where a read goes if no open replica is fresh enough.
     fn fallback(&self, request: &RequestState, open: &[Member], now: Timestamp) -> Option<HostIndex> {
         let freshest = self.freshest_that_checks(request, open);
-        // A refresh that is on its way is waited for: the primary could not bear what falls to it meanwhile.
-        let is_refreshing = |member: &Member| self.hosts[member.index].health_check_sent.is_some();
+        // A refresh in flight is waited for: the primary could not bear the reads that go there meanwhile.
+        let is_refreshing = |member: &Member| self.hosts[member.index].checks.is_in_flight();
         if freshest.is_some() || self.settings.refreshes_on_demand() && open.iter().any(is_refreshing) {
             return freshest;
         }
-        let primary = self.shards[&request.shard_id].primary;
+        let primary = self.shards[request.shard_id].primary;
         primary.filter(|primary| self.primary_takes_read(request, *primary, now))
     }
 
-    /// Beyond the design: not the freshest where it would surely reject the read.
+    /// Returns the freshest open replica, where replicas check staleness themselves.
+    ///
+    /// Beyond the design: none, if that one would certainly reject the read.
     fn freshest_that_checks(&self, request: &RequestState, open: &[Member]) -> Option<HostIndex> {
         if self.settings.positions_guard_reads() {
             return None;
         }
-        let position = |index: &HostIndex| self.hosts[*index].position;
+        let position = |index: &HostIndex| self.hosts[*index].replication.position();
         let freshest = open.iter().map(|member| member.index).rev().max_by_key(position)?;
         match self.class_of(request).consistency {
-            Consistency::BoundedStaleness(bound) if self.hosts[freshest].lag > bound => None,
+            Consistency::BoundedStaleness(bound) if self.hosts[freshest].replication.lag() > bound => None,
             _ => Some(freshest),
         }
     }
 
-    /// Whether the primary takes a read that no replica will do for. Its own requests keep a quarter of its
-    /// limit. With one of less than a request it takes none: many routers' single reads would crowd it. A
-    /// session's read, which may have no other host, it takes as often as that limit holds of a request.
+    /// Returns whether the primary takes a read that no replica is fresh enough for.
+    ///
+    /// A quarter of its limit is reserved for its own requests. If that limit is less than one request it takes none,
+    /// as the single reads of many routers would crowd it; except reads of sessions, which may have no other host: it
+    /// takes these with the probability that the limit is of a request.
     fn primary_takes_read(&self, request: &RequestState, primary: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
-        let session = self.class_of(request).consistency == Consistency::Session;
+        let is_session_read = self.class_of(request).consistency == Consistency::Session;
         let mut work = self.work(request.request_class);
-        if session && host.concurrency.in_flight == Duration::ZERO {
-            work = work.scaled(self.admission_draw(primary, now));
+        if is_session_read && host.load.in_flight() == Duration::ZERO {
+            work = work.scaled(self.admission_sample(primary, now));
         }
         self.shard_of(primary).state != ShardState::Failover
-            && host.role != Some(Role::Replica)
+            && host.replication.role() != Some(Role::Replica)
             && self.is_open(request, &Member::of_all_routers(primary), now)
-            && host.concurrency.in_flight + work <= host.concurrency.limit.scaled(PRIMARY_READ_SHARE)
+            && host.load.in_flight() + work <= host.load.limit().scaled(PRIMARY_READ_FRACTION)
     }
 
-    /// The draw is even among equals: a host's part is its capacity, less what it lacks of warmth and speed,
-    /// and for what waits there and what this router has in flight there.
-    fn draw_weight(&self, member: &Member, request_class: usize) -> f64 {
-        let host = &self.hosts[member.index];
-        let own_load = host.concurrency.in_flight.ratio(self.work(request_class));
-        let crowd = (1.0 + host.queue_length) * (1.0 + own_load);
-        member.weight / crowd.powi(2) / host.relative_latency.slowness()
+    /// Returns a replica's weight in the random choice: its weight in the subset, reduced for a slow host, for requests
+    /// queued there and for the work that this router has in flight there.
+    fn selection_weight(&self, member: &Member, request_class: usize) -> f64 {
+        let load = &self.hosts[member.index].load;
+        let own_requests = load.in_flight().ratio(self.work(request_class));
+        let crowding = (1.0 + load.queue_length()) * (1.0 + own_requests);
+        member.weight / crowding.powi(2) / load.slowness()
     }
 
+    /// Returns whether a host is neither draining nor ejected, and accepts a connection.
     pub(super) fn is_usable(&self, index: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[index];
-        host.draining_since.is_none() && !host.is_ejected(now) && host.connection_slots.has_free(now)
+        !host.listing.is_draining() && !host.health.is_ejected(now) && host.load.has_free_connection(now)
     }
 
-    pub(super) fn is_fresh(
-        &self, host: HostIndex, need: Consistency, of: &RequestState, now: Timestamp,
-    ) -> bool {
-        let host = &self.hosts[host];
-        let checks = !self.settings.positions_guard_reads();
-        let reported = now - host.lag_reported_at <= HEALTH_CHECK_INTERVAL * 2;
-        match need {
-            Consistency::Eventual => true,
-            Consistency::Session => host.position >= of.required_position,
-            // Beyond the design: where replicas check, a position counts as having kept pace since then.
-            Consistency::BoundedStaleness(bound) if checks => {
-                host.lag <= bound.scaled(CHECKED_LAG_SHARE) && reported
-            }
-            Consistency::BoundedStaleness(bound) => self
-                .latest_host_time(now)
-                .is_some_and(|host_time| host_time - host.position <= usable_age(bound)),
-            Consistency::Write | Consistency::Strong => false,
-        }
+    /// Returns the replicas of a shard that this router uses.
+    ///
+    /// Beyond the design: few enough to know each of them well.
+    pub(super) fn subset(&mut self, shard_id: ShardId, now: Timestamp) -> Vec<Member> {
+        self.renew_ranking(shard_id, now);
+        let shard = &self.shards[shard_id];
+        let size = self.subset_size(shard, now);
+        shard.ranking.members(size, |index| self.is_candidate(index, shard, now))
     }
 
-    /// Beyond the design: the replicas that this router uses, few enough to know them well.
-    pub(super) fn subset(&self, shard_id: ShardId, now: Timestamp) -> Vec<Member> {
-        let shard = &self.shards[&shard_id];
-        let is_candidate = |index: HostIndex| self.is_candidate(index, shard, now);
-        let mut ranking = shard.ranking.borrow_mut();
-        if ranking.is_outdated(now) {
-            let replicas = shard.members.iter().map(|index| self.replica_to_rank(*index, now));
-            let drift = self.settings.slow_start().warmup * 8;
-            ranking.renew(self.random.hash_seed(), now, drift, RANKING_LIFETIME, replicas);
+    fn renew_ranking(&mut self, shard_id: ShardId, now: Timestamp) {
+        let shard = &self.shards[shard_id];
+        if !shard.ranking.is_outdated(now) {
+            return;
         }
-        ranking.members(self.subset_size(shard, now), is_candidate)
+        let candidate = |index: &HostIndex| self.ranking_candidate(*index, now);
+        let replicas: Vec<Candidate> = shard.members.iter().map(candidate).collect();
+        let drift = self.settings.slow_start().warmup * RANKING_DRIFT_WARMUPS;
+        let hash_seed = self.random.hash_seed();
+        let ranking = &mut self.shards[shard_id].ranking;
+        ranking.renew(hash_seed, now, drift, RANKING_LIFETIME, replicas.into_iter());
     }
 
-    fn replica_to_rank(&self, index: HostIndex, now: Timestamp) -> Candidate {
+    fn ranking_candidate(&self, index: HostIndex, now: Timestamp) -> Candidate {
         let host = &self.hosts[index];
-        let weight = host.capacity * self.warm_part(index, now);
+        let weight = host.listing.capacity() * self.warmup_fraction(index, now);
         Candidate { index, host_key: host.host.number(), weight }
     }
 
-    /// One that was just reported to be too far behind gives way too, until it is time to ask again.
+    /// Returns whether a host may be in the subset now. One that was just reported to be too far behind is replaced, until
+    /// it is time to ask it again.
     fn is_candidate(&self, index: HostIndex, shard: &Shard, now: Timestamp) -> bool {
-        let host = &self.hosts[index];
-        let behind =
-            now - host.lag_reported_at < SILENCE_TIMEOUT && host.lag > self.settings.tightest_bound();
-        shard.primary != Some(index)
+        let replication = &self.hosts[index].replication;
+        let is_behind = now - replication.lag_reported_at() < SILENCE_TIMEOUT
+            && replication.lag() > self.settings.tightest_bound();
+        !shard.is_primary(index)
             && self.is_usable(index, now)
-            && !(self.settings.refreshes_on_demand() && behind)
+            && !(self.settings.refreshes_on_demand() && is_behind)
     }
 
+    /// Returns the number of replicas of a shard that this router uses, by its rate of requests there.
     pub(super) fn subset_size(&self, shard: &Shard, now: Timestamp) -> usize {
-        let lasts = freshness::refresh_after(self.settings.tightest_bound(), HEALTH_CHECK_RETRY_INTERVAL);
+        let fresh_for = freshness::refresh_after(self.settings.tightest_bound(), HEALTH_CHECK_RETRY_INTERVAL);
         let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
-        subset::size(rate * lasts.ratio(RECENT_REQUESTS_WINDOW))
+        subset::size(rate * fresh_for.ratio(RECENT_REQUESTS_WINDOW))
     }
 }
--- a/crates/comethitch-policy/src/policy/send_guard.rs
+++ b/crates/comethitch-policy/src/policy/send_guard.rs
@@ -1,23 +1,21 @@
-//! The one check that every attempt passes right before it leaves, be it the first, a retry or a hedged request; and
-//! the rules themselves, to which what has left is held.
+//! The send guard: the check that every attempt passes right before it is written, whether it is the first, a retry or a
+//! hedged request; and the rules that what was written is held to.
 //!
-//! An attempt is decided on, and leaves some time later: its connection may take long to come up, its host may read
-//! slowly, the process may be held up.
+//! An attempt is written some time after it was decided on: its connection may take long to establish, its host may read
+//! slowly, and the process may stall.
 
 use super::router::{Handle, Router};
-use crate::host_table::HostIndex;
-use crate::request_state::RequestState;
-use crate::time::{Duration, Timestamp};
-use crate::{Consistency, SendRefusal, SendViolation};
+use crate::time::Timestamp;
+use crate::{SendRefusal, SendViolation};
 
 impl Handle {
-    /// Whether an attempt may leave now. Meanwhile its request may have been rejected, its host begun to drain, or the
-    /// data become too old.
+    /// Checks whether an attempt may be written now. Meanwhile its request may have been rejected, its host may have
+    /// begun to drain, or the host's data may have become too old.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Why it may not be written.
     pub fn check_send(self, router: &Router, nth: u16, now: Timestamp) -> Result<(), SendRefusal> {
-        let request = router.requests.get(&self.0).filter(|request| !request.finished);
+        let request = router.requests.get(self.0).filter(|request| !request.finished);
         let request = request.ok_or(SendRefusal::RequestFinished)?;
         let nth = usize::from(nth);
         let attempt = request.attempts.get(nth).filter(|attempt| attempt.outcome.is_none());
@@ -30,19 +28,19 @@
         {
             return Err(SendRefusal::DataTooOld);
         }
-        if router.past_drain_grace(index, now) {
+        if router.is_past_drain_grace(index, now) {
             return Err(SendRefusal::HostDrains);
         }
-        if !router.may_follow(request, nth, index, now) {
+        if !router.may_follow_earlier(request, nth, index, now) {
             return Err(SendRefusal::MayNotRepeat);
         }
         Ok(())
     }
 
-    /// The rule that an attempt breaks whose last byte left now, if it breaks one. The margins of
-    /// [`Handle::check_send`] are there so that this finds nothing.
+    /// Returns the rule that an attempt breaks whose last byte was written now, if any. The margins of
+    /// [`Handle::check_send`] are there to prevent that.
     pub fn violation_of_sent(self, router: &Router, nth: u16, now: Timestamp) -> Option<SendViolation> {
-        let request = router.requests.get(&self.0)?;
+        let request = router.requests.get(self.0)?;
         let nth = usize::from(nth);
         let index = request.attempts.get(nth)?.host;
         let host = &router.hosts[index];
@@ -50,27 +48,17 @@
         if now > request.deadline {
             return Some(SendViolation::AfterDeadline);
         }
-        if host.draining_since.is_some_and(|since| now > since + drain_grace) {
+        if host.listing.draining_since().is_some_and(|since| now > since + drain_grace) {
             return Some(SendViolation::PastDrainGrace);
         }
-        let too_old = |bound| router.latest_host_time(now).is_none_or(|time| time - host.position > bound);
-        if router.guarded_bound(request, index).is_some_and(too_old) {
+        let position = host.replication.position();
+        let is_too_old = |bound| router.latest_host_time(now).is_none_or(|time| time - position > bound);
+        if router.guarded_bound(request, index).is_some_and(is_too_old) {
             return Some(SendViolation::DataTooOld);
         }
-        // The margin of a tick is the check's, not the rule's.
-        let may_follow = router.may_follow(request, nth, index, now - router.settings.tick_interval());
+        // The margin of a tick belongs to the check, not to the rule.
+        let may_follow =
+            router.may_follow_earlier(request, nth, index, now - router.settings.tick_interval());
         (!may_follow).then_some(SendViolation::Repeated)
     }
 }
-
-impl Router {
-    /// The staleness bound of a read that nothing but the position known here guards at this host.
-    fn guarded_bound(&self, request: &RequestState, index: HostIndex) -> Option<Duration> {
-        let guarded =
-            self.settings.positions_guard_reads() && self.shards[&request.shard_id].primary != Some(index);
-        match self.class_of(request).consistency {
-            Consistency::BoundedStaleness(bound) if guarded => Some(bound),
-            _ => None,
-        }
-    }
-}
--- a/crates/comethitch-policy/src/policy/settings.rs
+++ b/crates/comethitch-policy/src/policy/settings.rs
@@ -4,8 +4,10 @@
 use crate::time::Duration;
 use crate::{Consistency, Deployment, RequestClass, SlowStart, StalenessCheck};
 
-/// Minimum interval between ticks: the shortest latency objective over this.
+/// Minimum tick interval: the shortest latency objective over this.
 const TICK_DIVISOR: u64 = 16;
+/// An attempt is late past its latency objective over this.
+const LATE_DIVISOR: u64 = 2;
 
 /// Immutable settings of a router.
 pub(super) struct Settings {
@@ -43,6 +45,11 @@
         &self.deployment.classes[request_class]
     }
 
+    /// Returns how long an attempt of a request class may take before it counts as late.
+    pub(super) fn late_after(&self, request_class: usize) -> Duration {
+        self.class(request_class).latency_objective / LATE_DIVISOR
+    }
+
     /// Returns the settings of hosts in slow start.
     pub(super) fn slow_start(&self) -> &SlowStart {
         &self.deployment.slow_start
--- a/crates/comethitch-policy/src/request_state.rs
+++ b/crates/comethitch-policy/src/request_state.rs
@@ -119,7 +119,7 @@
     }
 
     /// Whether it has no final answer, and nothing that could bring one is in flight or queued.
-    pub(crate) fn is_stalled(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         !self.finished && !self.queued && self.in_flight().next().is_none()
     }
 }
--- a/crates/comethitch-policy/src/shard.rs
+++ b/crates/comethitch-policy/src/shard.rs
@@ -1,68 +1,96 @@
-//! What the router knows of a shard, one primary and its replicas: data alone.
+//! What the router knows of a shard: one primary and its replicas.
 //!
 //! The transitions between the states are decided in [`policy`](crate::policy).
 
 use crate::{host_table::HostIndex, time::Timestamp};
 use comethitch_fleet::subset::Ranking;
 use comethitch_fleet::{concurrency_limit::ConcurrencyLimit, decaying_counter::DecayingCounter};
-use std::cell::RefCell;
 
-/// Whether the believed primary serves.
+/// State of a shard's believed primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShardState {
-    /// It serves, as far as is known.
+    /// The primary serves, as far as is known.
     #[default]
     Healthy,
-    /// Something went wrong there.
+    /// The primary has shown a fault.
     Unhealthy,
-    /// It is lost, and its successor is not known yet.
+    /// The primary is lost, and its successor is not known yet.
     Failover,
 }
 
-/// One shard.
+/// A shard as this router sees it.
 #[derive(Default)]
 pub(crate) struct Shard {
-    /// The believed primary.
+    /// The member that this router believes to be the primary.
     pub primary: Option<HostIndex>,
-    /// The primary that the endpoint list names.
+    /// The primary according to the endpoint list.
     pub listed_primary: Option<HostIndex>,
-    /// How many failovers were seen.
+    /// Number of failovers seen.
     pub serial: u32,
-    /// Whether the believed primary serves.
     pub state: ShardState,
-    /// When the group came into this state.
+    /// When the shard entered its state.
     pub state_since: Timestamp,
-    /// Attempts in flight to the primary as the group became Unhealthy.
+    /// Number of attempts that were in flight to the primary when the shard became Unhealthy.
     pub in_flight_at_fault: u32,
-    /// How many attempts of those were lost.
+    /// Number of these that were lost.
     pub lost_since_fault: u32,
-    /// Health checks that the group's requests have paid for.
+    /// Number of health checks that the shard's requests have paid for, in fractions.
     pub health_check_budget: f64,
-    /// Requests submitted lately.
     pub recent_requests: DecayingCounter,
     /// Limits on the work in flight to all members together, by request class.
     pub concurrency_limits: Vec<ConcurrencyLimit>,
-    /// All hosts of the group, in the order in which they were listed first.
+    /// All hosts of the shard, in the order in which they were first listed.
     pub members: Vec<HostIndex>,
-    /// The members in the order in which this router prefers them.
-    pub ranking: RefCell<Ranking>,
-    /// How many members have answered a request of this router.
+    /// The replicas in this router's order of preference.
+    pub ranking: Ranking,
+    /// Number of members that have answered a request of this router.
     pub answered_members: usize,
-    /// Before this, time alone makes no health check due, and no change of state.
+    /// When health checks and state are reviewed next for what time alone changes.
     pub next_check_review: Timestamp,
 }
 
 impl Shard {
+    /// Returns whether a host is believed to be the primary.
+    pub(crate) fn is_primary(&self, index: HostIndex) -> bool {
+        self.primary == Some(index)
+    }
+
     /// Adds a host, and a concurrency limit for each request class.
     pub(crate) fn add_member(&mut self, index: HostIndex, request_classes: usize) {
         self.members.push(index);
-        self.ranking.get_mut().invalidate();
+        self.ranking.invalidate();
         self.concurrency_limits.resize(request_classes, ConcurrencyLimit::default());
     }
 
-    /// Records the state that the group comes into.
+    /// Removes a host that is not the primary.
+    pub(crate) fn remove_member(&mut self, index: HostIndex, has_answered: bool) {
+        self.members.retain(|member| *member != index);
+        self.answered_members -= usize::from(has_answered);
+        self.ranking.invalidate();
+    }
+
+    /// Enters a state.
     pub(crate) fn enter(&mut self, state: ShardState, now: Timestamp) {
         self.state = state;
         self.state_since = now;
     }
+
+    /// Enters Unhealthy, with this number of attempts in flight to the primary.
+    pub(crate) fn enter_unhealthy(&mut self, in_flight: u32, now: Timestamp) {
+        self.enter(ShardState::Unhealthy, now);
+        self.in_flight_at_fault = in_flight;
+        self.lost_since_fault = 0;
+    }
+
+    /// Enters Failover, and has the members reviewed at once.
+    pub(crate) fn enter_failover(&mut self, now: Timestamp) {
+        self.enter(ShardState::Failover, now);
+        self.serial += 1;
+        self.next_check_review = now;
+    }
+
+    /// Moves the next review forward, unless it is due earlier.
+    pub(crate) fn review_by(&mut self, at: Timestamp) {
+        self.next_check_review = self.next_check_review.min(at);
+    }
 }
