--- a/crates/comethitch-testkit/src/behavior.rs
+++ b/crates/comethitch-testkit/src/behavior.rs
@@ -1,4 +1,4 @@
-//! The behaviors that a test can script a host with: fault injection, request by request.
+//! The behaviors that a script chooses for a host, one for each request.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
     AnswerAfter(Duration),
     /// Answers with the key, one byte at a time.
     Trickle,
-    /// Answers with the key and sends surplus data after it.
-    AnswerTwice,
+    /// Answers with the key, followed by bytes that belong to no answer.
+    AnswerWithExtraBytes,
     /// Closes the connection without executing the request.
-    ResetBefore,
+    CloseBeforeExecution,
     /// Executes the request and closes the connection without an answer.
-    ResetAfter,
+    CloseAfterExecution,
     /// Sends the first half of the answer and closes the connection.
     Truncate,
     /// Sends bytes that the protocol does not allow.
     Malformed,
-    /// Neither executes the request nor answers.
-    Hang,
-    /// Executes the request and does not answer.
-    HangAfter,
+    /// Neither executes the request nor answers it.
+    HangBeforeExecution,
+    /// Executes the request and never answers it.
+    HangAfterExecution,
     /// Rejects the request for lack of capacity, without executing it.
     Overloaded,
     /// Answers with an error that is not retryable, without executing the request.
-    Error,
+    InternalError,
     /// Executes the request and answers with an error on which drivers retry.
     TransientError,
     /// Answers with two megabytes of rows; the last row holds the key.
@@ -37,16 +37,19 @@
     TruncateLargeAnswer,
     /// Answers with the key and leaves a transaction open on the connection.
     LeaveTransactionOpen,
-    /// Answers with a row that has a column of every type, in a protocol that types its columns.
+    /// Answers with a row that has a column of every type, if the protocol types its columns.
     AllTypes,
 }
 
 impl HostBehavior {
-    /// Whether the host executes the request before it answers or fails.
+    /// Returns whether the host executes the request before it answers or fails.
     pub(crate) fn executes(self) -> bool {
         !matches!(
             self,
-            HostBehavior::ResetBefore | HostBehavior::Hang | HostBehavior::Overloaded | HostBehavior::Error
+            HostBehavior::CloseBeforeExecution
+                | HostBehavior::HangBeforeExecution
+                | HostBehavior::Overloaded
+                | HostBehavior::InternalError
         )
     }
 }
--- a/crates/comethitch-testkit/src/client.rs
+++ b/crates/comethitch-testkit/src/client.rs
@@ -1,12 +1,12 @@
-//! A client of either protocol that sends requests one at a time and reads their answers, blocking.
+//! A blocking client of either protocol, which sends one request at a time and reads its answer.
 
-use crate::protocol::{LONG, Protocol};
-use crate::received::Received;
+use crate::protocol::{Protocol, TEST_TIMEOUT};
+use crate::reply::Reply;
 use crate::{postgres, tds};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection to a router, past its login.
+/// A logged-in connection to a router.
 pub struct Client {
     protocol: Protocol,
     /// The socket, for tests that send or read bytes of their own.
@@ -18,10 +18,10 @@
     ///
     /// # Panics
     ///
-    /// If the connection or the login fails.
+    /// Panics if the connection or the login fails.
     pub fn connect(protocol: Protocol, address: SocketAddr) -> Client {
         let mut stream = TcpStream::connect(address).expect("the router accepts connections");
-        stream.set_read_timeout(Some(LONG)).expect("the timeout is not zero");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the timeout is not zero");
         let _ = stream.set_nodelay(true);
         match protocol {
             Protocol::Postgres => postgres::client::log_in(&mut stream),
@@ -31,11 +31,12 @@
         Client { protocol, stream }
     }
 
-    /// Sends a request. If the router has closed the connection, the next [`Client::receive`] says so.
+    /// Sends a request. If the router has closed the connection, the next [`Client::receive`]
+    /// returns [`Reply::Closed`].
     ///
     /// # Panics
     ///
-    /// If the socket fails in any other way.
+    /// Panics if the socket fails in any other way.
     pub fn send(&mut self, text: &str) {
         let wire = match self.protocol {
             Protocol::Postgres => postgres::query(text),
@@ -43,12 +44,12 @@
         };
         if let Err(error) = self.stream.write_all(&wire) {
             let closed = matches!(error.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset);
-            assert!(closed, "a command not sent: {error}");
+            assert!(closed, "the request cannot be sent: {error}");
         }
     }
 
     /// Reads the next answer.
-    pub fn receive(&mut self) -> Received {
+    pub fn receive(&mut self) -> Reply {
         match self.protocol {
             Protocol::Postgres => postgres::client::receive(&mut self.stream),
             Protocol::Tds => tds::client::receive(&mut self.stream),
@@ -56,20 +57,20 @@
     }
 
     /// Sends a request and reads its answer.
-    pub fn execute(&mut self, text: &str) -> Received {
+    pub fn execute(&mut self, text: &str) -> Reply {
         self.send(text);
         self.receive()
     }
 
-    /// Whether nothing has arrived after the answers read so far, such as a second answer to one request.
+    /// Returns whether nothing has arrived after the answers read so far, such as a second answer to one request.
     ///
     /// # Panics
     ///
-    /// If the socket cannot be switched to non-blocking reads and back.
+    /// Panics if the socket cannot be switched to non-blocking mode and back.
     pub fn is_quiet(&mut self) -> bool {
-        self.stream.set_nonblocking(true).expect("an open socket takes the mode");
+        self.stream.set_nonblocking(true).expect("an open socket can change its mode");
         let nothing = self.stream.read(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
-        self.stream.set_nonblocking(false).expect("an open socket takes the mode");
+        self.stream.set_nonblocking(false).expect("an open socket can change its mode");
         nothing
     }
 }
--- a/crates/comethitch-testkit/src/connection.rs
+++ b/crates/comethitch-testkit/src/connection.rs
@@ -1,5 +1,6 @@
-//! One connection of a scripted host after its login: the loop that reads requests and responds as scripted, the same
-//! for both protocols. Each protocol implements [`ServerProtocol`] and contributes only its bytes.
+//! Serves a connection of a scripted host after its login: reads requests and responds to them as scripted.
+//!
+//! The loop is the same for both protocols; an implementation of [`ServerProtocol`] encodes the messages.
 
 use crate::behavior::HostBehavior;
 use crate::engine::{Engine, Response};
@@ -8,15 +9,15 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The pause between the bytes of [`HostBehavior::Trickle`].
+/// Interval between the bytes of [`HostBehavior::Trickle`].
 const TRICKLE_INTERVAL: Duration = Duration::from_micros(300);
 
-/// The errors that a scripted host answers with; each protocol has a code for each.
+/// Errors that a scripted host answers with, each encoded by a code of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServerError {
-    /// A write at a replica.
+    /// A write was sent to a replica.
     ReadOnly,
-    /// No capacity.
+    /// The host has no capacity.
     Overloaded,
     /// An internal error that is not retryable.
     Internal,
@@ -24,45 +25,45 @@
     Transient,
 }
 
-/// The server side of a protocol on one connection. The encoders belong to the request read last.
+/// The server side of a protocol on one connection. Encoders answer the request that was read last.
 pub(crate) trait ServerProtocol {
-    /// The text of the health check that the router sends in this protocol.
+    /// Text of the health check that a router sends in this protocol.
     const HEALTH_CHECK: &'static str;
 
-    /// The connection's socket.
+    /// Returns the connection's socket.
     fn stream(&mut self) -> &mut TcpStream;
 
-    /// Reads the next request; none once the client has ended the session.
+    /// Reads the next request. Returns `None` once the client has ended the session.
     fn read_request(&mut self) -> Result<Option<String>, ConnectionError>;
 
-    /// The answer to a health check: the host's position in Unix milliseconds, and whether it is a primary.
-    fn health_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8>;
+    /// Encodes a load report: the replication position in Unix milliseconds, and whether the host is a primary.
+    fn load_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8>;
 
-    /// An answer of one row that holds the key.
+    /// Encodes an answer of one row that holds the key.
     fn answer(&self, key: &str) -> Vec<u8>;
 
-    /// An answer that leaves a transaction open.
+    /// Encodes an answer that leaves a transaction open.
     fn answer_in_transaction(&self, key: &str) -> Vec<u8>;
 
-    /// An answer followed by surplus data.
-    fn answer_twice(&self, key: &str) -> Vec<u8>;
+    /// Encodes an answer followed by extra bytes.
+    fn answer_with_extra_bytes(&self, key: &str) -> Vec<u8>;
 
-    /// An answer with a column of every type, where the protocol types its columns.
+    /// Encodes an answer with a column of every type, if the protocol types its columns.
     fn answer_of_all_types(&self, key: &str) -> Vec<u8>;
 
-    /// An answer of two megabytes in rows, the last of which holds the key.
+    /// Encodes an answer of two megabytes of rows, the last of which holds the key.
     fn large_answer(&self, key: &str) -> Vec<u8>;
 
-    /// Bytes that are no answer in this protocol.
+    /// Encodes a message that the protocol does not allow.
     fn malformed_answer(&self) -> Vec<u8>;
 
-    /// An error in place of an answer.
+    /// Encodes an error.
     fn error(&self, error: ServerError) -> Vec<u8>;
 }
 
-/// Whether a connection goes on after a response.
+/// What a connection does after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Next {
+enum NextStep {
     ReadRequest,
     Close,
 }
@@ -76,25 +77,27 @@
         if transaction_open {
             engine.record_interleaved(&text);
         }
-        let next = if text == P::HEALTH_CHECK {
-            report_health(&mut protocol, engine)?
+        let next_step = if text == P::HEALTH_CHECK {
+            answer_health_check(&mut protocol, engine)?
         } else {
             let response = engine.execute(&text);
             transaction_open |= leaves_transaction_open(&response);
             respond(&mut protocol, response)?
         };
-        if next == Next::Close {
+        if next_step == NextStep::Close {
             break;
         }
     }
     Ok(())
 }
 
-fn report_health<P: ServerProtocol>(protocol: &mut P, engine: &Engine) -> Result<Next, ConnectionError> {
+fn answer_health_check<P: ServerProtocol>(
+    protocol: &mut P, engine: &Engine,
+) -> Result<NextStep, ConnectionError> {
     if engine.is_down() {
-        return Ok(Next::Close);
+        return Ok(NextStep::Close);
     }
-    let report = protocol.health_report(engine.position_ms(), engine.is_primary());
+    let report = protocol.load_report(engine.position_ms(), engine.is_primary());
     send(protocol, &report)
 }
 
@@ -102,11 +105,11 @@
     matches!(response, Response::Scripted { behavior: HostBehavior::LeaveTransactionOpen, .. })
 }
 
-fn respond<P: ServerProtocol>(protocol: &mut P, response: Response) -> Result<Next, ConnectionError> {
+fn respond<P: ServerProtocol>(protocol: &mut P, response: Response) -> Result<NextStep, ConnectionError> {
     let (behavior, key) = match response {
         Response::Scripted { behavior, key } => (behavior, key),
         Response::ReadOnly => return send_error(protocol, ServerError::ReadOnly),
-        Response::Close => return Ok(Next::Close),
+        Response::Close => return Ok(NextStep::Close),
     };
     match behavior {
         HostBehavior::Answer | HostBehavior::AnswerAfter(_) => {
@@ -125,8 +128,8 @@
             let answer = protocol.answer(&key);
             send_byte_by_byte(protocol, &answer)
         }
-        HostBehavior::AnswerTwice => {
-            let answer = protocol.answer_twice(&key);
+        HostBehavior::AnswerWithExtraBytes => {
+            let answer = protocol.answer_with_extra_bytes(&key);
             send(protocol, &answer)
         }
         HostBehavior::Truncate => {
@@ -138,7 +141,7 @@
             send(protocol, &answer)
         }
         HostBehavior::Overloaded => send_error(protocol, ServerError::Overloaded),
-        HostBehavior::Error => send_error(protocol, ServerError::Internal),
+        HostBehavior::InternalError => send_error(protocol, ServerError::Internal),
         HostBehavior::TransientError => send_error(protocol, ServerError::Transient),
         HostBehavior::LargeAnswer => {
             let answer = protocol.large_answer(&key);
@@ -148,36 +151,36 @@
             let answer = protocol.large_answer(&key);
             send_and_close(protocol, &answer[..answer.len() / 4 * 3])
         }
-        HostBehavior::ResetBefore | HostBehavior::ResetAfter => Ok(Next::Close),
-        HostBehavior::Hang | HostBehavior::HangAfter => wait_for_peer(protocol),
+        HostBehavior::CloseBeforeExecution | HostBehavior::CloseAfterExecution => Ok(NextStep::Close),
+        HostBehavior::HangBeforeExecution | HostBehavior::HangAfterExecution => wait_for_peer(protocol),
     }
 }
 
-fn send<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<Next, ConnectionError> {
+fn send<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<NextStep, ConnectionError> {
     protocol.stream().write_all(bytes)?;
-    Ok(Next::ReadRequest)
+    Ok(NextStep::ReadRequest)
 }
 
-fn send_and_close<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<Next, ConnectionError> {
+fn send_and_close<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<NextStep, ConnectionError> {
     protocol.stream().write_all(bytes)?;
-    Ok(Next::Close)
+    Ok(NextStep::Close)
 }
 
-fn send_error<P: ServerProtocol>(protocol: &mut P, error: ServerError) -> Result<Next, ConnectionError> {
+fn send_error<P: ServerProtocol>(protocol: &mut P, error: ServerError) -> Result<NextStep, ConnectionError> {
     let bytes = protocol.error(error);
     send(protocol, &bytes)
 }
 
-fn send_byte_by_byte<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<Next, ConnectionError> {
+fn send_byte_by_byte<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<NextStep, ConnectionError> {
     for byte in bytes {
         protocol.stream().write_all(&[*byte])?;
         std::thread::sleep(TRICKLE_INTERVAL);
     }
-    Ok(Next::ReadRequest)
+    Ok(NextStep::ReadRequest)
 }
 
-/// Stays silent until the peer sends something, such as a cancellation, or closes the connection.
-fn wait_for_peer<P: ServerProtocol>(protocol: &mut P) -> Result<Next, ConnectionError> {
+/// Sends nothing until the peer sends something, such as a cancellation, or closes the connection.
+fn wait_for_peer<P: ServerProtocol>(protocol: &mut P) -> Result<NextStep, ConnectionError> {
     let _ = protocol.stream().read(&mut [0]);
-    Ok(Next::Close)
+    Ok(NextStep::Close)
 }
--- a/crates/comethitch-testkit/src/engine.rs
+++ b/crates/comethitch-testkit/src/engine.rs
@@ -1,9 +1,8 @@
-//! The database behind a scripted host, independent of the protocol: it executes requests as its script says, and
-//! records them in the ledger.
+//! The protocol-independent state of a scripted host: executes requests as scripted and records them in the ledger.
 
 use crate::behavior::HostBehavior;
 use crate::ledger::{Entry, Ledger};
-use crate::request::{key, writes};
+use crate::request::{is_write, request_key};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::Sender;
@@ -11,18 +10,18 @@
 
 type Script = Box<dyn Fn(usize, &str) -> HostBehavior + Send + Sync>;
 
-/// How a connection must respond to a request.
+/// How a connection responds to a request.
 pub(crate) enum Response {
-    /// As this behavior says; an answer holds the request's key.
+    /// As scripted. An answer holds the request's key.
     Scripted {
-        /// What the script chose.
+        /// The behavior that the script chose.
         behavior: HostBehavior,
         /// The request's key.
         key: String,
     },
-    /// With an error: the request writes, and the host is a replica.
+    /// With an error, as the request is a write and the host a replica.
     ReadOnly,
-    /// Not at all: the host is down, and the connection ends.
+    /// By closing the connection, as the host is down.
     Close,
 }
 
@@ -31,17 +30,17 @@
     name: String,
     primary: AtomicBool,
     replication_lag_ms: AtomicU64,
-    /// New connections are dropped, and open ones end at their next request.
+    /// While set, new connections are closed, and open ones end at their next request.
     down: AtomicBool,
     script: Mutex<Script>,
     request_count: AtomicUsize,
     ledger: Ledger,
-    /// Notifies the test of each request.
+    /// Receives the text of each request, for the test.
     requests: Mutex<Sender<String>>,
 }
 
 impl Engine {
-    /// An engine that answers every request.
+    /// Creates an engine that answers every request.
     pub(crate) fn new(name: &str, primary: bool, ledger: &Ledger, requests: Sender<String>) -> Engine {
         Engine {
             name: name.into(),
@@ -55,7 +54,7 @@
         }
     }
 
-    /// The position that a health check reports: the Unix time in milliseconds up to which all writes are applied.
+    /// Returns the replication position: the Unix time in milliseconds up to which all writes are applied.
     pub(crate) fn position_ms(&self) -> u64 {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         (now.as_millis() as u64).saturating_sub(self.replication_lag_ms.load(Ordering::SeqCst))
@@ -85,14 +84,14 @@
         *self.script.lock().expect("scripts do not panic") = Box::new(script);
     }
 
-    /// Runs a request that has arrived completely. An execution is in the ledger before anything is answered.
+    /// Runs a request that has arrived completely. Records its execution in the ledger before it is answered.
     pub(crate) fn execute(&self, text: &str) -> Response {
         if self.is_down() {
             return Response::Close;
         }
         self.ledger.record(Entry::Arrived { host: self.name.clone(), text: text.into() });
         let behavior = self.next_behavior(text);
-        if writes(text) && !self.is_primary() {
+        if is_write(text) && !self.is_primary() {
             self.notify_test(text);
             return Response::ReadOnly;
         }
@@ -104,10 +103,10 @@
             self.ledger.record(Entry::Executed { host: self.name.clone(), text: text.into(), primary });
         }
         self.notify_test(text);
-        Response::Scripted { behavior, key: key(text).to_string() }
+        Response::Scripted { behavior, key: request_key(text).to_string() }
     }
 
-    /// Records a request on a connection on which a transaction was left open.
+    /// Records a request on a connection with another request's open transaction.
     pub(crate) fn record_interleaved(&self, text: &str) {
         self.ledger.record(Entry::Interleaved { host: self.name.clone(), text: text.into() });
     }
--- a/crates/comethitch-testkit/src/error.rs
+++ b/crates/comethitch-testkit/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a connection between a scripted host or client and its peer ended early.
+//! The error of a connection between a scripted host or client and its peer.
 
 use comethitch_tds::{MalformedMessage, ReadError};
 use std::io;
 
-/// A fault on one connection, at either end.
+/// Why a connection ended early.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectionError {
     /// The socket failed or was closed.
--- a/crates/comethitch-testkit/src/host.rs
+++ b/crates/comethitch-testkit/src/host.rs
@@ -1,10 +1,10 @@
-//! A scripted database host: a listener on loopback whose connections share one engine.
+//! A scripted database host on loopback, whose connections share one engine.
 
 use crate::behavior::HostBehavior;
 use crate::engine::Engine;
 use crate::error::ConnectionError;
 use crate::ledger::Ledger;
-use crate::protocol::{LONG, Protocol};
+use crate::protocol::{Protocol, TEST_TIMEOUT};
 use crate::{postgres, tds};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,29 +12,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A host on loopback, as the test that scripts it sees it.
+/// Handle of a scripted database host on loopback.
 pub struct Host {
-    /// Where it listens.
+    /// Address that the host listens on.
     pub address: SocketAddr,
     engine: Arc<Engine>,
     connections: Arc<Connections>,
     requests: Receiver<String>,
 }
 
-/// The connections that a host has accepted.
+/// Connections that a host has accepted.
 #[derive(Default)]
 struct Connections {
     accepted: AtomicUsize,
-    /// Copies of the sockets, to close them when the host goes down.
+    /// Duplicated handles of the sockets, to close them when the host goes down.
     sockets: Mutex<Vec<TcpStream>>,
 }
 
 impl Host {
-    /// Starts a host. Until [`Host::script`] says otherwise it answers every request.
+    /// Starts a host that answers every request until [`Host::script`] is called.
     ///
     /// # Panics
     ///
-    /// If no loopback port can be bound.
+    /// Panics if no loopback port can be bound.
     pub fn start(name: &str, protocol: Protocol, primary: bool, ledger: &Ledger) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
         let address = listener.local_addr().expect("a bound listener has an address");
@@ -46,30 +46,32 @@
         Host { address, engine, connections, requests }
     }
 
-    /// Sets what the host does from now on, from the number of requests that arrived before (from the start of the
-    /// host, not of the script) and the request's text.
+    /// Sets the script that chooses the behavior for each request.
+    ///
+    /// The script is called with the number of requests that the host received before, counted from its start, and
+    /// with the text of the request.
     pub fn script(&self, script: impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static) {
         self.engine.set_script(script);
     }
 
-    /// Makes the host a primary or a replica.
+    /// Changes the host's role to primary or replica.
     pub fn set_primary(&self, primary: bool) {
         self.engine.set_primary(primary);
     }
 
-    /// Sets the replication lag that health checks see.
+    /// Sets the replication lag in the host's load reports.
     pub fn set_lag(&self, lag: Duration) {
         self.engine.set_lag(lag);
     }
 
-    /// Takes the host down or up again. In both cases open connections break; while it is down, new ones are closed
-    /// at once.
+    /// Takes the host down or up, and breaks open connections in both cases. While it is down, new connections are
+    /// closed at once.
     pub fn set_down(&self, down: bool) {
         self.engine.set_down(down);
         self.break_connections();
     }
 
-    /// Breaks all open connections; new ones are accepted.
+    /// Breaks all open connections. New ones are still accepted.
     pub fn break_connections(&self) {
         self.connections.shut_down();
     }
@@ -78,13 +80,13 @@
     ///
     /// # Panics
     ///
-    /// If none arrives within [`LONG`].
+    /// Panics if none arrives within [`TEST_TIMEOUT`].
     pub fn next_request(&self) -> String {
-        self.requests.recv_timeout(LONG).expect("a command arrives at the host")
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request arrives at the host")
     }
 
-    /// How many connections it has accepted so far.
-    pub fn connections(&self) -> usize {
+    /// Returns the number of connections accepted so far.
+    pub fn accepted_connections(&self) -> usize {
         self.connections.accepted.load(Ordering::SeqCst)
     }
 }
@@ -92,8 +94,8 @@
 impl Connections {
     fn add(&self, stream: &TcpStream) {
         self.accepted.fetch_add(1, Ordering::SeqCst);
-        let copy = stream.try_clone();
-        self.sockets.lock().expect("no thread panics while it holds the lock").extend(copy);
+        let duplicate = stream.try_clone();
+        self.sockets.lock().expect("no thread panics while it holds the lock").extend(duplicate);
     }
 
     fn shut_down(&self) {
@@ -117,14 +119,14 @@
 
 fn serve(protocol: Protocol, stream: TcpStream, engine: &Engine) {
     let _ = stream.set_nodelay(true);
-    let copy = stream.try_clone();
-    // A connection that breaks is either the router's decision or the script's: neither is an error here.
+    let duplicate = stream.try_clone();
+    // Connections break because the router or the script closes them, which is not an error here.
     let _: Result<(), ConnectionError> = match protocol {
         Protocol::Postgres => postgres::server::serve(stream, engine),
         Protocol::Tds => tds::server::serve(stream, engine),
     };
-    // The copy kept for `break_connections` holds the socket open after the connection's end.
-    if let Ok(copy) = copy {
-        let _ = copy.shutdown(Shutdown::Both);
+    // The handle kept for `break_connections` would hold the socket open after the end of the connection.
+    if let Ok(duplicate) = duplicate {
+        let _ = duplicate.shutdown(Shutdown::Both);
     }
 }
--- a/crates/comethitch-testkit/src/ledger.rs
+++ b/crates/comethitch-testkit/src/ledger.rs
@@ -1,18 +1,18 @@
-//! A record of what reached the hosts of a test, and a checker that compares it with what clients received.
+//! Records what reached the hosts of a test and checks the answers that clients received against the router's rules.
 //!
-//! The checker holds the router's rules on final answers: one answer to each request, no write executed twice or at
-//! a replica, no answer of another request, no throttled write that was executed, a bound on attempts, and no request
-//! within another client's transaction.
+//! The rules: one final answer to each request, no write executed twice or at a replica, no answer of another request,
+//! no throttled write that was executed, a bounded number of attempts, and no request within another client's
+//! transaction.
 
-use crate::received::Received;
-use crate::request::{key, writes};
+use crate::reply::Reply;
+use crate::request::{is_write, request_key};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// The most attempts that a router may make for one request, retries and hedged requests included.
+/// Maximum number of attempts for one request, retries and hedged requests included.
 const MAX_ATTEMPTS: usize = 6;
 
-/// Something that happened at a host.
+/// An event at a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// The last byte of a request arrived.
@@ -40,85 +40,85 @@
     },
 }
 
-/// The entries of all hosts of a test, in the order in which they happened. Clones share the same entries.
+/// The events at all hosts of a test in the order in which they happened. Clones share the same entries.
 #[derive(Clone, Default)]
 pub struct Ledger(Arc<Mutex<Vec<Entry>>>);
 
-/// A request that a client sent, and every answer that it received.
+/// A request and every answer that its client received.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     /// The request.
     pub text: String,
-    /// The answers in order; a router that keeps the rules gives exactly one.
-    pub answers: Vec<Received>,
+    /// The answers in order of arrival. Exactly one is expected.
+    pub answers: Vec<Reply>,
 }
 
-/// A rule that the router broke.
+/// A violation of the router's rules.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A request was sent on a connection on which another client's transaction was open.
-    #[error("within another's transaction at {host}: {text}")]
+    #[error("sent within another client's transaction at {host}: {text}")]
     Interleaved {
         /// The host's name.
         host: String,
         /// The request that was sent.
         text: String,
     },
-    /// A write was executed at a host that was no primary.
-    #[error("a write ran at the replica {host}: {text}")]
+    /// A write was executed at a replica.
+    #[error("write executed at replica {host}: {text}")]
     WriteAtReplica {
         /// The host's name.
         host: String,
         /// The write.
         text: String,
     },
-    /// A client received no final answer or several.
-    #[error("{} final answers to {text}: {answers:?}", answers.len())]
+    /// A client received no final answer, or more than one.
+    #[error("received {} final answers to {text}: {answers:?}", answers.len())]
     AnswerCount {
         /// The request.
         text: String,
         /// Everything that the client received.
-        answers: Vec<Received>,
+        answers: Vec<Reply>,
     },
     /// A write was executed more than once.
-    #[error("ran {executions} times: {text}")]
+    #[error("write executed {executions} times: {text}")]
     RepeatedWrite {
         /// The write.
         text: String,
-        /// How often it was executed.
+        /// Number of executions.
         executions: usize,
     },
     /// The answer belongs to another request.
-    #[error("another's answer, {value:?}, to {text}")]
+    #[error("received the answer {value:?} of another request to {text}")]
     ForeignAnswer {
         /// The request.
         text: String,
         /// The value received in place of the request's key.
         value: String,
     },
-    /// The client received a success, but no host executed the request.
-    #[error("answered and never run: {text}")]
+    /// The client received an answer, but no host executed the request.
+    #[error("answered without execution: {text}")]
     AnsweredWithoutExecution {
         /// The request.
         text: String,
     },
-    /// The client was told that nothing ran, but a host executed the write.
-    #[error("throttled, and it ran: {text}")]
+    /// The client was notified that nothing was executed, but a host executed the write.
+    #[error("throttled after execution: {text}")]
     ThrottledAfterExecution {
         /// The write.
         text: String,
     },
-    /// The router made more attempts than it may.
-    #[error("sent {attempts} times: {text}")]
+    /// The router sent more attempts than allowed.
+    #[error("sent {attempts} times, more than allowed: {text}")]
     TooManyAttempts {
         /// The request.
         text: String,
-        /// How often it arrived at hosts.
+        /// Number of arrivals at hosts.
         attempts: usize,
     },
 }
 
-/// How often the request of each key arrived and was executed.
+/// Number of arrivals and executions by request key.
 #[derive(Default)]
 struct Counts {
     attempts: BTreeMap<String, usize>,
@@ -131,23 +131,24 @@
         self.0.lock().expect("no thread panics while it holds the lock").push(entry);
     }
 
-    /// A copy of all entries so far.
+    /// Returns a copy of all entries so far.
     pub fn entries(&self) -> Vec<Entry> {
         self.0.lock().expect("no thread panics while it holds the lock").clone()
     }
 
-    /// How many requests arrived at hosts: the router's attempts.
-    pub fn attempts(&self) -> usize {
+    /// Returns the number of attempts that arrived at hosts.
+    pub fn attempt_count(&self) -> usize {
         self.entries().iter().filter(|entry| matches!(entry, Entry::Arrived { .. })).count()
     }
 
-    /// How often the request with this key was executed.
-    pub fn executions(&self, wanted: &str) -> usize {
-        let matches = |entry: &&Entry| matches!(entry, Entry::Executed { text, .. } if key(text) == wanted);
+    /// Returns how often the request with this key was executed.
+    pub fn executions(&self, key: &str) -> usize {
+        let matches =
+            |entry: &&Entry| matches!(entry, Entry::Executed { text, .. } if request_key(text) == key);
         self.entries().iter().filter(matches).count()
     }
 
-    /// Every rule that was broken, first those that show at the hosts and then those of each exchange; empty if none.
+    /// Returns all violations: first those seen at the hosts, then those of each exchange.
     pub fn violations(&self, exchanges: &[Exchange]) -> Vec<Violation> {
         let entries = self.entries();
         let counts = Counts::of(&entries);
@@ -157,11 +158,11 @@
     }
 }
 
-/// The rule that an entry breaks by itself, whatever the client received.
+/// Returns the violation that an entry shows by itself, whatever the client received.
 fn violation_at_host(entry: Entry) -> Option<Violation> {
     match entry {
         Entry::Interleaved { host, text } => Some(Violation::Interleaved { host, text }),
-        Entry::Executed { host, text, primary: false } if writes(&text) => {
+        Entry::Executed { host, text, primary: false } if is_write(&text) => {
             Some(Violation::WriteAtReplica { host, text })
         }
         Entry::Arrived { .. } | Entry::Executed { .. } => None,
@@ -181,17 +182,17 @@
         counts
     }
 
-    /// The rules that an exchange breaks.
+    /// Returns the violations of an exchange.
     fn check(&self, exchange: &Exchange) -> Vec<Violation> {
         let Exchange { text, answers } = exchange;
-        let key = key(text);
+        let key = request_key(text);
         let attempts = self.attempts.get(key).copied().unwrap_or(0);
         let executions = self.executions.get(key).copied().unwrap_or(0);
         let mut violations = Vec::new();
         if answers.len() != 1 {
             violations.push(Violation::AnswerCount { text: text.clone(), answers: answers.clone() });
         }
-        if writes(text) && executions > 1 {
+        if is_write(text) && executions > 1 {
             violations.push(Violation::RepeatedWrite { text: text.clone(), executions });
         }
         violations.extend(answers.first().and_then(|answer| check_answer(text, answer, executions)));
@@ -202,16 +203,16 @@
     }
 }
 
-/// Whether an answer fits a request that was executed so many times.
-fn check_answer(text: &str, answer: &Received, executions: usize) -> Option<Violation> {
+/// Checks an answer against the number of executions of its request.
+fn check_answer(text: &str, answer: &Reply, executions: usize) -> Option<Violation> {
     match answer {
-        Received::Answered(value) if value != key(text) => {
+        Reply::Answered(value) if value != request_key(text) => {
             Some(Violation::ForeignAnswer { text: text.into(), value: value.clone() })
         }
-        Received::Answered(_) if executions == 0 => {
+        Reply::Answered(_) if executions == 0 => {
             Some(Violation::AnsweredWithoutExecution { text: text.into() })
         }
-        Received::Throttled if writes(text) && executions > 0 => {
+        Reply::Throttled if is_write(text) && executions > 0 => {
             Some(Violation::ThrottledAfterExecution { text: text.into() })
         }
         _ => None,
@@ -219,5 +220,5 @@
 }
 
 fn increment(counts: &mut BTreeMap<String, usize>, text: &str) {
-    *counts.entry(key(text).to_string()).or_default() += 1;
+    *counts.entry(request_key(text).to_string()).or_default() += 1;
 }
--- a/crates/comethitch-testkit/src/lib.rs
+++ b/crates/comethitch-testkit/src/lib.rs
@@ -1,11 +1,11 @@
-//! Test doubles for what a router talks to: scripted database hosts, and clients of both protocols, on loopback.
+//! Test doubles for the peers of a router on loopback: scripted database hosts, and clients of both protocols.
 //!
 //! A [`Host`] listens on a loopback port and follows a script of [`HostBehavior`]s; a [`Client`] connects to a router
 //! and sends requests. All hosts of a test record what reaches them in one [`Ledger`], which then checks the answers
 //! that clients received against the router's rules. The two protocols, in [`postgres`] and [`tds`], are written from
 //! their public specifications and share no code with the router except the TDS codec.
 //!
-//! Every wait is for an event; timeouts only end a test that has already failed.
+//! Every wait is for an event; [`TEST_TIMEOUT`] only ends a test that has already failed.
 
 pub mod behavior;
 pub mod client;
@@ -16,7 +16,7 @@
 pub mod ledger;
 pub mod postgres;
 pub mod protocol;
-pub mod received;
+pub mod reply;
 pub mod request;
 pub mod tds;
 
@@ -24,6 +24,6 @@
 pub use client::Client;
 pub use host::Host;
 pub use ledger::{Exchange, Ledger, Violation};
-pub use protocol::{LONG, Protocol};
-pub use received::Received;
-pub use request::{key, writes};
+pub use protocol::{Protocol, TEST_TIMEOUT};
+pub use reply::Reply;
+pub use request::{is_write, request_key};
--- a/crates/comethitch-testkit/src/postgres/client.rs
+++ b/crates/comethitch-testkit/src/postgres/client.rs
@@ -1,12 +1,12 @@
-//! The client's end of a PostgreSQL connection: the login, and how an answer is read.
+//! The client side of a PostgreSQL connection: the login, and decoding of replies.
 
 use super::{message_type, read_message};
 use crate::error::ConnectionError;
-use crate::received::Received;
+use crate::reply::Reply;
 use std::io::Write;
 use std::net::TcpStream;
 
-/// Protocol version 3.0, as a `StartupMessage` has it.
+/// Version 3.0 of the protocol, as encoded in a `StartupMessage`.
 const PROTOCOL_VERSION: u32 = 3 << 16;
 
 /// Sends a `StartupMessage` and reads until the server is ready.
@@ -19,38 +19,36 @@
     Ok(())
 }
 
-/// Reads the next answer, up to `ReadyForQuery`.
-pub(crate) fn receive(stream: &mut TcpStream) -> Received {
-    let mut received = Received::Closed;
+/// Reads the next reply, up to `ReadyForQuery`.
+pub(crate) fn receive(stream: &mut TcpStream) -> Reply {
+    let mut reply = Reply::Closed;
     loop {
-        let Ok(message) = read_message(stream) else { return Received::Closed };
+        let Ok(message) = read_message(stream) else { return Reply::Closed };
         match message.message_type {
-            message_type::READY_FOR_QUERY => return received,
-            message_type::DATA_ROW => received = Received::Answered(first_column(&message.body)),
-            message_type::COMMAND_COMPLETE | message_type::EMPTY_QUERY_RESPONSE
-                if received == Received::Closed =>
-            {
-                received = Received::Answered(String::new());
+            message_type::READY_FOR_QUERY => return reply,
+            message_type::DATA_ROW => reply = Reply::Answered(first_column(&message.body)),
+            message_type::COMMAND_COMPLETE | message_type::EMPTY_QUERY_RESPONSE if reply == Reply::Closed => {
+                reply = Reply::Answered(String::new());
             }
-            message_type::ERROR_RESPONSE => received = classify_error(&message.body),
+            message_type::ERROR_RESPONSE => reply = classify_error(&message.body),
             _ => {}
         }
     }
 }
 
-/// The first column of a `DataRow` of one column, behind the column count and the value's length.
+/// Returns the value of a `DataRow` of one column, which follows the column count and the length of the value.
 fn first_column(body: &[u8]) -> String {
     String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned()
 }
 
-/// What an `ErrorResponse` means, by its SQLSTATE.
-fn classify_error(body: &[u8]) -> Received {
+/// Maps an `ErrorResponse` to a reply by its SQLSTATE.
+fn classify_error(body: &[u8]) -> Reply {
     let field = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&b'C'));
     let code = field.map_or(&b""[..], |field| &field[1..]);
     let code = String::from_utf8_lossy(code).into_owned();
     match code.as_str() {
-        "53300" => Received::Throttled,
-        "42601" | "42809" | "0A000" | "22023" | "42710" => Received::Rejected(code),
-        _ => Received::Failed(code),
+        "53300" => Reply::Throttled,
+        "42601" | "42809" | "0A000" | "22023" | "42710" => Reply::Rejected(code),
+        _ => Reply::Failed(code),
     }
 }
--- a/crates/comethitch-testkit/src/postgres/mod.rs
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -1,5 +1,6 @@
-//! The PostgreSQL frontend/backend protocol, version 3, as far as hosts and clients of a test need it: messages and
-//! the few answers that a scripted host gives. The modules `server` and `client` are the two ends of a connection.
+//! The subset of the PostgreSQL frontend/backend protocol, version 3, that scripted hosts and clients use.
+//!
+//! The modules `server` and `client` are the two sides of a connection.
 
 pub(crate) mod client;
 pub mod message_type;
@@ -8,29 +9,29 @@
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// The transaction status in a `ReadyForQuery` message.
+/// Transaction status in a `ReadyForQuery` message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TransactionStatus {
     Idle,
     InTransaction,
 }
 
-/// A message of this type, with its length before the body.
+/// Encodes a message of this type: the type byte, the length and the body.
 pub fn message(message_type: u8, body: &[u8]) -> Vec<u8> {
     [&[message_type], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-/// An answer of one row with one column, up to `CommandComplete`; `ReadyForQuery` must follow.
+/// Encodes an answer of one row with one column, up to `CommandComplete`. `ReadyForQuery` must follow.
 pub fn row(value: &[u8]) -> Vec<u8> {
     [row_description(), data_row(value), command_complete()].concat()
 }
 
-/// An `ErrorResponse` with this SQLSTATE; `ReadyForQuery` must follow.
+/// Encodes an `ErrorResponse` with this SQLSTATE. `ReadyForQuery` must follow.
 pub fn error(code: &str) -> Vec<u8> {
     message(message_type::ERROR_RESPONSE, format!("SERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-/// A simple query.
+/// Encodes a simple query.
 pub fn query(text: &str) -> Vec<u8> {
     message(message_type::QUERY, format!("{text}\0").as_bytes())
 }
@@ -59,7 +60,7 @@
     message(message_type::READY_FOR_QUERY, code)
 }
 
-/// A message as it was read.
+/// A decoded message.
 struct Message {
     message_type: u8,
     body: Vec<u8>,
--- a/crates/comethitch-testkit/src/postgres/server.rs
+++ b/crates/comethitch-testkit/src/postgres/server.rs
@@ -1,4 +1,4 @@
-//! The server's end of a PostgreSQL connection: what a scripted host sends.
+//! The server side of a PostgreSQL connection: encodes what a scripted host sends.
 
 use super::{
     TransactionStatus, command_complete, data_row, error, message, message_type, read_message,
@@ -10,8 +10,9 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// The length of a large answer's row, and the number of rows before the last.
+/// Length of each filler row of a large answer.
 const LARGE_ROW_BYTES: usize = 100 << 10;
+/// Number of filler rows of a large answer.
 const LARGE_ROW_COUNT: usize = 20;
 
 struct PostgresServer {
@@ -62,7 +63,7 @@
         Ok(Some(String::from_utf8_lossy(text).into_owned()))
     }
 
-    fn health_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
+    fn load_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
         let primary = u8::from(is_primary);
         let report = format!("x0={}.{:03},x1={primary}", position_ms / 1000, position_ms % 1000);
         then_ready(row(report.as_bytes()))
@@ -76,7 +77,7 @@
         [row(key.as_bytes()), ready_for_query(TransactionStatus::InTransaction)].concat()
     }
 
-    fn answer_twice(&self, key: &str) -> Vec<u8> {
+    fn answer_with_extra_bytes(&self, key: &str) -> Vec<u8> {
         [self.answer(key), row(b"surplus")].concat()
     }
 
--- a/crates/comethitch-testkit/src/protocol.rs
+++ b/crates/comethitch-testkit/src/protocol.rs
@@ -1,9 +1,9 @@
-//! The client protocols that hosts and clients of a test can speak, and the timeout that both wait with.
+//! The protocols of scripted hosts and clients, and the timeout of their waits.
 
 use std::time::Duration;
 
-/// A timeout that expires only in a test that has already failed.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Timeout of waits, which expires only in a test that has already failed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A database protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,6 +15,6 @@
 }
 
 impl Protocol {
-    /// Every protocol, for tests that run once for each.
+    /// Both protocols, for tests that run once with each.
     pub const BOTH: [Protocol; 2] = [Protocol::Postgres, Protocol::Tds];
 }
--- a/crates/comethitch-testkit/src/tds/client.rs
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -1,8 +1,8 @@
-//! The client's end of a TDS connection: the login, batches, and how an answer is read.
+//! The client side of a TDS connection: the login, batches, and decoding of replies.
 
 use super::{CLIENT_PACKET_SIZE, encode, read_message, write_message};
 use crate::error::ConnectionError;
-use crate::received::Received;
+use crate::reply::Reply;
 use comethitch_tds::login::{Login, Prelogin, VERSION};
 use comethitch_tds::packet::{FIRST_SIZE, Kind};
 use comethitch_tds::request::Batch;
@@ -10,8 +10,9 @@
 use comethitch_tds::types::Value;
 use std::net::TcpStream;
 
-/// The error numbers with which a router sheds a request, and rejects what became none.
+/// Error number of a request that the router sheds.
 const THROTTLED: i32 = 49_918;
+/// Error number of a statement that the router rejects.
 const REJECTED: i32 = 50_001;
 
 /// Sends PRELOGIN and LOGIN7, and checks that the server acknowledges the login.
@@ -37,7 +38,7 @@
     }
 }
 
-/// Whether a login response holds a LOGINACK token.
+/// Returns whether a login response holds a LOGINACK token.
 fn acknowledges_login(response: &[u8]) -> Result<bool, ConnectionError> {
     let mut tokens = Tokens::new();
     let mut position = 0;
@@ -50,44 +51,44 @@
     Ok(acknowledged)
 }
 
-/// A batch of statements as a message.
+/// Encodes a batch of statements.
 pub(crate) fn batch(text: &str) -> Vec<u8> {
     let mut payload = Vec::new();
     Batch::put(&mut payload, text);
     encode(Kind::Batch, CLIENT_PACKET_SIZE, &payload)
 }
 
-/// Reads the next answer, up to its final DONE token.
-pub(crate) fn receive(stream: &mut TcpStream) -> Received {
-    let Ok(message) = read_message(stream) else { return Received::Closed };
+/// Reads the next reply, up to its final DONE token.
+pub(crate) fn receive(stream: &mut TcpStream) -> Reply {
+    let Ok(message) = read_message(stream) else { return Reply::Closed };
     if message.kind != Kind::Answer {
-        return Received::Closed;
+        return Reply::Closed;
     }
     let answer = message.payload;
     let mut tokens = Tokens::new();
     let mut position = 0;
-    let mut received = Received::Closed;
+    let mut reply = Reply::Closed;
     while position < answer.len() {
-        let Ok((token, length)) = tokens.next(&answer[position..]) else { return Received::Malformed };
+        let Ok((token, length)) = tokens.next(&answer[position..]) else { return Reply::Malformed };
         match token {
             Token::Row => {
                 if let Some(value) = first_column(&tokens, &answer[position..position + length]) {
-                    received = Received::Answered(value);
+                    reply = Reply::Answered(value);
                 }
             }
-            Token::Error(message) => received = classify_error(message),
-            Token::Done { status, .. } if status & done::ATTENTION != 0 => received = Received::Cancelled,
-            Token::Done { .. } if received == Received::Closed => {
-                received = Received::Answered(String::new());
+            Token::Error(message) => reply = classify_error(message),
+            Token::Done { status, .. } if status & done::ATTENTION != 0 => reply = Reply::Cancelled,
+            Token::Done { .. } if reply == Reply::Closed => {
+                reply = Reply::Answered(String::new());
             }
             _ => {}
         }
         position += length;
     }
-    if tokens.over() { received } else { Received::Malformed }
+    if tokens.over() { reply } else { Reply::Malformed }
 }
 
-/// The first column of a row token, if it is a text.
+/// Returns the first column of a row token if it is a text.
 fn first_column(tokens: &Tokens, row: &[u8]) -> Option<String> {
     let values = tokens.values(row)?;
     let (column, raw) = values.first()?;
@@ -97,11 +98,11 @@
     }
 }
 
-/// What an ERROR token means, by its number.
-fn classify_error(message: Message) -> Received {
+/// Maps an ERROR token to a reply by its number.
+fn classify_error(message: Message) -> Reply {
     match message.number {
-        THROTTLED => Received::Throttled,
-        REJECTED => Received::Rejected(message.text),
-        number => Received::Failed(number.to_string()),
+        THROTTLED => Reply::Throttled,
+        REJECTED => Reply::Rejected(message.text),
+        number => Reply::Failed(number.to_string()),
     }
 }
--- a/crates/comethitch-testkit/src/tds/mod.rs
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -1,5 +1,6 @@
-//! TDS 7.4 as far as hosts and clients of a test need it, on top of the `comethitch-tds` codec: reading and writing
-//! messages on a socket. The modules `server` and `client` are the two ends of a connection.
+//! The subset of TDS 7.4 that scripted hosts and clients use, on top of the `comethitch-tds` codec.
+//!
+//! The modules `server` and `client` are the two sides of a connection.
 
 pub(crate) mod client;
 mod samples;
@@ -10,22 +11,22 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// The largest message that either end reads.
+/// Maximum length of a message that either side reads.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// The packet size that clients ask for and send their requests in.
+/// Packet size that clients request at login and send requests with.
 const CLIENT_PACKET_SIZE: usize = 4096;
 
-/// An attention message, which cancels the request in progress.
+/// Encodes an attention message, which cancels the request in progress.
 pub fn attention() -> Vec<u8> {
     encode(Kind::Attention, FIRST_SIZE, b"")
 }
 
-/// An RPC request with this payload.
+/// Encodes an RPC request with this payload.
 pub fn call(payload: &[u8]) -> Vec<u8> {
     encode(Kind::Rpc, CLIENT_PACKET_SIZE, payload)
 }
 
-/// A message as it was read.
+/// A decoded message.
 struct Message {
     kind: Kind,
     status: u8,
@@ -35,7 +36,7 @@
 fn read_message(stream: &mut TcpStream) -> Result<Message, ConnectionError> {
     let mut assembly = Assembly::new(MAX_MESSAGE_BYTES);
     while !assembly.over() {
-        // Byte by byte, so that nothing of the next message is taken.
+        // Byte by byte, to leave the next message in the socket.
         let mut byte = [0; 1];
         stream.read_exact(&mut byte)?;
         assembly.take(&byte)?;
--- a/crates/comethitch-testkit/src/tds/samples.rs
+++ b/crates/comethitch-testkit/src/tds/samples.rs
@@ -1,14 +1,14 @@
-//! A sample value of every column type that a client library must read through the router.
+//! Sample values of every column type that a client library must be able to read through the router.
 
 use comethitch_tds::types::code;
 use comethitch_tds::write::{Cell, Column, put_columns, put_row};
 
-/// A collation as `TYPE_INFO` carries it: its locale and flags, and its sort order.
+/// Collation in `TYPE_INFO`: locale and flags, and sort order.
 const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
-/// The size in `TYPE_INFO` of types without a limit.
+/// Size in `TYPE_INFO` of types without a limit.
 const UNLIMITED: u16 = 0xffff;
 
-/// A column with its description and its value, both as they stand on the wire.
+/// A column with its encoded description and its encoded value.
 struct Sample {
     name: &'static str,
     type_info: Vec<u8>,
@@ -77,17 +77,17 @@
     text.encode_utf16().flat_map(u16::to_le_bytes).collect()
 }
 
-/// A value behind a length of one byte.
+/// Encodes a value with a length prefix of one byte.
 fn byte_sized(value: &[u8]) -> Vec<u8> {
     [&[value.len() as u8][..], value].concat()
 }
 
-/// A value behind a length of two bytes.
+/// Encodes a value with a length prefix of two bytes.
 fn short_sized(value: &[u8]) -> Vec<u8> {
     [&(value.len() as u16).to_le_bytes()[..], value].concat()
 }
 
-/// A value of partially length-prefixed (PLP) bytes: the total length, one chunk and the terminator.
+/// Encodes partially length-prefixed (PLP) bytes: the total length, one chunk and the terminator.
 fn one_chunk(value: &[u8]) -> Vec<u8> {
     let total = (value.len() as u64).to_le_bytes();
     let chunk = (value.len() as u32).to_le_bytes();
--- a/crates/comethitch-testkit/src/tds/server.rs
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -1,4 +1,4 @@
-//! The server's end of a TDS connection: what a scripted host sends.
+//! The server side of a TDS connection: encodes what a scripted host sends.
 
 use super::{encode, read_message, samples, write_message};
 use crate::connection::{ServerError, ServerProtocol, serve_requests};
@@ -14,21 +14,21 @@
 };
 use std::net::TcpStream;
 
-/// The packet size that a host settles on, whatever the client asks for: the smallest, so that answers span several
-/// packets.
+/// Packet size that hosts choose: the minimum, so that answers span several packets.
 const PACKET_SIZE: usize = 512;
 const SERVER_NAME: &str = "standin";
-/// The application name in a router's login. Its connections are shared by many clients.
+/// Application name in a router's login, whose connections are shared by many clients.
 const ROUTER_APPLICATION: &str = "comethitch";
-/// The error of a host whose shared session is used again without a reset.
+/// Error number for a shared session that is used again without a reset.
 const SESSION_NOT_RESET: i32 = 50_999;
 const ERROR_CLASS: u8 = 16;
-/// The length of a large answer's row, and the number of rows before the last.
-const LARGE_ROW_BYTES: usize = 50 << 10;
+/// Length of each filler row of a large answer, in characters.
+const LARGE_ROW_LENGTH: usize = 50 << 10;
+/// Number of filler rows of a large answer.
 const LARGE_ROW_COUNT: usize = 20;
 const COLUMNS: [(&str, Column); 1] = [("data", Column::LongText)];
 
-/// How a request was sent, which decides the DONE tokens of its answer.
+/// Type of a request, which determines the DONE tokens of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
     Batch,
@@ -37,11 +37,11 @@
 
 struct TdsServer {
     stream: TcpStream,
-    /// The client is a router: its session must be reset before it is used again.
+    /// Whether the client is a router, which must reset the session before it uses it again.
     shared: bool,
     used: bool,
     request_kind: RequestKind,
-    /// Tokens that precede every answer to the current request: the acknowledged reset, if it asked for one.
+    /// Tokens before every answer to the current request: the acknowledgement of a reset, if it requested one.
     prefix: Vec<u8>,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl TdsServer {
-    /// The text of a request: a batch, or the statement that a call carries.
+    /// Returns the text of a request: the batch, or the statement of a call.
     fn decode(&mut self, kind: Kind, payload: &[u8]) -> Result<String, ConnectionError> {
         if kind == Kind::Rpc {
             self.request_kind = RequestKind::Call;
@@ -89,7 +89,7 @@
         Ok(Batch::read(payload)?.text)
     }
 
-    /// The tokens of an answer of one row.
+    /// Encodes the tokens of an answer of one row.
     fn answer_tokens(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.prefix.clone();
         put_columns(&mut tokens, &COLUMNS);
@@ -98,7 +98,7 @@
         tokens
     }
 
-    /// The tokens that end an answer of one row.
+    /// Appends the tokens that end an answer of one row.
     fn put_end(&self, tokens: &mut Vec<u8>) {
         match self.request_kind {
             RequestKind::Call => {
@@ -156,7 +156,7 @@
         }
     }
 
-    fn health_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
+    fn load_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
         let columns = [("rol", Column::Text), ("posicion_ms", Column::Integer)];
         let role = if is_primary { "PRIMARY" } else { "SECONDARY" };
         let cells = [Cell::Text(role.into()), Cell::Integer(position_ms as i64)];
@@ -178,7 +178,7 @@
         answer_message(&tokens)
     }
 
-    fn answer_twice(&self, key: &str) -> Vec<u8> {
+    fn answer_with_extra_bytes(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.answer_tokens(key);
         self.put_end(&mut tokens);
         answer_message(&tokens)
@@ -194,7 +194,7 @@
     fn large_answer(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.prefix.clone();
         put_columns(&mut tokens, &COLUMNS);
-        let filler = [Cell::Text("x".repeat(LARGE_ROW_BYTES))];
+        let filler = [Cell::Text("x".repeat(LARGE_ROW_LENGTH))];
         for _ in 0..LARGE_ROW_COUNT {
             put_row(&mut tokens, &COLUMNS, &filler);
         }
--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -4,7 +4,7 @@
 //! attempts was broken.
 
 use async_io::Async;
-use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Received};
+use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Reply};
 use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol as RouterProtocol;
 use comethitchd::service::startup;
@@ -171,13 +171,13 @@
         ("after the takeover", takeover..Duration::MAX),
     ];
     for (name, phase) in phases {
-        let count = |is_counted: fn(&Received) -> bool| {
+        let count = |is_counted: fn(&Reply) -> bool| {
             let in_phase = requests.iter().filter(|request| phase.contains(&request.answered_at));
             in_phase.filter(|request| is_counted(&request.request.answers[0])).count()
         };
-        let answered = count(|answer| matches!(answer, Received::Answered(_)));
-        let throttled = count(|answer| *answer == Received::Throttled);
-        let failed = count(|answer| matches!(answer, Received::Failed(_)));
+        let answered = count(|answer| matches!(answer, Reply::Answered(_)));
+        let throttled = count(|answer| *answer == Reply::Throttled);
+        let failed = count(|answer| matches!(answer, Reply::Failed(_)));
         println!("| {name} | {answered} | {throttled} | {failed} |");
     }
 }
@@ -189,7 +189,7 @@
     println!(
         "\n{} commands, {} dispatches, {} rules broken",
         requests.len(),
-        ledger.attempts(),
+        ledger.attempt_count(),
         broken.len()
     );
     broken.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -5,7 +5,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use comethitch_testkit::{Client, Host, Ledger, Protocol, Received};
+use comethitch_testkit::{Client, Host, Ledger, Protocol, Reply};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol as RouterProtocol;
@@ -144,7 +144,7 @@
     for number in 0..COMMANDS_PER_CLIENT {
         let key = format!("k{client}-{number}");
         let text = format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)");
-        assert_eq!(connection.execute(&text), Received::Answered(key));
+        assert_eq!(connection.execute(&text), Reply::Answered(key));
     }
 }
 
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -163,7 +163,7 @@
 /// Waits until the peer has shut its sending half down, and reads nothing.
 fn wait_for_end_of_stream(stream: &TcpStream) {
     let mut asked = [PollFd::new(stream, PollFlags::RDHUP)];
-    let limit = Timespec { tv_sec: LONG.as_secs() as i64, tv_nsec: 0 };
+    let limit = Timespec { tv_sec: TEST_TIMEOUT.as_secs() as i64, tv_nsec: 0 };
     assert_eq!(poll(&mut asked, Some(&limit)), Ok(1), "the router closes");
 }
 
@@ -365,7 +365,7 @@
             }
         }
     });
-    let limit = program.ends_after(LONG);
+    let limit = program.ends_after(TEST_TIMEOUT);
     program.logs("list 9");
     limit.store(true, std::sync::atomic::Ordering::SeqCst);
     assert!(back.elapsed() < Duration::from_secs(6), "fresh only after {:?}", back.elapsed());
--- a/crates/comethitchd/tests/endpoint_updates.rs
+++ b/crates/comethitchd/tests/endpoint_updates.rs
@@ -119,7 +119,7 @@
             Behavior::RespondsWithError => {
                 return stream.write_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n");
             }
-            Behavior::Unresponsive => sleep(LONG),
+            Behavior::Unresponsive => sleep(TEST_TIMEOUT),
             Behavior::EndlessHead => {
                 stream.write_all(b"HTTP/1.1 200 OK\r\nX: ")?;
                 loop {
@@ -198,14 +198,14 @@
         state.requests.iter().any(|line| line.contains(wanted))
     };
     let started = Instant::now();
-    while !was_requested("/api/targets") && started.elapsed() < LONG {
+    while !was_requested("/api/targets") && started.elapsed() < TEST_TIMEOUT {
         sleep(Duration::from_millis(5));
     }
     // The watch is established by now, or has failed in the agent's way.
     sleep(Duration::from_millis(200));
     agent.change();
     let changed = Instant::now();
-    let limit = program.ends_after(LONG);
+    let limit = program.ends_after(TEST_TIMEOUT);
     program.logs("p at 127.0.0.1:1 is Draining");
     limit.store(true, SeqCst);
     (changed.elapsed(), program)
@@ -357,7 +357,7 @@
     all["discovery"] = agent.address.to_string().into();
     let started = Instant::now();
     let mut program = Program::start("newer", &all);
-    let limit = program.ends_after(LONG);
+    let limit = program.ends_after(TEST_TIMEOUT);
     program.logs("list 8: p at 127.0.0.1:1 is Draining");
     limit.store(true, SeqCst);
     assert!(started.elapsed() < UPDATE_DEADLINE, "{:?}", started.elapsed());
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Received};
+use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Reply};
 use serde_json::{Value, json};
 use std::time::Duration;
 use support::{Router, configuration, entry};
@@ -80,7 +80,7 @@
         format!("SELECT data FROM facts WHERE code = 'r{}'", self.keys)
     }
 
-    fn ask(&mut self, client: &mut Client, text: String) -> Received {
+    fn ask(&mut self, client: &mut Client, text: String) -> Reply {
         let got = client.execute(&text);
         self.asked.push(Exchange { text, answers: vec![got.clone()] });
         got
@@ -103,7 +103,7 @@
     /// Forgets what was needed to get here.
     fn begin_scenario(&mut self) {
         self.asked.clear();
-        self.earlier_attempts = self.ledger.attempts();
+        self.earlier_attempts = self.ledger.attempt_count();
     }
 
     /// Sends reads until none of ten goes to the replica.
@@ -125,7 +125,7 @@
     fn wait_until_writes_succeed(&mut self, client: &mut Client) {
         for _ in 0..500 {
             let text = self.write();
-            if matches!(self.ask(client, text), Received::Answered(_)) {
+            if matches!(self.ask(client, text), Reply::Answered(_)) {
                 return self.begin_scenario();
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -177,21 +177,41 @@
 
 const SCENARIOS: [(&str, Scenario, [usize; 4]); 35] = [
     ("writes are answered", |s, c| write_with_fault(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
-    ("a write, reset before it ran", |s, c| write_with_fault(s, c, HostBehavior::ResetBefore), [1, 0, 1, 0]),
-    ("a write, reset after it ran", |s, c| write_with_fault(s, c, HostBehavior::ResetAfter), [1, 0, 1, 0]),
+    (
+        "a write, reset before it ran",
+        |s, c| write_with_fault(s, c, HostBehavior::CloseBeforeExecution),
+        [1, 0, 1, 0],
+    ),
+    (
+        "a write, reset after it ran",
+        |s, c| write_with_fault(s, c, HostBehavior::CloseAfterExecution),
+        [1, 0, 1, 0],
+    ),
     ("a write, its answer cut off", |s, c| write_with_fault(s, c, HostBehavior::Truncate), [1, 0, 1, 0]),
     ("a write, its answer spoilt", |s, c| write_with_fault(s, c, HostBehavior::Malformed), [1, 0, 1, 0]),
-    ("a write, hung before it ran", |s, c| write_with_fault(s, c, HostBehavior::Hang), [1, 0, 1, 0]),
-    ("a write, hung after it ran", |s, c| write_with_fault(s, c, HostBehavior::HangAfter), [1, 0, 1, 0]),
+    (
+        "a write, hung before it ran",
+        |s, c| write_with_fault(s, c, HostBehavior::HangBeforeExecution),
+        [1, 0, 1, 0],
+    ),
+    (
+        "a write, hung after it ran",
+        |s, c| write_with_fault(s, c, HostBehavior::HangAfterExecution),
+        [1, 0, 1, 0],
+    ),
     ("a write, turned away once", |s, c| write_with_fault(s, c, HostBehavior::Overloaded), [2, 0, 0, 0]),
-    ("a write, met by an error", |s, c| write_with_fault(s, c, HostBehavior::Error), [1, 0, 1, 0]),
+    ("a write, met by an error", |s, c| write_with_fault(s, c, HostBehavior::InternalError), [1, 0, 1, 0]),
     (
         "a write, met by an error that drivers retry",
         |s, c| write_with_fault(s, c, HostBehavior::TransientError),
         [1, 0, 1, 0],
     ),
     ("a write, answered byte by byte", |s, c| write_with_fault(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
-    ("a write, answered twice", |s, c| write_with_fault(s, c, HostBehavior::AnswerTwice), [2, 0, 0, 0]),
+    (
+        "a write, answered twice",
+        |s, c| write_with_fault(s, c, HostBehavior::AnswerWithExtraBytes),
+        [2, 0, 0, 0],
+    ),
     (
         "a write, answered with two megabytes",
         |s, c| write_with_fault(s, c, HostBehavior::LargeAnswer),
@@ -208,14 +228,26 @@
         [2, 0, 0, 0],
     ),
     ("reads are answered", |s, c| read_with_fault(s, c, HostBehavior::Answer), [2, 0, 0, 0]),
-    ("a read, reset before it ran", |s, c| read_with_fault(s, c, HostBehavior::ResetBefore), [2, 0, 0, 0]),
-    ("a read, reset after it ran", |s, c| read_with_fault(s, c, HostBehavior::ResetAfter), [2, 0, 0, 0]),
+    (
+        "a read, reset before it ran",
+        |s, c| read_with_fault(s, c, HostBehavior::CloseBeforeExecution),
+        [2, 0, 0, 0],
+    ),
+    (
+        "a read, reset after it ran",
+        |s, c| read_with_fault(s, c, HostBehavior::CloseAfterExecution),
+        [2, 0, 0, 0],
+    ),
     ("a read, its answer cut off", |s, c| read_with_fault(s, c, HostBehavior::Truncate), [2, 0, 0, 0]),
     ("a read, its answer spoilt", |s, c| read_with_fault(s, c, HostBehavior::Malformed), [2, 0, 0, 0]),
-    ("a read, hung", |s, c| read_with_fault(s, c, HostBehavior::Hang), [1, 1, 0, 0]),
+    ("a read, hung", |s, c| read_with_fault(s, c, HostBehavior::HangBeforeExecution), [1, 1, 0, 0]),
     ("a read, turned away", |s, c| read_with_fault(s, c, HostBehavior::Overloaded), [2, 0, 0, 0]),
     ("a read, answered byte by byte", |s, c| read_with_fault(s, c, HostBehavior::Trickle), [2, 0, 0, 0]),
-    ("a read, answered twice", |s, c| read_with_fault(s, c, HostBehavior::AnswerTwice), [2, 0, 0, 0]),
+    (
+        "a read, answered twice",
+        |s, c| read_with_fault(s, c, HostBehavior::AnswerWithExtraBytes),
+        [2, 0, 0, 0],
+    ),
     (
         "a read, the replica dead",
         |s, c| {
@@ -328,10 +360,10 @@
     let mut counts = Counts::default();
     for asked in &test_bed.asked {
         match &asked.answers[0] {
-            Received::Answered(_) => counts.answered += 1,
-            Received::Throttled => counts.throttled += 1,
-            Received::Failed(_) => counts.failed += 1,
-            Received::Rejected(_) => counts.refused += 1,
+            Reply::Answered(_) => counts.answered += 1,
+            Reply::Throttled => counts.throttled += 1,
+            Reply::Failed(_) => counts.failed += 1,
+            Reply::Rejected(_) => counts.refused += 1,
             other => panic!("{other:?} to {}", asked.text),
         }
     }
@@ -339,11 +371,11 @@
     drop(client);
     let asked = std::mem::take(&mut test_bed.asked);
     test_bed.router.wait();
-    counts.dispatches = test_bed.ledger.attempts() - test_bed.earlier_attempts;
+    counts.dispatches = test_bed.ledger.attempt_count() - test_bed.earlier_attempts;
     // Without a row there is no key in the answer.
     let with_key: Vec<Exchange> = asked
         .into_iter()
-        .filter(|asked| !matches!(&asked.answers[0], Received::Answered(value) if value.is_empty()))
+        .filter(|asked| !matches!(&asked.answers[0], Reply::Answered(value) if value.is_empty()))
         .collect();
     let violations = test_bed.ledger.violations(&with_key);
     let mut broken: Vec<String> = violations.iter().map(ToString::to_string).collect();
@@ -397,14 +429,10 @@
             test_bed.primary.script(once(HostBehavior::TruncateLargeAnswer));
             test_bed.replica.script(once(HostBehavior::TruncateLargeAnswer));
             let text = if writes { test_bed.write() } else { test_bed.read() };
-            let key = comethitch_testkit::key(&text).to_string();
-            assert_eq!(
-                client.execute(&text),
-                Received::Closed,
-                "{protocol:?}: the client is told by the end"
-            );
+            let key = comethitch_testkit::request_key(&text).to_string();
+            assert_eq!(client.execute(&text), Reply::Closed, "{protocol:?}: the client is told by the end");
             assert_eq!(
-                test_bed.ledger.attempts() - test_bed.earlier_attempts,
+                test_bed.ledger.attempt_count() - test_bed.earlier_attempts,
                 1,
                 "{protocol:?}: what has begun is the answer"
             );
@@ -413,13 +441,13 @@
             let mut other = test_bed.client();
             for _ in 0..3 {
                 let text = test_bed.write();
-                let wanted = comethitch_testkit::key(&text).to_string();
+                let wanted = comethitch_testkit::request_key(&text).to_string();
                 let got = other.execute(&text);
                 assert!(
-                    got == Received::Answered(wanted) || got == Received::Closed && !writes,
+                    got == Reply::Answered(wanted) || got == Reply::Closed && !writes,
                     "{protocol:?}: {got:?}"
                 );
-                if got == Received::Closed {
+                if got == Reply::Closed {
                     other = test_bed.client();
                 }
             }
@@ -444,8 +472,8 @@
         let mut other = test_bed.client();
         for _ in 0..20 {
             let text = test_bed.write();
-            let wanted = comethitch_testkit::key(&text).to_string();
-            assert_eq!(other.execute(&text), Received::Answered(wanted), "{protocol:?}");
+            let wanted = comethitch_testkit::request_key(&text).to_string();
+            assert_eq!(other.execute(&text), Reply::Answered(wanted), "{protocol:?}");
         }
         // Then all of it comes.
         let mut left = 2_000_000_usize;
@@ -468,17 +496,17 @@
     let ran = |primary| Entry::Executed { host: "h".into(), text: text.clone(), primary };
     ledger.record(ran(true));
     ledger.record(ran(false));
-    let asked = |got: Vec<Received>| vec![Exchange { text: text.clone(), answers: got }];
+    let asked = |got: Vec<Reply>| vec![Exchange { text: text.clone(), answers: got }];
     for (got, wanted) in [
-        (vec![Received::Failed("x".into())], vec!["a write ran at the replica", "ran 2 times"]),
+        (vec![Reply::Failed("x".into())], vec!["write executed at replica", "write executed 2 times"]),
         (
-            vec![Received::Throttled],
-            vec!["a write ran at the replica", "ran 2 times", "throttled, and it ran"],
+            vec![Reply::Throttled],
+            vec!["write executed at replica", "write executed 2 times", "throttled after execution"],
         ),
-        (vec![], vec!["a write ran at the replica", "0 final answers", "ran 2 times"]),
+        (vec![], vec!["write executed at replica", "0 final answers", "write executed 2 times"]),
         (
-            vec![Received::Answered("other".into())],
-            vec!["a write ran at the replica", "ran 2 times", "another's answer"],
+            vec![Reply::Answered("other".into())],
+            vec!["write executed at replica", "write executed 2 times", "of another request"],
         ),
     ] {
         let violations = ledger.violations(&asked(got));
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -263,7 +263,7 @@
     let (release, held) = channel::<()>();
     let held = std::sync::Mutex::new(held);
     let primary = host(true, move |_, _| {
-        let _ = held.lock().expect("one command").recv_timeout(LONG);
+        let _ = held.lock().expect("one command").recv_timeout(TEST_TIMEOUT);
         answer("value")
     });
     let router = alone(&primary);
@@ -421,7 +421,8 @@
     let (before, after) = line.split_at(40);
     send_chunk(&mut watch, before);
     send_chunk(&mut watch, after);
-    let met = std::iter::from_fn(|| first.met.recv_timeout(LONG).ok()).find(|met| *met == HostEvent::Ended);
+    let met =
+        std::iter::from_fn(|| first.met.recv_timeout(TEST_TIMEOUT).ok()).find(|met| *met == HostEvent::Ended);
     assert_eq!(met, Some(HostEvent::Ended), "idle connections to the old address are closed");
     assert_eq!(client.ask(&write(3, 2_000)), ClientReply::Value(b"second".to_vec()));
     router.wait();
@@ -452,7 +453,7 @@
     let primary = host(true, move |nth, _| {
         // The first request is answered only once the second one has come, after the signal.
         match nth {
-            0 => drop(held.lock().expect("one host").recv_timeout(LONG)),
+            0 => drop(held.lock().expect("one host").recv_timeout(TEST_TIMEOUT)),
             _ => release.send(()).expect("the first one waits"),
         }
         answer("value")
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -5,7 +5,7 @@
 
 use async_io::Async;
 use comethitch_lab::system_calls::SystemCallFaults;
-pub(crate) use comethitch_testkit::LONG;
+pub(crate) use comethitch_testkit::TEST_TIMEOUT;
 pub(crate) use comethitch_testkit::postgres::{error, message, query, row};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::listen;
@@ -76,7 +76,7 @@
 impl Host {
     /// The next observation.
     pub(crate) fn next(&self) -> HostEvent {
-        self.met.recv_timeout(LONG).expect("something at the host")
+        self.met.recv_timeout(TEST_TIMEOUT).expect("something at the host")
     }
 }
 
@@ -292,7 +292,7 @@
 impl Discovery {
     /// The next request.
     pub(crate) fn watch(&self) -> (String, TcpStream) {
-        self.asked.recv_timeout(LONG).expect("a watch")
+        self.asked.recv_timeout(TEST_TIMEOUT).expect("a watch")
     }
 }
 
@@ -408,7 +408,7 @@
     /// Connects and sends nothing.
     pub(crate) fn raw(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         Client(stream)
     }
 
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -112,7 +112,7 @@
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     // Each write is held up for longer than the request's client waits: it leaves after its deadline.
     let mut program = Program::start_with_faults("held-up", &all, "seed=1,hold=1,hold_ms=300,from_ms=1000");
-    let done = program.ends_after(LONG);
+    let done = program.ends_after(TEST_TIMEOUT);
     let mut client = Client::connect(program.address);
     assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"value".to_vec()));
     std::thread::sleep(Duration::from_secs(1));
@@ -128,7 +128,7 @@
     let primary = host(true, |_, _| answer("value"));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let mut program = Program::start_with_faults("signals", &all, "seed=1,interrupt=2");
-    let done = program.ends_after(LONG);
+    let done = program.ends_after(TEST_TIMEOUT);
     for id in 1..=10 {
         program.signal("HUP");
         program.logs("the configuration was reloaded");
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -8,7 +8,7 @@
 use comethitch_tds::token::{Token, Tokens};
 use comethitch_testkit::ledger::Entry;
 use comethitch_testkit::tds::{attention, call};
-use comethitch_testkit::{Client, Host, HostBehavior, Ledger, Protocol, Received};
+use comethitch_testkit::{Client, Host, HostBehavior, Ledger, Protocol, Reply};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
@@ -62,7 +62,7 @@
         let claims =
             ["read", "write"].map(|group| format!("/* id={nth}-{group},c={group},d=900,cluster=0 */ {sql}"));
         for text in std::iter::once(sql.to_string()).chain(claims) {
-            if client.execute(&text) == Received::Closed {
+            if client.execute(&text) == Reply::Closed {
                 client = Client::connect(Protocol::Tds, router.address);
             }
         }
@@ -93,13 +93,13 @@
     // The first parse takes what is saved; nothing worth a token is added in the test's time.
     for nth in 0..10 {
         let text = format!("SELECT a{nth} FROM t");
-        assert_eq!(client.execute(&text), Received::Answered(String::new()), "{text}");
+        assert_eq!(client.execute(&text), Reply::Answered(String::new()), "{text}");
     }
     drop(client);
     router.wait();
     let at_replica = |e: &&Entry| matches!(e, Entry::Arrived { host, .. } if host == "r");
     assert!(ledger.entries().iter().filter(at_replica).count() <= 1, "the first alone may be parsed");
-    assert_eq!(ledger.attempts(), 10, "each was sent once");
+    assert_eq!(ledger.attempt_count(), 10, "each was sent once");
 }
 
 #[test]
@@ -155,16 +155,16 @@
 #[test]
 fn an_attention_calls_the_command_off_and_is_acknowledged_once() {
     let TestBed { primary, replica: _replica, ledger, router } = start_test_bed(rules());
-    primary.script(|nth, _| if nth == 0 { HostBehavior::HangAfter } else { HostBehavior::Answer });
+    primary.script(|nth, _| if nth == 0 { HostBehavior::HangAfterExecution } else { HostBehavior::Answer });
     let mut client = Client::connect(Protocol::Tds, router.address);
     client.send("INSERT INTO t VALUES ('a')");
     assert!(primary.next_request().contains("'a'"));
     client.stream.write_all(&attention()).expect("sent");
-    assert_eq!(client.receive(), Received::Cancelled);
+    assert_eq!(client.receive(), Reply::Cancelled);
     assert!(client.is_quiet(), "one acknowledgement");
     assert_eq!(
         client.execute("INSERT INTO t VALUES ('b')"),
-        Received::Answered("b".into()),
+        Reply::Answered("b".into()),
         "the connection goes on"
     );
     // An attention that crosses the answer: it is answered, or cancelled, and then acknowledged once.
@@ -176,11 +176,11 @@
         }
         client.stream.write_all(&attention()).expect("sent");
         let mut got = client.receive();
-        if got == Received::Answered(format!("c{nth}")) {
+        if got == Reply::Answered(format!("c{nth}")) {
             got = client.receive();
         }
-        assert_eq!(got, Received::Cancelled, "after {text}");
-        assert_eq!(client.execute("INSERT INTO t VALUES ('d')"), Received::Answered("d".into()));
+        assert_eq!(got, Reply::Cancelled, "after {text}");
+        assert_eq!(client.execute("INSERT INTO t VALUES ('d')"), Reply::Answered("d".into()));
     }
     drop(client);
     router.wait();
@@ -210,9 +210,9 @@
     // The second's time is over; reckoned from the third's last byte most of it would be left.
     std::thread::sleep(Duration::from_millis(100));
     tell.send(()).expect("told");
-    assert_eq!(client.receive(), Received::Answered("1".into()));
-    assert_eq!(client.receive(), Received::Throttled, "nobody waits for it any more");
-    assert_eq!(client.receive(), Received::Answered("3".into()), "the third has its whole time");
+    assert_eq!(client.receive(), Reply::Answered("1".into()));
+    assert_eq!(client.receive(), Reply::Throttled, "nobody waits for it any more");
+    assert_eq!(client.receive(), Reply::Answered("3".into()), "the third has its whole time");
     drop(client);
     router.wait();
     assert_eq!([1, 2, 3].map(|id| ledger.executions(&id.to_string())), [1, 0, 1]);
@@ -251,7 +251,7 @@
         .text("", statement)
         .integer("", Some(1));
     let told = send(&mut client, &payload);
-    assert!(told.contains(&Token::ReturnValue) && ledger.attempts() == 0, "{told:?}");
+    assert!(told.contains(&Token::ReturnValue) && ledger.attempt_count() == 0, "{told:?}");
     let execute = |handle: i32| {
         let mut payload = Vec::new();
         CallWriter::known(&mut payload, Known::Execute).integer("", Some(handle)).integer("", Some(9));
@@ -282,7 +282,7 @@
     assert!(failed(&tokens(&mut client.stream)));
     drop(client);
     router.wait();
-    assert_eq!(ledger.attempts(), 3);
+    assert_eq!(ledger.attempt_count(), 3);
 }
 
 #[test]
@@ -325,7 +325,7 @@
     let TestBed { router, .. } = start_test_bed(rules());
     let ended = |wire: &[u8]| {
         let mut stream = TcpStream::connect(router.address).expect("a connection");
-        stream.set_read_timeout(Some(comethitch_testkit::LONG)).expect("a limit");
+        stream.set_read_timeout(Some(comethitch_testkit::TEST_TIMEOUT)).expect("a limit");
         // The router may close before all is sent.
         let _ = stream.write_all(wire);
         let mut told = Vec::new();
@@ -356,14 +356,14 @@
         long.extend([0; 31_992]);
     }
     let mut stream = TcpStream::connect(router.address).expect("a connection");
-    stream.set_read_timeout(Some(comethitch_testkit::LONG)).expect("a limit");
+    stream.set_read_timeout(Some(comethitch_testkit::TEST_TIMEOUT)).expect("a limit");
     let _ = stream.write_all(&long);
     // An error and the end, or a reset: no more of it is taken.
     let mut told = Vec::new();
     let _ = stream.read_to_end(&mut told);
     assert_eq!(
         Client::connect(Protocol::Tds, router.address).execute("INSERT INTO t VALUES ('k')"),
-        Received::Answered("k".into())
+        Reply::Answered("k".into())
     );
     router.wait();
 }
@@ -419,7 +419,7 @@
     let text = "INSERT INTO t VALUES ('first'); UPDATE u SET n = 1";
     client.send(text);
     // The host runs it now, and signals when it has answered: the notice comes in between.
-    while ledger.attempts() == 0 {
+    while ledger.attempt_count() == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     let noticed = Instant::now();
@@ -428,7 +428,7 @@
         9,
         json!([entry("old", old.address, false, "draining"), entry("new", new.address, true, "ready")]),
     );
-    assert_eq!(client.receive(), Received::Answered("first".into()), "what runs ends");
+    assert_eq!(client.receive(), Reply::Answered("first".into()), "what runs ends");
     old.set_primary(false);
     new.set_primary(true);
     // A second past the grace; each batch is answered once, wherever it goes.
@@ -440,7 +440,7 @@
         let (key, sent) = (format!("k{nth}"), noticed.elapsed());
         let got = client.execute(&format!("INSERT INTO t VALUES ('{key}')"));
         if sent > Duration::from_secs(2) {
-            assert_eq!(got, Received::Answered(key.clone()), "the other host serves");
+            assert_eq!(got, Reply::Answered(key.clone()), "the other host serves");
             late.push(key);
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -461,7 +461,7 @@
 fn an_attention_in_the_middle_of_a_takeover_is_acknowledged_and_harms_nothing() {
     let TestBed { primary, replica, ledger, router } = start_test_bed(rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
-    assert_eq!(client.execute("INSERT INTO t VALUES ('a')"), Received::Answered("a".into()));
+    assert_eq!(client.execute("INSERT INTO t VALUES ('a')"), Reply::Answered("a".into()));
     primary.set_down(true);
     // Reads that must be fresh wait for the next primary, or are throttled: some are cancelled meanwhile.
     let mut called_off = 0;
@@ -470,21 +470,20 @@
         std::thread::sleep(Duration::from_millis(10));
         client.stream.write_all(&attention()).expect("sent");
         let mut got = client.receive();
-        if got != Received::Cancelled {
-            assert!(matches!(got, Received::Throttled | Received::Failed(_)), "{got:?}");
+        if got != Reply::Cancelled {
+            assert!(matches!(got, Reply::Throttled | Reply::Failed(_)), "{got:?}");
             got = client.receive();
         } else {
             called_off += 1;
         }
-        assert_eq!(got, Received::Cancelled, "acknowledged once");
+        assert_eq!(got, Reply::Cancelled, "acknowledged once");
     }
     assert!(called_off > 0, "some were in hand");
     replica.set_primary(true);
     let took_over = Instant::now();
     let mut nth = 0;
-    while client.execute(&format!("INSERT INTO t VALUES ('b{nth}')")) != Received::Answered(format!("b{nth}"))
-    {
-        assert!(took_over.elapsed() < comethitch_testkit::LONG, "nobody serves after the takeover");
+    while client.execute(&format!("INSERT INTO t VALUES ('b{nth}')")) != Reply::Answered(format!("b{nth}")) {
+        assert!(took_over.elapsed() < comethitch_testkit::TEST_TIMEOUT, "nobody serves after the takeover");
         nth += 1;
         std::thread::sleep(Duration::from_millis(10));
     }
