--- a/crates/comethitch-policy/src/actions.rs
+++ b/crates/comethitch-policy/src/actions.rs
@@ -1,96 +1,96 @@
-//! What the policy tells its caller to do.
+//! What the policy has its caller do.
 //!
-//! Every decision leaves the policy through the trait [`Actions`]. A caller that carries actions out only after the
-//! call has returned passes an [`ActionQueue`] and works through its [`Action`]s.
+//! Every decision leaves the policy through the trait [`Actions`]. A caller that carries actions out after the call has
+//! returned passes an [`ActionQueue`] and then processes its [`Action`]s.
 
 use crate::time::{Duration, Timestamp};
 use crate::{Host, RejectionReason, RequestId};
 
-/// What the policy acts through. An implementation carries each call out; it decides nothing.
+/// Carries out the decisions of the policy. An implementation decides nothing itself.
 pub trait Actions {
-    /// The present, on the caller's clock.
+    /// Returns the current time on the caller's clock.
     fn now(&self) -> Timestamp;
 
-    /// Sends the request to a host. The attempts of a request are numbered from 0 in the order of these calls.
+    /// Sends an attempt of a request to a host. A request's attempts are numbered from 0 in the order of these calls.
     fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration);
 
-    /// Withdraws an attempt that has not ended yet.
+    /// Cancels an attempt that has not ended yet.
     fn cancel_attempt(&mut self, request: RequestId, attempt: u16);
 
-    /// Final answer: rejected, and trying again is harmless, best after `retry_after` where one is given.
+    /// Gives the final answer: rejected, and the client may safely retry, after `retry_after` if given.
     fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectionReason);
 
-    /// Final answer: failed, with nothing said of its effect.
+    /// Gives the final answer: failed; the request may or may not have taken effect.
     fn fail(&mut self, request: RequestId, reason: RejectionReason);
 
-    /// Asks a host for its report; [`Router::health_checked`](crate::Router::health_checked) takes its end.
+    /// Sends a health check, whose end is reported to [`Router::health_checked`](crate::Router::health_checked).
     fn check_health(&mut self, host: Host);
 
-    /// Closes the idle connections to a host, as it is not taken for the primary any more.
+    /// Closes the idle connections to a host that is no longer believed to be the primary.
     fn close_idle_connections(&mut self, host: Host);
 
-    /// Asks for a call of [`Router::tick`](crate::Router::tick) after this long.
+    /// Schedules a call of [`Router::tick`](crate::Router::tick) after this delay.
     fn wake_after(&mut self, delay: Duration);
 
-    /// Asks to be notified of every change of the endpoint list from now on.
+    /// Subscribes to changes of the endpoint list.
     fn watch_endpoints(&mut self);
 }
 
-/// One call of [`Actions`], to be carried out later.
+/// A call of [`Actions`] to be carried out later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request's next attempt.
+    /// Sends a request's next attempt.
     SendAttempt {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The host that it is sent to.
         host: Host,
         /// How long the attempt may take.
         timeout: Duration,
     },
-    /// Withdraw an attempt.
+    /// Cancels an attempt.
     CancelAttempt {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u16,
     },
-    /// Answer finally: rejected, trying again is harmless.
+    /// Gives the final answer: rejected, and the client may safely retry.
     Throttle {
         /// The request.
         request: RequestId,
-        /// When the client should try again, where one is given.
+        /// How long the client should wait before it retries, if given.
         retry_after: Option<Duration>,
-        /// Which check rejected it.
+        /// Why the request is rejected.
         reason: RejectionReason,
     },
-    /// Answer finally: failed.
+    /// Gives the final answer: failed.
     Fail {
         /// The request.
         request: RequestId,
-        /// Which check gave it up.
+        /// Why the request is given up.
         reason: RejectionReason,
     },
-    /// Ask a host for its report.
+    /// Sends a health check.
     CheckHealth(Host),
-    /// Close the idle connections to a host.
+    /// Closes the idle connections to a host.
     CloseIdleConnections(Host),
-    /// Call [`Router::tick`](crate::Router::tick) after this long.
+    /// Schedules a call of [`Router::tick`](crate::Router::tick) after this delay.
     WakeAfter(Duration),
-    /// Report every change of the endpoint list from now on.
+    /// Subscribes to changes of the endpoint list.
     WatchEndpoints,
 }
 
-/// Actions in the order in which the policy decided them.
+/// Records actions in the order in which the policy decided them.
 #[derive(Debug)]
 pub struct ActionQueue {
     now: Timestamp,
-    /// What is to be carried out, oldest first.
+    /// The actions to carry out, oldest first.
     pub actions: Vec<Action>,
 }
 
 impl ActionQueue {
-    /// An empty queue for decisions made at this time.
+    /// Returns an empty queue for decisions made at this time.
     pub fn at(now: Timestamp) -> ActionQueue {
         ActionQueue { now, actions: Vec::new() }
     }
--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings of a deployment: read once at start, from the `path=value` lines of a start message.
+//! The settings of a deployment, parsed once at the start from the `path=value` lines of a start message.
 
 use crate::host::{LoadReport, Role};
 use crate::request_class::{Consistency, DeduplicationScope, Idempotency, RequestClass, StalenessCheck};
@@ -8,24 +8,24 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Why a start message can't be used.
+/// Why a start message is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeploymentError {
-    /// A key that has no default is not set.
+    /// A key without default is not set.
     #[error("{key} is missing")]
     Missing {
         /// The key.
         key: String,
     },
-    /// A key is set to what is none of its values.
+    /// A key's value cannot be parsed.
     #[error("{key} is unreadable: {text:?}")]
     Unreadable {
         /// The key.
         key: String,
-        /// What it is set to.
+        /// The value.
         text: String,
     },
-    /// A list has no entry for the last request classes.
+    /// A list has fewer entries than there are request classes.
     #[error("{key} is too short")]
     TooShort {
         /// The key.
@@ -36,42 +36,42 @@
 /// The settings that decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// The request classes, by their numbers.
+    /// The request classes.
     pub classes: Vec<RequestClass>,
-    /// What replicas do with reads that they are too far behind for.
+    /// What replicas do with reads that they lag too far behind for.
     pub staleness_check: StalenessCheck,
-    /// Whether clients tell when their session last wrote; else routers remember it.
+    /// Whether clients carry their session's last commit; otherwise routers track it.
     pub session_tokens_carried: bool,
-    /// How often a router may be called to review what depends on the time.
+    /// Minimum interval between ticks.
     pub tick: Duration,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether health checks may be sent.
     pub may_check_health: bool,
-    /// Points of service that one health check for each request would cost.
+    /// Points of service that one health check per request costs.
     pub health_check_price: f64,
     /// Whether a second attempt may be sent while one is in flight.
     pub hedging_allowed: bool,
-    /// How many attempts a request may have.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// The longest time that a rejected client may be told to wait; none where it may be told nothing.
+    /// Maximum Retry-After of a rejected request; none if clients get no Retry-After.
     pub max_retry_after: Option<Duration>,
-    /// The longest that a connection may take to come up.
+    /// Maximum time for establishing a connection.
     pub connect_timeout: Duration,
-    /// How long a draining host still answers.
+    /// How long a draining host still answers requests.
     pub drain_grace: Duration,
-    /// Whether hosts that the endpoint list says are removed may still be used.
+    /// Whether hosts that are listed as removed may still be used.
     pub removal_is_advisory: bool,
-    /// Whether the endpoint list must be asked for.
+    /// Whether the router must subscribe to the endpoint list.
     pub must_watch_endpoints: bool,
-    /// What hosts that have just started bear.
+    /// The settings of hosts in slow start.
     pub slow_start: SlowStart,
-    /// The moment that reported positions count from.
+    /// The origin of reported positions.
     position_origin: Timestamp,
     report_fields: ReportFields,
 }
 
-/// The places of the values in a load report; none where hosts do not report them.
+/// The indices of the values in a load report; none for values that hosts do not report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ReportFields {
     position: Option<usize>,
@@ -80,7 +80,7 @@
 }
 
 impl Deployment {
-    /// Reads the `path=value` lines of a start message.
+    /// Parses the `path=value` lines of a start message.
     ///
     /// ```
     /// let missing = comethitch_policy::Deployment::read("me=0\n").unwrap_err();
@@ -119,8 +119,9 @@
         })
     }
 
-    /// Parses the values of a host's load report. The position is a 32-bit float, rounded to the nearest: the next
-    /// one below is surely not past the truth.
+    /// Parses the values of a host's load report.
+    ///
+    /// The position is a 32-bit float, rounded to the nearest; the next one below is never past the true position.
     pub fn parse_report(&self, values: &[f32]) -> LoadReport {
         let value = |field: Option<usize>| field.and_then(|field| values.get(field)).copied();
         let position = value(self.report_fields.position).map(|seconds| {
@@ -133,7 +134,7 @@
         LoadReport { role, position, queue }
     }
 
-    /// Parses the note on an answer: four times the position in milliseconds, plus the role.
+    /// Parses a response trailer: four times the position in milliseconds, plus the role.
     pub fn parse_trailer(&self, trailer: u32) -> LoadReport {
         let role = match trailer % 4 {
             1 => Some(Role::Primary),
@@ -145,12 +146,12 @@
         LoadReport { role, position, queue: None }
     }
 
-    /// The shortest latency objective of all request classes; none without request classes.
+    /// Returns the shortest latency objective of all request classes; none without request classes.
     pub fn shortest_latency_objective(&self) -> Option<Duration> {
         self.classes.iter().map(|class| class.latency_objective).min()
     }
 
-    /// The tightest bound on the age of data; none if no request class has one.
+    /// Returns the tightest staleness bound; none if no request class has one.
     pub fn tightest_staleness_bound(&self) -> Option<Duration> {
         let bound = |class: &RequestClass| match class.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
@@ -159,9 +160,9 @@
         self.classes.iter().filter_map(bound).min()
     }
 
-    /// Whether some request class has this need.
-    pub fn serves(&self, need: Consistency) -> bool {
-        self.classes.iter().any(|class| class.consistency == need)
+    /// Returns whether some request class requires this consistency.
+    pub fn serves(&self, consistency: Consistency) -> bool {
+        self.classes.iter().any(|class| class.consistency == consistency)
     }
 }
 
@@ -183,7 +184,7 @@
 const CONSISTENCIES: &str = "domain.class_read";
 const STALENESS_BOUNDS: &str = "domain.oldest_data_us";
 
-/// The lines of a start message, by key.
+/// The values of a start message, by key.
 struct Lines<'a>(BTreeMap<&'a str, &'a str>);
 
 impl Lines<'_> {
@@ -225,8 +226,8 @@
 
     fn report_fields(&self) -> ReportFields {
         let names: Vec<&str> = self.text_or("load_info.names", "").split(',').collect();
-        let place = |name| names.iter().position(|other| *other == name);
-        ReportFields { position: place("x0"), role: place("x1"), queue: place("queue") }
+        let index_of = |name| names.iter().position(|other| *other == name);
+        ReportFields { position: index_of("x0"), role: index_of("x1"), queue: index_of("queue") }
     }
 
     fn request_classes(&self) -> Result<Vec<RequestClass>, DeploymentError> {
@@ -261,7 +262,7 @@
     }
 }
 
-/// One request class's entries of the two lists that say how new its data must be.
+/// Parses a request class's entries in the lists of consistencies and staleness bounds.
 fn consistency(name: Option<&&str>, bound: Option<&&str>) -> Result<Consistency, DeploymentError> {
     let name = name.ok_or(DeploymentError::TooShort { key: CONSISTENCIES })?;
     match *name {
--- a/crates/comethitch-policy/src/histogram.rs
+++ b/crates/comethitch-policy/src/histogram.rs
@@ -1,11 +1,11 @@
-//! A small histogram of durations that forgets: sixteen bins, each half a power of two wide, halved as it fills.
+//! A small decaying histogram of durations: sixteen bins, each half a power of two wide.
 
 use crate::time::Duration;
 
 const BINS: usize = 16;
 const BINS_PER_DOUBLING: f64 = 2.0;
 
-/// Counts durations by size. Old ones count less and less as new ones come.
+/// Counts durations by size. All counts are halved whenever the histogram is full, so that recent durations prevail.
 ///
 /// ```
 /// use comethitch_policy::{histogram::Histogram, time::Duration};
@@ -20,21 +20,21 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
-    /// Where the first bin ends.
+    /// The end of the first bin.
     lowest: Duration,
-    /// All counts are halved once so many values are in.
+    /// The total at which all counts are halved.
     capacity: u32,
     total: u32,
     counts: [u32; BINS],
 }
 
 impl Histogram {
-    /// The first bin ends at `lowest`; once `capacity` values are in, every count is halved.
+    /// Returns an empty histogram whose first bin ends at `lowest`, and which halves its counts at a total of `capacity`.
     pub fn new(lowest: Duration, capacity: u32) -> Histogram {
         Histogram { lowest, capacity, total: 0, counts: [0; BINS] }
     }
 
-    /// Counts one duration.
+    /// Counts a duration.
     pub fn add(&mut self, value: Duration) {
         let bin = BINS_PER_DOUBLING * value.ratio(self.lowest).max(f64::MIN_POSITIVE).log2();
         self.counts[(bin.ceil().max(0.0) as usize).min(BINS - 1)] += 1;
@@ -49,13 +49,13 @@
         self.lowest.scaled(2f64.powf((bin as f64 - 0.5) / BINS_PER_DOUBLING))
     }
 
-    /// The middle of the bin below which this share of the values lies, 0 to 1; none without values.
-    pub fn quantile(&self, share: f64) -> Option<Duration> {
-        let wanted = share * f64::from(self.total);
+    /// Returns the middle of the bin that contains this quantile, 0 to 1; none without values.
+    pub fn quantile(&self, quantile: f64) -> Option<Duration> {
+        let rank = quantile * f64::from(self.total);
         let mut below = 0;
         self.counts.iter().enumerate().find_map(|(bin, count)| {
             below += count;
-            let reached = *count > 0 && f64::from(below) >= wanted;
+            let reached = *count > 0 && f64::from(below) >= rank;
             reached.then(|| self.middle(bin))
         })
     }
--- a/crates/comethitch-policy/src/host.rs
+++ b/crates/comethitch-policy/src/host.rs
@@ -1,8 +1,8 @@
-//! A database host and what it reports of itself.
+//! Database hosts and their load reports.
 
 use crate::time::Timestamp;
 
-/// A database host, as the caller names it.
+/// The address of a database host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Host {
     /// The IPv4 address.
@@ -12,42 +12,42 @@
 }
 
 impl Host {
-    /// Address and port as one number.
+    /// Returns address and port as one number.
     pub fn number(self) -> u64 {
         u64::from(u32::from_be_bytes(self.address)) << 16 | u64::from(self.port)
     }
 }
 
-/// The number of a group of database hosts: one primary and its replicas.
+/// The id of a shard: one primary and its replicas.
 pub type ShardId = u16;
 
-/// What a host is to its group.
+/// A host's role in its shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes writes, and has all commits.
+    /// The host that takes writes, and has all commits.
     Primary,
-    /// It follows the primary.
+    /// A host that follows the primary.
     Replica,
 }
 
-/// Where a host stands in the endpoint list.
+/// A host's lifecycle state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It may be used.
+    /// The host may be used.
     Ready,
-    /// It is about to shut down, and is to get nothing new.
+    /// The host is about to shut down, and gets no new requests.
     Draining,
-    /// It does not belong to its group any more.
+    /// The host no longer belongs to its shard.
     Removed,
 }
 
-/// What a host reports of itself; `None` is not reported.
+/// A load report of a host. A value that is `None` was not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// What it is to its group.
+    /// The role in its shard.
     pub role: Option<Role>,
-    /// All commits up to here are applied there, at the least.
+    /// The position up to which at least all commits are applied.
     pub position: Option<Timestamp>,
-    /// How many requests wait there.
+    /// Number of requests queued at the host.
     pub queue: Option<f64>,
 }
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -1,14 +1,17 @@
-//! comethitch decides where each request to a sharded, replicated database goes.
+//! Decides where each request to a sharded, replicated database goes.
 //!
-//! This package is the decisions and the interface around them. There is no I/O and no clock: every call comes with
-//! an [`Actions`] that tells the time and carries out what was decided, so any protocol can be put in front.
+//! This package contains the decisions and the interface around them. It does no I/O and reads no clock: every call takes
+//! an [`Actions`], which tells the time and carries out what was decided, so any protocol can be put in front.
 //!
 //! - [`policy`]: every decision, as calls on a [`Router`] and on the [`Handle`] of a request,
 //! - [`messages`], [`actions`]: what a caller reports, and what the policy has it do,
-//! - [`deployment`]: the settings, and the reader of a start message,
-//! - [`request_class`], [`host`], [`outcome`]: what requests require, what hosts report, how things end,
-//! - `router`, `request_state`, `host_state`, `host_table`, `shard`, `waiting_requests`, `estimates`: the state that decisions are made from,
-//! - [`histogram`], [`random`], [`session_commits`]: data structures that know nothing of databases.
+//! - [`deployment`]: the settings, and the parser of a start message,
+//! - [`request_class`], [`host`], [`outcome`], [`send`]: what requests require, what hosts report, how attempts end,
+//! - `request_table`, `host_table`, `shard_table` and `admission_queue`: the state that decisions are based on. A host is a
+//!   `listing`, a `replication_status`, a `host_health`, a `health_check_state` and a `host_load`,
+//! - [`histogram`], [`random`], `random_source`, [`session_commits`]: general data structures.
+//!
+//! Nothing outside [`policy`] depends on it.
 
 pub mod actions;
 mod admission_queue;
--- a/crates/comethitch-policy/src/outcome.rs
+++ b/crates/comethitch-policy/src/outcome.rs
@@ -7,26 +7,26 @@
     Answered,
     /// The host answered with an error.
     Error,
-    /// The host rejected it as it has too much to do.
+    /// The host rejected the request because it is overloaded.
     Overloaded,
-    /// The host has no slot for one more connection.
+    /// The host has no free connection slot.
     NoConnectionSlot,
-    /// No answer came within its timeout.
+    /// No answer arrived within the timeout.
     TimedOut,
-    /// No connection to the host could be made.
+    /// The connection to the host could not be established.
     ConnectionFailed,
-    /// The connection broke before the answer.
+    /// The connection was reset before the answer.
     ConnectionReset,
-    /// The router withdrew it.
+    /// The router cancelled it.
     Cancelled,
-    /// It was not sent, as it might not be any more.
+    /// The send guard refused it.
     NotSent,
-    /// The host rejected it as it is no primary, or too far behind.
+    /// The host rejected the request because it is not the primary, or too far behind.
     NotPrimary,
 }
 
 impl AttemptOutcome {
-    /// Whether this outcome proves that the request never ran.
+    /// Returns whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -38,7 +38,7 @@
         )
     }
 
-    /// Whether the host answered the request, be it only to reject it.
+    /// Returns whether the host answered the request, even if only to reject it.
     pub fn is_answer(self) -> bool {
         matches!(
             self,
@@ -50,26 +50,26 @@
     }
 }
 
-/// Which check rejected a request, and so where to look when many are.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// Only the primary could take it, and no primary is believed to serve: Failover, or none found yet.
+    /// It needs the primary, and no primary is believed to serve: Failover, or none found yet.
     NoPrimary,
-    /// It had to wait, and its time would be out before the next tick.
+    /// It would have been queued past its deadline.
     DeadlineTooClose,
-    /// Its time was out, less one tick for the answer to reach the client.
+    /// Its deadline was reached, less a margin for the answer to reach the client.
     DeadlineExceeded,
-    /// It was queued so long that any answer could only come late: a retry elsewhere may still be of use.
+    /// It was queued for so long that any answer would be late: a retry elsewhere may still help.
     QueuedTooLong,
-    /// A mutating write was in flight to a primary that was lost: it may have run.
+    /// It is a non-idempotent write that was in flight to a lost primary, and may have run.
     PrimaryLost,
-    /// Its attempt ended without an answer, and it may not be retried: by its idempotency, errors of its own, or
+    /// Its attempt ended without an answer, and it may not be retried: because of its idempotency, errors of its own, or
     /// too little time.
     NotRetryable,
 }
 
 impl RejectionReason {
-    /// The name in logs and counts, in snake case: `no_primary` and so on.
+    /// Returns the name in logs and counts, in snake case.
     pub fn name(self) -> &'static str {
         match self {
             RejectionReason::NoPrimary => "no_primary",
--- a/crates/comethitch-policy/src/random.rs
+++ b/crates/comethitch-policy/src/random.rs
@@ -1,9 +1,9 @@
 //! A multiply-with-carry pseudorandom generator: the same seed gives the same draws.
 
-/// How many draws are thrown away at first, so that like seeds give unlike draws.
+/// Number of draws discarded at first, so that similar seeds give different draws.
 const WARM_UP_DRAWS: usize = 8;
 
-/// A generator that is fast and repeatable, and not fit for secrets.
+/// A fast, reproducible generator; not cryptographically secure.
 ///
 /// ```
 /// use comethitch_policy::random::RandomGenerator;
@@ -18,10 +18,10 @@
 }
 
 impl RandomGenerator {
-    /// A generator whose draws depend on the seed alone.
+    /// Returns a generator whose draws depend on the seed alone.
     pub fn new(seed: u64) -> RandomGenerator {
         let mixed = (seed ^ (seed >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        // Neither the zero state nor the generator's other fixed point may be the start.
+        // Neither zero nor the generator's other fixed point is a valid state.
         let mut generator = RandomGenerator { state: (mixed >> 2).max(1) };
         (0..WARM_UP_DRAWS).for_each(|_| _ = generator.next_u32());
         generator
@@ -32,12 +32,12 @@
         self.state as u32
     }
 
-    /// Uniformly drawn from 0 up to, but not including, `end`.
+    /// Returns a number drawn uniformly from 0 up to, but not including, `end`.
     pub fn below(&mut self, end: f64) -> f64 {
         end * f64::from(self.next_u32()) / 4_294_967_296.0
     }
 
-    /// The index of one of these, drawn by weight; none if there are none.
+    /// Returns an index drawn with probability proportional to its weight; none without weights.
     pub fn pick(&mut self, weights: &[f64]) -> Option<usize> {
         let mut remaining = self.below(weights.iter().sum());
         let found = weights.iter().position(|weight| {
--- a/crates/comethitch-policy/src/request_class.rs
+++ b/crates/comethitch-policy/src/request_class.rs
@@ -1,38 +1,38 @@
-//! Request classes: what the requests of an application have in common, as its settings say.
+//! Request classes: the settings that an application's requests of one kind share.
 
 use crate::time::Duration;
 
-/// The settings that the requests of a group share.
+/// The settings of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// An answer within this time is of full use.
+    /// The time within which an answer is of full value.
     pub latency_objective: Duration,
-    /// How long clients wait at the most.
+    /// How long clients wait at most.
     pub timeout: Duration,
-    /// What a request is worth beside others.
+    /// The value of a request relative to others.
     pub priority_weight: f64,
-    /// What a second run may do.
+    /// The effect of running a request twice.
     pub idempotency: Idempotency,
-    /// Among which hosts a keyed request's retry is dropped as a duplicate.
+    /// The hosts among which a keyed request's retry is dropped as a duplicate.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long it is.
+    /// How long duplicates are dropped, from the first run.
     pub deduplication_window: Duration,
-    /// How new the data must be.
+    /// How fresh the data must be.
     pub consistency: Consistency,
 }
 
-/// What a request may do on a second run.
+/// The effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The same as one run.
+    /// The same as running it once.
     Idempotent,
-    /// It carries an idempotency key, by which hosts drop duplicates.
+    /// Hosts drop duplicates by the idempotency key that it carries.
     Keyed,
-    /// It takes effect twice.
+    /// It takes effect again.
     NonIdempotent,
 }
 
-/// Among which hosts a keyed request's retry is dropped as a duplicate.
+/// The hosts among which a keyed request's retry is dropped as a duplicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All hosts.
@@ -43,29 +43,29 @@
     Shard,
 }
 
-/// How new the data must be that a request is answered from.
+/// How fresh the data must be that a request is answered from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// It changes data, as only a primary can.
+    /// The request changes data, which only a primary can do.
     Write,
-    /// All commits before it: a primary's data.
+    /// All commits before the request, which only a primary has.
     Strong,
-    /// All commits of its own session.
+    /// All commits of the client's own session.
     Session,
     /// All commits older than this.
     BoundedStaleness(Duration),
-    /// Of any age.
+    /// Data of any age.
     Eventual,
 }
 
 impl Consistency {
-    /// Whether only the primary can answer such a request.
+    /// Returns whether only the primary can answer such a request.
     pub fn needs_primary(self) -> bool {
         matches!(self, Consistency::Write | Consistency::Strong)
     }
 }
 
-/// What a replica does with a read that it is too far behind for.
+/// What a replica does with a read that it lags too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessCheck {
     /// It answers from old data: the router alone guards the read.
--- a/crates/comethitch-policy/src/request_state.rs
+++ b/crates/comethitch-policy/src/request_state.rs
@@ -1,4 +1,4 @@
-//! A request in hand and the attempts made for it: data alone.
+//! A request in progress and its attempts.
 //!
 //! What may be sent, retried or rejected is decided in [`policy`](crate::policy).
 
@@ -6,76 +6,71 @@
 use crate::time::{Duration, Timestamp};
 use crate::{AttemptOutcome, Request, ShardId};
 
-/// One sending of a request to a host.
+/// An attempt: one sending of a request to a host.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// The request class of its request.
     pub request_class: usize,
-    /// Where it was sent.
     pub host: HostIndex,
-    /// When it was sent.
     pub sent_at: Timestamp,
-    /// How it ended; none while it is in flight.
+    /// How the attempt ended; none while it is in flight.
     pub outcome: Option<AttemptOutcome>,
-    /// Whether it was in flight to the primary as its group became Unhealthy.
+    /// Whether it was in flight to the primary when the shard became Unhealthy.
     pub in_flight_at_fault: bool,
-    /// What it counts for in the host's concurrency limit.
+    /// The work that it counts for in concurrency limits.
     pub work: Duration,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Returns an attempt that is sent now.
     pub(crate) fn new(request_class: usize, host: HostIndex, work: Duration, now: Timestamp) -> Attempt {
         Attempt { request_class, host, sent_at: now, outcome: None, in_flight_at_fault: false, work }
     }
 
-    /// Whether it ran, may have run or may still run.
+    /// Returns whether the attempt ran, may have run or may still run.
     pub(crate) fn maybe_ran(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::never_ran)
     }
 
-    /// Whether it ended in this way.
+    /// Returns whether the attempt ended with this outcome.
     pub(crate) fn ended_as(&self, outcome: AttemptOutcome) -> bool {
         self.outcome == Some(outcome)
     }
 
-    /// Whether it ended without any word from its host.
+    /// Returns whether the attempt ended without a reaction of its host.
     pub(crate) fn was_lost(&self) -> bool {
         self.ended_as(AttemptOutcome::ConnectionReset)
             || self.ended_as(AttemptOutcome::TimedOut)
             || self.ended_as(AttemptOutcome::ConnectionFailed)
     }
 
-    /// Whether its host answered it, be it only to reject it.
+    /// Returns whether the host answered, even if only to reject the request.
     pub(crate) fn was_answered(&self) -> bool {
         self.outcome.is_some_and(AttemptOutcome::is_answer)
     }
 }
 
-/// What is known of a submitted request until it is answered and nothing is in flight.
+/// A submitted request, until it has its final answer and no attempt in flight.
 pub(crate) struct RequestState {
-    /// Its request class, by its place in the deployment.
+    /// The index of its request class in the deployment.
     pub request_class: usize,
-    /// The shard that holds its data.
     pub shard_id: ShardId,
-    /// Its client's session, 0 for none.
+    /// The client's session; 0 for none.
     pub session: u64,
-    /// A session read must see all commits up to here.
+    /// The position that a session read must see.
     pub required_position: Timestamp,
-    /// When it was submitted.
     pub submitted_at: Timestamp,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Timestamp,
-    /// Whether it has its final answer.
+    /// Whether the request has its final answer.
     pub finished: bool,
-    /// Whether it waits in a queue.
+    /// Whether the request waits in the admission queue.
     pub queued: bool,
-    /// What was sent for it, in order.
+    /// All attempts so far, in the order of sending.
     pub attempts: Vec<Attempt>,
 }
 
 impl RequestState {
-    /// A request that was just submitted.
+    /// Returns a request that was just submitted.
     pub(crate) fn new(request: &Request, required_position: Timestamp, now: Timestamp) -> RequestState {
         RequestState {
             request_class: request.class,
@@ -90,35 +85,35 @@
         }
     }
 
-    /// Whether it was sent to this host before.
+    /// Returns whether an attempt was sent to this host before.
     pub(crate) fn tried(&self, host: HostIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.host == host)
     }
 
-    /// Records how an attempt ended; none if it is not in flight.
+    /// Records the end of an attempt, and returns it; none if it was not in flight.
     pub(crate) fn end_attempt(&mut self, nth: u16, outcome: AttemptOutcome) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(usize::from(nth)).filter(|attempt| attempt.outcome.is_none())?;
         attempt.outcome = Some(outcome);
         Some(*attempt)
     }
 
-    /// The attempts that have not ended yet.
+    /// Returns the attempts that have not ended yet.
     pub(crate) fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// The attempt in flight, if there is exactly one.
+    /// Returns the attempt in flight, if there is exactly one.
     pub(crate) fn only_in_flight(&self) -> Option<&Attempt> {
         let mut in_flight = self.in_flight();
         in_flight.next().filter(|_| in_flight.next().is_none())
     }
 
-    /// Whether an attempt ran, may have run or may still run.
+    /// Returns whether an attempt ran, may have run or may still run.
     pub(crate) fn maybe_ran(&self) -> bool {
         self.attempts.iter().any(Attempt::maybe_ran)
     }
 
-    /// Whether it has no final answer, and nothing that could bring one is in flight or queued.
+    /// Returns whether the request has no final answer, and is neither queued nor in flight.
     pub(crate) fn is_idle(&self) -> bool {
         !self.finished && !self.queued && self.in_flight().next().is_none()
     }
--- a/crates/comethitch-policy/src/send.rs
+++ b/crates/comethitch-policy/src/send.rs
@@ -1,21 +1,21 @@
-//! What the check of an attempt that is about to leave may say, and what an attempt that has left may have broken.
+//! The results of the send guard: why an attempt may not be sent, and which rule a sent attempt broke.
 
-/// Why an attempt may not leave.
+/// Why the send guard refuses an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRefusal {
-    /// The request has its final answer, or its client is gone.
+    /// The request has its final answer, or its client has disconnected.
     #[error("the command is finished")]
     RequestFinished,
     /// The attempt was cancelled, or has ended.
     #[error("the attempt has ended")]
     AttemptEnded,
-    /// Its client waits no longer.
+    /// The client no longer waits.
     #[error("the command's deadline has passed")]
     DeadlinePassed,
     /// The host's data may be older than the read allows.
     #[error("the host's data may be too old")]
     DataTooOld,
-    /// The host drains, and too little of its grace is left.
+    /// The host is draining, and too little of its drain grace is left.
     #[error("the host drains")]
     HostDrains,
     /// Another attempt may have run, and this one must not run beside or after it.
@@ -24,7 +24,7 @@
 }
 
 impl SendRefusal {
-    /// The name in logs and counts.
+    /// Returns the name in logs and counts, in snake case.
     pub fn name(self) -> &'static str {
         match self {
             SendRefusal::RequestFinished => "command_finished",
@@ -37,21 +37,21 @@
     }
 }
 
-/// A rule that an attempt broke as its last byte left.
+/// A rule that an attempt broke when its last byte was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendViolation {
-    /// Its client waited no longer.
+    /// The client no longer waited.
     AfterDeadline,
-    /// The host's drain grace was over.
+    /// The host's drain grace had ended.
     PastDrainGrace,
     /// The host's data were older than the read allows, as far as is known here.
     DataTooOld,
-    /// Another attempt may have run, and its repetition is not dropped there.
+    /// Another attempt may have run, and the host does not drop this one as a duplicate.
     Repeated,
 }
 
 impl SendViolation {
-    /// The name in logs and counts.
+    /// Returns the name in logs and counts, in snake case.
     pub fn name(self) -> &'static str {
         match self {
             SendViolation::AfterDeadline => "sent_after_deadline",
--- a/crates/comethitch-policy/src/session_commits.rs
+++ b/crates/comethitch-policy/src/session_commits.rs
@@ -1,12 +1,12 @@
-//! The latest commit that each session has written, within a bound on how many sessions are remembered.
+//! The latest commit that each session has written, for a bounded number of sessions.
 
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Past this many sessions, the half whose commits are oldest is forgotten.
+/// Maximum number of sessions kept; beyond it, the half with the oldest commits is dropped.
 const MAX_SESSIONS: usize = 4096;
 
-/// Remembers what sessions have written, so that they read it.
+/// Tracks the latest commit of each session, so that sessions read their own writes.
 ///
 /// ```
 /// use comethitch_policy::{session_commits::SessionCommits, time::Timestamp};
@@ -15,8 +15,8 @@
 ///     commits.record(session, Timestamp::from_micros(1_000 + session));
 /// }
 /// commits.record(99_999, Timestamp::from_micros(5));
-/// assert_eq!(commits.latest(99_999), Timestamp::from_micros(100_999), "never going back");
-/// // An unknown session may have written any commit that was forgotten.
+/// assert_eq!(commits.latest(99_999), Timestamp::from_micros(100_999), "it never decreases");
+/// // An unknown session may have written any commit that was dropped.
 /// assert!(commits.latest(0) >= Timestamp::from_millis(1));
 /// assert!(commits.latest(0) < Timestamp::from_micros(100_999));
 /// assert!(commits.len() <= 4096);
@@ -24,14 +24,14 @@
 #[derive(Default)]
 pub struct SessionCommits {
     latest: BTreeMap<u64, Timestamp>,
-    /// Sessions that are not remembered have written no later one.
-    latest_forgotten: Timestamp,
+    /// Upper bound on the commits of sessions that were dropped.
+    latest_dropped: Timestamp,
 }
 
 impl SessionCommits {
-    /// The latest commit that a session may have written.
+    /// Returns the latest commit that a session may have written.
     pub fn latest(&self, session: u64) -> Timestamp {
-        self.latest.get(&session).copied().unwrap_or(self.latest_forgotten)
+        self.latest.get(&session).copied().unwrap_or(self.latest_dropped)
     }
 
     /// Records that a session has written a commit.
@@ -40,17 +40,17 @@
         self.latest.insert(session, commit);
         if self.latest.len() > MAX_SESSIONS {
             let mut commits: Vec<Timestamp> = self.latest.values().copied().collect();
-            self.latest_forgotten = *commits.select_nth_unstable(MAX_SESSIONS / 2).1;
-            self.latest.retain(|_, commit| *commit > self.latest_forgotten);
+            self.latest_dropped = *commits.select_nth_unstable(MAX_SESSIONS / 2).1;
+            self.latest.retain(|_, commit| *commit > self.latest_dropped);
         }
     }
 
-    /// How many sessions are remembered.
+    /// Returns the number of sessions kept.
     pub fn len(&self) -> usize {
         self.latest.len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether no session is kept.
     pub fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
