--- a/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
+++ b/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
@@ -21,7 +21,7 @@
 
 fn assemble(bytes: &[u8]) {
     let mut message = MessageAssembler::new(MAX_PAYLOAD);
-    let _ = message.take(bytes);
+    let _ = message.accept(bytes);
     assert!(message.payload().len() <= MAX_PAYLOAD);
 }
 
--- a/crates/comethitch-tds/src/error.rs
+++ b/crates/comethitch-tds/src/error.rs
@@ -1,24 +1,24 @@
-//! Why bytes could not be decoded: more of them are needed, or no further bytes can make them valid.
+//! Decoding errors: more bytes are needed, or no further bytes can make the input valid.
 
 use thiserror::Error;
 
-/// The bytes end within a field. Not a fault while more may arrive.
+/// The input ends within a field. Not a fault while more may arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("more bytes are needed")]
 pub struct Incomplete;
 
-/// The bytes are no valid TDS, whatever follows them. Holds what was wrong.
+/// The input is not valid TDS, whatever follows it. Holds the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct MalformedMessage(pub &'static str);
 
-/// Why something could not be decoded from the bytes received so far.
+/// Reasons why the bytes received so far could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// More bytes are needed; reading may be tried again once they have arrived.
+    /// More bytes are needed; decoding can be retried once they have arrived.
     #[error("more bytes are needed")]
     NeedMoreInput,
-    /// No further bytes can make these valid. Holds what was wrong.
+    /// No further bytes can make the input valid. Holds the reason.
     #[error("{0}")]
     Malformed(&'static str),
 }
@@ -36,7 +36,7 @@
 }
 
 impl ReadError {
-    /// The error where no more bytes will arrive: too few of them are malformed too, for the given reason.
+    /// Converts the error for input to which nothing will be added: incomplete input is malformed for the given reason.
     pub fn at_end(self, if_incomplete: &'static str) -> MalformedMessage {
         match self {
             ReadError::NeedMoreInput => MalformedMessage(if_incomplete),
--- a/crates/comethitch-tds/src/lib.rs
+++ b/crates/comethitch-tds/src/lib.rs
@@ -1,19 +1,19 @@
-//! A codec for TDS 7.4, the protocol of SQL Server, as far as a router needs it: packets and the messages in them,
-//! logins, batches and procedure calls, and the tokens of a response. Written from the public specification
-//! (\[MS-TDS\]: Tabular Data Stream Protocol), whose section titles and names the modules cite.
+//! A codec for the parts of TDS 7.4, the protocol of SQL Server, that a router needs: packets and messages, logins,
+//! batches, procedure calls, and the tokens of a response. It follows the public specification (\[MS-TDS\]: Tabular
+//! Data Stream Protocol); the modules cite its section titles and names.
 //!
-//! There is no I/O and no clock: everything is a function over the bytes received so far. While more are needed the
-//! error is [`Incomplete`] or [`ReadError::NeedMoreInput`]; bytes that no continuation can make valid are a
-//! [`MalformedMessage`], which says why. No length that a peer states is trusted before it is checked, and no memory is
-//! allocated by it.
+//! The codec performs no I/O and reads no clock. Decoders are functions over the bytes received so far: if more bytes are
+//! needed they return [`Incomplete`] or [`ReadError::NeedMoreInput`], and if no further bytes can make the input valid,
+//! [`MalformedMessage`] with the reason. Lengths stated by a peer are checked before use and never determine the size of
+//! an allocation.
 //!
 //! ```
 //! use comethitch_tds::packet::{self, MessageKind};
 //! let mut wire = Vec::new();
 //! packet::put_message(&mut wire, MessageKind::Batch, 4096, b"payload");
-//! let mut message = packet::MessageAssembler::new(1 << 20);
-//! assert_eq!(message.take(&wire).unwrap(), wire.len());
-//! assert_eq!((message.kind(), message.payload()), (Some(MessageKind::Batch), &b"payload"[..]));
+//! let mut assembler = packet::MessageAssembler::new(1 << 20);
+//! assert_eq!(assembler.accept(&wire).unwrap(), wire.len());
+//! assert_eq!((assembler.kind(), assembler.payload()), (Some(MessageKind::Batch), &b"payload"[..]));
 //! ```
 
 mod error;
--- a/crates/comethitch-tds/src/login/login7.rs
+++ b/crates/comethitch-tds/src/login/login7.rs
@@ -1,68 +1,68 @@
-//! LOGIN7 (\[MS-TDS\], "LOGIN7"): a fixed part with flags and with the offsets and lengths of texts, then the texts.
+//! LOGIN7 (\[MS-TDS\], "LOGIN7"): a fixed part with flags and the offsets and lengths of texts, followed by the texts.
 
 use super::MAX_LOGIN_BYTES;
 use crate::error::{Incomplete, MalformedMessage};
 use crate::read::Reader;
 use crate::text;
 
-/// The longest text of a login, in UTF-16 code units.
+/// Maximum length of a text in UTF-16 code units.
 const MAX_TEXT_UNITS: u16 = 128;
-/// The length of the fixed part in bytes; the texts follow.
+/// Size of the fixed part.
 const FIXED_BYTES: usize = 94;
-/// The client's program version, process id and connection id.
+/// Size of the client's program version, process id and connection id.
 const CLIENT_IDS_BYTES: usize = 12;
-/// The client's time zone and locale.
+/// Size of the client's time zone and locale.
 const LOCALE_BYTES: usize = 8;
-/// The client's network address.
+/// Size of the client's network address.
 const CLIENT_ID_BYTES: usize = 6;
-/// What each byte of a password is combined with, after its halves were swapped.
+/// The mask combined by exclusive or with each byte of a password after swapping its halves.
 const PASSWORD_MASK: u8 = 0xa5;
 const FEATURE_TERMINATOR: u8 = 0xff;
 
-/// The bits of the flags that are read or written.
+/// The flag bits that are read or written.
 mod flags {
-    /// `OptionFlags1`: notify of a changed database, fail if it cannot be changed, notify of a changed language.
+    /// `OptionFlags1`: notify of database changes, fail if the database cannot be changed, notify of language changes.
     pub(super) const NOTIFY_OF_CHANGES: u8 = 0xe0;
     /// `OptionFlags2`: fail if the language cannot be changed, and the client is ODBC.
     pub(super) const ODBC: u8 = 0x03;
     /// `OptionFlags2`: integrated security.
     pub(super) const INTEGRATED: u8 = 0x80;
-    /// `TypeFlags`: the client only reads.
+    /// `TypeFlags`: read-only intent.
     pub(super) const READ_ONLY: u8 = 0x20;
     /// `OptionFlags3`: the message has a feature extension.
     pub(super) const EXTENSION: u8 = 0x10;
 }
 
-/// The parts of a LOGIN7 message that matter to a router.
+/// The parts of a LOGIN7 message that a router needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Login {
-    /// The TDS version that the client speaks.
+    /// The client's TDS version.
     pub version: u32,
-    /// The packet size that the client asks for, in bytes; 0 for the server's default.
+    /// Requested packet size in bytes; 0 for the server's default.
     pub packet_size: u32,
     /// The client's host name.
     pub host: String,
     /// The user to authenticate.
     pub user: String,
-    /// The user's password, in plain text here.
+    /// The user's password in plain text.
     pub password: String,
     /// The client's application name.
     pub application: String,
-    /// The name of the server that the client wants.
+    /// The name of the server that the client connects to.
     pub server: String,
     /// The name of the client's library.
     pub library: String,
     /// The database to use.
     pub database: String,
-    /// The client intends only to read.
+    /// Whether the client declares read-only intent.
     pub read_only: bool,
-    /// The client asks for integrated authentication in place of a password.
+    /// Whether the client requests integrated authentication in place of a password.
     pub integrated: bool,
-    /// The ids of the features that the client asks for. Not written by [`Login::put`].
+    /// The ids of the requested features. Not written by [`Login::put`].
     pub features: Vec<u8>,
 }
 
-/// Where a variable field lies in the message.
+/// The location of a variable-length field in the message.
 #[derive(Clone, Copy)]
 struct Field {
     offset: usize,
@@ -71,12 +71,12 @@
 }
 
 impl Login {
-    /// Decodes a complete message. Every offset and length is checked before it is used.
+    /// Decodes the payload of a complete message. Every offset and length is checked before use.
     ///
     /// # Errors
     ///
-    /// If the message is too large, its length is not the stated one, or a field lies outside of it, is too long or
-    /// is not well-formed UTF-16.
+    /// If the message is too large or differs from its stated length, or a field lies outside of the message, is too long
+    /// or is not well-formed UTF-16.
     pub fn read(payload: &[u8]) -> Result<Login, MalformedMessage> {
         if payload.len() > MAX_LOGIN_BYTES {
             return Err(MalformedMessage("a login is larger than it may be"));
@@ -142,7 +142,7 @@
         out[start..start + 4].copy_from_slice(&length.to_le_bytes());
     }
 
-    /// `OptionFlags1`, `OptionFlags2`, `TypeFlags` and `OptionFlags3`.
+    /// Returns `OptionFlags1`, `OptionFlags2`, `TypeFlags` and `OptionFlags3`.
     fn flags(&self) -> [u8; 4] {
         let integrated = if self.integrated { flags::INTEGRATED } else { 0 };
         let read_only = if self.read_only { flags::READ_ONLY } else { 0 };
@@ -187,7 +187,7 @@
     decode_text(&unscramble_password(scrambled))
 }
 
-/// The bytes of a text, which must lie behind the fixed part.
+/// Returns the encoded bytes of a text, which must lie after the fixed part.
 fn text_bytes(payload: &[u8], field: Field) -> Result<&[u8], MalformedMessage> {
     let Field { offset, length } = field;
     if length == 0 {
@@ -204,7 +204,7 @@
     text::decode(bytes).ok_or(MalformedMessage("a text of a login is no UTF-16"))
 }
 
-/// The ids of the features asked for. The extension field points to an offset, which points to the features.
+/// Reads the ids of the requested features. The extension field points to an offset, which points to the features.
 fn read_features(payload: &[u8], extension: Field) -> Result<Vec<u8>, MalformedMessage> {
     let missing = MalformedMessage("a login names bytes that it does not have");
     if extension.length != 4 {
@@ -232,7 +232,7 @@
     bytes
 }
 
-/// Passwords are obscured, not encrypted: the halves of each byte are swapped, and half of its bits inverted.
+/// Obfuscates a password as the protocol requires, by swapping the halves of each byte and applying a mask.
 fn scramble_password(plain: &[u8]) -> Vec<u8> {
     plain.iter().map(|byte| byte.rotate_left(4) ^ PASSWORD_MASK).collect()
 }
@@ -241,15 +241,15 @@
     scrambled.iter().map(|byte| (byte ^ PASSWORD_MASK).rotate_left(4)).collect()
 }
 
-/// Writes the offset and the length of a text, and appends it to the texts before it.
+/// Writes the offset and the length of a text, and appends the text to `texts`.
 fn put_field(out: &mut Vec<u8>, texts: &mut Vec<u8>, text: &[u8]) {
     out.extend(((FIXED_BYTES + texts.len()) as u16).to_le_bytes());
     out.extend((text.len() as u16 / 2).to_le_bytes());
     texts.extend_from_slice(text);
 }
 
-/// Writes the fields of the SSPI message, the database file and the new password, all empty, and the length of a long
-/// SSPI message.
+/// Writes the empty fields of the SSPI message, the database file and the new password, and the length of a long SSPI
+/// message, which is 0.
 fn put_unused_fields(out: &mut Vec<u8>, end: usize) {
     for _ in 0..3 {
         let length = [0; 2];
--- a/crates/comethitch-tds/src/login/mod.rs
+++ b/crates/comethitch-tds/src/login/mod.rs
@@ -6,7 +6,7 @@
 pub use login7::Login;
 pub use prelogin::{Encryption, Prelogin};
 
-/// The protocol version that is spoken: TDS 7.4.
+/// The supported protocol version: TDS 7.4.
 pub const VERSION: u32 = 0x7400_0004;
-/// The most bytes that a LOGIN7 message may have.
+/// Maximum size of a LOGIN7 message.
 pub const MAX_LOGIN_BYTES: usize = 128 * 1024;
--- a/crates/comethitch-tds/src/login/prelogin.rs
+++ b/crates/comethitch-tds/src/login/prelogin.rs
@@ -1,11 +1,11 @@
-//! PRELOGIN (\[MS-TDS\], "PRELOGIN"): a list of options, which a client sends first and a server answers in kind.
+//! PRELOGIN (\[MS-TDS\], "PRELOGIN"): a list of options, sent by the client first and answered by the server.
 
 use crate::error::{Incomplete, MalformedMessage};
 use crate::read::Reader;
 
-/// The length of an option's entry in the list: its code, and the offset and the length of its data.
+/// Size of an entry in the list of options: a code, and the offset and the length of the data.
 const ENTRY_BYTES: usize = 1 + 2 + 2;
-/// The bits of the encryption option that hold its value; the others ask for client certificates.
+/// The bits of the encryption option that hold its value; the other bits request client certificates.
 const ENCRYPTION_MASK: u8 = 0b11;
 
 /// Whether a connection is encrypted.
@@ -23,7 +23,7 @@
 }
 
 impl Encryption {
-    /// In the order of the codes.
+    /// All values in the order of their codes.
     const ALL: [Encryption; 4] =
         [Encryption::Off, Encryption::On, Encryption::NotSupported, Encryption::Required];
 
@@ -37,11 +37,11 @@
 pub struct Prelogin {
     /// The sender's version and sub-build.
     pub version: [u8; 6],
-    /// What the sender offers or demands.
+    /// The encryption that the sender offers or requires.
     pub encryption: Encryption,
-    /// Multiple active result sets are asked for.
+    /// Whether multiple active result sets are requested.
     pub mars: bool,
-    /// Federated authentication is asked for.
+    /// Whether federated authentication is requested.
     pub federated: bool,
 }
 
@@ -63,19 +63,19 @@
     pub(super) const TERMINATOR: u8 = 0xff;
 }
 
-/// An option as it stands in a message.
+/// An option in a message.
 struct RawOption<'a> {
     code: u8,
     data: &'a [u8],
 }
 
 impl Prelogin {
-    /// Decodes a complete message.
+    /// Decodes the payload of a complete message.
     ///
     /// # Errors
     ///
-    /// If the list of options has no end, an option's data lies outside of the message or is too short, or there is
-    /// no version.
+    /// If the list of options is not terminated, an option's data lies outside of the message or is too short, or the
+    /// version is missing.
     pub fn read(payload: &[u8]) -> Result<Prelogin, MalformedMessage> {
         let mut reader = Reader::new(payload);
         let mut prelogin = Prelogin { encryption: Encryption::Off, ..Prelogin::default() };
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// Writes the message, except for the federated option.
+    /// Writes the message without the option for federated authentication.
     pub fn put(&self, out: &mut Vec<u8>) {
         let options: [(u8, &[u8]); 5] = [
             (option::VERSION, &self.version),
@@ -132,7 +132,7 @@
     }
 }
 
-/// Reads the next option of the list; none at the terminator.
+/// Reads the next option of the list; `None` at the terminator.
 fn read_option<'a>(
     reader: &mut Reader<'_>, payload: &'a [u8],
 ) -> Result<Option<RawOption<'a>>, MalformedMessage> {
--- a/crates/comethitch-tds/src/packet/assembler.rs
+++ b/crates/comethitch-tds/src/packet/assembler.rs
@@ -1,52 +1,51 @@
-//! Joins the packets of a message as their bytes arrive, within a limit on the message's size.
+//! Joins the packets of a message as they arrive, within a limit on the size of the message.
 
 use super::{HEADER_BYTES, Header, MessageKind, status};
 use crate::error::{MalformedMessage, ReadError};
 
-/// A message as it arrives. Bytes may be split anywhere.
+/// Assembles a message from its packets. The input may be split at any byte.
 #[derive(Debug)]
 pub struct MessageAssembler {
-    max_payload: usize,
+    max_payload_bytes: usize,
     payload: Vec<u8>,
     kind: Option<MessageKind>,
     status: u8,
-    /// How many bytes of the current packet have yet to arrive.
+    /// Number of payload bytes of the current packet that have not arrived yet.
     remaining: usize,
-    /// The header of the next packet, as far as it has arrived.
+    /// The received part of the next packet's header.
     header: Vec<u8>,
-    /// The current packet ends the message.
-    last: bool,
-    over: bool,
+    is_last_packet: bool,
+    is_complete: bool,
 }
 
 impl MessageAssembler {
-    /// An empty assembly for messages with at most so many bytes of payload.
-    pub fn new(max_payload: usize) -> MessageAssembler {
+    /// Creates an assembler for messages with a payload of at most `max_payload_bytes`.
+    pub fn new(max_payload_bytes: usize) -> MessageAssembler {
         MessageAssembler {
-            max_payload,
+            max_payload_bytes,
             payload: Vec::new(),
             kind: None,
             status: 0,
             remaining: 0,
             header: Vec::with_capacity(HEADER_BYTES),
-            last: false,
-            over: false,
+            is_last_packet: false,
+            is_complete: false,
         }
     }
 
-    /// Takes bytes up to the end of the message, and returns how many those were.
+    /// Consumes input up to the end of the message, and returns how many bytes were consumed.
     ///
     /// # Errors
     ///
-    /// If a header is invalid, the message is larger than the limit, its packets differ in type, or one is empty and
-    /// not the last.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, MalformedMessage> {
+    /// If a header is invalid, the message exceeds the limit, its packets differ in type, or a packet other than the last
+    /// one is empty.
+    pub fn accept(&mut self, bytes: &[u8]) -> Result<usize, MalformedMessage> {
         let mut position = 0;
-        while !self.over && position < bytes.len() {
+        while !self.is_complete && position < bytes.len() {
             if self.remaining == 0 {
-                let wanted = (HEADER_BYTES - self.header.len()).min(bytes.len() - position);
-                self.header.extend_from_slice(&bytes[position..position + wanted]);
-                position += wanted;
+                let missing = (HEADER_BYTES - self.header.len()).min(bytes.len() - position);
+                self.header.extend_from_slice(&bytes[position..position + missing]);
+                position += missing;
                 match Header::read(&self.header) {
                     Ok(header) => self.begin_packet(header)?,
                     Err(ReadError::NeedMoreInput) => break,
@@ -57,7 +56,7 @@
             self.payload.extend_from_slice(&bytes[position..position + available]);
             self.remaining -= available;
             position += available;
-            self.over = self.remaining == 0 && self.last && self.header.is_empty();
+            self.is_complete = self.remaining == 0 && self.is_last_packet && self.header.is_empty();
         }
         Ok(position)
     }
@@ -68,54 +67,54 @@
                 self.kind = Some(header.kind);
                 self.status = header.status;
             }
-            // An attention may arrive between the packets of a message that is being abandoned; no other may.
+            // A client that abandons a message sends an attention only after the message's last packet.
             Some(kind) if kind != header.kind => {
                 return Err(MalformedMessage("a packet of another message's type"));
             }
             Some(_) => self.status |= header.status & status::IGNORE,
         }
         self.remaining = header.length - HEADER_BYTES;
-        if self.payload.len() + self.remaining > self.max_payload {
+        if self.payload.len() + self.remaining > self.max_payload_bytes {
             return Err(MalformedMessage("a message is larger than it may be"));
         }
-        // A packet that carries nothing and ends nothing would let a peer keep a message open forever.
+        // With empty packets a peer could keep a message open forever.
         if self.remaining == 0 && header.status & status::END == 0 {
             return Err(MalformedMessage("an empty packet within a message"));
         }
-        self.last = header.status & status::END != 0;
+        self.is_last_packet = header.status & status::END != 0;
         self.header.clear();
         Ok(())
     }
 
-    /// Whether the message is complete.
+    /// Returns whether the message is complete.
     pub fn is_complete(&self) -> bool {
-        self.over
+        self.is_complete
     }
 
-    /// Whether nothing of a message has arrived yet.
+    /// Returns whether no byte of a message has arrived yet.
     pub fn is_empty(&self) -> bool {
         self.kind.is_none() && self.header.is_empty()
     }
 
-    /// The message's type, once its first header has arrived.
+    /// Returns the type of the message, once its first header has arrived.
     pub fn kind(&self) -> Option<MessageKind> {
         self.kind
     }
 
-    /// The first packet's status, with [`status::IGNORE`] set if any packet had it.
+    /// Returns the status bits of the first packet, with [`status::IGNORE`] set if any packet had it.
     pub fn status(&self) -> u8 {
         self.status
     }
 
-    /// The payload that has arrived.
+    /// Returns the payload received so far.
     pub fn payload(&self) -> &[u8] {
         &self.payload
     }
 
-    /// Takes the payload out and resets the assembly for the next message.
+    /// Returns the payload, and resets the assembler for the next message.
     pub fn finish(&mut self) -> Vec<u8> {
         let payload = std::mem::take(&mut self.payload);
-        *self = MessageAssembler::new(self.max_payload);
+        *self = MessageAssembler::new(self.max_payload_bytes);
         payload
     }
 }
--- a/crates/comethitch-tds/src/packet/mod.rs
+++ b/crates/comethitch-tds/src/packet/mod.rs
@@ -1,22 +1,22 @@
-//! Packets and their headers (\[MS-TDS\], "Packet Header"). A message is one packet or several of the same type:
+//! Packets and their headers (\[MS-TDS\], "Packet Header"). A message consists of one or more packets of the same type:
 //! [`MessageAssembler`] joins received packets, [`put_message`] splits a payload into packets.
 
 mod assembler;
 mod write;
 
 pub use assembler::MessageAssembler;
-pub use write::{put_message, put_parts};
+pub use write::{put_message, put_packets};
 
 use crate::error::{MalformedMessage, ReadError};
 use crate::read::Reader;
 
-/// The length of a packet header in bytes.
+/// Size of a packet header.
 pub const HEADER_BYTES: usize = 8;
-/// The packet size in bytes until a login has negotiated another.
+/// Packet size until the login has negotiated another one.
 pub const INITIAL_PACKET_BYTES: usize = 4096;
-/// The smallest packet size in bytes that can be negotiated.
+/// Minimum packet size that can be negotiated.
 pub const MIN_PACKET_BYTES: usize = 512;
-/// The largest packet size in bytes that can be negotiated.
+/// Maximum packet size that can be negotiated.
 pub const MAX_PACKET_BYTES: usize = 32_767;
 
 /// The type of a message, stated in the header of each of its packets.
@@ -28,7 +28,7 @@
     Rpc,
     /// A server's response: a stream of tokens, or the answer to a PRELOGIN.
     Response,
-    /// A client's request to cancel the command in progress.
+    /// A client's request to cancel the operation in progress.
     Attention,
     /// Rows of a bulk load.
     BulkLoad,
@@ -58,12 +58,12 @@
         (0x12, MessageKind::Prelogin),
     ];
 
-    /// The type that this code stands for, if it is known.
+    /// Returns the type with this code, or `None` if the code is unknown.
     pub fn from_code(code: u8) -> Option<MessageKind> {
         MessageKind::CODES.into_iter().find(|(known, _)| *known == code).map(|(_, kind)| kind)
     }
 
-    /// The type's code in a packet header.
+    /// Returns the type's code in a packet header.
     pub fn code(self) -> u8 {
         MessageKind::CODES.into_iter().find(|(_, kind)| *kind == self).map_or(0, |(code, _)| code)
     }
@@ -88,21 +88,21 @@
     pub kind: MessageKind,
     /// Bits of [`status`].
     pub status: u8,
-    /// The length in bytes of the packet, this header included.
+    /// Length of the packet in bytes, including this header.
     pub length: usize,
-    /// The server's process id of the session, or 0.
+    /// Process id of the session at the server, or 0.
     pub spid: u16,
     /// The packet's number in its message, modulo 256.
     pub number: u8,
 }
 
 impl Header {
-    /// Reads the header at the beginning of these bytes.
+    /// Reads the header at the start of `bytes`.
     ///
     /// # Errors
     ///
-    /// [`ReadError::Malformed`] as soon as the bytes that have arrived cannot begin a header;
-    /// [`ReadError::NeedMoreInput`] while the header is not complete.
+    /// [`ReadError::Malformed`] if the bytes cannot be the start of a header; [`ReadError::NeedMoreInput`] if the header
+    /// is incomplete.
     pub fn read(bytes: &[u8]) -> Result<Header, ReadError> {
         let mut reader = Reader::new(bytes);
         let kind =
--- a/crates/comethitch-tds/src/read.rs
+++ b/crates/comethitch-tds/src/read.rs
@@ -11,35 +11,35 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader at the beginning of these bytes.
+    /// Creates a reader at the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
         Reader { bytes, position: 0 }
     }
 
-    /// How many bytes were read.
+    /// Returns the number of bytes read.
     pub fn position(&self) -> usize {
         self.position
     }
 
-    /// The bytes that were not read yet.
+    /// Returns the bytes that were not read yet.
     pub fn remaining(&self) -> &'a [u8] {
         &self.bytes[self.position..]
     }
 
-    /// Whether all bytes were read.
+    /// Returns whether all bytes were read.
     pub fn is_empty(&self) -> bool {
         self.position == self.bytes.len()
     }
 
-    /// Reads so many bytes.
+    /// Reads `length` bytes.
     ///
     /// # Errors
     ///
     /// [`Incomplete`] if fewer remain.
     pub fn take(&mut self, length: usize) -> Result<&'a [u8], Incomplete> {
-        let taken = self.remaining().get(..length).ok_or(Incomplete)?;
+        let bytes = self.remaining().get(..length).ok_or(Incomplete)?;
         self.position += length;
-        Ok(taken)
+        Ok(bytes)
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], Incomplete> {
@@ -102,21 +102,21 @@
         self.array().map(u64::from_le_bytes)
     }
 
-    /// Reads a `B_VARCHAR`: UTF-16 behind a length of one byte, in code units. Returns the undecoded bytes.
+    /// Reads a `B_VARCHAR`, a one-byte length in UTF-16 code units and the text, and returns the encoded text.
     ///
     /// # Errors
     ///
-    /// [`Incomplete`] if the length or the text is not complete.
+    /// [`Incomplete`] if the length or the text is incomplete.
     pub fn b_varchar(&mut self) -> Result<&'a [u8], Incomplete> {
         let length = self.u8()?;
         self.take(usize::from(length) * 2)
     }
 
-    /// Reads a `US_VARCHAR`: UTF-16 behind a length of two bytes, in code units. Returns the undecoded bytes.
+    /// Reads a `US_VARCHAR`, a two-byte length in UTF-16 code units and the text, and returns the encoded text.
     ///
     /// # Errors
     ///
-    /// [`Incomplete`] if the length or the text is not complete.
+    /// [`Incomplete`] if the length or the text is incomplete.
     pub fn us_varchar(&mut self) -> Result<&'a [u8], Incomplete> {
         let length = self.u16()?;
         self.take(usize::from(length) * 2)
--- a/crates/comethitch-tds/src/request/batch.rs
+++ b/crates/comethitch-tds/src/request/batch.rs
@@ -7,14 +7,14 @@
 /// A batch of statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// What stands before the text.
+    /// The headers before the text.
     pub headers: Headers,
-    /// The statements.
+    /// The text of the statements.
     pub text: String,
 }
 
 impl Batch {
-    /// Decodes a complete message.
+    /// Decodes the payload of a complete message.
     ///
     /// # Errors
     ///
@@ -26,7 +26,7 @@
         Ok(Batch { headers, text })
     }
 
-    /// Writes a batch outside of any transaction, as clients do.
+    /// Writes a batch as a client does, outside of a transaction.
     pub fn put(out: &mut Vec<u8>, text: &str) {
         Headers::put(out, 0);
         text::put(out, text);
--- a/crates/comethitch-tds/src/request/call.rs
+++ b/crates/comethitch-tds/src/request/call.rs
@@ -1,5 +1,5 @@
-//! RPC requests (\[MS-TDS\], "RPC Request"): a call of a procedure with parameters, and the statement within those
-//! calls that carry one.
+//! Procedure calls (\[MS-TDS\], "RPC Request"): the procedure, the parameters, and the statement in calls that carry
+//! one.
 
 use super::{BY_REFERENCE, Headers, PROCEDURE_ID_FOLLOWS, Procedure, SystemProcedure};
 use crate::error::{MalformedMessage, ReadError};
@@ -8,13 +8,13 @@
 use crate::types::{Type, Value};
 use std::ops::Range;
 
-/// The most parameters of a call that servers allow.
+/// Maximum number of parameters that servers allow.
 const MAX_PARAMETERS: usize = 2100;
-/// The bytes that separate calls of one message: `BatchFlag` of older and current versions, and `NoExecFlag`. No parameter
-/// has a name as long as one of them would state.
+/// The bytes that separate the calls of one message: `BatchFlag` of older and current versions, and `NoExecFlag`. They
+/// cannot be the length of a parameter's name, because no name is that long.
 const CALL_SEPARATORS: [u8; 3] = [0x80, 0xff, 0xfe];
 
-/// The names by which servers bind the parameters of the system procedures themselves.
+/// Parameter names of the system procedures, by which servers bind before position.
 const STATEMENT_NAMES: [&str; 2] = ["stmt", "statement"];
 const DECLARATIONS_NAMES: [&str; 2] = ["params", "parameters"];
 const HANDLE_NAMES: [&str; 1] = ["handle"];
@@ -22,38 +22,38 @@
 /// A parameter of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Parameter {
-    /// Its name with the leading `@`, or an empty text if it is bound by position.
+    /// The name with the leading `@`; empty if the parameter is bound by position.
     pub name: String,
-    /// The server returns its value.
+    /// Whether this is an output parameter.
     pub by_reference: bool,
-    /// Its type.
-    pub kind: Type,
-    /// Its value.
+    /// The type.
+    pub value_type: Type,
+    /// The value.
     pub value: Value,
-    /// Where it stands in the message.
+    /// Byte range of the encoded parameter in the message.
     pub range: Range<usize>,
 }
 
 /// A call of a procedure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// What stands before the call.
+    /// The headers before the call.
     pub headers: Headers,
-    /// What is called.
+    /// The procedure.
     pub procedure: Procedure,
     /// The parameters in order.
     pub parameters: Vec<Parameter>,
-    /// Further calls follow in the same message.
-    pub more: bool,
+    /// Whether further calls follow in the same message.
+    pub has_more_calls: bool,
 }
 
 impl Call {
-    /// Decodes a complete message; of several calls in it only the first.
+    /// Decodes the first call of a complete message.
     ///
     /// # Errors
     ///
-    /// If the headers, the procedure's id or a parameter's type are invalid, a name is not well-formed UTF-16, there
-    /// are too many parameters, or the message is cut off.
+    /// If the headers, the procedure id or a parameter's type are invalid, a name is not well-formed UTF-16, there are
+    /// too many parameters, or the message is incomplete.
     pub fn read(payload: &[u8]) -> Result<Call, MalformedMessage> {
         let headers = Headers::read(payload)?;
         let mut reader = Reader::new(&payload[headers.length..]);
@@ -64,11 +64,11 @@
         let procedure = read_procedure(reader)?;
         let _flags = reader.u16()?;
         let mut parameters = Vec::new();
-        let mut more = false;
+        let mut has_more_calls = false;
         while let Some(&first) = reader.remaining().first() {
             if CALL_SEPARATORS.contains(&first) {
                 reader.u8()?;
-                more = !reader.is_empty();
+                has_more_calls = !reader.is_empty();
                 break;
             }
             if parameters.len() == MAX_PARAMETERS {
@@ -76,11 +76,11 @@
             }
             parameters.push(read_parameter(headers.length, reader)?);
         }
-        Ok(Call { headers, procedure, parameters, more })
+        Ok(Call { headers, procedure, parameters, has_more_calls })
     }
 
-    /// The statement that a call of `sp_executesql`, `sp_prepare` or `sp_prepexec` carries. Servers bind parameters by
-    /// name before position: if a name says that the statement is elsewhere, there is none.
+    /// Returns the statement of a call of `sp_executesql`, `sp_prepare` or `sp_prepexec`. Servers bind parameters by name
+    /// before position, so there is none if a name contradicts the position.
     pub fn statement(&self) -> Option<&str> {
         let position = match self.procedure {
             Procedure::System(SystemProcedure::ExecuteSql) => 0,
@@ -123,7 +123,7 @@
         })
     }
 
-    /// The declarations of the statement's parameters, if the call carries them.
+    /// Returns the declarations of the statement's parameters, if the call carries them.
     pub fn declarations(&self) -> Option<&str> {
         let Procedure::System(
             SystemProcedure::ExecuteSql | SystemProcedure::Prepare | SystemProcedure::PrepareExecute,
@@ -137,13 +137,13 @@
         }
     }
 
-    /// The arguments of the statement itself, by name without the leading `@`.
+    /// Returns the arguments of the statement itself: names without the leading `@`, and values.
     pub fn arguments(&self) -> impl Iterator<Item = (&str, &Value)> {
         let arguments = self.parameters.iter().skip(self.first_argument());
         arguments.map(|parameter| (parameter.name.trim_start_matches('@'), &parameter.value))
     }
 
-    /// The bytes of the statement's arguments in `payload`, the message that this call was read from.
+    /// Returns the encoded arguments of the statement, given the `payload` that this call was read from.
     pub fn raw_arguments<'a>(&self, payload: &'a [u8]) -> &'a [u8] {
         let arguments = self.parameters.get(self.first_argument()..).unwrap_or_default();
         match (arguments.first(), arguments.last()) {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The position of the first parameter that belongs to the statement and not to the system procedure.
+    /// Returns the position of the first parameter that belongs to the statement rather than to the system procedure.
     fn first_argument(&self) -> usize {
         match self.procedure {
             Procedure::System(SystemProcedure::ExecuteSql) => 2,
@@ -166,7 +166,7 @@
 fn read_procedure(reader: &mut Reader<'_>) -> Result<Procedure, ReadError> {
     let name_units = reader.u16()?;
     if name_units == PROCEDURE_ID_FOLLOWS {
-        let known = SystemProcedure::from_number(reader.u16()?);
+        let known = SystemProcedure::from_id(reader.u16()?);
         let known = known.ok_or(MalformedMessage("a procedure of an unknown number"))?;
         return Ok(Procedure::System(known));
     }
@@ -175,16 +175,16 @@
     Ok(SystemProcedure::from_name(&name).map_or(Procedure::Named(name), Procedure::System))
 }
 
-/// Reads a parameter; the reader begins behind so many bytes of headers.
+/// Reads a parameter. `header_bytes` is the offset in the message at which the reader starts.
 fn read_parameter(header_bytes: usize, reader: &mut Reader<'_>) -> Result<Parameter, ReadError> {
     let start = header_bytes + reader.position();
     let name = text::decode(reader.b_varchar()?);
     let name = name.ok_or(MalformedMessage("a parameter's name that is no UTF-16"))?;
     let status = reader.u8()?;
-    let kind = Type::read(reader)?;
-    let value = kind.decode(kind.value(reader)?);
+    let value_type = Type::read(reader)?;
+    let value = value_type.decode(value_type.value(reader)?);
     let range = start..header_bytes + reader.position();
-    Ok(Parameter { name, by_reference: status & BY_REFERENCE != 0, kind, value, range })
+    Ok(Parameter { name, by_reference: status & BY_REFERENCE != 0, value_type, value, range })
 }
 
 fn is_one_of(name: &str, names: &[&str]) -> bool {
--- a/crates/comethitch-tds/src/request/call_writer.rs
+++ b/crates/comethitch-tds/src/request/call_writer.rs
@@ -1,4 +1,4 @@
-//! Writes calls of procedures as clients do.
+//! Writes procedure calls as clients do.
 
 use super::{BY_REFERENCE, Headers, PROCEDURE_ID_FOLLOWS, SystemProcedure};
 use crate::text;
@@ -11,7 +11,7 @@
 const NO_COLLATION: [u8; 5] = [0; 5];
 const INTEGER_BYTES: u8 = 4;
 
-/// Appends a call to a buffer, parameter by parameter. Parameters with an empty name are bound by position.
+/// Appends a procedure call to a buffer, parameter by parameter. Parameters with an empty name are bound by position.
 pub struct CallWriter<'a>(&'a mut Vec<u8>);
 
 impl<'a> CallWriter<'a> {
@@ -19,7 +19,7 @@
     pub fn system(out: &'a mut Vec<u8>, procedure: SystemProcedure) -> CallWriter<'a> {
         Headers::put(out, 0);
         out.extend(PROCEDURE_ID_FOLLOWS.to_le_bytes());
-        out.extend(procedure.number().to_le_bytes());
+        out.extend(procedure.id().to_le_bytes());
         out.extend(OPTION_FLAGS);
         CallWriter(out)
     }
@@ -49,7 +49,7 @@
         self
     }
 
-    /// Appends an integer of four bytes, or a null one.
+    /// Appends a nullable four-byte integer.
     pub fn integer(mut self, name: &str, value: Option<i32>) -> CallWriter<'a> {
         let out = self.begin(name, BY_VALUE, code::INTN);
         out.push(INTEGER_BYTES);
@@ -69,7 +69,7 @@
         self
     }
 
-    /// Appends a null integer that the server returns.
+    /// Appends an integer output parameter.
     pub fn out(mut self, name: &str) -> CallWriter<'a> {
         let out = self.begin(name, BY_REFERENCE, code::INTN);
         let null = 0;
--- a/crates/comethitch-tds/src/request/declarations.rs
+++ b/crates/comethitch-tds/src/request/declarations.rs
@@ -1,12 +1,12 @@
-//! Declarations of a statement's parameters, as `sp_executesql` and `sp_prepare` carry them.
+//! Declarations of a statement's parameters, as in calls of `sp_executesql` and `sp_prepare`.
 
-/// The names of declared parameters in order, in lower case and without the leading `@`.
+/// Returns the names of the declared parameters in order, in lower case and without the leading `@`.
 ///
 /// ```
-/// let names = comethitch_tds::request::declared("@a int, @B decimal(9, 2) output");
+/// let names = comethitch_tds::request::declared_names("@a int, @B decimal(9, 2) output");
 /// assert_eq!(names, ["a", "b"]);
 /// ```
-pub fn declared(declarations: &str) -> Vec<String> {
+pub fn declared_names(declarations: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut parentheses = 0_usize;
     let mut at_declaration_start = true;
--- a/crates/comethitch-tds/src/request/headers.rs
+++ b/crates/comethitch-tds/src/request/headers.rs
@@ -1,29 +1,29 @@
-//! `ALL_HEADERS` (\[MS-TDS\], "Packet Data Stream Headers"): what stands before the payload of batches and calls.
+//! `ALL_HEADERS` (\[MS-TDS\], "Packet Data Stream Headers"), which precede batches and calls.
 
 use crate::error::{Incomplete, MalformedMessage};
 use crate::read::Reader;
 
-/// The length and the type before each header's data.
+/// Size of the length and the type before each header's data.
 const HEADER_PREFIX_BYTES: usize = 4 + 2;
 const TRANSACTION_DESCRIPTOR: u16 = 2;
-/// The descriptor and the number of outstanding requests.
+/// Size of the descriptor and the number of outstanding requests.
 const TRANSACTION_DESCRIPTOR_BYTES: usize = 8 + 4;
 
 /// The headers of a batch or a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
-    /// The descriptor of the transaction that the client is in, or 0.
+    /// Descriptor of the client's current transaction, or 0.
     pub transaction: u64,
-    /// The length in bytes of all headers; the request follows.
+    /// Total length of the headers in bytes.
     pub length: usize,
 }
 
 impl Headers {
-    /// Reads the headers at the beginning of a complete message.
+    /// Reads the headers at the start of a complete message.
     ///
     /// # Errors
     ///
-    /// If a length is impossible or the headers are cut off.
+    /// If a length is impossible or the headers are incomplete.
     pub fn read(payload: &[u8]) -> Result<Headers, MalformedMessage> {
         let cut_off = |_: Incomplete| MalformedMessage("headers that are cut off");
         let mut reader = Reader::new(payload);
@@ -47,7 +47,7 @@
         Ok(headers)
     }
 
-    /// Writes a transaction descriptor header as the only one, as clients do.
+    /// Writes headers as a client does: only a transaction descriptor.
     pub fn put(out: &mut Vec<u8>, transaction: u64) {
         let header_bytes = HEADER_PREFIX_BYTES + TRANSACTION_DESCRIPTOR_BYTES;
         let total_bytes = 4 + header_bytes;
--- a/crates/comethitch-tds/src/request/procedure.rs
+++ b/crates/comethitch-tds/src/request/procedure.rs
@@ -1,6 +1,6 @@
-//! The procedure that a call names: one of the server's system procedures, or any other by its name.
+//! The procedure of a call: one of the server's system procedures, or any other by its name.
 
-/// The system procedures that have ids and special meaning to a router (\[MS-TDS\], "RPC Request", `ProcID`).
+/// The system procedures with ids, which a router treats specially (\[MS-TDS\], "RPC Request", `ProcID`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemProcedure {
     /// `sp_executesql`: executes a parameterized statement.
@@ -9,15 +9,15 @@
     Prepare,
     /// `sp_execute`: executes a prepared statement.
     Execute,
-    /// `sp_prepexec` and `sp_prepexecrpc`: prepare and execute in one call.
+    /// `sp_prepexec` and `sp_prepexecrpc`: prepares and executes a statement in one call.
     PrepareExecute,
     /// `sp_unprepare`: discards a prepared statement.
     Unprepare,
-    /// `sp_cursor` and its relatives, whose state belongs to one session.
+    /// `sp_cursor` and the other cursor procedures, whose state belongs to one session.
     Cursor,
 }
 
-/// What a call executes.
+/// The procedure that a call executes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Procedure {
     /// A system procedure, named by its id or by its name.
@@ -27,9 +27,9 @@
 }
 
 impl SystemProcedure {
-    /// The system procedure with this id.
-    pub(super) fn from_number(number: u16) -> Option<SystemProcedure> {
-        Some(match number {
+    /// Returns the system procedure with this id.
+    pub(super) fn from_id(id: u16) -> Option<SystemProcedure> {
+        Some(match id {
             1..=9 => SystemProcedure::Cursor,
             10 => SystemProcedure::ExecuteSql,
             11 => SystemProcedure::Prepare,
@@ -40,8 +40,8 @@
         })
     }
 
-    /// The system procedure with this name, alone or in the schema `sys`: a procedure of the same name in any other
-    /// schema is a user's own.
+    /// Returns the system procedure with this name, unqualified or in the schema `sys`. In any other schema, the name
+    /// belongs to a user's procedure.
     pub(super) fn from_name(name: &str) -> Option<SystemProcedure> {
         let name = name.to_ascii_lowercase();
         let unqualified = name.strip_prefix("sys.").or_else(|| name.strip_prefix("[sys].")).unwrap_or(&name);
@@ -57,8 +57,8 @@
         })
     }
 
-    /// The procedure's id; of several the lowest.
-    pub fn number(self) -> u16 {
+    /// Returns the id of the procedure, the lowest one if there are several.
+    pub fn id(self) -> u16 {
         match self {
             SystemProcedure::Cursor => 1,
             SystemProcedure::ExecuteSql => 10,
--- a/crates/comethitch-tds/src/token/change_type.rs
+++ b/crates/comethitch-tds/src/token/change_type.rs
@@ -10,11 +10,11 @@
 pub const COMMIT_TRANSACTION: u8 = 9;
 /// A transaction was rolled back.
 pub const ROLLBACK_TRANSACTION: u8 = 10;
-/// A distributed transaction left the session.
+/// The session left a distributed transaction.
 pub const DEFECT_TRANSACTION: u8 = 12;
 /// A transaction ended otherwise.
 pub const TRANSACTION_ENDED: u8 = 17;
-/// The session was reset as the client asked.
+/// The session was reset at the client's request.
 pub const RESET_ACKNOWLEDGED: u8 = 18;
 /// The client must connect to another server.
 pub const ROUTING: u8 = 20;
--- a/crates/comethitch-tds/src/token/code.rs
+++ b/crates/comethitch-tds/src/token/code.rs
@@ -18,7 +18,7 @@
 pub const RETURN_VALUE: u8 = 0xac;
 /// LOGINACK: the acknowledgement of a login.
 pub const LOGIN_ACK: u8 = 0xad;
-/// FEATUREEXTACK: the acknowledgement of features that a login asked for.
+/// FEATUREEXTACK: the acknowledgement of features requested by a login.
 pub const FEATURE_ACK: u8 = 0xae;
 /// ROW: a row with all its values.
 pub const ROW: u8 = 0xd1;
@@ -30,7 +30,7 @@
 pub const SESSION_STATE: u8 = 0xe4;
 /// SSPI: an authentication message.
 pub const SSPI: u8 = 0xed;
-/// FEDAUTHINFO: where to get a federated authentication token.
+/// FEDAUTHINFO: where to obtain a federated authentication token.
 pub const FEDERATED: u8 = 0xee;
 /// DONE: the end of a statement.
 pub const DONE: u8 = 0xfd;
--- a/crates/comethitch-tds/src/token/decode.rs
+++ b/crates/comethitch-tds/src/token/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes what stands behind the code of each token.
+//! Decodes the part of each token after its code.
 
 use super::{Change, Message, Token, change_type};
 use crate::error::{Incomplete, MalformedMessage, ReadError};
@@ -7,23 +7,23 @@
 use crate::text;
 use crate::types::{Length, Type};
 
-/// The most columns of a row that servers allow.
+/// Maximum number of columns that servers allow.
 const MAX_COLUMNS: u16 = 4096;
-/// The column count that means "no description".
+/// The column count that stands for "no new description".
 const NO_METADATA: u16 = u16::MAX;
-/// The most bytes that are accepted in a token with a length of four bytes.
+/// Maximum size that is accepted of a token body with a four-byte length.
 const MAX_LONG_BODY_BYTES: u32 = 1 << 20;
-/// The user type and the flags of a column or an output parameter.
+/// Size of the user type and the flags of a column or an output parameter.
 const USER_TYPE_AND_FLAGS_BYTES: usize = 4 + 2;
 const FEATURE_TERMINATOR: u8 = 0xff;
 
-/// The body of a token behind its length of two bytes.
+/// Reads a token body with a two-byte length.
 pub(super) fn short_body<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
     let length = reader.u16()?;
     Ok(Reader::new(reader.take(usize::from(length))?))
 }
 
-/// The body of a token behind its length of four bytes.
+/// Reads a token body with a four-byte length.
 pub(super) fn long_body<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
     let length = reader.u32()?;
     if length > MAX_LONG_BODY_BYTES {
@@ -32,7 +32,7 @@
     Ok(Reader::new(reader.take(length as usize)?))
 }
 
-/// COLMETADATA; none if it says that there is no new description.
+/// Decodes COLMETADATA; `None` if it contains no new description.
 pub(super) fn columns(reader: &mut Reader<'_>) -> Result<Option<Vec<Type>>, ReadError> {
     let count = reader.u16()?;
     if count == NO_METADATA {
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-/// DONE, DONEPROC or DONEINPROC.
+/// Decodes DONE, DONEPROC or DONEINPROC.
 pub(super) fn done(code: u8, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
     let status = reader.u16()?;
     let _current_command = reader.u16()?;
@@ -74,7 +74,7 @@
     Ok(Token::Done { code, status, count })
 }
 
-/// ERROR or INFO.
+/// Decodes ERROR or INFO.
 pub(super) fn message(reader: &mut Reader<'_>) -> Result<Message, ReadError> {
     let mut body = short_body(reader)?;
     let message = message_body(&mut body);
@@ -92,7 +92,7 @@
     Ok(Message { number, state, class, text })
 }
 
-/// LOGINACK.
+/// Decodes LOGINACK.
 pub(super) fn login_ack(reader: &mut Reader<'_>) -> Result<Token, ReadError> {
     let mut body = short_body(reader)?;
     match login_ack_version(&mut body) {
@@ -101,14 +101,14 @@
     }
 }
 
-/// The version is the one big-endian integer in a token.
+/// Reads the version, which unlike the other integers in tokens is big-endian.
 fn login_ack_version(body: &mut Reader<'_>) -> Result<u32, Incomplete> {
     let _interface = body.u8()?;
     let version = body.take(4)?;
     Ok(version.first_chunk().map_or(0, |bytes| u32::from_be_bytes(*bytes)))
 }
 
-/// ENVCHANGE.
+/// Decodes ENVCHANGE.
 pub(super) fn change(reader: &mut Reader<'_>) -> Result<Change, ReadError> {
     let mut body = short_body(reader)?;
     Ok(change_body(&mut body).map_err(|error| error.at_end("a change shorter than it says"))?)
@@ -138,7 +138,7 @@
     Ok(size)
 }
 
-/// RETURNVALUE.
+/// Decodes RETURNVALUE.
 pub(super) fn return_value(reader: &mut Reader<'_>) -> Result<Token, ReadError> {
     let _ordinal = reader.u16()?;
     let _name = reader.b_varchar()?;
@@ -149,7 +149,7 @@
     Ok(Token::ReturnValue)
 }
 
-/// The features of FEATUREEXTACK, up to the terminator.
+/// Skips the features of FEATUREEXTACK, up to and including the terminator.
 pub(super) fn skip_features(reader: &mut Reader<'_>) -> Result<(), ReadError> {
     while reader.u8()? != FEATURE_TERMINATOR {
         long_body(reader)?;
--- a/crates/comethitch-tds/src/token/mod.rs
+++ b/crates/comethitch-tds/src/token/mod.rs
@@ -1,6 +1,6 @@
-//! The tokens of a server's response (\[MS-TDS\], "Packet Data Token Stream Definition"), as far as they matter to a
-//! router: their boundaries, errors, changes of the session, and whether the response is complete. [`TokenReader`] reads
-//! them one by one; the values of rows are decoded only on request.
+//! The tokens of a server's response (\[MS-TDS\], "Packet Data Token Stream Definition"). A router needs their
+//! boundaries, errors, changes of the session, and the end of the response. [`TokenReader`] reads the tokens one by one;
+//! the values of rows are decoded only on request.
 
 pub mod change_type;
 pub mod code;
@@ -15,26 +15,26 @@
 pub struct Message {
     /// The number that identifies the error.
     pub number: i32,
-    /// Distinguishes places that raise the same error.
+    /// Distinguishes the sources of the same error.
     pub state: u8,
-    /// The severity: from 11 on an error, from 20 on one that ends the connection.
+    /// The severity class: an error from 11, one that ends the connection from 20.
     pub class: u8,
-    /// The text for people to read.
+    /// The human-readable text.
     pub text: String,
 }
 
 /// A change of the session's environment, from an ENVCHANGE token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The current database changed to this one.
+    /// The current database changed; holds its name.
     Database(String),
-    /// The packet size was negotiated, in bytes.
+    /// The packet size was negotiated; holds the size in bytes.
     PacketSize(usize),
     /// A transaction began.
     TransactionBegan,
     /// A transaction was committed, rolled back, or otherwise ended.
     TransactionEnded,
-    /// The session was reset, as the client asked with [`crate::packet::status::RESET`].
+    /// The session was reset, as requested with [`crate::packet::status::RESET`].
     Reset,
     /// The client must connect to another server (ROUTING).
     Routed,
@@ -42,12 +42,12 @@
     Other(u8),
 }
 
-/// A token, as far as it matters to a router.
+/// A token, with the contents that a router needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Token {
-    /// A description of columns, with their number.
+    /// A description of columns; holds their number.
     Columns(usize),
-    /// A row, with or without a bitmap of null values.
+    /// A row, with or without a bitmap of null values; see [`TokenReader::values`].
     Row,
     /// The end of a statement or a procedure.
     Done {
@@ -55,7 +55,7 @@
         code: u8,
         /// Bits of [`done`].
         status: u16,
-        /// The number of rows affected, if the status says that it is valid.
+        /// Number of rows affected, valid if the status has [`done::COUNT`].
         count: u64,
     },
     /// An error.
@@ -64,7 +64,7 @@
     Info(Message),
     /// The acknowledgement of a login.
     LoginAck {
-        /// The TDS version that the server speaks.
+        /// The server's TDS version.
         version: u32,
     },
     /// A change of the session's environment.
@@ -78,8 +78,8 @@
 }
 
 impl Token {
-    /// Whether the token ends a response: a DONE or DONEPROC after which no more follow.
-    pub fn ends(&self) -> bool {
+    /// Returns whether the token ends a response: a DONE or DONEPROC without [`done::MORE`].
+    pub fn ends_response(&self) -> bool {
         match self {
             Token::Done { code, status, .. } => {
                 matches!(*code, code::DONE | code::DONE_PROCEDURE) && status & done::MORE == 0
--- a/crates/comethitch-tds/src/token/reader.rs
+++ b/crates/comethitch-tds/src/token/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the tokens of a response one by one, from bytes that may end anywhere.
+//! Reads the tokens of a response one by one, from input that may end at any byte.
 
 use super::{Token, code, decode};
 use crate::error::ReadError;
@@ -19,7 +19,7 @@
 pub struct RowValue<'a> {
     /// The type of the column.
     pub column_type: Type,
-    /// The encoded value; none if it is null.
+    /// The encoded value; `None` if it is null.
     pub raw: Option<Raw<'a>>,
 }
 
@@ -30,37 +30,37 @@
     }
 }
 
-/// Reads the tokens of one response. Keeps the last description of columns, without which rows have no boundaries.
+/// Reads the tokens of one response. Keeps the last description of columns, which determines the length of rows.
 #[derive(Clone, Debug, Default)]
 pub struct TokenReader {
     columns: Vec<Type>,
-    over: bool,
+    is_complete: bool,
 }
 
 impl TokenReader {
-    /// A reader at the beginning of a response.
+    /// Creates a reader for a new response.
     pub fn new() -> TokenReader {
         TokenReader::default()
     }
 
-    /// Whether the response is complete.
+    /// Returns whether the response is complete.
     pub fn is_complete(&self) -> bool {
-        self.over
+        self.is_complete
     }
 
-    /// Reads the token at the beginning of these bytes.
+    /// Reads the token at the start of `bytes`.
     ///
     /// # Errors
     ///
-    /// [`ReadError::NeedMoreInput`] while the token is not complete: the caller tries again from the token's first
-    /// byte. [`ReadError::Malformed`] for an unknown or invalid token, and for any token after the response's end.
+    /// [`ReadError::NeedMoreInput`] if the token is incomplete: the caller must retry from the token's first byte.
+    /// [`ReadError::Malformed`] for an unknown or invalid token, and for any token after the end of the response.
     pub fn next(&mut self, bytes: &[u8]) -> Result<ParsedToken, ReadError> {
-        if self.over {
+        if self.is_complete {
             return Err(ReadError::Malformed("a token behind the end of an answer"));
         }
         let mut reader = Reader::new(bytes);
         let token = self.read_token(&mut reader)?;
-        self.over = token.ends();
+        self.is_complete = token.ends_response();
         Ok(ParsedToken { token, length: reader.position() })
     }
 
@@ -130,8 +130,7 @@
         self.columns.len().div_ceil(8)
     }
 
-    /// Returns the values of a row token, which must belong to the last description of columns; none for any other
-    /// token.
+    /// Returns the values of a row token, which must match the last description of columns; `None` for any other token.
     pub fn values<'a>(&self, token: &'a [u8]) -> Option<Vec<RowValue<'a>>> {
         let mut reader = Reader::new(token);
         let nulls = match reader.u8().ok()? {
@@ -149,7 +148,7 @@
     }
 }
 
-/// Whether a bitmap of null values has the bit of this column.
+/// Returns whether a bitmap of null values marks the column as null.
 fn is_null(nulls: &[u8], column: usize) -> bool {
     nulls[column / 8] >> (column % 8) & 1 == 1
 }
--- a/crates/comethitch-tds/src/types/type_info.rs
+++ b/crates/comethitch-tds/src/types/type_info.rs
@@ -1,4 +1,4 @@
-//! Reads `TYPE_INFO`: the description of a type before a parameter and in the description of a column.
+//! Reads `TYPE_INFO`, the description of a parameter's or a column's type.
 
 use super::code::{
     BINARY, BIT, BITN, CHAR, DATEN, DATETIM4, DATETIME, DATETIME2N, DATETIMEOFFSETN, DATETIMN, DECIMALN,
@@ -18,7 +18,7 @@
 const IMPOSSIBLE_LENGTH: ReadError = ReadError::Malformed("a type has an impossible length");
 
 impl Type {
-    /// A type without digits.
+    /// Creates a type without scale and precision.
     fn plain(code: u8, length: Length, max_bytes: u32) -> Type {
         Type { code, length, max_bytes, scale: 0, precision: 0 }
     }
@@ -27,12 +27,12 @@
         Type::plain(code, Length::Fixed(bytes), u32::from(bytes))
     }
 
-    /// Reads a type's description.
+    /// Reads a type description.
     ///
     /// # Errors
     ///
-    /// [`ReadError::Malformed`] for an unknown type and for a size, scale or precision that the type cannot have;
-    /// [`ReadError::NeedMoreInput`] while the description is not complete.
+    /// [`ReadError::Malformed`] for an unknown type and for an impossible size, scale or precision;
+    /// [`ReadError::NeedMoreInput`] if the description is incomplete.
     pub fn read(reader: &mut Reader<'_>) -> Result<Type, ReadError> {
         let code = reader.u8()?;
         Ok(match code {
@@ -74,7 +74,7 @@
     }
 }
 
-/// A type of few possible sizes whose values may be null.
+/// Reads a nullable type with a few possible sizes.
 fn read_nullable(code: u8, reader: &mut Reader<'_>) -> Result<Type, ReadError> {
     let bytes = reader.u8()?;
     let possible = match code {
@@ -117,7 +117,7 @@
     Ok(Type { precision, scale, ..Type::plain(code, Length::Byte, u32::from(max_bytes)) })
 }
 
-/// A type with a length of two bytes, or a partially length-prefixed one if its size is unlimited.
+/// Returns a type whose values have a two-byte length, or are partially length-prefixed if the size is unlimited.
 fn short_or_unlimited(code: u8, max_bytes: u16) -> Result<Type, ReadError> {
     match max_bytes {
         UNLIMITED => Ok(Type::plain(code, Length::Chunks, MAX_BYTES)),
@@ -126,7 +126,7 @@
     }
 }
 
-/// Skips the names of a schema collection, if the type has one: its database, owner and collection.
+/// Skips the database, owner and collection names of the optional schema collection.
 fn skip_xml_schema(reader: &mut Reader<'_>) -> Result<(), Incomplete> {
     let schema_present = reader.u8()? != 0;
     if schema_present {
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-/// Skips a user-defined type's size, its database, schema and type names, and its assembly-qualified name.
+/// Skips the size of a user-defined type, its database, schema and type names, and its assembly-qualified name.
 fn skip_udt_names(reader: &mut Reader<'_>) -> Result<(), Incomplete> {
     reader.u16()?;
     reader.b_varchar()?;
--- a/crates/comethitch-tds/src/types/value.rs
+++ b/crates/comethitch-tds/src/types/value.rs
@@ -1,4 +1,4 @@
-//! Values of columns and parameters: where each ends on the wire, and the content of those that a router reads.
+//! Values of columns and parameters: their encoded length, and the decoding of those that a router reads.
 
 use super::code::{
     BIT, BITN, CHAR, DECIMALN, FLT4, FLT8, FLTN, INT1, INT2, INT4, INT8, INTN, NCHAR, NTEXT, NUMERICN,
@@ -9,28 +9,28 @@
 use crate::read::Reader;
 use crate::text;
 
-/// The total length that stands for a null value in chunks (`PLP_NULL`).
+/// The total length of a null value in chunks (`PLP_NULL`).
 const CHUNKS_NULL: u64 = u64::MAX;
-/// The total length of chunks whose sum is not stated (`UNKNOWN_PLP_LEN`).
+/// The total length of chunks whose sum is unknown (`UNKNOWN_PLP_LEN`).
 const CHUNKS_OF_UNKNOWN_TOTAL: u64 = u64::MAX - 1;
-/// The most bytes of a value with a length of four bytes, if its type states fewer: 8000 and the variant's own
-/// description.
-const MIN_LONG_LIMIT: u32 = 8016;
+/// Lower bound of the size limit of values with a four-byte length, for types that state less: 8000 bytes, and the type
+/// description that a variant contains.
+const MIN_LONG_LIMIT_BYTES: u32 = 8016;
 const TIMESTAMP_BYTES: usize = 8;
 
 const LONGER_THAN_TYPE: ReadError = ReadError::Malformed("a value is longer than its type");
 
-/// The bytes of a value, as they stand on the wire behind its length.
+/// An encoded value without its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Raw<'a> {
     /// The value in one piece.
     Whole(&'a [u8]),
-    /// Chunks behind their lengths, up to and including the empty one.
+    /// Chunks with their lengths, up to and including the empty one.
     Chunks(&'a [u8]),
 }
 
 impl Raw<'_> {
-    /// The value in one piece.
+    /// Returns the value in one piece.
     pub fn bytes(&self) -> Vec<u8> {
         match self {
             Raw::Whole(bytes) => bytes.to_vec(),
@@ -50,7 +50,7 @@
     joined
 }
 
-/// A value as far as a router reads it: shard keys of statements, and the results of health checks.
+/// A decoded value, such as a shard key in a statement or the result of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// Null, of any type.
@@ -61,17 +61,17 @@
     Float(f64),
     /// A text.
     Text(String),
-    /// A value that is forwarded and not read, or a text that cannot be decoded.
+    /// A value of a type that a router does not decode, or an invalid text.
     Other,
 }
 
 impl Type {
-    /// Reads the bytes of a value of this type; none if it is null.
+    /// Reads the encoded bytes of a value of this type; `None` if it is null.
     ///
     /// # Errors
     ///
-    /// [`ReadError::Malformed`] if the value is longer than its type, or its chunks do not add up to its total length;
-    /// [`ReadError::NeedMoreInput`] while it is not complete.
+    /// [`ReadError::Malformed`] if the value is longer than its type allows, or its chunks do not add up to its total
+    /// length; [`ReadError::NeedMoreInput`] if it is incomplete.
     pub fn value<'a>(&self, reader: &mut Reader<'a>) -> Result<Option<Raw<'a>>, ReadError> {
         match self.length {
             Length::Fixed(bytes) => Ok(Some(Raw::Whole(reader.take(usize::from(bytes))?))),
@@ -85,7 +85,7 @@
             },
             Length::Long => match reader.u32()? {
                 0 => Ok(None),
-                bytes => read_whole(reader, bytes, self.max_bytes.max(MIN_LONG_LIMIT)),
+                bytes => read_whole(reader, bytes, self.max_bytes.max(MIN_LONG_LIMIT_BYTES)),
             },
             Length::Pointer => match reader.u8()? {
                 0 => Ok(None),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Decodes a value of this type from its bytes.
+    /// Decodes a value of this type; `None` is null.
     pub fn decode(&self, raw: Option<Raw<'_>>) -> Value {
         let Some(raw) = raw else { return Value::Null };
         let bytes = raw.bytes();
@@ -151,7 +151,7 @@
     Ok(Some(Raw::Chunks(&chunks[..reader.position() - start])))
 }
 
-/// An integer of 1, 2, 4 or 8 bytes, of which only the smallest is unsigned.
+/// Decodes an integer of 1, 2, 4 or 8 bytes. Only the one-byte integer is unsigned.
 fn decode_integer(bytes: &[u8]) -> Option<i64> {
     match bytes {
         [byte] => Some(i64::from(*byte)),
@@ -168,7 +168,7 @@
     bytes.first_chunk().map(|eight| f64::from_le_bytes(*eight))
 }
 
-/// A sign byte, 0 for negative numbers, and a little-endian magnitude, scaled by a power of ten.
+/// Decodes a decimal: a sign byte, 0 for negative numbers, and a little-endian magnitude scaled by a power of ten.
 fn decode_decimal(bytes: &[u8], scale: u8) -> Option<f64> {
     let (sign, magnitude) = bytes.split_first()?;
     let unscaled = magnitude.iter().rev().fold(0.0, |sum, byte| sum * 256.0 + f64::from(*byte));
@@ -176,7 +176,7 @@
     Some(if *sign == 0 { -value } else { value })
 }
 
-/// A text of a code page, if it is within ASCII, which all code pages share.
+/// Decodes text of any code page if it is ASCII, which all code pages share.
 fn decode_ascii(bytes: Vec<u8>) -> Option<String> {
     String::from_utf8(bytes).ok().filter(|text| text.is_ascii())
 }
--- a/crates/comethitch-tds/src/write.rs
+++ b/crates/comethitch-tds/src/write.rs
@@ -1,20 +1,20 @@
-//! Writes the tokens that a server sends: for a router's own responses, and for scripted servers in tests.
+//! Writes the tokens of a server's response, for a router's own responses and for scripted servers in tests.
 
 use crate::text;
 use crate::token::{Message, code};
 use crate::types::{MAX_SHORT_BYTES, UNLIMITED, code as type_code};
 
-/// The highest severity of a message that is no error.
+/// The highest severity class of an informational message.
 const MAX_INFO_CLASS: u8 = 10;
-/// The most characters of a message's text, so that the token surely fits its length of two bytes.
+/// Maximum length of a message's text in characters, so that the token's length fits in two bytes.
 const MAX_MESSAGE_CHARACTERS: usize = 4000;
-/// LOGINACK: the interface that takes T-SQL.
+/// LOGINACK: the T-SQL interface.
 const SQL_TSQL: u8 = 1;
 /// LOGINACK: the version of the server program.
 const PROGRAM_VERSION: [u8; 4] = [16, 0, 0, 0];
-/// COLMETADATA: no user type, and a column that may be null and written.
+/// COLMETADATA: no user type, and a nullable, updatable column.
 const USER_TYPE_AND_FLAGS: [u8; 6] = [0, 0, 0, 0, 9, 0];
-/// A collation as `TYPE_INFO` carries it: its locale and flags, and its sort order.
+/// The collation in `TYPE_INFO`: locale, flags and sort order.
 const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
 const NULL_SHORT: u16 = u16::MAX;
 const NULL_CHUNKS: u64 = u64::MAX;
@@ -22,7 +22,7 @@
 /// RETURNVALUE: the status of an output parameter.
 const OUTPUT_PARAMETER: u8 = 1;
 
-/// Writes a token's code and its body behind a length of two bytes.
+/// Writes a token's code, a two-byte length and the body.
 fn put_sized(out: &mut Vec<u8>, code: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(code);
     let start = out.len();
@@ -67,8 +67,8 @@
     });
 }
 
-/// Writes an ENVCHANGE token whose values are texts. Its type is 2 for the language,
-/// [`crate::token::change_type::DATABASE`] or [`crate::token::change_type::PACKET_SIZE`].
+/// Writes an ENVCHANGE token with text values, for the types 2 (language),
+/// [`crate::token::change_type::DATABASE`] and [`crate::token::change_type::PACKET_SIZE`].
 pub fn put_change(out: &mut Vec<u8>, change_type: u8, new: &str, old: &str) {
     put_sized(out, code::CHANGE, |out| {
         out.push(change_type);
@@ -77,8 +77,8 @@
     });
 }
 
-/// Writes an ENVCHANGE token whose values are bytes. Its type is 7 for the collation,
-/// [`crate::token::change_type::BEGIN_TRANSACTION`] or [`crate::token::change_type::RESET_ACKNOWLEDGED`].
+/// Writes an ENVCHANGE token with binary values, for the types 7 (collation),
+/// [`crate::token::change_type::BEGIN_TRANSACTION`] and [`crate::token::change_type::RESET_ACKNOWLEDGED`].
 pub fn put_change_bytes(out: &mut Vec<u8>, change_type: u8, new: &[u8], old: &[u8]) {
     put_sized(out, code::CHANGE, |out| {
         out.push(change_type);
@@ -89,7 +89,7 @@
     });
 }
 
-/// The type of a column.
+/// The type of a column to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Column {
     /// `bigint`, nullable.
@@ -102,7 +102,7 @@
     Raw(Vec<u8>),
 }
 
-/// A value of a column.
+/// A value to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cell {
     /// Null, in a column of any type but [`Column::Raw`].
@@ -111,7 +111,7 @@
     Integer(i64),
     /// A value of [`Column::Text`] or [`Column::LongText`].
     Text(String),
-    /// The value's encoded bytes, with its length as the column's type states it.
+    /// The encoded value, including its length.
     Raw(Vec<u8>),
 }
 
@@ -137,7 +137,7 @@
     out.extend(COLLATION);
 }
 
-/// Writes a ROW token. A value that does not fit its column's type is written as null.
+/// Writes a ROW token. A value that does not match its column's type is written as null.
 pub fn put_row(out: &mut Vec<u8>, columns: &[(&str, Column)], cells: &[Cell]) {
     out.push(code::ROW);
     for ((_, column), cell) in columns.iter().zip(cells) {
@@ -159,7 +159,7 @@
     }
 }
 
-/// Writes a partially length-prefixed text in one chunk, or in none if it is empty.
+/// Writes a partially length-prefixed text as one chunk, or without chunks if it is empty.
 pub(crate) fn put_chunked_text(out: &mut Vec<u8>, value: &str) {
     let bytes = value.encode_utf16().count() * 2;
     out.extend((bytes as u64).to_le_bytes());
@@ -176,7 +176,7 @@
     out.extend(status.to_le_bytes());
 }
 
-/// Writes a RETURNVALUE token: an integer that a call returns as an output parameter.
+/// Writes a RETURNVALUE token: the value of an integer output parameter.
 pub fn put_return_value(out: &mut Vec<u8>, ordinal: u16, name: &str, value: i32) {
     let user_type_and_flags = [0; 4 + 2];
     out.push(code::RETURN_VALUE);
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -1,9 +1,10 @@
-//! Round trips of every message and token with the bytes split anywhere, rejection of invalid ones, and arbitrary bytes,
-//! on which nothing may panic.
+//! Tests of the codec: round trips of every message and token at every split of the input, rejection of invalid input,
+//! and arbitrary bytes, on which nothing may panic.
 
 use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
 use comethitch_tds::packet::{
-    HEADER_BYTES, Header, INITIAL_PACKET_BYTES, MessageAssembler, MessageKind, put_message, put_parts, status,
+    HEADER_BYTES, Header, INITIAL_PACKET_BYTES, MessageAssembler, MessageKind, put_message, put_packets,
+    status,
 };
 use comethitch_tds::request::{Batch, Call, CallWriter, Headers, Procedure, SystemProcedure};
 use comethitch_tds::token::{Change, Message, ParsedToken, RowValue, Token, TokenReader, code, done};
@@ -13,29 +14,29 @@
 use proptest::prelude::*;
 
 fn assembled(wire: &[u8], parts: &[usize]) -> Result<(Option<MessageKind>, Vec<u8>), MalformedMessage> {
-    let mut assembly = MessageAssembler::new(1 << 20);
+    let mut assembler = MessageAssembler::new(1 << 20);
     let (mut at, mut sizes) = (0, parts.iter().cycle());
-    while at < wire.len() && !assembly.is_complete() {
+    while at < wire.len() && !assembler.is_complete() {
         let until = (at + sizes.next().copied().unwrap_or(1).max(1)).min(wire.len());
-        at += assembly.take(&wire[at..until])?;
+        at += assembler.accept(&wire[at..until])?;
     }
-    assert!(assembly.is_complete(), "it did not come to its end");
-    let kind = assembly.kind();
-    Ok((kind, assembly.finish()))
+    assert!(assembler.is_complete(), "the message must be complete");
+    let kind = assembler.kind();
+    Ok((kind, assembler.finish()))
 }
 
 #[test]
 fn a_hundred_packets_of_one_byte_are_one_message() {
     let mut wire = Vec::new();
-    for nth in 0..100_u8 {
-        let status = if nth == 99 { status::END } else { 0 };
-        Header { kind: MessageKind::Batch, status, length: HEADER_BYTES + 1, spid: 0, number: nth + 1 }
+    for index in 0..100_u8 {
+        let status = if index == 99 { status::END } else { 0 };
+        Header { kind: MessageKind::Batch, status, length: HEADER_BYTES + 1, spid: 0, number: index + 1 }
             .put(&mut wire);
-        wire.push(nth);
+        wire.push(index);
     }
-    let wanted: Vec<u8> = (0..100).collect();
+    let expected: Vec<u8> = (0..100).collect();
     for size in [1, 2, 7, 8, 9, 10, 900] {
-        assert_eq!(assembled(&wire, &[size]), Ok((Some(MessageKind::Batch), wanted.clone())));
+        assert_eq!(assembled(&wire, &[size]), Ok((Some(MessageKind::Batch), expected.clone())));
     }
 }
 
@@ -43,22 +44,22 @@
 fn invalid_headers_are_rejected_from_their_first_bytes() {
     let header =
         |kind: u8, status: u8, length: u16| [kind, status, (length >> 8) as u8, length as u8, 0, 0, 1, 0];
-    let take = |bytes: &[u8], most: usize| MessageAssembler::new(most).take(bytes).err();
-    assert_eq!(take(&[0x55], 100), Some(MalformedMessage("a packet of unknown type")));
-    assert_eq!(take(&header(1, 1, 7), 100), Some(MalformedMessage("a packet has an impossible length")));
-    assert_eq!(take(&header(1, 0, 8), 100), Some(MalformedMessage("an empty packet within a message")));
-    assert_eq!(take(&header(1, 1, 109), 100), Some(MalformedMessage("a message is larger than it may be")));
+    let accept = |bytes: &[u8], max_payload: usize| MessageAssembler::new(max_payload).accept(bytes).err();
+    assert_eq!(accept(&[0x55], 100), Some(MalformedMessage("a packet of unknown type")));
+    assert_eq!(accept(&header(1, 1, 7), 100), Some(MalformedMessage("a packet has an impossible length")));
+    assert_eq!(accept(&header(1, 0, 8), 100), Some(MalformedMessage("an empty packet within a message")));
+    assert_eq!(accept(&header(1, 1, 109), 100), Some(MalformedMessage("a message is larger than it may be")));
     let mixed = [&header(1, 0, 9)[..], &[0], &header(3, 1, 9), &[0]].concat();
-    assert_eq!(take(&mixed, 100), Some(MalformedMessage("a packet of another message's type")));
+    assert_eq!(accept(&mixed, 100), Some(MalformedMessage("a packet of another message's type")));
     // A login of 60 MB is rejected at the packet that exceeds the limit, not once it is complete.
-    let mut assembly = MessageAssembler::new(128 * 1024);
+    let mut assembler = MessageAssembler::new(128 * 1024);
     let packet = [&header(0x10, 0, 32_000)[..], &[0; 31_992]].concat();
-    let taken = (0..2_000).take_while(|_| assembly.take(&packet).is_ok()).count();
-    assert_eq!(taken, 4);
+    let accepted = (0..2_000).take_while(|_| assembler.accept(&packet).is_ok()).count();
+    assert_eq!(accepted, 4);
 }
 
 #[test]
-fn logins_round_trip_and_no_offset_is_trusted() {
+fn logins_round_trip_and_invalid_offsets_never_panic() {
     let login = Login {
         version: VERSION,
         packet_size: 8000,
@@ -76,21 +77,21 @@
     let mut wire = Vec::new();
     login.put(&mut wire);
     assert_eq!(Login::read(&wire), Ok(login));
-    let covered = wire.windows(4).any(|four| four == [b'c', 0, b'o', 0]);
-    assert!(!covered, "the password is not written plainly");
+    let contains_plain_text = wire.windows(4).any(|four| four == [b'c', 0, b'o', 0]);
+    assert!(!contains_plain_text, "the password must not be written in plain text");
     for length in 0..wire.len() {
         assert!(Login::read(&wire[..length]).is_err());
     }
     for at in 36..94 {
-        let mut spoilt = wire.clone();
-        spoilt[at] = 0xff;
-        let _ = Login::read(&spoilt);
+        let mut corrupted = wire.clone();
+        corrupted[at] = 0xff;
+        let _ = Login::read(&corrupted);
     }
     let mut prelogin = Vec::new();
-    let asked =
+    let prelogin_options =
         Prelogin { version: [1, 2, 3, 4, 5, 6], encryption: Encryption::On, mars: true, federated: false };
-    asked.put(&mut prelogin);
-    assert_eq!(Prelogin::read(&prelogin), Ok(asked));
+    prelogin_options.put(&mut prelogin);
+    assert_eq!(Prelogin::read(&prelogin), Ok(prelogin_options));
     (0..prelogin.len() - 1).for_each(|length| assert!(Prelogin::read(&prelogin[..length]).is_err()));
 }
 
@@ -117,16 +118,16 @@
         assert_eq!(call.statement(), Some(text.as_str()));
         let arguments: Vec<_> = call.arguments().collect();
         assert_eq!(arguments, [("a", &Value::Integer(-7)), ("b", &Value::Null), ("c", &Value::Null)]);
-        assert!(call.parameters[4].by_reference && !call.more);
+        assert!(call.parameters[4].by_reference && !call.has_more_calls);
         for length in Headers::read(&wire).expect("headers").length..wire.len() {
-            // Cut between parameters it is a call with fewer of them; cut anywhere else it is invalid.
+            // Truncated between parameters, the message is a call with fewer of them; anywhere else it is invalid.
             if let Ok(cut) = Call::read(&wire[..length]) {
                 assert!(cut.parameters.len() < 5);
             }
         }
         wire.push(0xff);
         wire.push(1);
-        assert!(Call::read(&wire).expect("a call").more);
+        assert!(Call::read(&wire).expect("a call").has_more_calls);
     }
     for (name, known) in
         [("sp_executesql", SystemProcedure::ExecuteSql), ("sys.[SP_Unprepare]", SystemProcedure::Unprepare)]
@@ -140,10 +141,10 @@
     assert_eq!(Call::read(&wire).expect("a call").procedure, Procedure::Named("dbo.cobrar".into()));
 }
 
-/// Every supported type: its encoded description, an encoded value and the decoded one.
+/// A sample of every supported type: its encoded description, an encoded value and the decoded one.
 fn types() -> Vec<(Vec<u8>, Vec<u8>, Value)> {
     let collation = [9, 4, 0xd0, 0, 0x34];
-    let chars = |code: u8, most: u16| [&[code][..], &most.to_le_bytes(), &collation].concat();
+    let chars = |code: u8, max_bytes: u16| [&[code][..], &max_bytes.to_le_bytes(), &collation].concat();
     let short = |bytes: &[u8]| [&(bytes.len() as u16).to_le_bytes()[..], bytes].concat();
     let byte = |bytes: &[u8]| [&[bytes.len() as u8][..], bytes].concat();
     let chunks = |parts: &[&[u8]]| {
@@ -206,8 +207,8 @@
     ]
 }
 
-/// A response with every type and every token.
-fn answer() -> Vec<u8> {
+/// A response with a value of every type and every token.
+fn response() -> Vec<u8> {
     let mut wire = Vec::new();
     put_change(&mut wire, 4, "8000", "4096");
     put_change_bytes(&mut wire, 18, &[], &[]);
@@ -222,7 +223,7 @@
         let columns = [("a", Column::Raw(description)), ("b", Column::Integer)];
         put_columns(&mut wire, &columns);
         put_row(&mut wire, &columns, &[Cell::Raw(value.clone()), Cell::Null]);
-        // Without the second value, which is null.
+        // The bitmap marks the second value as null.
         wire.extend([code::ROW_WITH_NULLS, 0b10]);
         wire.extend(value);
         put_done(&mut wire, code::DONE_IN_PROCEDURE, done::MORE | done::COUNT, 2);
@@ -236,13 +237,13 @@
 }
 
 #[test]
-fn every_token_and_type_is_read_wherever_the_bytes_are_split() {
-    let wire = answer();
+fn tokens_of_every_type_parse_at_every_split() {
+    let wire = response();
     let (mut tokens, mut at, mut rows, mut seen) = (TokenReader::new(), 0, 0, Vec::new());
     let mut values = types().into_iter().map(|(_, _, value)| value).flat_map(|value| [value.clone(), value]);
     while !tokens.is_complete() {
         let ParsedToken { token, length } = tokens.clone().next(&wire[at..]).expect("a token");
-        // An incomplete token is neither read nor rejected.
+        // An incomplete token must be neither parsed nor rejected.
         for cut in at..at + length {
             assert_eq!(
                 tokens.clone().next(&wire[at..cut]),
@@ -273,7 +274,7 @@
         seen.iter().any(|token| matches!(token, Token::Error(m) if m.number == 1205 && m.text == "víctima"))
     );
     // Nothing may follow the final DONE.
-    assert!(matches!(tokens.next(&answer()), Err(ReadError::Malformed(_))));
+    assert!(matches!(tokens.next(&response()), Err(ReadError::Malformed(_))));
 }
 
 #[test]
@@ -289,7 +290,7 @@
         (vec![code::ROW], "a row without a description of its columns"),
         (vec![code::COLUMNS, 0xfe, 0xff], "more columns than there may be"),
     ];
-    for (wire, wanted) in faults {
+    for (wire, expected) in faults {
         let (mut tokens, mut at) = (TokenReader::new(), 0);
         let why = loop {
             match tokens.next(&wire[at..]) {
@@ -297,7 +298,7 @@
                 Err(why) => break why,
             }
         };
-        assert_eq!(why, ReadError::Malformed(wanted));
+        assert_eq!(why, ReadError::Malformed(expected));
     }
 }
 
@@ -310,23 +311,23 @@
         parts in prop::collection::vec(1_usize..5_000, 1..8), first in prop::sample::select(vec![0, status::RESET]),
     ) {
         let mut wire = Vec::new();
-        put_parts(&mut wire, MessageKind::Rpc, size, &payload, first, true);
-        let mut assembly = MessageAssembler::new(1 << 20);
-        assembly.take(&wire).expect("a message");
-        prop_assert_eq!(assembly.status() & status::RESET, first);
+        put_packets(&mut wire, MessageKind::Rpc, size, &payload, first, true);
+        let mut assembler = MessageAssembler::new(1 << 20);
+        assembler.accept(&wire).expect("a message");
+        prop_assert_eq!(assembler.status() & status::RESET, first);
         prop_assert_eq!(assembled(&wire, &parts), Ok((Some(MessageKind::Rpc), payload)));
     }
 
     #[test]
-    fn arbitrary_and_mutated_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), spoilt in any::<(prop::sample::Index, u8)>()) {
-        let mut assembly = MessageAssembler::new(1_000);
-        let _ = assembly.take(&bytes);
-        prop_assert!(assembly.payload().len() <= 1_000);
+    fn arbitrary_and_mutated_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), corrupted in any::<(prop::sample::Index, u8)>()) {
+        let mut assembler = MessageAssembler::new(1_000);
+        let _ = assembler.accept(&bytes);
+        prop_assert!(assembler.payload().len() <= 1_000);
         let _ = (Login::read(&bytes), Prelogin::read(&bytes), Batch::read(&bytes), Call::read(&bytes));
         // A valid response with one byte changed, and arbitrary bytes.
-        let mut wire = answer();
-        let at = spoilt.0.index(wire.len());
-        wire[at] = spoilt.1;
+        let mut wire = response();
+        let at = corrupted.0.index(wire.len());
+        wire[at] = corrupted.1;
         for wire in [wire, bytes] {
             let (mut tokens, mut at) = (TokenReader::new(), 0);
             while let Ok(ParsedToken { length, .. }) = tokens.next(&wire[at..]) {
@@ -338,7 +339,7 @@
     }
 
     #[test]
-    fn texts_of_any_kind_pass_through_rows(texts in prop::collection::vec(any::<String>(), 1..5)) {
+    fn texts_round_trip_through_rows(texts in prop::collection::vec(any::<String>(), 1..5)) {
         let columns = [("a", Column::LongText), ("b", Column::Text), ("c", Column::Integer)];
         let mut wire = Vec::new();
         put_columns(&mut wire, &columns);
@@ -359,7 +360,7 @@
 }
 
 #[test]
-fn a_statement_bound_elsewhere_by_its_name_is_not_read() {
+fn statement_bound_by_name_to_another_position_is_ignored() {
     let statement = |first: &str, second: &str, third: &str| {
         let mut wire = Vec::new();
         CallWriter::system(&mut wire, SystemProcedure::ExecuteSql)
@@ -379,7 +380,7 @@
         let mut wire = Vec::new();
         CallWriter::named(&mut wire, name).text("", "SELECT 1");
         let call = Call::read(&wire).expect("a call");
-        assert_eq!(call.procedure, Procedure::Named(name.into()), "somebody's own");
+        assert_eq!(call.procedure, Procedure::Named(name.into()), "a user's own procedure");
     }
 }
 
--- a/crates/comethitch-testkit/src/tds/mod.rs
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -33,16 +33,16 @@
 }
 
 fn read_message(stream: &mut TcpStream) -> Result<Message, ConnectionError> {
-    let mut assembly = MessageAssembler::new(MAX_MESSAGE_BYTES);
-    while !assembly.is_complete() {
+    let mut assembler = MessageAssembler::new(MAX_MESSAGE_BYTES);
+    while !assembler.is_complete() {
         // Byte by byte, so that nothing of the next message is taken.
         let mut byte = [0; 1];
         stream.read_exact(&mut byte)?;
-        assembly.take(&byte)?;
+        assembler.accept(&byte)?;
     }
-    let kind = assembly.kind().unwrap_or(MessageKind::Batch);
-    let status = assembly.status();
-    Ok(Message { kind, status, payload: assembly.finish() })
+    let kind = assembler.kind().unwrap_or(MessageKind::Batch);
+    let status = assembler.status();
+    Ok(Message { kind, status, payload: assembler.finish() })
 }
 
 fn write_message(
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -15,7 +15,7 @@
 use crate::state::router_state::RouterState;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{AttemptOutcome, Host, LoadReport, RequestId, Role};
-use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageKind, put_parts, status};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageKind, put_packets, status};
 use comethitch_tds::request::Batch;
 use comethitch_tds::types::Value;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
         // Session state left by another client's request is reset before this one runs.
         let status = if connection.session.reused { status::RESET } else { 0 };
         let mut packets = packet_buffer(self.payload.len());
-        put_parts(&mut packets, self.kind, connection.session.packet_size, self.payload, status, true);
+        put_packets(&mut packets, self.kind, connection.session.packet_size, self.payload, status, true);
         packets
     }
 }
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -19,7 +19,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use comethitch_tds::packet::{
-    HEADER_BYTES, INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_parts, status,
+    HEADER_BYTES, INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_packets, status,
 };
 use comethitch_tds::token::code;
 use comethitch_tds::write::put_change_bytes;
@@ -94,7 +94,7 @@
         let mut reservation = Reservation::new(&self.connection.state.memory);
         loop {
             let consumed =
-                assembler.take(self.connection.buffer.unread()).map_err(operation::protocol_violation)?;
+                assembler.accept(self.connection.buffer.unread()).map_err(operation::protocol_violation)?;
             self.connection.consume(consumed);
             if !reservation.resize_to(assembler.payload().len()) {
                 return Err(Disconnect::Io(std::io::ErrorKind::OutOfMemory.into()));
@@ -257,7 +257,7 @@
         }
         let rest = tokens.split_off(tokens.len() - DONE_TOKEN_BYTES);
         let mut packets = packet_buffer(tokens.len());
-        put_parts(&mut packets, MessageKind::Response, self.packet_size, tokens, 0, false);
+        put_packets(&mut packets, MessageKind::Response, self.packet_size, tokens, 0, false);
         *tokens = rest;
         self.connection.write(&packets).await
     }
--- a/crates/comethitchd/src/protocols/tds/client/operation.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -8,7 +8,7 @@
 use comethitch_statement::{Dialect, Lexer};
 use comethitch_tds::MalformedMessage;
 use comethitch_tds::packet::MessageKind;
-use comethitch_tds::request::{Batch, Call, CallWriter, Procedure, SystemProcedure, declared};
+use comethitch_tds::request::{Batch, Call, CallWriter, Procedure, SystemProcedure, declared_names};
 use comethitch_tds::token::code;
 use comethitch_tds::types::Value;
 use comethitch_tds::write::{put_done, put_return_status};
@@ -105,7 +105,7 @@
 
 fn parse_call(payload: Vec<u8>, prepared: &mut PreparedStatements) -> Result<Operation, Disconnect> {
     let call = Call::read(&payload).map_err(protocol_violation)?;
-    if call.more {
+    if call.has_more_calls {
         return Ok(call_rejected("several calls in one message are not carried"));
     }
     if call.headers.transaction != 0 {
@@ -226,7 +226,7 @@
 
 /// Returns the values of a statement's parameters by name. Unnamed ones get the declared names, by position.
 fn argument_values(call: &Call, declarations: &str) -> Vec<(String, Option<Vec<u8>>)> {
-    let declared = declared(declarations);
+    let declared = declared_names(declarations);
     let named_value = |(position, (name, value)): (usize, (&str, &Value))| {
         let name = match name {
             "" => declared.get(position).cloned().unwrap_or_default(),
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -68,7 +68,7 @@
             }
         }
         let consumed =
-            assembler.take(connection.buffer.unread()).map_err(|_| ConnectionError::ConnectFailed)?;
+            assembler.accept(connection.buffer.unread()).map_err(|_| ConnectionError::ConnectFailed)?;
         connection.buffer.consume(consumed);
     }
     Ok(assembler.finish())
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use async_io::Async;
-use comethitch_tds::packet::{Header, INITIAL_PACKET_BYTES, MessageKind, put_message, put_parts, status};
+use comethitch_tds::packet::{Header, INITIAL_PACKET_BYTES, MessageKind, put_message, put_packets, status};
 use comethitch_tds::request::{Batch, CallWriter, SystemProcedure};
 use comethitch_tds::token::{ParsedToken, Token, TokenReader};
 use comethitch_testkit::ledger::Entry;
@@ -224,7 +224,7 @@
     while !message.is_complete() {
         let mut byte = [0];
         stream.read_exact(&mut byte).expect("an answer");
-        message.take(&byte).expect("packets");
+        message.accept(&byte).expect("packets");
     }
     let (mut tokens, mut at, mut all) = (TokenReader::new(), 0, Vec::new());
     while !tokens.is_complete() {
@@ -280,7 +280,7 @@
     assert!(failed(&send(&mut client, &execute(1))), "it is forgotten");
     // A client that resets its session starts without any.
     let mut wire = Vec::new();
-    put_parts(&mut wire, MessageKind::Rpc, INITIAL_PACKET_BYTES, &execute(2), status::RESET, true);
+    put_packets(&mut wire, MessageKind::Rpc, INITIAL_PACKET_BYTES, &execute(2), status::RESET, true);
     client.stream.write_all(&wire).expect("sent");
     assert!(failed(&tokens(&mut client.stream)));
     drop(client);
