--- a/crates/comethitch-adapter/src/error.rs
+++ b/crates/comethitch-adapter/src/error.rs
@@ -1,114 +1,114 @@
-//! The errors of reading batches and writing replies.
+//! Errors of reading batches and writing replies.
 
 use comethitch_policy::DeploymentError;
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter stops: the input is malformed, or a stream fails.
+/// Errors that stop the adapter: malformed input, or a failure of standard input or output.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
-    /// Standard input fails.
+    /// Standard input cannot be read.
     #[error("cannot read the batch: {0}")]
     Read(#[source] io::Error),
-    /// Standard output fails.
+    /// Standard output cannot be written.
     #[error("cannot write the reply: {0}")]
     Write(#[source] io::Error),
     /// The input ends within a frame.
     #[error("short frame: {0}")]
     ShortFrame(#[from] ShortFrame),
-    /// A header that is too short.
+    /// A field of a frame's header cannot be read.
     #[error(transparent)]
     Header(RecordError),
-    /// A record that cannot be read.
+    /// A record cannot be decoded.
     #[error("record {index} (code {code}, byte {offset}): {source}")]
     Record {
-        /// Its place in the batch.
+        /// Index of the record in the batch.
         index: usize,
-        /// Its event code.
+        /// Event code of the record.
         code: u8,
-        /// Where it begins in the frame.
+        /// Byte offset of the record in the frame.
         offset: usize,
-        /// What is wrong with it.
+        /// The decoding error.
         source: RecordError,
     },
 }
 
-/// Which length of a frame does not fit.
+/// Inconsistent lengths of a frame.
 #[derive(Debug, Error)]
 pub(crate) enum ShortFrame {
     /// The input ends within the header.
     #[error("{found} bytes of a header of {header}")]
     Header {
-        /// How many bytes came.
+        /// Number of bytes read.
         found: usize,
-        /// How long a header is.
+        /// Size of a header in bytes.
         header: usize,
     },
     /// The length field is less than the header's length.
     #[error("its length field says {length} bytes")]
     LengthField {
-        /// The field's value.
+        /// Value of the field.
         length: usize,
     },
-    /// The input ends before the frame does.
+    /// The input ends within the frame.
     #[error("{found} bytes of {length}")]
     Body {
-        /// How many bytes came.
+        /// Number of bytes read.
         found: usize,
-        /// How long the frame is.
+        /// Length of the frame in bytes.
         length: usize,
     },
-    /// More records than the frame has room for.
+    /// The frame is too short for its records.
     #[error("{count} records do not fit into {length} bytes")]
     Records {
-        /// How many records the header announces.
+        /// Number of records stated in the header.
         count: usize,
-        /// How long the frame is.
+        /// Length of the frame in bytes.
         length: usize,
     },
 }
 
-/// What is wrong with a record.
+/// Errors of decoding a record.
 #[derive(Debug, Error)]
 pub(crate) enum RecordError {
-    /// A field past the end of its record or entry.
+    /// A field lies past the end of its record or entry.
     #[error("a field at byte {offset} lies past the end")]
     PastEnd {
-        /// Where the field begins.
+        /// Byte offset of the field.
         offset: usize,
     },
-    /// A part of the tail that does not exist.
+    /// A reference to the tail is out of range.
     #[error("offset {start} with length {length} lies outside the tail of {tail} bytes")]
     OutsideTail {
-        /// Where the part begins in the tail.
+        /// Start of the slice in bytes.
         start: usize,
-        /// How many items it has.
+        /// Number of items in the slice.
         length: usize,
-        /// How long the tail is.
+        /// Length of the tail in bytes.
         tail: usize,
     },
-    /// An event code that the wire does not have.
+    /// The event code is unknown.
     #[error("unknown event code")]
     UnknownEvent,
-    /// A deployment that is no text.
+    /// The deployment is not valid UTF-8.
     #[error("the deployment text is not UTF-8")]
     DeploymentNotUtf8,
-    /// A deployment that the policy refuses.
+    /// The policy rejects the deployment.
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
-    /// An endpoint list that no record defined.
+    /// No record has defined the endpoint list with this number.
     #[error("list {0} was never given")]
     UnknownList(u32),
-    /// A scope of an endpoint update that the wire does not have.
+    /// The scope of an endpoint update is unknown.
     #[error("unknown list scope {0}")]
     UnknownListScope(u8),
-    /// A lifecycle that the wire does not have.
+    /// The lifecycle state of an endpoint is unknown.
     #[error("unknown lifecycle {0} in a list")]
     UnknownLifecycle(u8),
-    /// A request class that the deployment does not have.
+    /// The deployment has no request class with this index.
     #[error("unknown command group {0}")]
     UnknownRequestClass(usize),
-    /// An outcome that the wire does not have.
+    /// The outcome of an attempt or a health check is unknown.
     #[error("unknown ending {0}")]
     UnknownOutcome(u16),
 }
--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -1,7 +1,7 @@
-//! Decodes the records of a batch: the events of the wire, as messages of the policy.
+//! Decodes the records of a batch, each an event, into the types of the policy.
 //!
-//! A record is [`RECORD_SIZE`] bytes: the event code, the instance that it concerns, and fields at offsets that depend
-//! on the code. The offsets of each record stand at the head of the function that decodes it.
+//! A record of [`RECORD_BYTES`] has an event code, the instance that it concerns, and fields whose offsets depend on the
+//! code. Each decoding function begins with the offsets that it reads.
 
 use crate::error::RecordError;
 use crate::record::RecordReader;
@@ -10,19 +10,20 @@
     AttemptEnd, AttemptOutcome, Deployment, Endpoint, Host, Lifecycle, LoadReport, Request, RequestId,
 };
 
-/// The length of a record.
-pub(crate) const RECORD_SIZE: usize = 48;
-/// The length of an entry of an endpoint list.
-pub(crate) const ENTRY_SIZE: usize = 27;
+/// Size of a record.
+pub(crate) const RECORD_BYTES: usize = 48;
+/// Size of an entry of an endpoint list.
+pub(crate) const ENTRY_BYTES: usize = 27;
 
-/// Where every record has its code, and all but [`EventCode::ListDefined`] their instance.
-const CODE: usize = 0;
-const INSTANCE: usize = 1;
+/// Offset of the event code in every record.
+const CODE_OFFSET: usize = 0;
+/// Offset of the instance in every record except [`EventCode::ListDefined`].
+const INSTANCE_OFFSET: usize = 1;
 
-/// The most values of a load report.
-const MOST_REPORT_VALUES: usize = 4;
-/// The length of one of them.
-const REPORT_VALUE_SIZE: usize = 4;
+/// Maximum number of values in a load report.
+const MAX_REPORT_VALUES: usize = 4;
+/// Size of a value in a load report.
+const REPORT_VALUE_BYTES: usize = 4;
 
 /// The codes of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,24 +38,24 @@
     HealthChecked,
     /// A request is submitted.
     RequestSubmitted,
-    /// The time that the policy asked to be called at has come.
+    /// The time at which the policy asked to be called is reached.
     Ticked,
     /// An instance starts.
     InstanceStarted,
-    /// An endpoint list gets a number, for all instances.
+    /// An endpoint list is assigned a number, for all instances.
     ListDefined,
     /// An attempt has ended.
     AttemptEnded,
-    /// The answer of a streamed request has begun. The policy needs no notice of it.
+    /// A streamed answer has begun. The policy does not need this event.
     StreamOpened,
-    /// A message from another instance. The policy sends none and reads none.
+    /// A message from another instance, which the policy does not use.
     MessageReceived,
 }
 
 impl EventCode {
-    /// The code of a record.
+    /// Reads the event code of a record.
     pub(crate) fn of(record: RecordReader) -> Result<EventCode, RecordError> {
-        match record.u8(CODE)? {
+        match record.u8(CODE_OFFSET)? {
             16 => Ok(EventCode::InstanceStopped),
             17 => Ok(EventCode::ClientDisconnected),
             18 => Ok(EventCode::EndpointsChanged),
@@ -71,36 +72,36 @@
     }
 }
 
-/// The instance that a record concerns.
+/// Reads the instance that a record concerns.
 pub(crate) fn instance(record: RecordReader) -> Result<u16, RecordError> {
-    record.u16(INSTANCE)
+    record.u16(INSTANCE_OFFSET)
 }
 
-/// An instance's seed and deployment.
+/// The parameters of an instance's start.
 pub(crate) struct InstanceStart {
-    /// The seed of its random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Its settings.
+    /// The settings of the deployment.
     pub deployment: Deployment,
 }
 
 impl InstanceStart {
     /// Decodes a record of [`EventCode::InstanceStarted`].
     pub(crate) fn decode(record: RecordReader, tail: RecordReader) -> Result<InstanceStart, RecordError> {
-        const SEED: usize = 3;
-        const DEPLOYMENT: usize = 11;
-        let text = tail.part_named_by(record, DEPLOYMENT, 1)?;
+        const SEED_OFFSET: usize = 3;
+        const DEPLOYMENT_OFFSET: usize = 11;
+        let text = tail.slice_referenced_by(record, DEPLOYMENT_OFFSET, 1)?;
         let text = std::str::from_utf8(text).map_err(|_| RecordError::DeploymentNotUtf8)?;
         let deployment = Deployment::read(text)?;
-        Ok(InstanceStart { seed: record.u64(SEED)?, deployment })
+        Ok(InstanceStart { seed: record.u64(SEED_OFFSET)?, deployment })
     }
 }
 
 /// An endpoint list and its number.
 pub(crate) struct ListDefinition<'a> {
-    /// The number.
+    /// The number of the list.
     pub list: u32,
-    /// Entries of [`ENTRY_SIZE`] bytes.
+    /// The encoded entries, each of [`ENTRY_BYTES`].
     pub entries: &'a [u8],
 }
 
@@ -109,32 +110,32 @@
     pub(crate) fn decode(
         record: RecordReader, tail: RecordReader<'a>,
     ) -> Result<ListDefinition<'a>, RecordError> {
-        const LIST: usize = 1;
-        const ENTRIES: usize = 5;
-        let entries = tail.part_named_by(record, ENTRIES, ENTRY_SIZE)?;
-        Ok(ListDefinition { list: record.u32(LIST)?, entries })
+        const LIST_OFFSET: usize = 1;
+        const ENTRIES_OFFSET: usize = 5;
+        let entries = tail.slice_referenced_by(record, ENTRIES_OFFSET, ENTRY_BYTES)?;
+        Ok(ListDefinition { list: record.u32(LIST_OFFSET)?, entries })
     }
 }
 
 /// A change of the endpoint list.
 pub(crate) enum EndpointsChange {
-    /// The list cannot be read.
+    /// The endpoint list is unavailable.
     Unavailable,
-    /// The list with this number.
+    /// The endpoint list is updated from the list with this number.
     Listed { list: u32, complete: bool },
 }
 
 impl EndpointsChange {
     /// Decodes a record of [`EventCode::EndpointsChanged`].
     pub(crate) fn decode(record: RecordReader) -> Result<EndpointsChange, RecordError> {
-        const SCOPE: usize = 3;
-        const LIST: usize = 12;
+        const SCOPE_OFFSET: usize = 3;
+        const LIST_OFFSET: usize = 12;
         const PARTIAL: u8 = 0;
         const UNAVAILABLE: u8 = 3;
-        match record.u8(SCOPE)? {
+        match record.u8(SCOPE_OFFSET)? {
             UNAVAILABLE => Ok(EndpointsChange::Unavailable),
             scope @ PARTIAL..UNAVAILABLE => {
-                Ok(EndpointsChange::Listed { list: record.u32(LIST)?, complete: scope != PARTIAL })
+                Ok(EndpointsChange::Listed { list: record.u32(LIST_OFFSET)?, complete: scope != PARTIAL })
             }
             scope => Err(RecordError::UnknownListScope(scope)),
         }
@@ -153,11 +154,15 @@
     pub(crate) fn decode(
         record: RecordReader, deployment: &Deployment,
     ) -> Result<HealthCheckEnd, RecordError> {
-        const HOST: usize = 7;
-        const OUTCOME: usize = 13;
-        const REPORT: usize = 15;
-        let report = deployment.parse_report(&report_values(record, REPORT)?);
-        Ok(HealthCheckEnd { host: record.host(HOST)?, outcome: outcome(record.u16(OUTCOME)?)?, report })
+        const HOST_OFFSET: usize = 7;
+        const OUTCOME_OFFSET: usize = 13;
+        const REPORT_OFFSET: usize = 15;
+        let report = deployment.parse_report(&report_values(record, REPORT_OFFSET)?);
+        Ok(HealthCheckEnd {
+            host: record.host(HOST_OFFSET)?,
+            outcome: outcome(record.u16(OUTCOME_OFFSET)?)?,
+            report,
+        })
     }
 }
 
@@ -165,38 +170,38 @@
 pub(crate) fn request(
     record: RecordReader, deployment: &Deployment, now: Timestamp,
 ) -> Result<Request, RecordError> {
-    const ID: usize = 3;
-    const GROUP: usize = 7;
-    const SESSION: usize = 11;
-    const TIMEOUT: usize = 19;
-    const SHARD: usize = 27;
-    const SINCE_WRITE: usize = 31;
-    let group = usize::from(record.u16(GROUP)?);
-    if group >= deployment.classes.len() {
-        return Err(RecordError::UnknownRequestClass(group));
+    const ID_OFFSET: usize = 3;
+    const CLASS_OFFSET: usize = 7;
+    const SESSION_OFFSET: usize = 11;
+    const TIMEOUT_OFFSET: usize = 19;
+    const SHARD_OFFSET: usize = 27;
+    const SINCE_WRITE_OFFSET: usize = 31;
+    let class = usize::from(record.u16(CLASS_OFFSET)?);
+    if class >= deployment.classes.len() {
+        return Err(RecordError::UnknownRequestClass(class));
     }
-    let after = since_write(record.f32(SINCE_WRITE)?).map(|since| now - since);
+    let after = since_write(record.f32(SINCE_WRITE_OFFSET)?).map(|since| now - since);
     Ok(Request {
-        id: record.u32(ID)?,
-        class: group,
-        shard_id: record.f32(SHARD)? as u16,
-        session: record.u64(SESSION)?,
+        id: record.u32(ID_OFFSET)?,
+        class,
+        shard_id: record.f32(SHARD_OFFSET)? as u16,
+        session: record.u64(SESSION_OFFSET)?,
         after,
-        timeout: Duration::from_micros(record.u32(TIMEOUT)?.into()),
+        timeout: Duration::from_micros(record.u32(TIMEOUT_OFFSET)?.into()),
     })
 }
 
-/// How long ago a session last wrote, from milliseconds; `None` if never. Rounded down: a write that looks later than
-/// it was asks for newer data, never for older.
+/// Converts the time since a session's last write from milliseconds; `None` if it never wrote. The time is rounded down,
+/// because a later write requires newer data, which is the safe direction.
 fn since_write(milliseconds: f32) -> Option<Duration> {
     let micros = || (f64::from(milliseconds.next_down()) * 1000.0) as u64;
     (milliseconds > 0.0).then(|| Duration::from_micros(micros()))
 }
 
-/// The request whose client has disconnected, in a record of [`EventCode::ClientDisconnected`].
+/// Decodes a record of [`EventCode::ClientDisconnected`] into the request whose client has disconnected.
 pub(crate) fn disconnected_request(record: RecordReader) -> Result<RequestId, RecordError> {
-    const COMMAND: usize = 3;
-    record.u32(COMMAND)
+    const REQUEST_OFFSET: usize = 3;
+    record.u32(REQUEST_OFFSET)
 }
 
 /// The end of an attempt, and its request.
@@ -208,45 +213,45 @@
 impl EndedAttempt {
     /// Decodes a record of [`EventCode::AttemptEnded`].
     pub(crate) fn decode(record: RecordReader, deployment: &Deployment) -> Result<EndedAttempt, RecordError> {
-        const COMMAND: usize = 3;
-        const ATTEMPT: usize = 7;
-        const COMMAND_FINISHED: usize = 19;
-        const OUTCOME: usize = 20;
-        const NOTE: usize = 22;
-        const REPORT: usize = 26;
+        const REQUEST_OFFSET: usize = 3;
+        const ATTEMPT_OFFSET: usize = 7;
+        const REQUEST_FINISHED_OFFSET: usize = 19;
+        const OUTCOME_OFFSET: usize = 20;
+        const TRAILER_OFFSET: usize = 22;
+        const REPORT_OFFSET: usize = 26;
         let end = AttemptEnd {
-            attempt: record.u16(ATTEMPT)?,
-            outcome: outcome(record.u16(OUTCOME)?)?,
-            request_finished: record.u8(COMMAND_FINISHED)? != 0,
-            trailer: deployment.parse_trailer(record.u32(NOTE)?),
-            report: deployment.parse_report(&report_values(record, REPORT)?),
+            attempt: record.u16(ATTEMPT_OFFSET)?,
+            outcome: outcome(record.u16(OUTCOME_OFFSET)?)?,
+            request_finished: record.u8(REQUEST_FINISHED_OFFSET)? != 0,
+            trailer: deployment.parse_trailer(record.u32(TRAILER_OFFSET)?),
+            report: deployment.parse_report(&report_values(record, REPORT_OFFSET)?),
         };
-        Ok(EndedAttempt { request: record.u32(COMMAND)?, end })
+        Ok(EndedAttempt { request: record.u32(REQUEST_OFFSET)?, end })
     }
 }
 
 /// Decodes the entries of an endpoint list.
 pub(crate) fn endpoints(entries: &[u8]) -> Result<Vec<Endpoint>, RecordError> {
-    entries.chunks_exact(ENTRY_SIZE).map(|entry| endpoint(RecordReader(entry))).collect()
+    entries.chunks_exact(ENTRY_BYTES).map(|entry| endpoint(RecordReader(entry))).collect()
 }
 
 fn endpoint(entry: RecordReader) -> Result<Endpoint, RecordError> {
-    const HOST: usize = 0;
-    const ZONE: usize = 6;
-    const SHARD: usize = 8;
-    const LIFECYCLE: usize = 10;
-    const IS_PRIMARY: usize = 11;
-    const CAPACITY: usize = 15;
-    const STARTED: usize = 19;
-    let lifecycle = lifecycle(entry.u8(LIFECYCLE)?)?;
-    let started = entry.u64(STARTED)?;
+    const HOST_OFFSET: usize = 0;
+    const ZONE_OFFSET: usize = 6;
+    const SHARD_OFFSET: usize = 8;
+    const LIFECYCLE_OFFSET: usize = 10;
+    const IS_PRIMARY_OFFSET: usize = 11;
+    const CAPACITY_OFFSET: usize = 15;
+    const STARTED_OFFSET: usize = 19;
+    let lifecycle = lifecycle(entry.u8(LIFECYCLE_OFFSET)?)?;
+    let started = entry.u64(STARTED_OFFSET)?;
     Ok(Endpoint {
-        host: entry.host(HOST)?,
-        zone: entry.u8(ZONE)?,
-        shard_id: entry.u16(SHARD)?,
+        host: entry.host(HOST_OFFSET)?,
+        zone: entry.u8(ZONE_OFFSET)?,
+        shard_id: entry.u16(SHARD_OFFSET)?,
         lifecycle,
-        is_primary: entry.f32(IS_PRIMARY)? >= 0.5,
-        capacity: f64::from(entry.f32(CAPACITY)?),
+        is_primary: entry.f32(IS_PRIMARY_OFFSET)? >= 0.5,
+        capacity: f64::from(entry.f32(CAPACITY_OFFSET)?),
         started: (started > 0).then_some(Timestamp::from_micros(started)),
     })
 }
@@ -260,11 +265,11 @@
     }
 }
 
-/// The values of a load report: their number, and then the values.
+/// Decodes the values of a load report, which are preceded by their number.
 fn report_values(record: RecordReader, offset: usize) -> Result<Vec<f32>, RecordError> {
-    let count = usize::from(record.u8(offset)?).min(MOST_REPORT_VALUES);
+    let count = usize::from(record.u8(offset)?).min(MAX_REPORT_VALUES);
     let first = offset + 1;
-    (0..count).map(|index| record.f32(first + REPORT_VALUE_SIZE * index)).collect()
+    (0..count).map(|index| record.f32(first + REPORT_VALUE_BYTES * index)).collect()
 }
 
 fn outcome(code: u16) -> Result<AttemptOutcome, RecordError> {
--- a/crates/comethitch-adapter/src/main.rs
+++ b/crates/comethitch-adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! The bench's wire on standard input and output, before the decisions of the `comethitch-policy` package.
+//! Connects the policy of the `comethitch-policy` package to a simulator that speaks a binary protocol on standard input
+//! and output.
 //!
-//! The input is a sequence of frames, one a batch of events; the output is one frame of actions for each.
+//! The input is a sequence of frames, each a batch of events. For each of them, the output has one frame of actions.
 
 mod error;
 mod event;
@@ -10,15 +11,15 @@
 
 use error::{AdapterError, ShortFrame};
 use record::RecordReader;
-use session::{HEADER_SIZE, LENGTH_OFFSET, Session};
+use session::{HEADER_BYTES, LENGTH_OFFSET, Session};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
-/// The size of the buffer of standard input, in bytes.
-const INPUT_BUFFER_SIZE: usize = 1 << 20;
+/// Size of the buffer of standard input.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(INPUT_BUFFER_SIZE, io::stdin());
+    let input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin());
     match serve(input, BufWriter::new(io::stdout())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -28,7 +29,7 @@
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Replies to each batch until the input ends.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     let mut frame = Vec::new();
@@ -40,21 +41,21 @@
     Ok(())
 }
 
-/// Fills `frame` with the next complete frame; false at the end of the input.
+/// Reads the next complete frame into `frame`. Returns false at the end of the input.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     frame.clear();
-    read_up_to(input, frame, HEADER_SIZE)?;
+    read_up_to(input, frame, HEADER_BYTES)?;
     if frame.is_empty() {
         return Ok(false);
     }
-    if frame.len() < HEADER_SIZE {
-        return Err(ShortFrame::Header { found: frame.len(), header: HEADER_SIZE }.into());
+    if frame.len() < HEADER_BYTES {
+        return Err(ShortFrame::Header { found: frame.len(), header: HEADER_BYTES }.into());
     }
     let length = RecordReader(frame).u32(LENGTH_OFFSET).map_err(AdapterError::Header)? as usize;
-    if length < HEADER_SIZE {
+    if length < HEADER_BYTES {
         return Err(ShortFrame::LengthField { length }.into());
     }
-    read_up_to(input, frame, length - HEADER_SIZE)?;
+    read_up_to(input, frame, length - HEADER_BYTES)?;
     if frame.len() < length {
         return Err(ShortFrame::Body { found: frame.len(), length }.into());
     }
--- a/crates/comethitch-adapter/src/record.rs
+++ b/crates/comethitch-adapter/src/record.rs
@@ -1,11 +1,11 @@
-//! Reads little-endian fields at fixed offsets of a record, and the parts of a frame's tail that records refer to.
+//! Reads little-endian fields at fixed offsets of a record, and the slices of a frame's tail that records refer to.
 
 use crate::error::RecordError;
 use comethitch_policy::Host;
 
-/// Where the port stands in a host, after its address.
+/// Offset of the port in a host, after the address.
 const PORT_OFFSET: usize = 4;
-/// Where the length stands in a reference to the tail, after the start.
+/// Offset of the length in a reference to the tail, after the start.
 const LENGTH_OFFSET: usize = 4;
 
 /// The bytes of a header, a record, a list entry or a tail.
@@ -18,45 +18,45 @@
         found.copied().ok_or(RecordError::PastEnd { offset })
     }
 
-    /// The byte at an offset.
+    /// Reads the byte at an offset.
     pub(crate) fn u8(self, offset: usize) -> Result<u8, RecordError> {
         self.bytes(offset).map(u8::from_le_bytes)
     }
 
-    /// The 16-bit number at an offset.
+    /// Reads the 16-bit integer at an offset.
     pub(crate) fn u16(self, offset: usize) -> Result<u16, RecordError> {
         self.bytes(offset).map(u16::from_le_bytes)
     }
 
-    /// The 32-bit number at an offset.
+    /// Reads the 32-bit integer at an offset.
     pub(crate) fn u32(self, offset: usize) -> Result<u32, RecordError> {
         self.bytes(offset).map(u32::from_le_bytes)
     }
 
-    /// The 64-bit number at an offset.
+    /// Reads the 64-bit integer at an offset.
     pub(crate) fn u64(self, offset: usize) -> Result<u64, RecordError> {
         self.bytes(offset).map(u64::from_le_bytes)
     }
 
-    /// The 32-bit float at an offset.
+    /// Reads the 32-bit float at an offset.
     pub(crate) fn f32(self, offset: usize) -> Result<f32, RecordError> {
         self.bytes(offset).map(f32::from_le_bytes)
     }
 
-    /// The host at an offset: address, then port.
+    /// Reads the host at an offset: the address, then the port.
     pub(crate) fn host(self, offset: usize) -> Result<Host, RecordError> {
         Ok(Host { address: self.bytes(offset)?, port: self.u16(offset + PORT_OFFSET)? })
     }
 
-    /// The part of this tail that a record refers to: at `offset` its start in bytes, then its length in items of
-    /// `item_size` bytes.
-    pub(crate) fn part_named_by(
-        self, record: RecordReader, offset: usize, item_size: usize,
+    /// Returns the slice of this tail that a record refers to. At `offset` the record has the start in bytes, then the
+    /// length in items of `item_bytes`.
+    pub(crate) fn slice_referenced_by(
+        self, record: RecordReader, offset: usize, item_bytes: usize,
     ) -> Result<&'a [u8], RecordError> {
         let start = record.u32(offset)? as usize;
         let length = record.u32(offset + LENGTH_OFFSET)? as usize;
-        let end = length.checked_mul(item_size).and_then(|size| start.checked_add(size));
-        let part = end.and_then(|end| self.0.get(start..end));
-        part.ok_or(RecordError::OutsideTail { start, length, tail: self.0.len() })
+        let end = length.checked_mul(item_bytes).and_then(|size| start.checked_add(size));
+        let slice = end.and_then(|end| self.0.get(start..end));
+        slice.ok_or(RecordError::OutsideTail { start, length, tail: self.0.len() })
     }
 }
--- a/crates/comethitch-adapter/src/reply.rs
+++ b/crates/comethitch-adapter/src/reply.rs
@@ -1,18 +1,18 @@
-//! Writes the reply to a batch: one record for each action that the policy decides, in their order.
+//! Writes the reply to a batch: one record for each action of the policy, in order.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Actions, Host, RejectionReason, RequestId};
 
-/// The length of a reply's header: the frame's length, and the number of records.
-const HEADER_SIZE: usize = 8;
-/// The length of a record.
-const RECORD_SIZE: usize = 24;
-/// Where the header's number of records begins.
+/// Size of a reply's header: the length of the frame, and the number of records.
+const HEADER_BYTES: usize = 8;
+/// Size of a record.
+const RECORD_BYTES: usize = 24;
+/// Offset in the header of the number of records.
 const COUNT_OFFSET: usize = 4;
-/// What `watch_endpoints` asks for: every change.
+/// The scope of `watch_endpoints`: all changes.
 const WATCH_ALL: u8 = 1;
 
-/// The codes of the records that a reply may hold.
+/// The codes of the records in a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 enum ActionCode {
@@ -27,7 +27,7 @@
     CancelAttempt = 90,
 }
 
-/// The reply to one batch, as it grows. Its buffers are reused for every batch.
+/// The reply to one batch while it is being written. The buffers are reused for every batch.
 #[derive(Default)]
 pub(crate) struct Reply {
     frame: Vec<u8>,
@@ -38,40 +38,40 @@
 }
 
 impl Reply {
-    /// Begins the reply to a batch of this time.
+    /// Begins the reply to a batch that happens at `now`.
     pub(crate) fn start(&mut self, now: Timestamp) {
         self.frame.clear();
-        self.frame.resize(HEADER_SIZE, 0);
+        self.frame.resize(HEADER_BYTES, 0);
         self.tail.clear();
         self.count = 0;
         self.now = now;
     }
 
-    /// The actions that follow are this instance's.
+    /// Sets the instance that the following actions belong to.
     pub(crate) fn for_instance(&mut self, instance: u16) -> &mut Reply {
         self.instance = instance;
         self
     }
 
-    /// Completes the header and the tail; returns the frame.
+    /// Completes the header and the tail, and returns the frame.
     pub(crate) fn finish(&mut self) -> &[u8] {
         self.frame.extend_from_slice(&self.tail);
         let length = self.frame.len() as u32;
         self.frame[..COUNT_OFFSET].copy_from_slice(&length.to_le_bytes());
-        self.frame[COUNT_OFFSET..HEADER_SIZE].copy_from_slice(&self.count.to_le_bytes());
+        self.frame[COUNT_OFFSET..HEADER_BYTES].copy_from_slice(&self.count.to_le_bytes());
         &self.frame
     }
 
-    /// Reports that the present instance has failed and takes no more events.
-    pub(crate) fn instance_failed(&mut self, text: &str) {
+    /// Reports that the current instance has failed and accepts no more events.
+    pub(crate) fn instance_failed(&mut self, message: &str) {
         let start = self.tail.len() as u32;
-        let length = text.len() as u32;
-        self.tail.extend_from_slice(text.as_bytes());
+        let length = message.len() as u32;
+        self.tail.extend_from_slice(message.as_bytes());
         self.record(ActionCode::InstanceFailed, &[&start.to_le_bytes(), &length.to_le_bytes()]);
     }
 
     fn record(&mut self, code: ActionCode, fields: &[&[u8]]) {
-        let end = self.frame.len() + RECORD_SIZE;
+        let end = self.frame.len() + RECORD_BYTES;
         self.frame.push(code as u8);
         self.frame.extend_from_slice(&self.instance.to_le_bytes());
         fields.iter().for_each(|field| self.frame.extend_from_slice(field));
@@ -84,8 +84,8 @@
     }
 }
 
-/// A duration in microseconds, as the wire has it; longer ones become the longest there is.
-fn micros(duration: Duration) -> [u8; 4] {
+/// Encodes a duration in microseconds, saturating at the largest possible value.
+fn encode_micros(duration: Duration) -> [u8; 4] {
     u32::try_from(duration.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
 
@@ -95,7 +95,8 @@
     }
 
     fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration) {
-        let fields = [&request.to_le_bytes()[..], &host.address, &host.port.to_le_bytes(), &micros(timeout)];
+        let fields =
+            [&request.to_le_bytes()[..], &host.address, &host.port.to_le_bytes(), &encode_micros(timeout)];
         self.record(ActionCode::SendAttempt, &fields);
     }
 
@@ -104,7 +105,7 @@
     }
 
     fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, _: RejectionReason) {
-        let retry_after = micros(retry_after.unwrap_or_default());
+        let retry_after = encode_micros(retry_after.unwrap_or_default());
         self.record(ActionCode::Throttle, &[&request.to_le_bytes(), &retry_after]);
     }
 
@@ -121,7 +122,7 @@
     }
 
     fn wake_after(&mut self, delay: Duration) {
-        self.record(ActionCode::WakeAfter, &[&micros(delay)]);
+        self.record(ActionCode::WakeAfter, &[&encode_micros(delay)]);
     }
 
     fn watch_endpoints(&mut self) {
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -1,9 +1,9 @@
-//! Turns each event of a batch into a call on the router that it concerns, and the decisions into a reply.
+//! Dispatches the events of a batch to the routers of their instances, and collects the routers' actions in a reply.
 
 use crate::error::{AdapterError, RecordError, ShortFrame};
 use crate::event::{
     self, EndedAttempt, EndpointsChange, EventCode, HealthCheckEnd, InstanceStart, ListDefinition,
-    RECORD_SIZE,
+    RECORD_BYTES,
 };
 use crate::record::RecordReader;
 use crate::reply::Reply;
@@ -13,31 +13,31 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The length of a batch's header: the number of records, the frame's length, and the time in microseconds.
-pub(crate) const HEADER_SIZE: usize = 16;
-/// Where the number of records stands in the header.
+/// Size of a batch's header: the number of records, the length of the frame, and the time in microseconds.
+pub(crate) const HEADER_BYTES: usize = 16;
+/// Offset in the header of the number of records.
 const COUNT_OFFSET: usize = 0;
-/// Where the frame's length stands.
+/// Offset in the header of the frame's length.
 pub(crate) const LENGTH_OFFSET: usize = 4;
-/// Where the time stands.
+/// Offset in the header of the time.
 const TIME_OFFSET: usize = 8;
 
-/// Endpoint lists by number, as entries that are not decoded yet.
-type Lists = BTreeMap<u32, Vec<u8>>;
+/// The encoded entries of endpoint lists, by the number of the list.
+type EndpointLists = BTreeMap<u32, Vec<u8>>;
 
-/// The routers hosted here, which share nothing but the endpoint lists that the wire numbers.
+/// The routers of all instances, which share only the numbered endpoint lists.
 #[derive(Default)]
 pub(crate) struct Session {
     routers: BTreeMap<u16, Router>,
-    lists: Lists,
+    endpoint_lists: EndpointLists,
     reply: Reply,
 }
 
 impl Session {
-    /// Handles all records of a batch in their order; returns the reply's frame.
+    /// Handles the records of a batch in order, and returns the frame of the reply.
     ///
     /// # Errors
-    /// A record that cannot be read. Nothing is replied then.
+    /// If the header or a record cannot be decoded. There is no reply then.
     pub(crate) fn reply_to(&mut self, frame: &[u8]) -> Result<&[u8], AdapterError> {
         let header = RecordReader(frame);
         let count = header.u32(COUNT_OFFSET).map_err(AdapterError::Header)? as usize;
@@ -45,9 +45,9 @@
         let time = header.u64(TIME_OFFSET).map_err(AdapterError::Header)?;
         self.reply.start(Timestamp::from_micros(time));
         let tail = RecordReader(&frame[tail_start..]);
-        for (index, record) in frame[HEADER_SIZE..tail_start].chunks_exact(RECORD_SIZE).enumerate() {
+        for (index, record) in frame[HEADER_BYTES..tail_start].chunks_exact(RECORD_BYTES).enumerate() {
             self.handle(RecordReader(record), tail).map_err(|source| {
-                let offset = HEADER_SIZE + index * RECORD_SIZE;
+                let offset = HEADER_BYTES + index * RECORD_BYTES;
                 AdapterError::Record { index, code: record[0], offset, source }
             })?;
         }
@@ -64,13 +64,13 @@
         match code {
             EventCode::InstanceStarted => self.start(instance, InstanceStart::decode(record, tail)?),
             EventCode::InstanceStopped => _ = self.routers.remove(&instance),
-            _ => self.decide(instance, code, record)?,
+            _ => self.dispatch(instance, code, record)?,
         }
         Ok(())
     }
 
     fn define_list(&mut self, definition: ListDefinition) {
-        let entries = self.lists.entry(definition.list).or_default();
+        let entries = self.endpoint_lists.entry(definition.list).or_default();
         entries.clear();
         entries.extend_from_slice(definition.entries);
     }
@@ -80,13 +80,14 @@
         self.routers.insert(instance, Router::start(start.deployment, start.seed, out));
     }
 
-    /// Passes an event to its router. Events of an instance that is not running are dropped; an instance that panics
-    /// is reported and ends.
-    fn decide(&mut self, instance: u16, code: EventCode, record: RecordReader) -> Result<(), RecordError> {
+    /// Passes an event to its router. Events of an instance that is not running are ignored. An instance that panics is
+    /// reported as failed and removed.
+    fn dispatch(&mut self, instance: u16, code: EventCode, record: RecordReader) -> Result<(), RecordError> {
         let Some(router) = self.routers.get_mut(&instance) else { return Ok(()) };
         let out = self.reply.for_instance(instance);
-        let decided = catch_unwind(AssertUnwindSafe(|| decide(router, code, record, &self.lists, out)));
-        decided.unwrap_or_else(|panic| {
+        let lists = &self.endpoint_lists;
+        let handled = catch_unwind(AssertUnwindSafe(|| handle_event(router, code, record, lists, out)));
+        handled.unwrap_or_else(|panic| {
             self.reply.instance_failed(panic_message(panic.as_ref()));
             self.routers.remove(&instance);
             Ok(())
@@ -94,9 +95,9 @@
     }
 }
 
-/// Where the tail begins, after all records.
+/// Returns the offset of the tail, which follows the records.
 fn tail_start(count: usize, frame_length: usize) -> Result<usize, ShortFrame> {
-    let end = count.checked_mul(RECORD_SIZE).and_then(|size| size.checked_add(HEADER_SIZE));
+    let end = count.checked_mul(RECORD_BYTES).and_then(|size| size.checked_add(HEADER_BYTES));
     let end = end.filter(|end| *end <= frame_length);
     end.ok_or(ShortFrame::Records { count, length: frame_length })
 }
@@ -106,8 +107,8 @@
     text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the decision failed")
 }
 
-fn decide(
-    router: &mut Router, code: EventCode, record: RecordReader, lists: &Lists, out: &mut Reply,
+fn handle_event(
+    router: &mut Router, code: EventCode, record: RecordReader, lists: &EndpointLists, out: &mut Reply,
 ) -> Result<(), RecordError> {
     match code {
         EventCode::ClientDisconnected => client_disconnected(router, record, out),
@@ -137,7 +138,7 @@
 }
 
 fn endpoints_changed(
-    router: &mut Router, record: RecordReader, lists: &Lists, out: &mut Reply,
+    router: &mut Router, record: RecordReader, lists: &EndpointLists, out: &mut Reply,
 ) -> Result<(), RecordError> {
     match EndpointsChange::decode(record)? {
         EndpointsChange::Unavailable => router.endpoints_unavailable(out),
--- a/crates/comethitch-adapter/src/tests.rs
+++ b/crates/comethitch-adapter/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the wire: complete batches in, replies or errors out.
+//! Tests of the binary protocol: complete batches in, replies or errors out.
 
 use crate::{read_frame, serve, session::Session};
 use std::io::Cursor;
@@ -22,7 +22,7 @@
     record
 }
 
-/// A batch at the clock of the interface page's examples.
+/// Encodes a batch at the time of the protocol description's examples.
 fn batch(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body = records.concat();
     let mut frame = (records.len() as u32).to_le_bytes().to_vec();
@@ -40,36 +40,37 @@
     (fields, text.as_bytes().to_vec())
 }
 
-/// Instance 3's start, and the interface page's list of a group's two hosts: the records, and their tail.
-fn begun() -> (Vec<Vec<u8>>, Vec<u8>) {
+/// Returns the records and the tail of a batch that starts instance 3 with the two hosts of one shard, as in the protocol
+/// description's example.
+fn started_with_endpoints() -> (Vec<Vec<u8>>, Vec<u8>) {
     let (start, mut tail) = start(DEPLOYMENT);
-    let mut directory =
+    let mut list =
         [bytes("19 00000000"), (tail.len() as u32).to_le_bytes().into(), bytes("02000000")].concat();
-    directory.resize(48, 0);
+    list.resize(48, 0);
     tail.extend(bytes(
         "0a124a07 2b23 00 00 0b00 01 0000803f 0000803f 0000000000000000
          0a9011f2 5423 01 00 0b00 01 00000000 0000c03f 20145d0000000000",
     ));
-    (vec![start, directory, record("12 0300 02 2900000000000000 00000000")], tail)
+    (vec![start, list, record("12 0300 02 2900000000000000 00000000")], tail)
 }
 
 const SUBMITTED: &str = "16 0300 c4913a5d 0000 0000 640ad2557c3bf091 80a90300 e02e0000 00003041 0040ce43 01";
 const RESET: &str = "1a 0300 c4913a5d 0000 44480000 0a124a07 2b23 00 0500 00000000 00";
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
+fn empty_batch_gets_an_empty_reply() {
     let reply =
         Session::default().reply_to(&bytes("00000000 10000000 5a5c800000000000")).expect("a reply").to_vec();
     assert_eq!(reply, bytes("08000000 00000000"));
 }
 
 #[test]
-fn an_attempt_is_sent_to_the_byte_and_its_end_finds_the_command() {
+fn attempt_is_encoded_exactly_and_its_end_finds_the_request() {
     let mut session = Session::default();
-    let (mut records, tail) = begun();
+    let (mut records, tail) = started_with_endpoints();
     records.push(record(SUBMITTED));
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply").to_vec();
-    // The wake, then the attempt with all of the 240 ms that the request has.
+    // The wake-up, then the attempt with the request's whole timeout of 240 ms.
     assert_eq!(reply[..8], bytes("38000000 02000000"));
     assert_eq!(reply[8..11], bytes("52 0300"));
     assert_eq!(reply[32..], bytes("50 0300 c4913a5d 0a124a07 2b23 80a90300 00000000000000"));
@@ -77,40 +78,40 @@
     assert_eq!(
         reply[8..],
         bytes("56 0300 c4913a5d 0000000000000000 0000000000000000 00"),
-        "it may have run: failed"
+        "the request fails because it may have run"
     );
-    let gone = [record("11 0300 c4913a5d"), record(RESET)];
-    let reply = session.reply_to(&batch(&gone, &[])).expect("what is finished is no error").to_vec();
+    let late = [record("11 0300 c4913a5d"), record(RESET)];
+    let reply = session.reply_to(&batch(&late, &[])).expect("a finished request is ignored").to_vec();
     assert_eq!(reply, bytes("08000000 00000000"));
 }
 
 #[test]
-fn lists_are_resolved_in_the_order_of_events() {
+fn endpoint_lists_are_resolved_in_event_order() {
     let mut session = Session::default();
-    let (mut records, tail) = begun();
-    // The number is reused for another list, further on in the same batch.
-    let mut other = records[1].clone();
-    other[5..9].copy_from_slice(&((tail.len() - 27) as u32).to_le_bytes());
-    other[9] = 1;
-    records.extend([other, record(SUBMITTED)]);
+    let (mut records, tail) = started_with_endpoints();
+    // A later record of the same batch redefines the number.
+    let mut redefinition = records[1].clone();
+    redefinition[5..9].copy_from_slice(&((tail.len() - 27) as u32).to_le_bytes());
+    redefinition[9] = 1;
+    records.extend([redefinition, record(SUBMITTED)]);
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply");
-    assert_eq!(reply[32 + 7..32 + 13], bytes("0a124a07 2b23"), "the first list named the primary");
+    assert_eq!(reply[32 + 7..32 + 13], bytes("0a124a07 2b23"), "the first list names the primary");
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_everything() {
+fn restart_within_a_batch_discards_all_state() {
     let mut session = Session::default();
     let (start, tail) = start(DEPLOYMENT);
     session.reply_to(&batch(&[start.clone(), record(SUBMITTED)], &tail)).expect("a reply");
     let records = [record("10 0300"), start, record("11 0300 c4913a5d"), record(RESET)];
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply");
-    assert_eq!(reply[..8], bytes("20000000 01000000"), "nothing but the wake");
+    assert_eq!(reply[..8], bytes("20000000 01000000"), "only the wake-up");
 }
 
 #[test]
-fn malformed_input_gets_one_plain_message() {
+fn malformed_input_is_reported_in_one_line() {
     let (start, tail) = start(DEPLOYMENT);
-    let short_of = |key: &str| {
+    let without = |key: &str| {
         let lines = DEPLOYMENT.lines().filter(|line| !line.starts_with(key));
         lines.map(|line| format!("{line}\n")).collect::<String>()
     };
@@ -118,34 +119,34 @@
         let (start, tail) = self::start(&text);
         batch(&[start], &tail)
     };
-    let mut outside = start.clone();
-    outside[11] = 9;
-    let mut group = record(SUBMITTED);
-    group[7] = 4;
-    let then = |last: Vec<u8>| batch(&[start.clone(), last], &tail);
+    let mut out_of_range = start.clone();
+    out_of_range[11] = 9;
+    let mut unknown_class = record(SUBMITTED);
+    unknown_class[7] = 4;
+    let after_start = |last: Vec<u8>| batch(&[start.clone(), last], &tail);
     let cases = [
         (bytes("00000000 1000"), "short frame: 6 bytes of a header of 16"),
         (bytes("01000000 40000000 5a5c800000000000 18"), "short frame: 17 bytes of 64"),
         (bytes("00000000 08000000 5a5c800000000000"), "short frame: its length field says 8 bytes"),
         (bytes("02000000 10000000 5a5c800000000000"), "short frame: 2 records do not fit into 16 bytes"),
-        (then(record("63 0300")), "record 1 (code 99, byte 64): unknown event code"),
-        (batch(&[outside], &tail), "lies outside the tail"),
-        (then(record("12 0300 02 2900000000000000 05000000")), "list 5 was never given"),
-        (then(record("12 0300 07")), "unknown list scope 7"),
-        (then(group), "unknown command group 4"),
-        (then(record("1a 0300 c4913a5d 0000 44480000 0a124a07 2b23 00 0c00")), "unknown ending 12"),
-        (restart(short_of("rules.cold_from")), "rules.cold_from is missing"),
+        (after_start(record("63 0300")), "record 1 (code 99, byte 64): unknown event code"),
+        (batch(&[out_of_range], &tail), "lies outside the tail"),
+        (after_start(record("12 0300 02 2900000000000000 05000000")), "list 5 was never given"),
+        (after_start(record("12 0300 07")), "unknown list scope 7"),
+        (after_start(unknown_class), "unknown command group 4"),
+        (after_start(record("1a 0300 c4913a5d 0000 44480000 0a124a07 2b23 00 0c00")), "unknown ending 12"),
+        (restart(without("rules.cold_from")), "rules.cold_from is missing"),
         (restart(DEPLOYMENT.replace("siblings=1", "siblings=many")), "siblings is unreadable: \"many\""),
         (restart(DEPLOYMENT.replace("=once", "=twice")), "classes.0.effect is unreadable: \"twice\""),
     ];
-    for (input, wanted) in cases {
-        let message = serve(Cursor::new(input), Vec::new()).expect_err(wanted).to_string();
-        assert!(message.contains(wanted) && !message.contains('\n'), "{message}");
+    for (input, expected) in cases {
+        let message = serve(Cursor::new(input), Vec::new()).expect_err(expected).to_string();
+        assert!(message.contains(expected) && !message.contains('\n'), "{message}");
     }
 }
 
 #[test]
-fn the_end_of_the_input_is_no_error() {
+fn end_of_input_is_not_an_error() {
     assert!(matches!(read_frame(&mut Cursor::new([0u8; 0]), &mut Vec::new()), Ok(false)));
     assert!(matches!(serve(Cursor::new(bytes("00000000 10000000 5a5c800000000000")), Vec::new()), Ok(())));
 }
