--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -11,23 +11,29 @@
 //! - [`histogram`], [`random`], [`session_commits`]: data structures that know nothing of databases.
 
 pub mod actions;
+mod admission_queue;
 pub mod deployment;
-mod estimates;
+mod health_check_state;
 pub mod histogram;
 pub mod host;
+mod host_health;
+mod host_load;
 mod host_state;
 mod host_table;
+mod listing;
 pub mod messages;
 pub mod outcome;
 pub mod policy;
 pub mod random;
+mod random_source;
+mod replication_status;
 pub mod request_class;
 mod request_state;
-mod router;
+mod request_table;
 pub mod send;
 pub mod session_commits;
 mod shard;
-mod waiting_requests;
+mod shard_table;
 
 pub use actions::{Action, ActionQueue, Actions};
 pub use comethitch_fleet::quota::SlowStart;
@@ -36,8 +42,7 @@
 pub use host::{Host, Lifecycle, LoadReport, Role, ShardId};
 pub use messages::{AttemptEnd, Endpoint, EndpointUpdate, Request, RequestId};
 pub use outcome::{AttemptOutcome, RejectionReason};
-pub use policy::ClockState;
+pub use policy::{ClockState, Handle, Router};
 pub use request_class::{Consistency, DeduplicationScope, Idempotency, RequestClass, StalenessCheck};
-pub use router::{Handle, Router};
 pub use send::{SendRefusal, SendViolation};
 pub use shard::ShardState;
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -5,10 +5,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Async;
-use comethitch_testkit::{Client, Host, Ledger, Protocol, Received};
+use comethitch_testkit::{Client, Host, Ledger, Protocol, Reply};
 use comethitchd::protocols::tds::settings::TdsSettings;
-use comethitchd::service::listen;
 use comethitchd::service::protocol::Protocol as RouterProtocol;
+use comethitchd::service::server;
 use comethitchd::service::startup;
 use comethitchd::state::clock::Clock;
 use comethitchd::state::config::Config;
@@ -65,7 +65,7 @@
             }
         };
         let state = startup::start(config, Clock::start(), protocol.backend).expect("a router");
-        async_io::block_on(listen::serve(state, protocol.client, vec![listener], async {
+        async_io::block_on(server::serve(state, protocol.client, vec![listener], async {
             let _ = stopped.recv().await;
         }));
         thread_cpu_micros()
@@ -144,7 +144,7 @@
     for number in 0..COMMANDS_PER_CLIENT {
         let key = format!("k{client}-{number}");
         let text = format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)");
-        assert_eq!(connection.execute(&text), Received::Answered(key));
+        assert_eq!(connection.execute(&text), Reply::Answered(key));
     }
 }
 
