--- a/crates/comethitch-tds/src/request/call.rs
+++ b/crates/comethitch-tds/src/request/call.rs
@@ -34,6 +34,15 @@
     pub range: Range<usize>,
 }
 
+/// An argument of a statement in a call.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Argument<'a> {
+    /// The name without the leading `@`; empty if the argument is bound by position.
+    pub name: &'a str,
+    /// The value.
+    pub value: &'a Value,
+}
+
 /// A call of a procedure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
@@ -137,10 +146,13 @@
         }
     }
 
-    /// Returns the arguments of the statement itself: names without the leading `@`, and values.
-    pub fn arguments(&self) -> impl Iterator<Item = (&str, &Value)> {
+    /// Returns the arguments of the statement itself.
+    pub fn arguments(&self) -> impl Iterator<Item = Argument<'_>> {
         let arguments = self.parameters.iter().skip(self.first_argument());
-        arguments.map(|parameter| (parameter.name.trim_start_matches('@'), &parameter.value))
+        arguments.map(|parameter| Argument {
+            name: parameter.name.trim_start_matches('@'),
+            value: &parameter.value,
+        })
     }
 
     /// Returns the encoded arguments of the statement, given the `payload` that this call was read from.
--- a/crates/comethitch-tds/src/request/mod.rs
+++ b/crates/comethitch-tds/src/request/mod.rs
@@ -9,7 +9,7 @@
 mod procedure;
 
 pub use batch::Batch;
-pub use call::{Call, Parameter};
+pub use call::{Argument, Call, Parameter};
 pub use call_writer::CallWriter;
 pub use declarations::declared_names;
 pub use headers::Headers;
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -116,7 +116,7 @@
         let call = Call::read(&wire).expect("a call");
         assert_eq!(call.procedure, Procedure::System(SystemProcedure::ExecuteSql));
         assert_eq!(call.statement(), Some(text.as_str()));
-        let arguments: Vec<_> = call.arguments().collect();
+        let arguments: Vec<_> = call.arguments().map(|argument| (argument.name, argument.value)).collect();
         assert_eq!(arguments, [("a", &Value::Integer(-7)), ("b", &Value::Null), ("c", &Value::Null)]);
         assert!(call.parameters[4].by_reference && !call.has_more_calls);
         for length in Headers::read(&wire).expect("headers").length..wire.len() {
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -30,8 +30,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long input after the last answer is discarded before the socket is closed. Closing with unread input would reset
-/// the connection, and the client could lose the answer.
+/// How long input is still discarded once the connection must close. Closing with unread input would reset the
+/// connection, and the client could lose the last answer.
 const LINGER: Duration = Duration::from_millis(60);
 /// Number of consecutive invalid statements after which a client is disconnected.
 const MAX_CONSECUTIVE_INVALID: u32 = 8;
@@ -72,6 +72,14 @@
     Invalid(StatementError),
 }
 
+/// A request that was submitted to the policy.
+pub(super) struct SubmittedRequest {
+    /// The request's id in the policy.
+    pub id: RequestId,
+    /// Receives the request's final answer.
+    pub reply: Receiver<Reply>,
+}
+
 impl ClientConnection {
     /// Registers a client. This happens before it sends anything, because it already uses a descriptor.
     pub(super) fn new(
@@ -135,7 +143,7 @@
                 return Ok(Admission::Throttled);
             }
         };
-        // A hard limit on memory, independent of the policy.
+        // A hard limit on concurrent requests, which does not depend on the policy.
         if self.state.at_request_limit() {
             self.state.metrics.throttled_at_limit.increment();
             log_rejection(&admitted.client_id, "at_limit");
@@ -150,10 +158,12 @@
     /// Submits a request of this client to the policy; see [`policy_driver::submit`].
     pub(super) fn submit(
         &self, request: AdmittedRequest, text: Vec<u8>, message_kind: u8,
-    ) -> (RequestId, Receiver<Reply>) {
+    ) -> SubmittedRequest {
         self.set_phase(ConnectionPhase::Busy);
         self.answer_outstanding.set(true);
-        policy_driver::submit(&self.state, request, text, message_kind, Rc::downgrade(&self.stream))
+        let client = Rc::downgrade(&self.stream);
+        let (id, reply) = policy_driver::submit(&self.state, request, text, message_kind, client);
+        SubmittedRequest { id, reply }
     }
 
     fn set_phase(&self, phase: ConnectionPhase) {
@@ -199,7 +209,7 @@
             Disconnect::Io(error) => {
                 log::debug!(client = self.number, error:%; "client connection failed");
             }
-            // Nothing is unanswered. The client sees the end of the stream, and retries what it sends after it.
+            // The client sees the end of the stream, and retries requests that it sends after it.
             Disconnect::Closing | Disconnect::BrokenAnswer => {
                 self.close_gracefully(Vec::new(), &disconnect.to_string()).await;
             }
@@ -221,7 +231,8 @@
         }
     }
 
-    /// Writes the last bytes, if any, shuts down the sending half, and discards further input for [`LINGER`].
+    /// Writes the last bytes, if any, shuts down the sending half, and discards further input until the client closes the
+    /// connection, or until [`LINGER`] after the registry of clients requires it to close.
     async fn close_gracefully(&mut self, last_bytes: Vec<u8>, reason: &str) {
         log::debug!(client = self.number, reason; "client connection closing");
         self.set_phase(ConnectionPhase::Closing);
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -2,7 +2,9 @@
 //!
 //! Only the simple query protocol is supported; messages of the extended one are answered with an error.
 
-use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
+use crate::protocols::client_connection::{
+    Admission, ClientConnection, ClosingError, Disconnect, SubmittedRequest,
+};
 use crate::stages::admit::{AdmittedRequest, session_statement};
 use crate::stages::policy_driver;
 use crate::state::descriptors::DescriptorPermit;
@@ -202,7 +204,7 @@
         let signal = self.connection.signal.clone();
         signal.reset_cancel();
         let state = self.connection.state.clone();
-        let (id, reply) = self.connection.submit(request, text, frontend::QUERY);
+        let SubmittedRequest { id, reply } = self.connection.submit(request, text, frontend::QUERY);
         let cancelled = async {
             signal.wait_for_cancel().await;
             Ok(Reply::Cancelled)
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -9,7 +9,9 @@
 use super::packet_buffer;
 use super::prepared::PreparedStatements;
 use super::settings::TdsSettings;
-use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
+use crate::protocols::client_connection::{
+    Admission, ClientConnection, ClosingError, Disconnect, SubmittedRequest,
+};
 use crate::stages::admit::AdmittedRequest;
 use crate::stages::policy_driver;
 use crate::state::descriptors::DescriptorPermit;
@@ -202,7 +204,8 @@
         let framing = statement.framing;
         let shape = request.shape.as_ref();
         let is_idempotent = shape.is_some_and(|shape| shape.verdict.effect.may_repeat());
-        let (id, reply) = self.connection.submit(request, statement.payload, statement.kind.code());
+        let SubmittedRequest { id, reply } =
+            self.connection.submit(request, statement.payload, statement.kind.code());
         let is_attention = |unread: &[u8]| unread.first() == Some(&MessageKind::Attention.code());
         let waited = self.connection.wait_until_interrupted(reply.recv(), Some(is_attention)).await;
         let end = match waited {
--- a/crates/comethitchd/src/protocols/tds/client/operation.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -8,7 +8,9 @@
 use comethitch_statement::{Dialect, Lexer};
 use comethitch_tds::MalformedMessage;
 use comethitch_tds::packet::MessageKind;
-use comethitch_tds::request::{Batch, Call, CallWriter, Procedure, SystemProcedure, declared_names};
+use comethitch_tds::request::{
+    Argument, Batch, Call, CallWriter, Procedure, SystemProcedure, declared_names,
+};
 use comethitch_tds::token::code;
 use comethitch_tds::types::Value;
 use comethitch_tds::write::{put_done, put_return_status};
@@ -227,7 +229,7 @@
 /// Returns the values of a statement's parameters by name. Unnamed ones get the declared names, by position.
 fn argument_values(call: &Call, declarations: &str) -> Vec<(String, Option<Vec<u8>>)> {
     let declared = declared_names(declarations);
-    let named_value = |(position, (name, value)): (usize, (&str, &Value))| {
+    let named_value = |(position, Argument { name, value }): (usize, Argument<'_>)| {
         let name = match name {
             "" => declared.get(position).cloned().unwrap_or_default(),
             name => name.to_lowercase(),
