--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -38,7 +38,7 @@
 pub use known_shape::KnownShape;
 pub use outcome::{AdmittedStatement, JudgedStatement, StatementRejection, VerdictSource};
 
-use crate::assign::{Arguments, Assigner, AssignmentError, PlaceholderValues, StatementValues};
+use crate::assign::{Argument, Assigner, AssignmentError, PlaceholderValues, StatementValues};
 use crate::budget::{Budget, BudgetShares, Reservation};
 use crate::cache::{Cache, CacheCounts};
 use crate::cost::LookupTime;
@@ -204,7 +204,7 @@
     ///
     /// Why it is not admitted.
     pub fn admit_with(
-        &mut self, text: &[u8], arguments: &Arguments, hints: StatementHints, client: u64,
+        &mut self, text: &[u8], arguments: &[Argument], hints: StatementHints, client: u64,
         clock: &dyn Fn() -> Timestamp,
     ) -> Result<AdmittedStatement, StatementRejection> {
         let judged = self.judge(text, client, clock).ok_or(StatementRejection::Throttled)?;
@@ -229,7 +229,7 @@
     ///
     /// Why it can't become a command.
     pub fn assign(
-        &self, judged: JudgedStatement, hints: StatementHints, text: &[u8], arguments: &Arguments,
+        &self, judged: JudgedStatement, hints: StatementHints, text: &[u8], arguments: &[Argument],
     ) -> Result<AdmittedStatement, AssignmentError> {
         let JudgedStatement { known, key, source } = judged;
         let values: &dyn PlaceholderValues = &StatementValues { lexer: &self.lexer, text, arguments };
--- a/crates/comethitch-statement/src/assign/mod.rs
+++ b/crates/comethitch-statement/src/assign/mod.rs
@@ -13,7 +13,7 @@
 pub use allowed_effects::AllowedEffects;
 pub use error::AssignmentError;
 pub use keys::fnv1a;
-pub use values::{Arguments, PlaceholderValues, StatementValues};
+pub use values::{Argument, PlaceholderValues, StatementValues};
 
 use crate::Verdict;
 use crate::hints::StatementHints;
--- a/crates/comethitch-statement/src/assign/values.rs
+++ b/crates/comethitch-statement/src/assign/values.rs
@@ -8,9 +8,14 @@
     fn values(&self, placeholder: u32) -> Option<Vec<Vec<u8>>>;
 }
 
-/// Values of parameters that came beside a text, by the parameters' names without a sign, in lower case. What is
-/// not known, as a null or a date, has none.
-pub type Arguments = [(String, Option<Vec<u8>>)];
+/// The argument of a parameter that was sent separately from the statement's text.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Argument {
+    /// The parameter's name in lower case, without its sign.
+    pub name: String,
+    /// The value as text; none if it has no text form that is compared, as a null or a date.
+    pub value: Option<Vec<u8>>,
+}
 
 /// The values that stand in a statement's own text, and beside it.
 pub struct StatementValues<'a> {
@@ -19,7 +24,7 @@
     /// The statement's text.
     pub text: &'a [u8],
     /// The values beside it.
-    pub arguments: &'a Arguments,
+    pub arguments: &'a [Argument],
 }
 
 impl PlaceholderValues for StatementValues<'_> {
@@ -51,8 +56,7 @@
 
     fn argument(&self, parameter: &[u8]) -> Option<Vec<u8>> {
         let name = std::str::from_utf8(parameter).ok()?.trim_start_matches(['@', '$']).to_lowercase();
-        let (_, value) = self.arguments.iter().find(|(known, _)| *known == name)?;
-        value.clone()
+        self.arguments.iter().find(|argument| argument.name == name)?.value.clone()
     }
 }
 
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -23,7 +23,7 @@
 use async_io::Async;
 use comethitch_policy::RequestId;
 use comethitch_policy::time::Timestamp;
-use comethitch_statement::assign::Arguments;
+use comethitch_statement::assign::Argument;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::cell::Cell;
 use std::io;
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     /// If the client has disconnected: nothing may begin for it any more.
-    pub(super) fn admit(&self, text: &[u8], arguments: &Arguments) -> Result<Admission, Disconnect> {
+    pub(super) fn admit(&self, text: &[u8], arguments: &[Argument]) -> Result<Admission, Disconnect> {
         let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
         let admitted = match admit(&self.state, &request) {
             Ok(admitted) => admitted,
--- a/crates/comethitchd/src/protocols/tds/client/request.rs
+++ b/crates/comethitchd/src/protocols/tds/client/request.rs
@@ -4,6 +4,7 @@
 use super::reply::{ReplyFraming, put_handle};
 use crate::protocols::client_connection::Disconnect;
 use crate::protocols::tds::prepared::PreparedStatements;
+use comethitch_statement::assign::Argument;
 use comethitch_statement::classify::only_settings;
 use comethitch_statement::{Dialect, Lexer};
 use comethitch_tds::MalformedMessage;
@@ -42,7 +43,7 @@
     /// Its text, by which it is admitted.
     pub text: String,
     /// The values of its parameters by name, as far as they are known.
-    pub arguments: Vec<(String, Option<Vec<u8>>)>,
+    pub arguments: Vec<Argument>,
     /// The kind of the message that hosts get for it.
     pub kind: Kind,
     /// The payload of that message.
@@ -225,14 +226,14 @@
 }
 
 /// The values of a statement's parameters by name. Those that came without a name have the declared names, in order.
-fn argument_values(call: &Call, declarations: &str) -> Vec<(String, Option<Vec<u8>>)> {
+fn argument_values(call: &Call, declarations: &str) -> Vec<Argument> {
     let declared = declared(declarations);
     let named_value = |(position, (name, value)): (usize, (&str, &Value))| {
         let name = match name {
             "" => declared.get(position).cloned().unwrap_or_default(),
             name => name.to_lowercase(),
         };
-        (name, text_value(value))
+        Argument { name, value: text_value(value) }
     };
     call.arguments().enumerate().map(named_value).collect()
 }
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: makes a request of a statement, by its comment alone or, with rules for statements, also by its text.
+//! Admission: turns a statement into a request by its comment or, with rules for statements, also by its text.
 
 use crate::state::router_state::RouterState;
 use crate::wire::statement::{self, CommentError, CommentFields};
@@ -6,52 +6,54 @@
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_statement::StatementAdmission;
 use comethitch_statement::admission::{KnownShape, StatementHints, StatementRejection};
-use comethitch_statement::assign::{Arguments, AssignmentError};
+use comethitch_statement::assign::{Argument, AssignmentError};
 use std::ops::Range;
 use std::rc::Rc;
 
-/// A client's timeout is never longer than this: a day.
+/// Maximum timeout of a client: one day.
 const MAX_TIMEOUT_MS: u64 = 24 * 60 * 60 * 1000;
+/// Tags of the statements that change only the session.
+const SESSION_STATEMENT_TAGS: [&str; 3] = ["SET", "RESET", "DISCARD"];
 
 /// A statement as a client protocol has read it.
 pub struct StatementRequest<'a> {
     /// The statement, with its comment.
     pub text: &'a [u8],
-    /// The values of its parameters, where they came beside it.
-    pub arguments: &'a Arguments,
-    /// When its last byte arrived.
+    /// The arguments that were sent separately from the text.
+    pub arguments: &'a [Argument],
+    /// When the last byte of the statement arrived.
     pub arrived: Timestamp,
-    /// A number for the client's machine, whose statements share one budget for parsing.
+    /// The client's machine, whose statements share one budget for parsing.
     pub origin: u64,
 }
 
-/// A request as it is handed to the policy, but for its statement.
+/// A request that can be submitted to the policy, apart from the statement's text.
 pub struct AdmittedRequest {
-    /// The id that its client gave it, or a generated one.
+    /// The id that the client gave the request, or a generated one.
     pub client_id: String,
-    /// Where the text holds the client's timeout, if it does.
+    /// The position of the client's timeout in the text, if there is one.
     pub timeout_range: Option<Range<usize>>,
-    /// What is known of its shape, where statements are classified by their text.
+    /// The statement's shape, if statements are classified by their text.
     pub shape: Option<Rc<KnownShape>>,
-    /// Its request class, by index.
+    /// The request class, by index.
     pub class: usize,
-    /// Its shard.
+    /// The shard.
     pub shard: ShardId,
-    /// A number for its session, whose requests may stay at one host.
+    /// The session key: requests of one session may stay on one host.
     pub session: u64,
-    /// The commit that it must see.
+    /// The commit that the request must see.
     pub after: Option<Timestamp>,
     /// When the client stops waiting.
     pub deadline: Timestamp,
 }
 
-/// Why a statement is no valid request. The texts are for clients.
+/// Why a statement is no valid request. The messages are sent to clients.
 #[derive(Debug, thiserror::Error)]
 pub enum StatementError {
-    /// The comment is missing or malformed, or what follows it is no statement that hosts take.
+    /// The comment is missing or malformed, or is not followed by a statement that hosts support.
     #[error(transparent)]
     Comment(#[from] CommentError),
-    /// The comment leaves out what the rules for statements do not supply.
+    /// The comment lacks a field that the rules for statements do not supply.
     #[error("the statement's comment must hold id, c, d and cluster: the rules admit none without")]
     CommentIncomplete,
     /// No request class has this name.
@@ -66,45 +68,54 @@
         /// The id in the comment.
         id: String,
     },
-    /// The client's timeout is too long.
+    /// The client's timeout exceeds the maximum.
     #[error("d is more than a day: {timeout_ms}")]
     TimeoutTooLong {
         /// The timeout in the comment.
         timeout_ms: u64,
     },
-    /// The rules for statements refuse it.
+    /// The rules for statements reject it.
     #[error("{0}")]
-    Refused(AssignmentError),
+    Rejected(AssignmentError),
 }
 
 impl StatementError {
-    /// The SQLSTATE that a client gets for it.
+    /// Returns the SQLSTATE that is sent to the client.
     pub fn sqlstate(&self) -> &'static str {
         match self {
             StatementError::Comment(_) | StatementError::CommentIncomplete => "42601",
             StatementError::UnknownClass { .. } | StatementError::TimeoutTooLong { .. } => "22023",
             StatementError::IdInUse { .. } => "42710",
-            StatementError::Refused(refusal) => refusal.code(),
+            StatementError::Rejected(error) => error.code(),
         }
     }
 }
 
-/// Why a statement is not admitted.
+/// Why a statement was not admitted.
 #[derive(Debug, thiserror::Error)]
 pub enum AdmissionError {
-    /// It is no valid request.
+    /// The statement is no valid request.
     #[error(transparent)]
     Invalid(#[from] StatementError),
-    /// Its client's budget for parsing statements is spent; a retry is harmless.
+    /// The client's budget for parsing statements is exhausted. The statement may be retried.
     #[error("the budget for parsing is spent")]
     Throttled,
 }
 
+impl From<StatementRejection> for AdmissionError {
+    fn from(rejection: StatementRejection) -> AdmissionError {
+        match rejection {
+            StatementRejection::Refused(error) => StatementError::Rejected(error).into(),
+            StatementRejection::Throttled => AdmissionError::Throttled,
+        }
+    }
+}
+
 /// Admits a statement by its comment or, if there are rules for statements, also by its text.
 ///
 /// # Errors
 ///
-/// If the statement is no valid request, or its client's budget for parsing statements is spent.
+/// If the statement is no valid request, or the client's budget for parsing statements is exhausted.
 pub fn admit(state: &RouterState, request: &StatementRequest<'_>) -> Result<AdmittedRequest, AdmissionError> {
     state.statement_rules.with_admission(|admission| match admission {
         None => Ok(admit_by_comment(state, request)?),
@@ -130,7 +141,8 @@
     })
 }
 
-/// The rules supply what the comment leaves out; what it says must not be less strict than the text.
+/// Admits a statement by the rules, which supply the fields that its comment lacks. A comment may not be less strict
+/// than its text.
 fn admit_by_text(
     state: &RouterState, admission: &mut StatementAdmission, request: &StatementRequest<'_>,
 ) -> Result<AdmittedRequest, AdmissionError> {
@@ -142,13 +154,7 @@
     check_id_and_timeout(state, &client_id, timeout_ms)?;
     let hints = StatementHints { class, shard: fields.shard };
     let clock = || state.clock.now();
-    let passed =
-        admission.admit_with(text, arguments, hints, request.origin, &clock).map_err(|rejection| {
-            match rejection {
-                StatementRejection::Refused(refusal) => StatementError::Refused(refusal).into(),
-                StatementRejection::Throttled => AdmissionError::Throttled,
-            }
-        })?;
+    let passed = admission.admit_with(text, arguments, hints, request.origin, &clock)?;
     Ok(AdmittedRequest {
         class: passed.assigned.class,
         shard: passed.assigned.shard,
@@ -161,7 +167,7 @@
     })
 }
 
-/// The fields of the comment that the statement begins with; none if it begins otherwise.
+/// Returns the fields of the comment that the statement begins with; no fields without a comment.
 fn comment_fields(text: &[u8]) -> Result<CommentFields<'_>, StatementError> {
     match statement::parse_comment(text) {
         Ok(fields) => Ok(fields),
@@ -170,13 +176,13 @@
     }
 }
 
-/// The client's timeout in milliseconds: by its comment, or by the rules where these admit an incomplete comment.
+/// Returns the client's timeout: from its comment, or from the rules if they admit incomplete comments.
 fn timeout_ms(admission: &StatementAdmission, fields: &CommentFields<'_>) -> Result<u64, StatementError> {
-    let given = fields.wait.as_ref().map(|wait| wait.ms);
+    let comment_timeout_ms = fields.wait.as_ref().map(|wait| wait.ms);
     let complete = fields.id.is_some() && fields.class.is_some() && fields.shard.is_some();
-    match (given, &admission.rules().commentless) {
+    match (comment_timeout_ms, &admission.rules().commentless) {
         (Some(timeout_ms), _) if complete => Ok(timeout_ms),
-        (given, Some(commentless)) => Ok(given.unwrap_or(commentless.wait_ms)),
+        (_, Some(commentless)) => Ok(comment_timeout_ms.unwrap_or(commentless.wait_ms)),
         (_, None) => Err(StatementError::CommentIncomplete),
     }
 }
@@ -196,18 +202,18 @@
     Ok(())
 }
 
-/// The tag that answers a statement about the session alone, which has no effect here.
+/// Returns the tag that answers a statement which changes only the session and has no effect here; none for any other
+/// statement.
 pub fn session_statement(state: &RouterState, text: &[u8]) -> Option<&'static str> {
-    // With rules, any text may come: one that goes on behind a semicolon is admitted as a whole.
+    // Rules admit any text: several statements are then admitted together.
     if state.statement_rules.are_present() && has_several_statements(text) {
         return None;
     }
     let word = text.trim_ascii_start().split(|b| !b.is_ascii_alphabetic()).next().unwrap_or_default();
-    let tags = ["SET", "RESET", "DISCARD"];
-    tags.into_iter().find(|tag| word.eq_ignore_ascii_case(tag.as_bytes()))
+    SESSION_STATEMENT_TAGS.into_iter().find(|tag| word.eq_ignore_ascii_case(tag.as_bytes()))
 }
 
-/// Whether a semicolon stands before the end.
+/// Returns whether a semicolon precedes the end of the text.
 fn has_several_statements(text: &[u8]) -> bool {
     let text = text.trim_ascii_end();
     text.strip_suffix(b";").unwrap_or(text).contains(&b';')
--- a/crates/comethitchd/src/stages/attempt_end.rs
+++ b/crates/comethitchd/src/stages/attempt_end.rs
@@ -1,4 +1,4 @@
-//! Records how an attempt ended: its count, its value or its host's error, and whether its request is finished.
+//! Records how attempts ended: counts them, answers their requests with the values, and keeps hosts' errors.
 
 use crate::stages::reply;
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
@@ -6,7 +6,8 @@
 use crate::state::router_state::RouterState;
 use comethitch_policy::{AttemptOutcome, RequestId};
 
-/// Records the end of an attempt; true if its request has its final answer. The first complete value is that answer.
+/// Records the end of an attempt, whose value is the final answer if the request has none yet. Returns whether the
+/// request has its final answer.
 pub fn record(
     state: &RouterState, id: RequestId, attempt: u16, completion: &Result<(), ConnectionError>,
     payload: Vec<u8>,
@@ -18,11 +19,11 @@
     } else if outcome == AttemptOutcome::Error && !payload.is_empty() {
         state.requests.record_host_error(id, payload);
     }
-    let requests = &state.requests;
-    if let Some(task) = requests.take_attempt(id, attempt) {
+    if let Some(task) = state.requests.take_attempt(id, attempt) {
+        // The task itself is running this: dropping it would cancel it.
         task.detach();
     }
-    let answered = requests.is_answered(id);
-    requests.remove_if_finished(id);
+    let answered = state.requests.is_answered(id);
+    state.requests.remove_if_finished(id);
     answered
 }
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -1,4 +1,4 @@
-//! Calls into the policy, and carries out the actions that it returns once the call is over.
+//! Calls the policy, and carries out the actions that it decided on after the call has returned.
 
 use crate::stages::admit::AdmittedRequest;
 use crate::stages::{attempt_end, reply};
@@ -17,25 +17,24 @@
 };
 use std::rc::{Rc, Weak};
 
-/// After a stall of the event loop, what came meanwhile is read for this long before the policy acts on the time:
-/// clients may have gone or cancelled, hosts may have answered.
+/// Delay of the first tick after a stall of the event loop, in which the input that arrived meanwhile is read: clients
+/// may have disconnected or cancelled, hosts may have answered.
 const READ_AFTER_STALL: std::time::Duration = std::time::Duration::from_millis(2);
 
-/// Calls into the policy, then carries out what it decided.
+/// Calls the policy, then carries out its actions.
 pub fn call(state: &Rc<RouterState>, step: EventLoopStep, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
     let actions = state.call_policy(step, call);
     carry_out(state, actions);
 }
 
-/// An attempt that ended while the actions were carried out.
+/// An attempt that ended while actions were carried out.
 struct EndedAttempt {
     request: RequestId,
     attempt: u16,
     error: ConnectionError,
 }
 
-/// Carries out actions in their order. Attempts that end in the course of this are reported to the policy after all
-/// actions are done.
+/// Carries out actions in order. Attempts that are cancelled or not sent are reported to the policy after all of them.
 pub fn carry_out(state: &Rc<RouterState>, queue: ActionQueue) {
     let mut ended = Vec::new();
     for action in queue.actions {
@@ -46,7 +45,7 @@
                 ended.extend(expired.map(|attempt| EndedAttempt { request, attempt, error }));
             }
             Action::CancelAttempt { request, attempt } => {
-                // Dropping the task closes its connection.
+                // Dropping the task cancels it and closes its connection.
                 let task = state.requests.take_attempt(request, attempt);
                 let error = ConnectionError::Cancelled;
                 ended.extend(task.map(|_| EndedAttempt { request, attempt, error }));
@@ -58,7 +57,7 @@
             Action::CheckHealth(host) => state.backend.check_health(state, host),
             Action::CloseIdleConnections(host) => close_idle_connections(state, host),
             Action::WakeAfter(delay) => wake_after(state, delay),
-            // The watch is always on.
+            // The watch of the endpoint list always runs.
             Action::WatchEndpoints => {}
         }
     }
@@ -67,7 +66,7 @@
     }
 }
 
-/// Gives a final answer that is no host's, and logs the policy's reason for it.
+/// Gives a request the policy's final answer, and logs its reason.
 fn reject(
     state: &RouterState, request: RequestId, rejection: Reply, reason: RejectionReason, answer: &'static str,
 ) {
@@ -80,7 +79,7 @@
 }
 
 fn close_idle_connections(state: &RouterState, host: Host) {
-    log::warn!("failover: {} is no longer considered primary", state.hosts.directory().name(host));
+    log::warn!(host = state.hosts.directory().name(host); "failover, host no longer considered primary");
     state.hosts.close_idle(host);
 }
 
@@ -98,7 +97,7 @@
     state.tasks.spawn(tick).detach();
 }
 
-/// An answer has begun to be streamed to the client: for the policy, its attempt has ended with that.
+/// Reports the end of an attempt to the policy, as its answer begins to be streamed to the client.
 pub fn answer_started(state: &Rc<RouterState>, id: RequestId, attempt: u16) {
     let end = AttemptEnd {
         attempt,
@@ -110,7 +109,7 @@
     report_attempt_end(state, id, end);
 }
 
-/// An attempt has ended: it is recorded, and reported to the policy.
+/// Records the end of an attempt, and reports it to the policy.
 pub fn attempt_ended(state: &Rc<RouterState>, id: RequestId, attempt: u16, result: AttemptResult) {
     let outcome = result.outcome();
     let AttemptResult { completion, trailer, report, payload, already_reported } = result;
@@ -128,8 +127,10 @@
     });
 }
 
-/// Hands a request to the policy; its final answer comes through the channel. `text` and `message_kind` are the
-/// statement as the backend protocol sends it; nothing leaves for it once `client` has ended.
+/// Submits a request to the policy; returns its id, and the channel that its final answer is sent to.
+///
+/// `text` and `message_kind` are the statement as the backend protocol sends it. No attempt is sent after `client` has
+/// ended.
 pub fn submit(
     state: &Rc<RouterState>, admitted: AdmittedRequest, text: Vec<u8>, message_kind: u8, client: Weak<Socket>,
 ) -> (RequestId, Receiver<Reply>) {
@@ -139,14 +140,13 @@
     let statement = Statement { text, message_kind, client_id, timeout_range, shape };
     let (id, reply) = state.requests.register(statement, client);
     call(state, EventLoopStep::Submit, |router, actions| {
-        let now = actions.now();
-        let timeout = deadline - now;
+        let timeout = deadline - actions.now();
         router.submit(Request { id, class, shard_id, session, after, timeout }, actions);
     });
     (id, reply)
 }
 
-/// The client has disconnected, or has cancelled its request: the request needs no answer any more.
+/// Abandons a request whose client has disconnected or cancelled it.
 pub fn client_disconnected(state: &Rc<RouterState>, id: RequestId) {
     state.metrics.clients_disconnected.increment();
     if let Some(statement) = state.requests.statement(id) {
--- a/crates/comethitchd/src/stages/reply.rs
+++ b/crates/comethitchd/src/stages/reply.rs
@@ -1,12 +1,13 @@
-//! The one final answer to a request.
+//! Gives requests their final answers and counts them.
 
 use crate::state::metrics::Counter;
 use crate::state::pending_requests::Reply;
 use crate::state::router_state::RouterState;
 use comethitch_policy::RequestId;
 
-/// Gives a request its final answer if it has none yet; whether it was this one. A failure carries the error that a
-/// host answered the latest attempt with, if there is one.
+/// Gives a request its final answer. Returns false if it was answered before or its client has disconnected.
+///
+/// A failure carries the host's error response to the latest attempt, if there is one.
 pub fn answer(state: &RouterState, id: RequestId, reply: Reply) -> bool {
     let reply = with_host_error(state, id, reply);
     let counter = counter_of(state, &reply);
--- a/crates/comethitchd/src/stages/updates.rs
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -1,4 +1,4 @@
-//! Changes to a running router that are not requests: endpoint lists from discovery, and a reloaded configuration.
+//! Updates of a running router: endpoint lists from discovery, and reloads of the configuration.
 
 use crate::stages::policy_driver;
 use crate::state::config::{Config, ConfigError};
@@ -12,10 +12,10 @@
 /// Why a reloaded configuration is not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The protocol that is spoken has one dialect.
+    /// The dialect of the rules for statements has changed, which is that of the protocol in use.
     #[error("dialect has changed, which needs a new start")]
     DialectChanged,
-    /// The memory for buffers was computed with the size of the cache.
+    /// The cache of statement shapes has grown, which the memory for buffers was computed with.
     #[error("cache.kib has grown, which needs a new start")]
     CacheGrown,
     /// The new configuration is not valid.
@@ -23,7 +23,7 @@
     Config(#[from] ConfigError),
 }
 
-/// Applies an endpoint list or an update of it: to the directory, the idle connections and the policy.
+/// Applies an endpoint list or an update to the directory, the idle connections and the policy.
 pub fn apply_endpoint_list(state: &Rc<RouterState>, list: &EndpointList) {
     state.metrics.steps.measure(EventLoopStep::ApplyList, || {
         state.hosts.apply_endpoint_list(list);
@@ -35,16 +35,17 @@
     });
 }
 
-/// Applies what a reloaded configuration changes.
+/// Applies the changes of a reloaded configuration that a running router can take over, and logs the others.
 ///
 /// # Errors
-/// If it is faulty; then it changes nothing.
+///
+/// If the configuration is not valid; then nothing is changed.
 pub fn reload(state: &RouterState, reloaded: Result<Config, ConfigError>) -> Result<(), ReloadError> {
-    // All or nothing: what can fail comes before what changes anything.
+    // Everything that can fail comes before the first change.
     let config = reloaded?;
     reload_statement_rules(state, &config)?;
     for key in state.config.fixed_keys_changed(&config) {
-        log::warn!("{key} has changed, and takes effect only after a restart");
+        log::warn!(key; "setting changed, effective after restart");
     }
     reload_discovery(state, &config);
     Ok(())
@@ -52,29 +53,31 @@
 
 fn reload_discovery(state: &RouterState, config: &Config) {
     if state.discovery.service().address == config.discovery {
-        log::info!("the configuration was reloaded: discovery stays {}", config.discovery);
+        log::info!(discovery:% = config.discovery; "configuration reloaded, discovery service unchanged");
         return;
     }
-    log::info!("discovery is {} from now on", config.discovery);
+    log::info!(discovery:% = config.discovery; "configuration reloaded, discovery service changed");
     state.hosts.forget_list_version();
     state.discovery.replace(config.discovery);
 }
 
-/// Replaces the rules for statements if they have changed. They are made for the request classes that this router runs
-/// with; what was known of statement shapes is dropped with the rules that it was found by.
+/// Replaces the rules for statements if they have changed, for the request classes of the running configuration. The
+/// known statement shapes are dropped with the old rules.
 fn reload_statement_rules(state: &RouterState, config: &Config) -> Result<(), ReloadError> {
     if !check_rules_changed(state, config)? {
         return Ok(());
     }
     let rules = config.statements.clone();
     let admission = rules.map(|rules| state.config.admission_by(rules, state.clock.now())).transpose()?;
-    let which = if admission.is_some() { "other" } else { "no" };
+    match admission {
+        Some(_) => log::info!("statement rules replaced"),
+        None => log::info!("statement rules removed"),
+    }
     state.statement_rules.replace(admission);
-    log::info!("statements are judged by {which} rules from now on");
     Ok(())
 }
 
-/// Returns whether the rules for statements have changed; checks that a running router can take the change over.
+/// Returns whether the rules for statements have changed, after a check that a running router can take them over.
 fn check_rules_changed(state: &RouterState, config: &Config) -> Result<bool, ReloadError> {
     let current = state.statement_rules.current();
     if let (Some(current), Some(new)) = (&current, &config.statements) {
@@ -83,7 +86,7 @@
     Ok(current.as_deref() != config.statements.as_ref())
 }
 
-/// Checks that no rule has changed that can't be changed in a running router.
+/// Checks that no rule has changed that is fixed in a running router.
 fn check_fixed_rules(current: &Rules, new: &Rules) -> Result<(), ReloadError> {
     if current.dialect != new.dialect {
         return Err(ReloadError::DialectChanged);
--- a/crates/comethitchd/src/state/pending_requests.rs
+++ b/crates/comethitchd/src/state/pending_requests.rs
@@ -70,7 +70,7 @@
 }
 
 #[derive(Default)]
-struct Table {
+struct RequestTable {
     last_id: RequestId,
     generated_ids: u64,
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -78,7 +78,7 @@
     unanswered: BTreeSet<String>,
 }
 
-impl Table {
+impl RequestTable {
     /// Takes the channel of the final answer; the client may use the request's id again.
     fn take_reply_sender(&mut self, id: RequestId) -> Option<Sender<Reply>> {
         let request = self.requests.get_mut(&id)?;
@@ -96,7 +96,7 @@
 
 /// All requests in progress, by the id that the policy knows them under.
 #[derive(Default)]
-pub struct PendingRequests(RefCell<Table>);
+pub struct PendingRequests(RefCell<RequestTable>);
 
 impl PendingRequests {
     /// Registers a request of a client; returns its id, and the channel that its final answer is sent to.
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -287,7 +287,7 @@
     }
     std::fs::write(&program.file, all.to_string()).expect("written");
     program.signal("HUP");
-    program.logs("settings.classes has changed");
+    program.logs("setting changed, effective after restart key=settings.classes");
     (0..2).for_each(|_| tell.send(()).expect("told"));
     assert_eq!(writer.receive(), ClientReply::Error("40003".into()), "it may have run: it is no read now");
     assert_eq!(
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -514,7 +514,7 @@
     all["limits"]["sockets"] = 512.into();
     std::fs::write(&program.file, all.to_string()).expect("written");
     program.signal("HUP");
-    program.logs("limits.sockets has changed");
+    program.logs("setting changed, effective after restart key=limits.sockets");
     let _silent = new.accept().expect("a first try");
     let (mut stream, _) = new.accept().expect("a second try");
     assert_eq!(request(&stream), "GET /api/targets HTTP/1.1", "all of it, whatever the old one had sent");
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -315,14 +315,14 @@
         put(&fixed);
         program.signal("HUP");
         // Whichever comes first, so that a fault is told and not waited out.
-        let outcomes = ["stays as it was", "statements are judged by"];
+        let outcomes = ["stays as it was", "statement rules replaced"];
         let told = program.log.find(|line| outcomes.iter().any(|outcome| line.contains(outcome)));
         assert!(told.is_some_and(|line| line.contains(&format!("stays as it was: {key}"))), "{key} is fixed");
     }
     rules["commentless"] = json!({"wait_ms": 900});
     put(&rules);
     program.signal("HUP");
-    program.logs("statements are judged by other rules");
+    program.logs("statement rules replaced");
     assert_eq!(client.ask("SELECT 1"), ClientReply::Value(b"value".to_vec()));
     program.signal("TERM");
     program.ends();
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -131,7 +131,7 @@
     let done = program.ends_after(LONG);
     for id in 1..=10 {
         program.signal("HUP");
-        program.logs("the configuration was reloaded");
+        program.logs("configuration reloaded");
         let mut client = Client::connect(program.address);
         assert_eq!(client.ask(&write(id, 2_000)), ClientReply::Value(b"value".to_vec()), "command {id}");
     }
