--- a/crates/comethitchd/src/state/transition_log.rs
+++ b/crates/comethitchd/src/state/transition_log.rs
@@ -45,8 +45,8 @@
         }
         match state {
             ClockState::Corrected { offset, uncertainty } => log::warn!(
-                min_offset_ms = offset / 1000,
-                max_offset_ms = (offset + uncertainty) / 1000;
+                min_offset_ms = offset.as_millis(),
+                max_offset_ms = (offset + uncertainty).as_millis();
                 "wall clock wrong at start, corrected by the hosts' clocks"
             ),
             ClockState::Wrong => log::warn!("wall clock wrong at start, polling hosts for the time"),
