--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -9,13 +9,14 @@
 
 use crate::stages::admit::{AdmissionError, AdmittedRequest, StatementError, StatementRequest, admit};
 use crate::stages::policy_driver;
+use crate::stages::reply::log_rejection;
 use crate::state::arrivals::Arrivals;
 use crate::state::buffer::Buffer;
 use crate::state::client_registry::ConnectionPhase;
 use crate::state::clock::after;
 use crate::state::descriptors::DescriptorPermit;
-use crate::state::pending_requests::Reply;
-use crate::state::router_state::{RouterState, log_rejection};
+use crate::state::pending_requests::{AnswerKind, Reply};
+use crate::state::router_state::RouterState;
 use crate::state::signals::{CloseRequest, ConnectionSignal};
 use crate::state::socket::Socket;
 use async_channel::Receiver;
@@ -131,14 +132,14 @@
             Err(AdmissionError::Invalid(error)) => return Ok(Admission::Invalid(error)),
             Err(AdmissionError::Throttled) => {
                 self.state.metrics.throttled.increment();
-                log_rejection("", "statement_budget");
+                log_rejection("", "statement_budget", AnswerKind::Throttled);
                 return Ok(Admission::Throttled);
             }
         };
         // A hard limit on memory, independent of the policy.
         if self.state.at_request_limit() {
             self.state.metrics.throttled_at_limit.increment();
-            log_rejection(&admitted.client_id, "at_limit");
+            log_rejection(&admitted.client_id, "at_limit", AnswerKind::Throttled);
             return Ok(Admission::Throttled);
         }
         if self.stream.has_ended() {
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -51,9 +51,9 @@
                 ended.extend(task.map(|_| EndedAttempt { request, attempt, error }));
             }
             Action::Throttle { request, retry_after, reason } => {
-                reject(state, request, Reply::Throttled(retry_after), reason, "throttled");
+                reject(state, request, Reply::Throttled(retry_after), reason);
             }
-            Action::Fail { request, reason } => reject(state, request, Reply::Failed, reason, "failed"),
+            Action::Fail { request, reason } => reject(state, request, Reply::Failed, reason),
             Action::CheckHealth(host) => state.backend.check_health(state, host),
             Action::CloseIdleConnections(host) => close_idle_connections(state, host),
             Action::WakeAfter(delay) => wake_after(state, delay),
@@ -67,14 +67,13 @@
 }
 
 /// Gives a request the policy's final answer, and logs its reason.
-fn reject(
-    state: &RouterState, request: RequestId, rejection: Reply, reason: RejectionReason, answer: &'static str,
-) {
+fn reject(state: &RouterState, request: RequestId, answer: Reply, reason: RejectionReason) {
     let statement = state.requests.statement(request);
-    if reply::answer(state, request, rejection) {
+    let answer_kind = answer.kind();
+    if reply::answer(state, request, answer) {
         state.metrics.rejections.increment(reason.name());
-        let id = statement.map(|statement| statement.client_id.clone()).unwrap_or_default();
-        log::info!(id, reason = reason.name(), answer; "request rejected");
+        let id = statement.as_ref().map_or("", |statement| statement.client_id.as_str());
+        reply::log_rejection(id, reason.name(), answer_kind);
     }
 }
 
--- a/crates/comethitchd/src/stages/reply.rs
+++ b/crates/comethitchd/src/stages/reply.rs
@@ -1,7 +1,7 @@
-//! Gives requests their final answers and counts them.
+//! Gives requests their final answers, counts them, and logs rejections.
 
 use crate::state::metrics::Counter;
-use crate::state::pending_requests::Reply;
+use crate::state::pending_requests::{AnswerKind, Reply};
 use crate::state::router_state::RouterState;
 use comethitch_policy::RequestId;
 
@@ -10,7 +10,7 @@
 /// A failure carries the host's error response to the latest attempt, if there is one.
 pub fn answer(state: &RouterState, id: RequestId, reply: Reply) -> bool {
     let reply = with_host_error(state, id, reply);
-    let counter = counter_of(state, &reply);
+    let counter = counter_of(state, reply.kind());
     let delivered = state.requests.answer(id, reply);
     if delivered {
         counter.increment();
@@ -18,6 +18,11 @@
     delivered
 }
 
+/// Logs a rejected request. `id` is empty if the request's id was not read.
+pub fn log_rejection(id: &str, reason: &'static str, answer: AnswerKind) {
+    log::info!(id, reason, answer = answer.name(); "request rejected");
+}
+
 fn with_host_error(state: &RouterState, id: RequestId, reply: Reply) -> Reply {
     match reply {
         Reply::Failed => {
@@ -28,10 +33,10 @@
     }
 }
 
-fn counter_of<'a>(state: &'a RouterState, reply: &Reply) -> &'a Counter {
-    match reply {
-        Reply::Value(_) | Reply::Streaming(..) => &state.metrics.answered,
-        Reply::Throttled(_) => &state.metrics.throttled,
-        Reply::Failed | Reply::FailedWithHostError(_) | Reply::Cancelled => &state.metrics.failed,
+fn counter_of(state: &RouterState, kind: AnswerKind) -> &Counter {
+    match kind {
+        AnswerKind::Answered => &state.metrics.answered,
+        AnswerKind::Throttled => &state.metrics.throttled,
+        AnswerKind::Failed => &state.metrics.failed,
     }
 }
--- a/crates/comethitchd/src/state/buffer.rs
+++ b/crates/comethitchd/src/state/buffer.rs
@@ -79,11 +79,11 @@
 
     /// Doubles the buffer, up to its largest size.
     fn grow(&mut self) -> io::Result<()> {
-        let wanted = (self.bytes.len() * 2).clamp(MIN_FREE_BYTES, self.max_bytes.max(MIN_FREE_BYTES));
-        if !self.budget.exchange(self.bytes.len(), wanted) {
+        let new_length = (self.bytes.len() * 2).clamp(MIN_FREE_BYTES, self.max_bytes.max(MIN_FREE_BYTES));
+        if !self.budget.exchange(self.bytes.len(), new_length) {
             return Err(io::ErrorKind::OutOfMemory.into());
         }
-        self.bytes.resize(wanted, 0);
+        self.bytes.resize(new_length, 0);
         Ok(())
     }
 
--- a/crates/comethitchd/src/state/endpoints.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -34,8 +34,8 @@
             let known = KnownHost { name: entry.name.clone(), address: entry.address };
             let before = self.hosts.insert(entry.endpoint.host, known);
             let moved = before.as_ref().is_some_and(|known| known.address != entry.address);
-            if before.is_some_and(|known| known.name != entry.name) {
-                log::error!(host = entry.name.as_str(); "host id collision, another host is hidden");
+            if let Some(hidden) = before.filter(|known| known.name != entry.name) {
+                log::error!(host = entry.name.as_str(), hidden_host = hidden.name.as_str(); "host id collision");
             }
             if moved || entry.endpoint.lifecycle == Lifecycle::Removed {
                 removed_or_moved.push(entry.endpoint.host);
--- a/crates/comethitchd/src/state/host_connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -65,6 +65,7 @@
 }
 
 impl HostErrorCode {
+    /// Returns the outcome that the policy gets for an attempt that ended with this error.
     fn outcome(&self) -> AttemptOutcome {
         match self {
             HostErrorCode::Postgres(sqlstate) => postgres_outcome(sqlstate),
@@ -95,14 +96,14 @@
     AttemptOutcome::Error
 }
 
-/// Why a connection to a host, or its use for one query, ended without a complete answer.
+/// Why a connection to a host, or its use for one request, ended without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionError {
     /// The host answered with an error.
     #[error("the host answered with the error {0:?}")]
     HostError(HostErrorCode),
-    /// The query was not sent: for lack of time or descriptors, an unknown host, or a refusal right before the send.
-    #[error("the query was not sent")]
+    /// The request was not sent: for lack of time or descriptors, an unknown host, or a refusal right before the send.
+    #[error("the request was not sent")]
     NotSent,
     /// The host rejected the connection for lack of slots.
     #[error("the host has no free connection slot")]
@@ -110,13 +111,13 @@
     /// The connection was refused, or broke before it could be used.
     #[error("no connection could be established")]
     ConnectFailed,
-    /// The connection broke, or the timeout expired, before the query's last byte was written.
-    #[error("the connection broke before the query was sent")]
+    /// The connection broke, or the timeout expired, before the request's last byte was written.
+    #[error("the connection broke before the request was sent")]
     BrokenBeforeSend,
-    /// The connection broke or ended after the query's last byte was written.
-    #[error("the connection broke after the query was sent")]
+    /// The connection broke or ended after the request's last byte was written.
+    #[error("the connection broke after the request was sent")]
     BrokenAfterSend,
-    /// The host violated the protocol after the query was sent.
+    /// The host violated the protocol after the request was sent.
     #[error("the host's answer is malformed")]
     Malformed,
     /// The answer exceeds the maximum size or the memory budget.
@@ -125,8 +126,8 @@
     /// The answer was not complete when the timeout expired.
     #[error("the host did not answer in time")]
     TimedOut,
-    /// The router cancelled the query.
-    #[error("the query was cancelled")]
+    /// The router cancelled the request.
+    #[error("the request was cancelled")]
     Cancelled,
 }
 
--- a/crates/comethitchd/src/state/pending_requests.rs
+++ b/crates/comethitchd/src/state/pending_requests.rs
@@ -25,6 +25,28 @@
     pub shape: Option<Rc<KnownShape>>,
 }
 
+/// The three kinds of final answers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AnswerKind {
+    /// Answered with a value.
+    Answered,
+    /// Rejected without an effect.
+    Throttled,
+    /// Failed, with an unknown effect or a host's error.
+    Failed,
+}
+
+impl AnswerKind {
+    /// Returns the name in the log.
+    pub fn name(self) -> &'static str {
+        match self {
+            AnswerKind::Answered => "answered",
+            AnswerKind::Throttled => "throttled",
+            AnswerKind::Failed => "failed",
+        }
+    }
+}
+
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Reply {
@@ -42,6 +64,17 @@
     Cancelled,
 }
 
+impl Reply {
+    /// Returns the kind of answer.
+    pub fn kind(&self) -> AnswerKind {
+        match self {
+            Reply::Value(_) | Reply::Streaming(..) => AnswerKind::Answered,
+            Reply::Throttled(_) => AnswerKind::Throttled,
+            Reply::Failed | Reply::FailedWithHostError(_) | Reply::Cancelled => AnswerKind::Failed,
+        }
+    }
+}
+
 /// A further part of a streamed value, which is incomplete if the channel closes without [`ValuePart::End`].
 #[derive(Debug)]
 pub enum ValuePart {
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -129,13 +129,6 @@
     }
 }
 
-/// Logs a request that was throttled before it reached the policy; the caller counts it.
-///
-/// `id` is empty if the request was throttled before its id was read.
-pub(crate) fn log_rejection(id: &str, reason: &'static str) {
-    log::info!(id, reason, answer = "throttled"; "request rejected");
-}
-
 /// Returns the memory that the cache of statement shapes and everything else leave to buffers.
 fn buffer_memory_bytes(config: &Config) -> usize {
     let shape_cache_bytes = config.statements.as_ref().map_or(0, |rules| rules.cache.kib as u64) << 10;
--- a/crates/comethitchd/src/state/socket.rs
+++ b/crates/comethitchd/src/state/socket.rs
@@ -42,6 +42,16 @@
     }
 }
 
+/// Polls again while the call is interrupted.
+fn poll_uninterrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    loop {
+        match poll() {
+            Poll::Ready(Err(error)) if error.kind() == ErrorKind::Interrupted => {}
+            result => return result,
+        }
+    }
+}
+
 /// Returns whether an error is a shortage of the local machine (descriptors, buffers, ports) and no fault of a peer.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     let shortages = [
@@ -128,7 +138,7 @@
         match self.peek(&mut [0]) {
             Ok(0) => true,
             Err(error) => error.kind() != ErrorKind::WouldBlock,
-            // A peek does not see the end behind unread bytes.
+            // A peek does not see the end of the stream while bytes are unread.
             Ok(_) => self.is_hung_up(),
         }
     }
@@ -196,21 +206,15 @@
     fn poll_read(
         self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        loop {
-            match ready!(Pin::new(&mut &self.stream).poll_read(context, buffer)) {
-                Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                result => {
-                    self.unconfirmed.set(false);
-                    return Poll::Ready(result);
-                }
-            }
-        }
+        let result = ready!(poll_uninterrupted(|| Pin::new(&mut &self.stream).poll_read(context, buffer)));
+        self.unconfirmed.set(false);
+        Poll::Ready(result)
     }
 }
 
-/// Discards the rest of an abandoned request in the send buffer, which would otherwise still be delivered after the close.
 impl Drop for Socket {
     fn drop(&mut self) {
+        // An abandoned request must not be delivered after the close: discard what the send buffer holds of it.
         if self.unconfirmed.get() {
             let _ = sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO));
         }
@@ -219,12 +223,7 @@
 
 impl AsyncWrite for &Socket {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        loop {
-            match ready!(Pin::new(&mut &self.stream).poll_write(context, bytes)) {
-                Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                result => return Poll::Ready(result),
-            }
-        }
+        poll_uninterrupted(|| Pin::new(&mut &self.stream).poll_write(context, bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/comethitchd/src/state/stall_detector.rs
+++ b/crates/comethitchd/src/state/stall_detector.rs
@@ -77,3 +77,6 @@
         if now - until < recent { from.min(queued_since) } else { queued_since }
     }
 }
+
+#[cfg(test)]
+mod tests;
