--- a/crates/comethitch-tds/src/request/call.rs
+++ b/crates/comethitch-tds/src/request/call.rs
@@ -36,7 +36,7 @@
 
 /// An argument of a statement in a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Argument<'a> {
+pub struct CallArgument<'a> {
     /// The name without the leading `@`; empty if the argument is bound by position.
     pub name: &'a str,
     /// The value.
@@ -147,9 +147,9 @@
     }
 
     /// Returns the arguments of the statement itself.
-    pub fn arguments(&self) -> impl Iterator<Item = Argument<'_>> {
+    pub fn arguments(&self) -> impl Iterator<Item = CallArgument<'_>> {
         let arguments = self.parameters.iter().skip(self.first_argument());
-        arguments.map(|parameter| Argument {
+        arguments.map(|parameter| CallArgument {
             name: parameter.name.trim_start_matches('@'),
             value: &parameter.value,
         })
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -9,20 +9,21 @@
 
 use crate::stages::admit::{AdmissionError, AdmittedRequest, StatementError, StatementRequest, admit};
 use crate::stages::policy_driver;
+use crate::stages::reply::log_rejection;
 use crate::state::arrivals::Arrivals;
 use crate::state::buffer::Buffer;
 use crate::state::client_registry::ConnectionPhase;
 use crate::state::clock::after;
 use crate::state::descriptors::DescriptorPermit;
-use crate::state::pending_requests::Reply;
-use crate::state::router_state::{RouterState, log_rejection};
+use crate::state::pending_requests::{AnswerKind, Reply};
+use crate::state::router_state::RouterState;
 use crate::state::signals::{CloseRequest, ConnectionSignal};
 use crate::state::socket::Socket;
 use async_channel::Receiver;
 use async_io::Async;
 use comethitch_policy::RequestId;
 use comethitch_policy::time::Timestamp;
-use comethitch_statement::assign::Arguments;
+use comethitch_statement::assign::Argument;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use std::cell::Cell;
 use std::io;
@@ -132,21 +133,21 @@
     ///
     /// # Errors
     /// If the client has disconnected, because no attempt may start for it any more.
-    pub(super) fn admit(&self, text: &[u8], arguments: &Arguments) -> Result<Admission, Disconnect> {
+    pub(super) fn admit(&self, text: &[u8], arguments: &[Argument]) -> Result<Admission, Disconnect> {
         let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
         let admitted = match admit(&self.state, &request) {
             Ok(admitted) => admitted,
             Err(AdmissionError::Invalid(error)) => return Ok(Admission::Invalid(error)),
             Err(AdmissionError::Throttled) => {
                 self.state.metrics.throttled.increment();
-                log_rejection("", "statement_budget");
+                log_rejection("", "statement_budget", AnswerKind::Throttled);
                 return Ok(Admission::Throttled);
             }
         };
         // A hard limit on concurrent requests, which does not depend on the policy.
         if self.state.at_request_limit() {
             self.state.metrics.throttled_at_limit.increment();
-            log_rejection(&admitted.client_id, "at_limit");
+            log_rejection(&admitted.client_id, "at_limit", AnswerKind::Throttled);
             return Ok(Admission::Throttled);
         }
         if self.stream.has_ended() {
--- a/crates/comethitchd/src/stages/reply.rs
+++ b/crates/comethitchd/src/stages/reply.rs
@@ -1,15 +1,16 @@
-//! The one final answer to a request.
+//! Gives requests their final answers, counts them, and logs rejections.
 
 use crate::state::metrics::Counter;
-use crate::state::pending_requests::Reply;
+use crate::state::pending_requests::{AnswerKind, Reply};
 use crate::state::router_state::RouterState;
 use comethitch_policy::RequestId;
 
-/// Gives a request its final answer if it has none yet; whether it was this one. A failure carries the error that a
-/// host answered the latest attempt with, if there is one.
+/// Gives a request its final answer. Returns false if it was answered before or its client has disconnected.
+///
+/// A failure carries the host's error response to the latest attempt, if there is one.
 pub fn answer(state: &RouterState, id: RequestId, reply: Reply) -> bool {
     let reply = with_host_error(state, id, reply);
-    let counter = counter_of(state, &reply);
+    let counter = counter_of(state, reply.kind());
     let delivered = state.requests.answer(id, reply);
     if delivered {
         counter.increment();
@@ -17,6 +18,11 @@
     delivered
 }
 
+/// Logs a rejected request. `id` is empty if the request's id was not read.
+pub fn log_rejection(id: &str, reason: &'static str, answer: AnswerKind) {
+    log::info!(id, reason, answer = answer.name(); "request rejected");
+}
+
 fn with_host_error(state: &RouterState, id: RequestId, reply: Reply) -> Reply {
     match reply {
         Reply::Failed => {
@@ -27,10 +33,10 @@
     }
 }
 
-fn counter_of<'a>(state: &'a RouterState, reply: &Reply) -> &'a Counter {
-    match reply {
-        Reply::Value(_) | Reply::Streaming(..) => &state.metrics.answered,
-        Reply::Throttled(_) => &state.metrics.throttled,
-        Reply::Failed | Reply::FailedWithHostError(_) | Reply::Cancelled => &state.metrics.failed,
+fn counter_of(state: &RouterState, kind: AnswerKind) -> &Counter {
+    match kind {
+        AnswerKind::Answered => &state.metrics.answered,
+        AnswerKind::Throttled => &state.metrics.throttled,
+        AnswerKind::Failed => &state.metrics.failed,
     }
 }
--- a/crates/comethitchd/src/state/pending_requests.rs
+++ b/crates/comethitchd/src/state/pending_requests.rs
@@ -25,6 +25,28 @@
     pub shape: Option<Rc<KnownShape>>,
 }
 
+/// The three kinds of final answers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AnswerKind {
+    /// Answered with a value.
+    Answered,
+    /// Rejected without an effect.
+    Throttled,
+    /// Failed, with an unknown effect or a host's error.
+    Failed,
+}
+
+impl AnswerKind {
+    /// Returns the name in the log.
+    pub fn name(self) -> &'static str {
+        match self {
+            AnswerKind::Answered => "answered",
+            AnswerKind::Throttled => "throttled",
+            AnswerKind::Failed => "failed",
+        }
+    }
+}
+
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Reply {
@@ -42,6 +64,17 @@
     Cancelled,
 }
 
+impl Reply {
+    /// Returns the kind of answer.
+    pub fn kind(&self) -> AnswerKind {
+        match self {
+            Reply::Value(_) | Reply::Streaming(..) => AnswerKind::Answered,
+            Reply::Throttled(_) => AnswerKind::Throttled,
+            Reply::Failed | Reply::FailedWithHostError(_) | Reply::Cancelled => AnswerKind::Failed,
+        }
+    }
+}
+
 /// A further part of a streamed value, which is incomplete if the channel closes without [`ValuePart::End`].
 #[derive(Debug)]
 pub enum ValuePart {
@@ -70,7 +103,7 @@
 }
 
 #[derive(Default)]
-struct Table {
+struct RequestTable {
     last_id: RequestId,
     generated_ids: u64,
     requests: BTreeMap<RequestId, PendingRequest>,
@@ -78,7 +111,7 @@
     unanswered: BTreeSet<String>,
 }
 
-impl Table {
+impl RequestTable {
     /// Takes the channel of the final answer; the client may use the request's id again.
     fn take_reply_sender(&mut self, id: RequestId) -> Option<Sender<Reply>> {
         let request = self.requests.get_mut(&id)?;
@@ -96,7 +129,7 @@
 
 /// All requests in progress, by the id that the policy knows them under.
 #[derive(Default)]
-pub struct PendingRequests(RefCell<Table>);
+pub struct PendingRequests(RefCell<RequestTable>);
 
 impl PendingRequests {
     /// Registers a request of a client; returns its id, and the channel that its final answer is sent to.
