--- a/crates/comethitchd/src/bin/comethitch.rs
+++ b/crates/comethitchd/src/bin/comethitch.rs
@@ -1,4 +1,4 @@
-//! The command line of the operator's tool: what can be done without a running router.
+//! The command line of the operator's tool: `classify`, `schema` and `trail`, which need no running router.
 
 use argh::FromArgs;
 use comethitch_statement::Rules;
@@ -23,16 +23,16 @@
     Trail(TrailCommand),
 }
 
-/// Print the schema of an operator's file.
+/// Print the JSON schema of an operator's file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "schema")]
 struct Schema {
-    /// which file: statements or tds
+    /// the file: statements or tds
     #[argh(positional)]
     file: String,
 }
 
-/// Why a schema can't be printed.
+/// Why a schema could not be printed.
 #[derive(Debug, thiserror::Error)]
 enum SchemaError {
     #[error("there are schemas of statements and tds, none of {file:?}")]
--- a/crates/comethitchd/src/lib.rs
+++ b/crates/comethitchd/src/lib.rs
@@ -1,8 +1,8 @@
-//! The router on sockets around the decisions of the `comethitch-policy` package.
+//! The query router on sockets, which carries out the decisions of the `comethitch-policy` package.
 //!
-//! Wire formats are in [`wire`], what a running router holds in [`state`], the path of a request in [`stages`], what
-//! speaks with clients and hosts in [`protocols`], and start and stop in [`service`]. Nothing here chooses a host, a
-//! retry, a throttle or a timeout.
+//! [`wire`] contains the wire formats, [`state`] the state of a running router, [`stages`] the stages of a request,
+//! [`protocols`] the connections to clients and hosts, and [`service`] start, shutdown and command-line tools. No module
+//! chooses hosts, retries, rejections or timeouts: the policy does.
 
 pub mod protocols;
 pub mod service;
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -1,11 +1,11 @@
-//! The command line of the daemon.
+//! The command line of the daemon: `serve`, `check`, `classify` and `version`.
 
 use argh::FromArgs;
 use comethitch_statement::Dialect;
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::classify::{Classify, ClassifyError};
 use comethitchd::service::command_line::{ConfigFiles, exit_code};
-use comethitchd::service::logger::{self, LogForm};
+use comethitchd::service::logger::{self, LogFormat};
 use comethitchd::service::protocol::{Protocol, ProtocolError};
 use comethitchd::service::server::{self, ServeError};
 use comethitchd::state::clock::Clock;
@@ -30,38 +30,38 @@
     Version(Version),
 }
 
-/// Serve clients until SIGTERM; SIGHUP reads the configuration again.
+/// Serve clients until SIGTERM; SIGHUP reloads the configuration.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration; without it, the file that `RELAY_CONFIG` names
+    /// the configuration; by default the file that `RELAY_CONFIG` names
     #[argh(option)]
     configuration: Option<PathBuf>,
-    /// the rules by which statements are judged by their text; without it, comments alone count
+    /// the statement rules, as in deploy/statements.json; without them statements need a comment
     #[argh(option)]
     statements: Option<PathBuf>,
-    /// the settings of TDS, as in deploy/tds.json; without it, PostgreSQL's protocol is spoken
+    /// the TDS settings, as in deploy/tds.json; without them the router speaks PostgreSQL's protocol
     #[argh(option)]
     tds: Option<PathBuf>,
-    /// what to log: error, warn, info, debug or trace; info if not given
+    /// the log level: error, warn, info (default), debug or trace
     #[argh(option, default = "LevelFilter::Info")]
     log: LevelFilter,
-    /// how to write the log: text or json; text if not given
-    #[argh(option, default = "LogForm::Text")]
-    log_form: LogForm,
+    /// the format of the log: text (default) or json
+    #[argh(option, default = "LogFormat::Text")]
+    log_form: LogFormat,
 }
 
-/// Read the configuration, say what is wrong with it, and serve nothing.
+/// Check the configuration and report errors, without serving.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration; without it, the file that `RELAY_CONFIG` names
+    /// the configuration; by default the file that `RELAY_CONFIG` names
     #[argh(option)]
     configuration: Option<PathBuf>,
-    /// the rules by which statements are judged by their text, to be checked too
+    /// the statement rules, checked too
     #[argh(option)]
     statements: Option<PathBuf>,
-    /// the settings of TDS, to be checked too
+    /// the TDS settings, checked too
     #[argh(option)]
     tds: Option<PathBuf>,
 }
@@ -100,28 +100,32 @@
         let files = ConfigFiles { configuration: self.configuration, statements: self.statements };
         let config = files.load()?;
         choose_protocol(self.tds.as_deref(), &config)?;
-        let classes = config.classes.len();
-        let hosts = config.known.entries.len();
-        println!(
-            "{} would listen on {}: {classes} command groups, {hosts} hosts known",
-            config.name, config.listen
-        );
-        if let Some(rules) = &config.statements {
-            let classes = rules.classes.len();
-            let keys = rules.keys.len();
-            println!("statements would be judged by {classes} rules for command groups and {keys} for keys");
-        }
+        print_summary(&config);
         Ok(())
     }
 }
 
+fn print_summary(config: &Config) {
+    let classes = config.classes.len();
+    let hosts = config.known.entries.len();
+    println!(
+        "{} would listen on {}: {classes} request classes, {hosts} known hosts",
+        config.name, config.listen
+    );
+    if let Some(rules) = &config.statements {
+        let classes = rules.classes.len();
+        let keys = rules.keys.len();
+        println!("statement rules: {classes} for request classes, {keys} for keys");
+    }
+}
+
 impl Version {
     fn print(&self) {
         println!("comethitchd {}", env!("CARGO_PKG_VERSION"));
     }
 }
 
-/// TDS if there are settings for it, or else PostgreSQL's protocol.
+/// Returns TDS if its settings are given, and PostgreSQL's protocol otherwise.
 fn choose_protocol(tds: Option<&Path>, config: &Config) -> Result<Protocol, ProtocolError> {
     if let Some(path) = tds {
         let settings = TdsSettings::load(path)?;
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -19,7 +19,7 @@
 
 /// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     /// Timestamp, level, source, message, and the fields as `name=value`.
     #[default]
     Text,
@@ -30,18 +30,18 @@
 /// The name of an unknown log format.
 #[derive(Debug, thiserror::Error)]
 #[error("the log's form is text or json, not {name:?}")]
-pub struct UnknownLogForm {
+pub struct UnknownLogFormat {
     name: String,
 }
 
-impl FromStr for LogForm {
-    type Err = UnknownLogForm;
+impl FromStr for LogFormat {
+    type Err = UnknownLogFormat;
 
-    fn from_str(name: &str) -> Result<LogForm, UnknownLogForm> {
+    fn from_str(name: &str) -> Result<LogFormat, UnknownLogFormat> {
         match name {
-            "text" => Ok(LogForm::Text),
-            "json" => Ok(LogForm::Json),
-            other => Err(UnknownLogForm { name: other.to_string() }),
+            "text" => Ok(LogFormat::Text),
+            "json" => Ok(LogFormat::Json),
+            other => Err(UnknownLogFormat { name: other.to_string() }),
         }
     }
 }
@@ -84,10 +84,10 @@
 }
 
 /// Installs the logger; a second call has no effect.
-pub fn start(level: LevelFilter, form: LogForm) {
-    let layout: Box<dyn Layout> = match form {
-        LogForm::Text => Box::new(TextLayout::default().no_color().timezone(TimeZone::UTC)),
-        LogForm::Json => Box::new(JsonLayout::default().timezone(TimeZone::UTC)),
+pub fn start(level: LevelFilter, format: LogFormat) {
+    let layout: Box<dyn Layout> = match format {
+        LogFormat::Text => Box::new(TextLayout::default().no_color().timezone(TimeZone::UTC)),
+        LogFormat::Json => Box::new(JsonLayout::default().timezone(TimeZone::UTC)),
     };
     let append = StderrAppender { layout };
     let logger =
