--- a/crates/comethitchd/src/service/trail/aliases.rs
+++ b/crates/comethitchd/src/service/trail/aliases.rs
@@ -1,15 +1,15 @@
-//! Names that log lines had in earlier versions, and the present ones, so that old and new logs add up together.
+//! Maps the names of earlier versions' log lines to the current ones, so that old and new logs can be summed together.
 
 use std::borrow::Cow;
 
-/// An old name and the one that replaced it.
+/// An earlier name, and the current one.
 type Alias = (&'static str, &'static str);
 
 const MESSAGES: [Alias; 1] = [("given up", "request rejected")];
 
 const FIELDS: [Alias; 1] = [("why", "reason")];
 
-/// Reasons for which the policy rejects a request.
+/// Reasons of rejected requests.
 const REASONS: [Alias; 5] = [
     ("time_up", "deadline_exceeded"),
     ("long_in_line", "queued_too_long"),
@@ -37,33 +37,33 @@
     ("dispatches_miss", "attempts_not_primary"),
 ];
 
-/// Counts of rejected requests have these prefixes before the reason.
+/// Prefixes of the counts of rejected requests, which end with the reason.
 const REJECTED_PREFIX: Alias = ("given_up_", "rejected_");
 
-/// The present name of a log message.
+/// Returns the current name of a log message.
 pub(super) fn current_message(name: &str) -> &str {
     current(&MESSAGES, name)
 }
 
-/// The present name of a field of a log line.
+/// Returns the current name of a field.
 pub(super) fn current_field(name: &str) -> &str {
     current(&FIELDS, name)
 }
 
-/// The present name of a reason for which a request was rejected.
+/// Returns the current name of a reason for a rejection.
 pub(super) fn current_reason(name: &str) -> &str {
     current(&REASONS, name)
 }
 
-/// The present name of a count.
+/// Returns the current name of a count.
 pub(super) fn current_count(name: &str) -> Cow<'_, str> {
-    let (old_prefix, prefix) = REJECTED_PREFIX;
-    match name.strip_prefix(old_prefix) {
+    let (earlier_prefix, prefix) = REJECTED_PREFIX;
+    match name.strip_prefix(earlier_prefix) {
         Some(reason) => Cow::Owned(format!("{prefix}{}", current_reason(reason))),
         None => Cow::Borrowed(current(&COUNTS, name)),
     }
 }
 
 fn current<'a>(aliases: &[Alias], name: &'a str) -> &'a str {
-    aliases.iter().find(|(old, _)| *old == name).map_or(name, |(_, current)| *current)
+    aliases.iter().find(|(earlier, _)| *earlier == name).map_or(name, |(_, current)| *current)
 }
--- a/crates/comethitchd/src/service/trail/log_line.rs
+++ b/crates/comethitchd/src/service/trail/log_line.rs
@@ -1,20 +1,20 @@
-//! One line of a router's log, in either form that `--log-form` writes.
+//! Parses one line of a router's log, in either format of `--log-form`.
 
 use serde_json::Value;
 
-/// A line's message and fields.
+/// A parsed log line.
 pub(super) struct LogLine<'a> {
     /// The message, without its fields.
     pub message: String,
-    /// Names and values, in their order.
+    /// Names and values of the fields, in the order of the line.
     pub fields: Vec<(String, String)>,
-    /// The line as it was read.
+    /// The text of the line.
     pub text: &'a str,
 }
 
 impl<'a> LogLine<'a> {
-    /// Parses the text form, `[bench time] time LEVEL target: file:line message key=value ...`, or a JSON object with
-    /// `message` and `kvs`; none if it is neither.
+    /// Parses `[bench time] timestamp LEVEL target: file:line message key=value ...`, or a JSON object with `message` and
+    /// `kvs`. Returns none if the line is neither.
     pub(super) fn parse(text: &'a str) -> Option<LogLine<'a>> {
         let text = text.trim_end();
         if let Some(start) = text.find('{')
@@ -38,7 +38,7 @@
     fn from_text(text: &'a str) -> Option<LogLine<'a>> {
         let words: Vec<&str> = text.split_whitespace().collect();
         let level = words.iter().position(|word| is_level(word))?;
-        // Behind the level stand the target and the source line.
+        // The target and the source line follow the level.
         let rest = words.get(level + 3..)?;
         let first_field = rest.iter().position(|word| word.contains('=')).unwrap_or(rest.len());
         let message = rest[..first_field].join(" ");
@@ -55,8 +55,8 @@
     matches!(word, "ERROR" | "WARN" | "INFO" | "DEBUG" | "TRACE")
 }
 
-/// A line's time of RFC 3339 in UTC, which orders as text; empty where it has none. The bench's own clock that may
-/// stand before it is no such time: `10.2` would come before `9.8`.
+/// Returns the RFC 3339 timestamp of a line, which sorts as text, or an empty text if there is none. The bench's clock,
+/// which may precede it, does not sort as text: `10.2` would come before `9.8`.
 pub(super) fn timestamp(line: &str) -> &str {
     const JSON_KEY: &str = "\"timestamp\":\"";
     if let Some(at) = line.find(JSON_KEY) {
--- a/crates/comethitchd/src/service/trail/tests.rs
+++ b/crates/comethitchd/src/service/trail/tests.rs
@@ -1,68 +1,70 @@
-//! Tests of `trail`. Logs of earlier versions must add up too, so most lines here have their old names.
+//! Tests of `trail`. Most lines have the names of earlier versions, whose logs must be summed too.
 
-use super::*;
+use super::LogSummary;
+use super::log_line::timestamp;
+use super::summary::MAX_NAMES;
 
 #[test]
-fn both_forms_sum_alike() {
-    let mut text = Trail::default();
-    text.read("a", "1.0 2026-12-01T20:00:00Z INFO comethitchd::stages::route: route.rs:9 given up id=7 why=no_primary answer=throttled");
-    text.read("b", "2026-12-01T20:00:00Z WARN comethitchd::x: x.rs:1 something else");
-    text.read("b", "not a line of ours");
-    let mut json = Trail::default();
-    json.read("a", r#"{"timestamp":"t","level":"INFO","message":"given up","kvs":{"id":"7","why":"no_primary","answer":"throttled"}}"#);
-    assert_eq!(text.reasons, json.reasons);
-    assert_eq!((text.unread, text.by_router["a"]), (1, 1));
+fn text_and_json_lines_give_the_same_sums() {
+    let mut text = LogSummary::default();
+    text.add_line("a", "1.0 2026-12-01T20:00:00Z INFO comethitchd::stages::route: route.rs:9 given up id=7 why=no_primary answer=throttled");
+    text.add_line("b", "2026-12-01T20:00:00Z WARN comethitchd::x: x.rs:1 something else");
+    text.add_line("b", "not a line of ours");
+    let mut json = LogSummary::default();
+    json.add_line("a", r#"{"timestamp":"t","level":"INFO","message":"given up","kvs":{"id":"7","why":"no_primary","answer":"throttled"}}"#);
+    assert_eq!(text.rejections, json.rejections);
+    assert_eq!((text.skipped_lines, text.rejections_by_router["a"]), (1, 1));
 }
 
 #[test]
-fn counts_sum_over_routers_without_the_gauges() {
-    let mut trail = Trail::default();
+fn counts_are_summed_over_routers_without_gauges() {
+    let mut summary = LogSummary::default();
     for router in ["a", "b"] {
-        trail.read(
+        summary.add_line(
             router,
             "9 t INFO comethitchd::state::router_state: :0 counts taken=5 answered=4 connected=2 now_clients=9",
         );
     }
-    assert_eq!((trail.counts["requests_received"], trail.counts.get("now_clients")), (10, None));
-    assert_eq!(trail.per_answered("connected"), Some(0.5));
+    assert_eq!((summary.counts["requests_received"], summary.counts.get("now_clients")), (10, None));
+    assert_eq!(summary.per_answered("connected"), Some(0.5));
 }
 
 #[test]
-fn lines_are_ordered_by_their_time_and_not_by_the_bench_clock_before_it() {
+fn lines_sort_by_timestamp_not_by_the_bench_clock() {
     let later =
         "10.2 2026-12-01T20:00:10.2+00:00 INFO c::r: r.rs:1 given up id=1 why=time_up answer=throttled";
-    let sooner =
+    let earlier =
         "9.8 2026-12-01T20:00:09.8+00:00 INFO c::r: r.rs:1 given up id=1 why=time_up answer=throttled";
     let json = r#"{"timestamp":"2026-12-01T20:00:10.0+00:00","message":"given up","kvs":{"id":"1"}}"#;
-    let mut lines = [later, json, sooner];
+    let mut lines = [later, json, earlier];
     lines.sort_by(|a, b| timestamp(a).cmp(timestamp(b)));
-    assert_eq!(lines, [sooner, json, later]);
+    assert_eq!(lines, [earlier, json, later]);
 }
 
 #[test]
-fn nonsense_names_grow_the_sums_no_further_than_their_bound() {
-    let mut trail = Trail::default();
+fn distinct_names_are_bounded() {
+    let mut summary = LogSummary::default();
     for n in 0..MAX_NAMES + 50 {
-        trail.read("a", &format!("1 t INFO c::r: r.rs:1 given up id=1 why=w{n} answer=throttled"));
-        trail.read("a", &format!("1 t INFO c::h: :0 counts f{n}=1"));
+        summary.add_line("a", &format!("1 t INFO c::r: r.rs:1 given up id=1 why=w{n} answer=throttled"));
+        summary.add_line("a", &format!("1 t INFO c::h: :0 counts f{n}=1"));
     }
-    assert_eq!((trail.reasons.len(), trail.counts.len()), (MAX_NAMES, MAX_NAMES));
-    assert_eq!(trail.unread, 50);
+    assert_eq!((summary.rejections.len(), summary.counts.len()), (MAX_NAMES, MAX_NAMES));
+    assert_eq!(summary.skipped_lines, 50);
 }
 
 #[test]
-fn one_id_is_followed_across_routers_and_no_other() {
-    let mut trail = Trail::following("42");
-    trail.read("a", "1 t INFO c::r: r.rs:1 given up id=42 why=time_up answer=throttled");
-    trail.read("b", "2 t INFO c::r: r.rs:1 given up id=420 why=time_up answer=throttled");
-    trail.read("c", "3 t INFO c::r: r.rs:1 given up id=42 why=not_again answer=failed");
-    let routers: Vec<&str> = trail.followed.iter().map(|line| line.router.as_str()).collect();
+fn only_lines_with_the_followed_id_are_collected() {
+    let mut summary = LogSummary::following("42");
+    summary.add_line("a", "1 t INFO c::r: r.rs:1 given up id=42 why=time_up answer=throttled");
+    summary.add_line("b", "2 t INFO c::r: r.rs:1 given up id=420 why=time_up answer=throttled");
+    summary.add_line("c", "3 t INFO c::r: r.rs:1 given up id=42 why=not_again answer=failed");
+    let routers: Vec<&str> = summary.followed_lines.iter().map(|line| line.router.as_str()).collect();
     assert_eq!(routers, ["a", "c"]);
 }
 
-/// One log in the names of earlier versions, and the same in the present ones.
+/// The same log with the names of earlier versions and with the current ones.
 #[test]
-fn old_and_new_logs_give_the_same_sums() {
+fn earlier_and_current_names_give_the_same_sums() {
     let reasons = [
         ("time_up", "deadline_exceeded"),
         ("long_in_line", "queued_too_long"),
@@ -91,18 +93,51 @@
         ),
         ("now_in_hand=3", "now_commands_in_progress=3"),
     ];
-    let (mut old, mut new) = (Trail::default(), Trail::default());
+    let (mut old, mut new) = (LogSummary::default(), LogSummary::default());
     for (old_reason, new_reason) in reasons {
         let fields = format!("id=1 why={old_reason} answer=throttled");
-        old.read("a", &format!("1 t INFO c::route: r.rs:1 given up {fields}"));
+        old.add_line("a", &format!("1 t INFO c::route: r.rs:1 given up {fields}"));
         let fields = format!("id=1 reason={new_reason} answer=throttled");
-        new.read("a", &format!("1 t INFO c::policy_driver: p.rs:1 request rejected {fields}"));
+        new.add_line("a", &format!("1 t INFO c::policy_driver: p.rs:1 request rejected {fields}"));
     }
     for (old_counts, new_counts) in counts {
-        old.read("a", &format!("1 t INFO c::router_state: :0 counts {old_counts}"));
-        new.read("a", &format!("1 t INFO c::metrics_report: :0 counts {new_counts}"));
+        old.add_line("a", &format!("1 t INFO c::router_state: :0 counts {old_counts}"));
+        new.add_line("a", &format!("1 t INFO c::metrics_report: :0 counts {new_counts}"));
     }
-    assert_eq!((&old.reasons, &old.counts), (&new.reasons, &new.counts));
-    assert_eq!((old.summary(), old.unread), (new.summary(), 0));
-    assert_eq!((new.reasons.len(), new.counts.len()), (reasons.len(), 22));
+    assert_eq!((&old.rejections, &old.counts), (&new.rejections, &new.counts));
+    assert_eq!((old.to_lines(), old.skipped_lines), (new.to_lines(), 0));
+    assert_eq!((new.rejections.len(), new.counts.len()), (reasons.len(), 22));
+}
+
+/// Logs as earlier versions wrote them, with values in the messages: `first_names.log` has the first names of messages
+/// and counts, the others were written by the last version before messages became constant.
+#[test]
+fn kept_logs_of_earlier_versions_are_summed() {
+    let mut summary = LogSummary::following("7301");
+    for (router, log) in [
+        ("n1", include_str!("tests/first_names.log")),
+        ("n2", include_str!("tests/values_in_messages.log")),
+        ("n3", include_str!("tests/values_in_messages.json.log")),
+    ] {
+        log.lines().for_each(|line| summary.add_line(router, line));
+    }
+    let rejections =
+        |reason: &str, answer: &str| summary.rejections[&(reason.to_string(), answer.to_string())];
+    assert_eq!(rejections("no_primary", "throttled"), 3);
+    assert_eq!(rejections("not_retryable", "failed"), 1);
+    assert_eq!(summary.rejections_by_router.values().copied().collect::<Vec<_>>(), [2, 1, 1]);
+    let expected = [
+        ("answered", 4),
+        ("attempts_connection_failed", 6),
+        ("health_checks", 16),
+        ("rejected_no_primary", 3),
+        ("requests_received", 8),
+        ("throttled", 3),
+    ];
+    for (name, count) in expected {
+        assert_eq!(summary.counts[name], count, "{name}");
+    }
+    assert_eq!(summary.skipped_lines, 0);
+    let followed: Vec<_> = summary.followed_lines.iter().map(|line| line.router.as_str()).collect();
+    assert_eq!(followed, ["n1", "n2", "n2", "n2", "n2", "n2", "n3", "n3", "n3", "n3", "n3"]);
 }
