--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -1,112 +1,78 @@
-//! The ends of health checks, who pays for them, and what makes a host unreachable, unresponsive or ejected.
+//! Health checks: how they are sent, what their ends show, and how requests pay for them.
 
-use super::check_schedule::MIN_RECENT_COMMANDS;
-use super::{
-    Actions, AttemptOutcome, Duration, HostState, LoadReport, RECENT_COMMANDS_WINDOW, Router,
-    SILENCE_TIMEOUT, ShardId, Timestamp,
-};
-use crate::Host;
+use super::intervals::HEALTH_CHECK_RETRY_INTERVAL;
+use super::recent_requests::{RECENT_REQUESTS_WINDOW, is_in_use};
+use super::router::Router;
+use crate::host_table::HostIndex;
+use crate::time::Timestamp;
+use crate::{Actions, AttemptOutcome, Host, LoadReport, ShardId};
 
-/// Points of service that each request spends on health checks: quiet routers pay more than once for each.
-const POINTS_PER_COMMAND: f64 = 0.02;
-/// The part of these that timers get where positions are refreshed on demand besides.
-const TIMER_PART: f64 = 0.25;
-/// How many health checks may be saved up for each member of a group.
-const SAVED_PER_MEMBER: f64 = 2.0;
-/// How soon a health check that reported nothing is sent again, and how often hosts are checked urgently.
-pub(super) const HEALTH_CHECK_RETRY: Duration = Duration::from_millis(250);
-/// Attempts in a row, cancelled late or timed out without any answer since, that make a host unresponsive.
-const UNRESPONSIVE_AFTER: u32 = 2;
-/// How often an unresponsive host is tried with a request.
-pub(super) const UNRESPONSIVE_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
-/// Failures in a row, of connections, attempts and health checks, that make a host unreachable.
-const UNREACHABLE_AFTER: u32 = 3;
+/// Points of service that each request spends on health checks.
+const POINTS_PER_REQUEST: f64 = 0.02;
+/// The fraction of these that periodic health checks get where positions are refreshed on demand besides.
+const PERIODIC_FRACTION: f64 = 0.25;
+/// Maximum number of health checks saved up per member of a shard.
+const MAX_BUDGET_PER_MEMBER: f64 = 2.0;
+/// A host that has reported no position yet is checked again after the retry interval over this.
+const STARTING_HOST_RETRY_DIVISOR: u64 = 4;
 
 impl Router {
-    /// Takes in the end of a health check, with the load report that came back.
+    /// Records the end of a health check, with the load report that came back.
     pub fn health_checked(
         &mut self, host: Host, outcome: AttemptOutcome, report: LoadReport, out: &mut dyn Actions,
     ) {
         let now = out.now();
         let Some(index) = self.hosts.index_of(host) else { return };
-        let connect_timeout = self.deployment.connect_timeout;
+        let connect_timeout = self.settings.deployment().connect_timeout;
         let host = &mut self.hosts[index];
-        let sent_at = host.health_check_sent.take().unwrap_or(now);
+        let sent_at = host.checks.record_end().unwrap_or(now);
         match outcome {
-            AttemptOutcome::NoConnectionSlot => host.record_rejection(self.hash_seed, connect_timeout, now),
+            AttemptOutcome::NoConnectionSlot => {
+                host.record_connection_rejected(self.random.hash_seed(), connect_timeout, now);
+            }
             AttemptOutcome::Answered | AttemptOutcome::Error | AttemptOutcome::Overloaded => {
-                host.record_sign_of_life(now);
+                host.health.record_sign_of_life(now);
                 if report == LoadReport::default() {
-                    host.retry_health_check(now);
+                    self.retry_health_check(index, now);
                 }
             }
-            _ if host.last_sign_of_life < sent_at => host.record_failure(connect_timeout, now),
+            _ if host.health.last_sign_of_life() < sent_at => {
+                host.health.record_failure(connect_timeout, now);
+            }
             _ => {}
         }
-        self.review_checks_by(index);
+        let next_check_at = self.hosts[index].checks.next_at();
+        self.shard_of_mut(index).review_by(next_check_at);
         self.apply_report(index, report, None, out);
-        self.drain_queues(self.hosts[index].shard_id, out);
-    }
-
-    pub(super) fn fund_health_checks(&mut self, shard_id: ShardId, now: Timestamp) {
-        self.recent_requests.add(1.0, now, RECENT_COMMANDS_WINDOW);
-        let Some(shard) = self.shards.get_mut(&shard_id) else { return };
-        let points = POINTS_PER_COMMAND * if self.refresh_on_demand { TIMER_PART } else { 1.0 };
-        let funded = shard.health_check_budget + points / self.deployment.health_check_price;
-        shard.health_check_budget = funded.min(shard.members.len() as f64 * SAVED_PER_MEMBER);
-        if shard.recent_requests.value(now, RECENT_COMMANDS_WINDOW) < MIN_RECENT_COMMANDS {
-            // Nobody needed to know its state before.
-            shard.next_check_review = now;
-        }
-        shard.recent_requests.add(1.0, now, RECENT_COMMANDS_WINDOW);
-    }
-}
-
-impl HostState {
-    pub(super) fn is_ejected(&self, now: Timestamp) -> bool {
-        now < self.ejected_until
-    }
-
-    /// Whether nothing has reached it for a while. One failure is no proof: the host may lack a connection
-    /// to spare, or be hard to reach from here alone, and serve all the same.
-    pub(super) fn is_unreachable(&self) -> bool {
-        self.consecutive_failures >= UNREACHABLE_AFTER
+        self.drain_queues(self.hosts[index].listing.shard_id(), out);
     }
 
-    pub(super) fn record_sign_of_life(&mut self, now: Timestamp) {
-        self.last_sign_of_life = now;
-        self.consecutive_failures = 0;
-        if !self.unresponsive {
-            self.ejected_until = self.ejected_until.min(now);
-        }
+    /// Repeats a health check that reported nothing: the host has just started, is overloaded, or only its health checks
+    /// fail.
+    fn retry_health_check(&mut self, index: HostIndex, now: Timestamp) {
+        let host = &mut self.hosts[index];
+        let divisor = if host.replication.has_position() { 1 } else { STARTING_HOST_RETRY_DIVISOR };
+        host.checks.bring_forward(now + HEALTH_CHECK_RETRY_INTERVAL / divisor);
     }
 
-    /// Ejects an unreachable host, for twice as long each time: hundreds of routers try one that is down.
-    pub(super) fn record_failure(&mut self, connect_timeout: Duration, now: Timestamp) {
-        self.consecutive_failures += 1;
-        if self.is_unreachable() {
-            let doublings = (self.consecutive_failures - UNREACHABLE_AFTER).min(16);
-            self.ejected_until = now + (connect_timeout * (1 << doublings)).min(SILENCE_TIMEOUT);
-        }
+    /// Sends a health check to a host.
+    pub(super) fn send_health_check(&mut self, index: HostIndex, out: &mut dyn Actions) {
+        let host = &mut self.hosts[index];
+        host.record_health_check(out.now());
+        out.check_health(host.host);
     }
 
-    /// Hangs, one-way links, hosts too slow to wait for, whatever their health checks say.
-    pub(super) fn record_unanswered(&mut self, now: Timestamp) {
-        self.unanswered_attempts += 1;
-        if self.unanswered_attempts >= UNRESPONSIVE_AFTER && !self.unresponsive {
-            self.unresponsive = true;
-            self.ejected_until = self.ejected_until.max(now + UNRESPONSIVE_TRIAL_INTERVAL);
+    /// Records a request of a shard, which pays for a fraction of a health check there.
+    pub(super) fn record_request_of_shard(&mut self, shard_id: ShardId, now: Timestamp) {
+        let Some(shard) = self.shards.get_mut(shard_id) else { return };
+        let fraction = if self.settings.refreshes_on_demand() { PERIODIC_FRACTION } else { 1.0 };
+        let points = POINTS_PER_REQUEST * fraction;
+        let funded = shard.health_check_budget + points / self.settings.deployment().health_check_price;
+        shard.health_check_budget = funded.min(shard.members.len() as f64 * MAX_BUDGET_PER_MEMBER);
+        if !is_in_use(shard, now) {
+            // The state of an unused shard may be outdated.
+            shard.next_check_review = now;
         }
-    }
-
-    pub(super) fn record_rejection(&mut self, hash_seed: u64, connect_timeout: Duration, now: Timestamp) {
-        self.record_sign_of_life(now);
-        self.connection_slots.connection_rejected(hash_seed, self.host.number(), connect_timeout, now);
-    }
-
-    /// It runs but reports nothing: it has just started, is overloaded, or only its health checks fail.
-    fn retry_health_check(&mut self, now: Timestamp) {
-        let divisor = if self.position == Timestamp::ZERO { 4 } else { 1 };
-        self.next_health_check = self.next_health_check.min(now + HEALTH_CHECK_RETRY / divisor);
+        shard.recent_requests.add(1.0, now, RECENT_REQUESTS_WINDOW);
     }
 }
--- a/crates/comethitch-testkit/src/tds/server.rs
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -1,11 +1,11 @@
-//! The server's end of a TDS connection: what a scripted host sends.
+//! The server side of a TDS connection: encodes what a scripted host sends.
 
 use super::{encode, read_message, samples, write_message};
 use crate::connection::{ServerError, ServerProtocol, serve_requests};
 use crate::engine::Engine;
 use crate::error::ConnectionError;
 use comethitch_tds::login::{Login, Prelogin, VERSION};
-use comethitch_tds::packet::{FIRST_SIZE, Kind, status};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MessageKind, status};
 use comethitch_tds::request::{Batch, Call};
 use comethitch_tds::token::{Message, change_type, code, done};
 use comethitch_tds::write::{
@@ -14,21 +14,21 @@
 };
 use std::net::TcpStream;
 
-/// The packet size that a host settles on, whatever the client asks for: the smallest, so that answers span several
-/// packets.
+/// Packet size that hosts choose: the minimum, so that answers span several packets.
 const PACKET_SIZE: usize = 512;
 const SERVER_NAME: &str = "standin";
-/// The application name in a router's login. Its connections are shared by many clients.
+/// Application name in a router's login, whose connections are shared by many clients.
 const ROUTER_APPLICATION: &str = "comethitch";
-/// The error of a host whose shared session is used again without a reset.
+/// Error number for a shared session that is used again without a reset.
 const SESSION_NOT_RESET: i32 = 50_999;
 const ERROR_CLASS: u8 = 16;
-/// The length of a large answer's row, and the number of rows before the last.
-const LARGE_ROW_BYTES: usize = 50 << 10;
+/// Length of each filler row of a large answer, in characters.
+const LARGE_ROW_LENGTH: usize = 50 << 10;
+/// Number of filler rows of a large answer.
 const LARGE_ROW_COUNT: usize = 20;
 const COLUMNS: [(&str, Column); 1] = [("data", Column::LongText)];
 
-/// How a request was sent, which decides the DONE tokens of its answer.
+/// Type of a request, which determines the DONE tokens of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
     Batch,
@@ -37,11 +37,11 @@
 
 struct TdsServer {
     stream: TcpStream,
-    /// The client is a router: its session must be reset before it is used again.
+    /// Whether the client is a router, which must reset the session before it uses it again.
     shared: bool,
     used: bool,
     request_kind: RequestKind,
-    /// Tokens that precede every answer to the current request: the acknowledged reset, if it asked for one.
+    /// Tokens before every answer to the current request: the acknowledgement of a reset, if it requested one.
     prefix: Vec<u8>,
 }
 
@@ -49,7 +49,7 @@
 pub(crate) fn serve(mut stream: TcpStream, engine: &Engine) -> Result<(), ConnectionError> {
     exchange_prelogin(&mut stream)?;
     let login = Login::read(&read_message(&mut stream)?.payload)?;
-    write_message(&mut stream, Kind::Answer, FIRST_SIZE, &login_response())?;
+    write_message(&mut stream, MessageKind::Response, INITIAL_PACKET_BYTES, &login_response())?;
     let server = TdsServer {
         stream,
         shared: login.application == ROUTER_APPLICATION,
@@ -64,7 +64,7 @@
     Prelogin::read(&read_message(stream)?.payload)?;
     let mut response = Vec::new();
     Prelogin { version: [16, 0, 0, 0, 0, 0], ..Prelogin::default() }.put(&mut response);
-    write_message(stream, Kind::Answer, FIRST_SIZE, &response)?;
+    write_message(stream, MessageKind::Response, INITIAL_PACKET_BYTES, &response)?;
     Ok(())
 }
 
@@ -78,9 +78,9 @@
 }
 
 impl TdsServer {
-    /// The text of a request: a batch, or the statement that a call carries.
-    fn decode(&mut self, kind: Kind, payload: &[u8]) -> Result<String, ConnectionError> {
-        if kind == Kind::Rpc {
+    /// Returns the text of a request: the batch, or the statement of a call.
+    fn decode(&mut self, kind: MessageKind, payload: &[u8]) -> Result<String, ConnectionError> {
+        if kind == MessageKind::Rpc {
             self.request_kind = RequestKind::Call;
             let call = Call::read(payload)?;
             return Ok(call.statement().unwrap_or("EXEC").to_string());
@@ -89,7 +89,7 @@
         Ok(Batch::read(payload)?.text)
     }
 
-    /// The tokens of an answer of one row.
+    /// Encodes the tokens of an answer of one row.
     fn answer_tokens(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.prefix.clone();
         put_columns(&mut tokens, &COLUMNS);
@@ -98,7 +98,7 @@
         tokens
     }
 
-    /// The tokens that end an answer of one row.
+    /// Appends the tokens that end an answer of one row.
     fn put_end(&self, tokens: &mut Vec<u8>) {
         match self.request_kind {
             RequestKind::Call => {
@@ -112,7 +112,7 @@
 }
 
 fn answer_message(tokens: &[u8]) -> Vec<u8> {
-    encode(Kind::Answer, PACKET_SIZE, tokens)
+    encode(MessageKind::Response, PACKET_SIZE, tokens)
 }
 
 fn error_tokens(number: i32) -> Vec<u8> {
@@ -148,7 +148,7 @@
                 put_change_bytes(&mut self.prefix, change_type::RESET_ACKNOWLEDGED, &[], &[]);
             } else if self.used && self.shared {
                 let tokens = error_tokens(SESSION_NOT_RESET);
-                write_message(&mut self.stream, Kind::Answer, PACKET_SIZE, &tokens)?;
+                write_message(&mut self.stream, MessageKind::Response, PACKET_SIZE, &tokens)?;
                 continue;
             }
             self.used = true;
@@ -156,7 +156,7 @@
         }
     }
 
-    fn health_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
+    fn load_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
         let columns = [("rol", Column::Text), ("posicion_ms", Column::Integer)];
         let role = if is_primary { "PRIMARY" } else { "SECONDARY" };
         let cells = [Cell::Text(role.into()), Cell::Integer(position_ms as i64)];
@@ -178,7 +178,7 @@
         answer_message(&tokens)
     }
 
-    fn answer_twice(&self, key: &str) -> Vec<u8> {
+    fn answer_with_extra_bytes(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.answer_tokens(key);
         self.put_end(&mut tokens);
         answer_message(&tokens)
@@ -194,7 +194,7 @@
     fn large_answer(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.prefix.clone();
         put_columns(&mut tokens, &COLUMNS);
-        let filler = [Cell::Text("x".repeat(LARGE_ROW_BYTES))];
+        let filler = [Cell::Text("x".repeat(LARGE_ROW_LENGTH))];
         for _ in 0..LARGE_ROW_COUNT {
             put_row(&mut tokens, &COLUMNS, &filler);
         }
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -106,8 +106,8 @@
 }
 
 fn print_summary(config: &Config) {
-    let classes = config.classes.len();
-    let hosts = config.known.entries.len();
+    let classes = config.class_names.len();
+    let hosts = config.initial_endpoints.entries.len();
     println!(
         "{} would listen on {}: {classes} request classes, {hosts} known hosts",
         config.name, config.listen
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -1,61 +1,66 @@
 //! Opens a client's session: PRELOGIN, then LOGIN7. Clients are admitted whatever their name and password are.
 
 use super::reply::{SERVER_NAME, change, class, encode_packets, put_failure};
-use super::{ClientMessage, Session, request};
+use super::{ClientMessage, Session, operation};
 use crate::protocols::client_connection::Disconnect;
-use comethitch_tds::login::{Encryption, LARGEST_LOGIN, Login, Prelogin, VERSION};
-use comethitch_tds::packet::{FIRST_SIZE, Kind, LEAST_SIZE};
+use comethitch_tds::login::{Encryption, Login, MAX_LOGIN_BYTES, Prelogin, VERSION};
+use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MIN_PACKET_BYTES, MessageKind};
 use comethitch_tds::token::code;
 use comethitch_tds::write::{put_change, put_change_bytes, put_done, put_login_ack};
 
-/// The version that is sent to clients as the server's.
+/// The server version that is sent to clients.
 const SERVER_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
 /// The collation of a session: Latin, case-insensitive.
 const COLLATION: [u8; 5] = [0x09, 0x04, 0xd0, 0x00, 0x34];
 const LANGUAGE: &str = "us_english";
-/// The database that a session is in before its login.
+/// The database of a session before its login.
 const INITIAL_DATABASE: &str = "master";
-/// The number of the error "login failed".
+/// The error number of "login failed".
 const LOGIN_FAILED: i32 = 18_456;
 
 impl Session {
-    /// Carries the login out, up to the point from which requests may come.
+    /// Performs the login, after which the client may send requests.
     pub(super) async fn log_in(&mut self) -> Result<(), Disconnect> {
         self.answer_prelogin().await?;
         let login = self.read_login().await?;
         if login.integrated {
             return self.reject_login().await;
         }
-        // Until an endpoint list is held, no request could be served.
+        // No request can be served before the first endpoint list.
         let state = self.connection.state.clone();
-        self.connection.wait_while_connected(state.ready.wait()).await?;
+        self.connection.wait_while_connected(state.discovery.wait_until_ready()).await?;
         let packet_size = self.negotiate_packet_size(&login);
         let tokens = self.login_answer(&login, packet_size);
-        self.connection.write(&encode_packets(FIRST_SIZE, &tokens)).await?;
+        self.connection.write(&encode_packets(INITIAL_PACKET_BYTES, &tokens)).await?;
         self.packet_size = packet_size;
         Ok(())
     }
 
     async fn answer_prelogin(&mut self) -> Result<(), Disconnect> {
-        let payload = self.read_login_message(Kind::Prelogin, "a connection begins with a PRELOGIN").await?;
-        Prelogin::read(&payload).map_err(request::protocol_violation)?;
+        let payload =
+            self.read_login_message(MessageKind::Prelogin, "a connection begins with a PRELOGIN").await?;
+        Prelogin::read(&payload).map_err(operation::protocol_violation)?;
         let answer =
             Prelogin { version: SERVER_VERSION, encryption: Encryption::NotSupported, ..Prelogin::default() };
         let mut payload = Vec::new();
         answer.put(&mut payload);
-        self.connection.write(&encode_packets(FIRST_SIZE, &payload)).await
+        self.connection.write(&encode_packets(INITIAL_PACKET_BYTES, &payload)).await
     }
 
     async fn read_login(&mut self) -> Result<Login, Disconnect> {
-        let payload = self.read_login_message(Kind::Login, "a PRELOGIN is followed by a LOGIN7").await?;
-        Login::read(&payload).map_err(request::protocol_violation)
+        let payload =
+            self.read_login_message(MessageKind::Login, "a PRELOGIN is followed by a LOGIN7").await?;
+        Login::read(&payload).map_err(operation::protocol_violation)
     }
 
-    /// Reads a message that must be of this kind, or else the client has broken the protocol in this way.
+    /// Reads a message of the expected kind.
+    ///
+    /// # Errors
+    /// [`Disconnect::ProtocolViolation`] with the text `violation` for any other kind.
     async fn read_login_message(
-        &mut self, expected: Kind, violation: &'static str,
+        &mut self, expected: MessageKind, violation: &'static str,
     ) -> Result<Vec<u8>, Disconnect> {
-        let ClientMessage { kind, payload, .. } = self.read_message(LARGEST_LOGIN).await?;
+        let ClientMessage { kind, payload, .. } = self.read_message(MAX_LOGIN_BYTES).await?;
         if kind != expected {
             return Err(Disconnect::ProtocolViolation(violation));
         }
@@ -66,15 +71,15 @@
         let text = "only logins by name and password are spoken here";
         let mut tokens = Vec::new();
         put_failure(&mut tokens, LOGIN_FAILED, class::LOGIN_FAILED, text, code::DONE);
-        self.connection.write(&encode_packets(FIRST_SIZE, &tokens)).await?;
+        self.connection.write(&encode_packets(INITIAL_PACKET_BYTES, &tokens)).await?;
         Err(Disconnect::Closing)
     }
 
-    /// The packet size that the client asks for, within the protocol's and the operator's limits.
+    /// Returns the packet size that the client requests, clamped to the limits of the protocol and the operator.
     fn negotiate_packet_size(&self, login: &Login) -> usize {
-        match usize::try_from(login.packet_size).unwrap_or(FIRST_SIZE) {
-            0 => FIRST_SIZE,
-            requested => requested.clamp(LEAST_SIZE, self.settings.packet_size),
+        match usize::try_from(login.packet_size).unwrap_or(INITIAL_PACKET_BYTES) {
+            0 => INITIAL_PACKET_BYTES,
+            requested => requested.clamp(MIN_PACKET_BYTES, self.settings.packet_size),
         }
     }
 
@@ -86,7 +91,12 @@
         put_change_bytes(&mut tokens, change::COLLATION, &COLLATION, &[]);
         put_change(&mut tokens, change::LANGUAGE, LANGUAGE, "");
         put_login_ack(&mut tokens, VERSION, SERVER_NAME);
-        put_change(&mut tokens, change::PACKET_SIZE, &packet_size.to_string(), &FIRST_SIZE.to_string());
+        put_change(
+            &mut tokens,
+            change::PACKET_SIZE,
+            &packet_size.to_string(),
+            &INITIAL_PACKET_BYTES.to_string(),
+        );
         put_done(&mut tokens, code::DONE, 0, 0);
         tokens
     }
--- a/crates/comethitchd/src/service/accept_loop.rs
+++ b/crates/comethitchd/src/service/accept_loop.rs
@@ -33,10 +33,10 @@
 ) {
     let mut failures_in_row = 0;
     loop {
-        let Some(permit) = state.acquire_client_descriptor() else {
+        let Some(permit) = state.clients.acquire_descriptor(state.clock.now()) else {
             // An idle client may still send a request: it is closed only once another client waits for its place.
             if listener.readable().await.is_ok() {
-                state.make_room_for_waiting_client();
+                state.clients.make_room_for_waiting_client(state.clock.now());
             }
             Timer::after(ACCEPT_RETRY_INTERVAL).await;
             continue;
--- a/crates/comethitchd/src/service/endpoint_update.rs
+++ b/crates/comethitchd/src/service/endpoint_update.rs
@@ -21,17 +21,17 @@
 pub(crate) fn apply(
     state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>,
 ) -> Result<(), DiscoveryError> {
-    let parse = || discovery::parse_endpoint_list(text, &state.config.zones);
-    let list = state.steps.measure(EventLoopStep::ParseList, parse)?;
-    let current_version = state.endpoints.borrow().version;
+    let parse = || discovery::parse_endpoint_list(text, &state.config.zone_names);
+    let list = state.metrics.steps.measure(EventLoopStep::ParseList, parse)?;
+    let current_version = state.hosts.directory().version();
     let may_be_outdated = current_version != version_before || !list.complete;
-    if may_be_outdated && current_version.is_some_and(|current| list.seq < current) {
-        log::debug!(version = list.seq, current_version; "outdated endpoint list ignored");
+    if may_be_outdated && current_version.is_some_and(|current| list.version < current) {
+        log::debug!(version = list.version, current_version; "outdated endpoint list ignored");
         return Ok(());
     }
-    state.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
+    state.metrics.steps.measure(EventLoopStep::ApplyList, || log_list(&list));
     updates::apply_endpoint_list(state, &list);
-    state.ready.set();
+    state.discovery.set_ready();
     Ok(())
 }
 
@@ -48,7 +48,7 @@
 fn log_summary(list: &EndpointList) {
     let count = |lifecycle| list.entries.iter().filter(|entry| entry.endpoint.lifecycle == lifecycle).count();
     log::info!(
-        version = list.seq,
+        version = list.version,
         entries = list.entries.len(),
         ready = count(Lifecycle::Ready),
         draining = count(Lifecycle::Draining),
@@ -62,9 +62,9 @@
         let endpoint = &entry.endpoint;
         log::log!(
             level,
-            version = list.seq,
+            version = list.version,
             host = entry.name.as_str(),
-            address:% = entry.dial,
+            address:% = entry.address,
             lifecycle:? = endpoint.lifecycle,
             is_primary = endpoint.is_primary,
             shard = endpoint.shard_id;
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -3,7 +3,7 @@
 //! A line that can't be written, as when the disk is full or the reader is gone, is counted and dropped: requests must
 //! not fail because of the log.
 
-use crate::state::log_fields::record_dropped_line;
+use crate::state::dropped_log_lines::record_dropped_line;
 use log::LevelFilter;
 use logforth::bridge::log::LogBridge;
 use logforth::filter::FilterResult;
