--- a/crates/comethitchd/src/service/startup.rs
+++ b/crates/comethitchd/src/service/startup.rs
@@ -16,13 +16,13 @@
 pub fn start(
     mut config: Config, clock: Clock, backend: Box<dyn BackendProtocol<RouterState>>,
 ) -> Result<Rc<RouterState>, ConfigError> {
-    let known = std::mem::take(&mut config.initial_endpoints);
+    let initial_endpoints = std::mem::take(&mut config.initial_endpoints);
     let mut actions = ActionQueue::at(clock.now());
     let router = Router::start(config.deployment.clone(), config.seed, &mut actions);
     let state = RouterState::new(config, clock, router, backend)?;
     policy_driver::carry_out(&state, actions);
-    if !known.entries.is_empty() {
-        updates::apply_endpoint_list(&state, &known);
+    if !initial_endpoints.entries.is_empty() {
+        updates::apply_endpoint_list(&state, &initial_endpoints);
     }
     Ok(state)
 }
--- a/crates/comethitchd/src/service/trail.rs
+++ b/crates/comethitchd/src/service/trail.rs
@@ -13,17 +13,18 @@
 //! ```
 
 mod aliases;
+mod error;
 mod log_files;
 mod log_line;
 mod summary;
 #[cfg(test)]
 mod tests;
 
+pub use error::TrailError;
 pub use summary::{FollowedLine, LogSummary};
 
 use argh::FromArgs;
 use log_line::timestamp;
-use std::io;
 use std::path::PathBuf;
 
 /// Sum up many routers' logs: why requests were rejected, and what an answer cost; or follow one id.
@@ -38,28 +39,6 @@
     logs: Vec<PathBuf>,
 }
 
-/// Why logs can't be summed, or an id can't be followed.
-#[derive(Debug, thiserror::Error)]
-pub enum TrailError {
-    /// No file is given, or the folders contain none.
-    #[error("no logs given: name files or folders of them")]
-    NoLogs,
-    /// A file or a folder can't be read.
-    #[error("{}: {source}", path.display())]
-    Unreadable {
-        /// The file or folder.
-        path: PathBuf,
-        /// The error of the system.
-        source: io::Error,
-    },
-    /// No line contains the id to follow.
-    #[error("no line names id={id}")]
-    UnknownId {
-        /// The id.
-        id: String,
-    },
-}
-
 impl TrailCommand {
     /// Reads the logs, and prints the summary or the lines with the id to follow.
     ///
--- a/crates/comethitchd/src/service/trail/log_files.rs
+++ b/crates/comethitchd/src/service/trail/log_files.rs
@@ -1,6 +1,6 @@
 //! Finds and reads log files.
 
-use crate::service::trail::TrailError;
+use crate::service::trail::error::TrailError;
 use crate::service::trail::summary::LogSummary;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
