--- a/crates/comethitchd/src/service/discovery_client.rs
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -24,7 +24,7 @@
 /// Why a request to the discovery service failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DiscoveryError {
-    /// The configuration names another discovery service since.
+    /// A reload changed to another discovery service.
     #[error("replaced by another discovery service")]
     Replaced,
     /// No connection was established in time.
@@ -153,8 +153,8 @@
 
 /// Returns the timeout of the next response: twice the duration of the last one, or twice the last timeout if it
 /// expired. A slow or overloaded service would otherwise never be heard.
-pub(crate) fn next_response_timeout(timeout: Duration, took: Option<Duration>) -> Duration {
-    let doubled = took.unwrap_or(timeout) * 2;
+pub(crate) fn next_response_timeout(timeout: Duration, elapsed: Option<Duration>) -> Duration {
+    let doubled = elapsed.unwrap_or(timeout) * 2;
     doubled.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
 }
 
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -35,7 +35,7 @@
 
 /// Watches the endpoint list for changes; never completes.
 pub(crate) async fn follow(state: Rc<RouterState>) {
-    let mut logged = false;
+    let mut failure_logged = false;
     loop {
         let service = state.discovery.service();
         let version = state.hosts.directory().version();
@@ -45,11 +45,11 @@
             Err(DiscoveryError::Replaced)
         };
         match replaced.or(watch_or_fetch(&state, service.address, version)).await {
-            Ok(()) => logged = false,
+            Ok(()) => failure_logged = false,
             // Discovery may be down for long: only the first failure in a row is logged.
-            Err(error) if !logged => {
+            Err(error) if !failure_logged => {
                 log::warn!(address:% = service.address, version, error:%; "endpoint watch failed, retrying");
-                logged = true;
+                failure_logged = true;
             }
             Err(_) => {}
         }
@@ -115,28 +115,37 @@
 /// Fetches the complete list, and applies it once all of it has arrived.
 async fn fetch_list(state: &Rc<RouterState>, address: SocketAddr) -> Result<(), DiscoveryError> {
     let version_before = state.hosts.directory().version();
-    let timeout = state.discovery.response_timeout();
-    let started = Instant::now();
-    let fetch = async {
-        let mut response = DiscoveryResponse::request(address, LIST_PATH, timeout, &state.memory).await?;
-        let mut text = None;
-        while let Some(item) = response.next_item().await? {
-            if let JsonStreamItem::Object(object) = item {
-                text = Some(object);
-            }
-        }
-        text.ok_or(DiscoveryError::NoList)
-    };
-    let fetched = with_timeout(timeout, DiscoveryError::BodyTimeout, fetch).await;
-    let took = fetched.is_ok().then(|| started.elapsed());
-    let is_late = matches!(&fetched, Err(DiscoveryError::HeadTimeout | DiscoveryError::BodyTimeout));
-    if took.is_some() || is_late {
-        state.discovery.set_response_timeout(next_response_timeout(timeout, took));
-    }
-    let text = fetched?;
+    let text = fetch_text(state, address).await?;
     if version_before.is_some() && discovery::version_of_complete_list(&text) == version_before {
         log::debug!(version = version_before; "endpoint list unchanged");
         return Ok(());
     }
     endpoint_update::apply(state, &text, version_before)
 }
+
+/// Fetches the text of the complete list, and adapts the response timeout to the service.
+async fn fetch_text(state: &RouterState, address: SocketAddr) -> Result<Vec<u8>, DiscoveryError> {
+    let timeout = state.discovery.response_timeout();
+    let started = Instant::now();
+    let fetch = read_last_object(state, address, timeout);
+    let fetched = with_timeout(timeout, DiscoveryError::BodyTimeout, fetch).await;
+    let elapsed = fetched.is_ok().then(|| started.elapsed());
+    let timed_out = matches!(&fetched, Err(DiscoveryError::HeadTimeout | DiscoveryError::BodyTimeout));
+    if elapsed.is_some() || timed_out {
+        state.discovery.set_response_timeout(next_response_timeout(timeout, elapsed));
+    }
+    fetched
+}
+
+async fn read_last_object(
+    state: &RouterState, address: SocketAddr, timeout: Duration,
+) -> Result<Vec<u8>, DiscoveryError> {
+    let mut response = DiscoveryResponse::request(address, LIST_PATH, timeout, &state.memory).await?;
+    let mut text = None;
+    while let Some(item) = response.next_item().await? {
+        if let JsonStreamItem::Object(object) = item {
+            text = Some(object);
+        }
+    }
+    text.ok_or(DiscoveryError::NoList)
+}
