--- a/crates/comethitch-lab/src/arguments.rs
+++ b/crates/comethitch-lab/src/arguments.rs
@@ -3,7 +3,7 @@
 use argh::FromArgs;
 use std::path::PathBuf;
 
-/// Plays fleets of routers in simulated time and tells how evenly hosts were loaded, and whether every rule held.
+/// Plays fleets of routers, and prints how evenly the hosts were loaded and which rules were violated.
 #[derive(FromArgs)]
 pub(crate) struct Arguments {
     #[argh(subcommand)]
@@ -21,95 +21,95 @@
     Soak(Soak),
 }
 
-/// Plays one trial, beside the baseline with perfect knowledge; ends with 1 if a rule was broken.
+/// Plays one trial with the policy and with a baseline of perfect knowledge; exits with 1 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub(crate) struct Run {
-    /// the trial's file
+    /// file of the trial
     #[argh(positional)]
     pub file: String,
-    /// another seed than the file's
+    /// seed to use instead of the file's
     #[argh(option)]
     pub seed: Option<u64>,
 }
 
-/// Plays one trial with real processes, in real time; ends with 1 if a rule was broken.
+/// Plays one trial with real processes in real time; exits with 1 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "live")]
 pub(crate) struct LiveRun {
-    /// the trial's file
+    /// file of the trial
     #[argh(positional)]
     pub file: String,
-    /// another seed than the file's
+    /// seed to use instead of the file's
     #[argh(option)]
     pub seed: Option<u64>,
-    /// the router's program; without it, the one beside this
+    /// program of the routers; by default comethitchd in the folder of this program
     #[argh(option)]
     pub daemon: Option<PathBuf>,
-    /// where to write what each second came to, as CSV
+    /// file for the figures of each second, as CSV
     #[argh(option)]
     pub seconds: Option<PathBuf>,
-    /// where to draw it, as SVG
+    /// file for a chart of these figures, as SVG
     #[argh(option)]
     pub chart: Option<PathBuf>,
-    /// a folder in which to keep the routers' files and logs
+    /// folder in which to keep the routers' files and logs
     #[argh(option)]
     pub logs: Option<PathBuf>,
 }
 
-/// Plays two trials over the same seeds, in simulated time or with real processes, and tells by how much the second
-/// differs from the first, with the standard error over the pairs.
+/// Plays two trials with the same seeds, in simulated time or with real processes, and prints the mean differences
+/// between the second and the first, with their standard errors.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "compare")]
 pub(crate) struct Compare {
-    /// the first trial's file
+    /// file of the first trial
     #[argh(positional)]
     pub one: String,
-    /// the second's
+    /// file of the second trial
     #[argh(positional)]
     pub other: String,
-    /// seeds, parted by commas
+    /// seeds separated by commas
     #[argh(option, default = "String::from(\"1,2,3,4\")")]
     pub seeds: String,
-    /// play with real processes of this program instead
+    /// play with real processes of this program
     #[argh(option)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Plays one trial with 30, 100, 300 and 1,000 routers under the same load: a table as CSV.
+/// Plays one trial with 30, 100, 300 and 1,000 routers under the same load, and prints a table as CSV.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sizes")]
 pub(crate) struct Sizes {
-    /// the trial's file
+    /// file of the trial
     #[argh(positional)]
     pub file: String,
-    /// where to draw the hosts' evenness by the number of routers, as SVG
+    /// file for a chart of the evenness of load by number of routers, as SVG
     #[argh(option)]
     pub chart: Option<PathBuf>,
 }
 
-/// Plays random trials with real processes, a seed each; ends with 1 if a rule was broken.
+/// Plays a random trial with real processes for each seed; exits with 1 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
 pub(crate) struct Soak {
-    /// seeds, parted by commas, or the first and the last one, parted by two dots
+    /// seeds separated by commas, or the first and the last one separated by two dots
     #[argh(option, default = "String::from(\"1..5\")")]
     pub seeds: String,
-    /// how many seconds clients send in each
+    /// how many seconds clients send in each trial
     #[argh(option, default = "8")]
     pub seconds: u64,
-    /// the router's program; without it, the one beside this
+    /// program of the routers; by default comethitchd in the folder of this program
     #[argh(option)]
     pub daemon: Option<PathBuf>,
-    /// a folder in which to keep the routers' files and logs, by seed
+    /// folder in which to keep the routers' files and logs, by seed
     #[argh(option)]
     pub logs: Option<PathBuf>,
-    /// print the trials as files for `live`, and play none
+    /// print the trials as files for `live` without playing them
     #[argh(switch)]
     pub print: bool,
 }
 
-/// Prints the schema of a trial's file.
+/// Prints the JSON schema of trial files.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "schema")]
 pub(crate) struct Schema {}
--- a/crates/comethitch-lab/src/chart.rs
+++ b/crates/comethitch-lab/src/chart.rs
@@ -1,24 +1,24 @@
-//! Line charts of what trials came to, as SVG.
+//! Line charts of the results of trials, as SVG.
 
 use plotters::prelude::*;
 use std::error::Error as StdError;
 use std::ops::Range;
 use thiserror::Error;
 
-/// The width and height of a chart, in pixels.
-const SIZE: (u32, u32) = (760, 420);
-/// The space above the greatest value.
+/// Width and height of a chart, in pixels.
+const SIZE_PIXELS: (u32, u32) = (760, 420);
+/// Ratio of the vertical axis to the maximum value.
 const HEADROOM: f64 = 1.08;
-/// The least height of the vertical axis.
-const LEAST_TOP: f64 = 1e-6;
+/// Minimum height of the vertical axis.
+const MIN_TOP: f64 = 1e-6;
 
-/// Why a chart could not be drawn.
+/// Why a chart cannot be drawn.
 #[derive(Debug, Error)]
 pub enum ChartError {
     /// No line has a finite point.
     #[error("{title}: nothing to draw")]
     NoPoints {
-        /// The chart's title.
+        /// Title of the chart.
         title: String,
     },
     /// The drawing library failed.
@@ -29,20 +29,20 @@
 /// A line of a chart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points, from left to right.
+    /// Points from left to right.
     pub points: Vec<(f64, f64)>,
 }
 
-/// What stands beside a chart.
+/// Title and axis labels of a chart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Labels<'a> {
-    /// Above it.
+    /// Title above the chart.
     pub title: &'a str,
-    /// Of the horizontal axis.
+    /// Label of the horizontal axis.
     pub x: &'a str,
-    /// Of the vertical axis.
+    /// Label of the vertical axis.
     pub y: &'a str,
 }
 
@@ -51,10 +51,11 @@
     y: Range<f64>,
 }
 
-/// Draws lines over one another, from 0 up.
+/// Draws lines in one chart, whose vertical axis starts at 0.
 ///
 /// # Errors
-/// No point at all, or what the drawing library says.
+///
+/// Returns an error if there is no finite point, or if the drawing library fails.
 ///
 /// ```
 /// use comethitch_lab::chart::{Labels, Line, svg};
@@ -71,7 +72,7 @@
     Ok(text)
 }
 
-/// Axes that hold all finite points; `None` if there are none.
+/// Returns axes that cover all finite points, or `None` if there are none.
 fn axes(lines: &[Line]) -> Option<Axes> {
     let all = lines.iter().flat_map(|line| &line.points);
     let points: Vec<(f64, f64)> = all.copied().filter(|(x, y)| x.is_finite() && y.is_finite()).collect();
@@ -80,12 +81,12 @@
     }
     let left = points.iter().fold(f64::MAX, |left, (x, _)| left.min(*x));
     let right = points.iter().fold(f64::MIN, |right, (x, _)| right.max(*x));
-    let top = points.iter().fold(0.0, |top: f64, (_, y)| top.max(*y)).max(LEAST_TOP);
+    let top = points.iter().fold(0.0, |top: f64, (_, y)| top.max(*y)).max(MIN_TOP);
     Some(Axes { x: left..right.max(left + 1.0), y: 0.0..top * HEADROOM })
 }
 
 fn draw(text: &mut String, labels: Labels, lines: &[Line], axes: Axes) -> Result<(), Box<dyn StdError>> {
-    let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(text, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(labels.title, ("sans-serif", 18))
--- a/crates/comethitch-lab/src/clients.rs
+++ b/crates/comethitch-lab/src/clients.rs
@@ -1,24 +1,23 @@
-//! What all simulated clients have in common, in simulated time and with real processes: the requests that they send,
-//! and how they retry.
+//! Requests and retries of clients, common to simulated time and real processes.
 
 use crate::ledger::Operation;
 use comethitch_policy::ShardId;
 use comethitch_policy::time::Duration;
 
-/// How often a client retries a throttled request.
+/// Maximum number of retries of a throttled request.
 pub const MAX_RETRIES: u8 = 2;
-/// How long a client waits before it retries.
+/// Delay before a retry.
 pub const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The least rate of a router's clients, in requests a second: the time to the next one stays finite.
-pub const LEAST_RATE: f64 = 1e-6;
+/// Minimum rate of a router's clients, in requests per second, which keeps the time to the next request finite.
+pub const MIN_RATE: f64 = 1e-6;
 
-/// A request as a client sends it, again if it retries.
+/// A request of a client, sent again for each retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// The request that it belongs to.
+    /// Operation that the request belongs to.
     pub operation: Operation,
-    /// The shard that holds its data.
+    /// Shard with its data.
     pub shard: ShardId,
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
 }
--- /dev/null
+++ b/crates/comethitch-lab/src/commands.rs
@@ -0,0 +1,208 @@
+//! The subcommands of `comethitch-lab`.
+
+use crate::arguments::{Arguments, Compare, LiveRun, Run, Sizes, Soak, Subcommand};
+use crate::output::{chart_by_second, print_header, print_recoveries, print_row, print_violations};
+use comethitch_lab::chart::{self, ChartError, Labels};
+use comethitch_lab::compare::{Row, compare};
+use comethitch_lab::error::PlayError;
+use comethitch_lab::fleet;
+use comethitch_lab::ledger::Report;
+use comethitch_lab::live;
+use comethitch_lab::soak;
+use comethitch_lab::trial::{Routing, Trial, TrialError};
+use std::io;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// Program of the routers, in the folder of this program.
+const DAEMON: &str = "comethitchd";
+/// Numbers of routers that `sizes` plays.
+const SIZES: [u16; 4] = [30, 100, 300, 1000];
+/// Name of the policy in tables.
+const MODULE: &str = "module";
+/// Name of the baseline in tables.
+const PERFECT: &str = "perfect";
+
+/// Why a subcommand failed.
+#[derive(Debug, Error)]
+pub(crate) enum CommandError {
+    #[error("{path}: {source}")]
+    File { path: String, source: io::Error },
+    #[error("{path}: {source}")]
+    Trial { path: String, source: TrialError },
+    #[error(transparent)]
+    Play(#[from] PlayError),
+    #[error(transparent)]
+    Chart(#[from] ChartError),
+    #[error("seeds: {text:?} is no number")]
+    Seed { text: String },
+    #[error(transparent)]
+    OwnPath(io::Error),
+    #[error(transparent)]
+    Schema(#[from] serde_json::Error),
+}
+
+/// Whether the routers violated a rule.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Verdict {
+    NoViolation,
+    RulesViolated,
+}
+
+impl Verdict {
+    fn of(report: &Report) -> Verdict {
+        if report.violations.is_empty() { Verdict::NoViolation } else { Verdict::RulesViolated }
+    }
+}
+
+/// Reports of a trial in simulated time, with the policy and with the baseline.
+struct SimulatedReports {
+    module: Report,
+    perfect: Report,
+}
+
+impl SimulatedReports {
+    fn play(trial: &Trial) -> Result<SimulatedReports, PlayError> {
+        let perfect = Trial { routing: Routing::Perfect, ..trial.clone() };
+        Ok(SimulatedReports { module: fleet::play(trial)?, perfect: fleet::play(&perfect)? })
+    }
+
+    fn print_rows(&self, trial: &Trial) {
+        print_row(MODULE, trial, &self.module);
+        print_row(PERFECT, trial, &self.perfect);
+    }
+}
+
+/// Runs a subcommand.
+pub(crate) fn run(arguments: Arguments) -> Result<Verdict, CommandError> {
+    match arguments.subcommand {
+        Subcommand::Run(arguments) => run_trial(arguments),
+        Subcommand::Live(arguments) => run_live(arguments),
+        Subcommand::Compare(arguments) => run_compare(arguments),
+        Subcommand::Sizes(arguments) => run_sizes(arguments),
+        Subcommand::Schema(_) => print_schema(),
+        Subcommand::Soak(arguments) => run_soak(arguments),
+    }
+}
+
+fn run_trial(arguments: Run) -> Result<Verdict, CommandError> {
+    let trial = read_trial(&arguments.file, arguments.seed)?;
+    let reports = SimulatedReports::play(&trial)?;
+    print_header();
+    reports.print_rows(&trial);
+    print_violations(&reports.module);
+    Ok(Verdict::of(&reports.module))
+}
+
+fn run_live(arguments: LiveRun) -> Result<Verdict, CommandError> {
+    let trial = read_trial(&arguments.file, arguments.seed)?;
+    let daemon = daemon_path(arguments.daemon)?;
+    let report = live::play(&trial, &daemon, arguments.logs.as_deref())?;
+    print_header();
+    print_row("live", &trial, &report);
+    print_recoveries(&trial, &report);
+    print_violations(&report);
+    if let Some(path) = arguments.seconds {
+        write_file(&path, &report.csv_by_second())?;
+    }
+    if let Some(path) = arguments.chart {
+        write_file(&path, &chart_by_second(&trial, &report)?)?;
+    }
+    Ok(Verdict::of(&report))
+}
+
+fn run_soak(arguments: Soak) -> Result<Verdict, CommandError> {
+    let daemon = daemon_path(arguments.daemon)?;
+    let mut verdict = Verdict::NoViolation;
+    if !arguments.print {
+        print_header();
+    }
+    for seed in parse_seeds(&arguments.seeds)? {
+        let trial = soak::trial(seed, arguments.seconds);
+        if arguments.print {
+            println!("{}", serde_json::to_string(&trial)?);
+            continue;
+        }
+        let logs = arguments.logs.as_ref().map(|logs| logs.join(format!("seed-{seed}")));
+        let report = live::play(&trial, &daemon, logs.as_deref())?;
+        print_row("soak", &trial, &report);
+        print_violations(&report);
+        if Verdict::of(&report) == Verdict::RulesViolated {
+            verdict = Verdict::RulesViolated;
+        }
+    }
+    Ok(verdict)
+}
+
+fn run_compare(arguments: Compare) -> Result<Verdict, CommandError> {
+    let Compare { one, other, seeds, daemon } = arguments;
+    let seeds = parse_seeds(&seeds)?;
+    let mut play = |trial: &Trial| match &daemon {
+        Some(daemon) => live::play(trial, daemon, None),
+        None => fleet::play(trial),
+    };
+    let rows = compare(&read_trial(&one, None)?, &read_trial(&other, None)?, &seeds, &mut play)?;
+    println!("column,{one},{other},difference,standard_error");
+    for Row { column, first, second, difference, standard_error } in rows {
+        println!("{column},{first:.4},{second:.4},{difference:+.4},{standard_error:.4}");
+    }
+    Ok(Verdict::NoViolation)
+}
+
+fn run_sizes(arguments: Sizes) -> Result<Verdict, CommandError> {
+    let trial = read_trial(&arguments.file, None)?;
+    let mut verdict = Verdict::NoViolation;
+    let mut module = chart::Line { name: MODULE.into(), points: Vec::new() };
+    let mut perfect = chart::Line { name: PERFECT.into(), points: Vec::new() };
+    print_header();
+    for routers in SIZES {
+        let trial = Trial { routers, ..trial.clone() };
+        let reports = SimulatedReports::play(&trial)?;
+        reports.print_rows(&trial);
+        module.points.push((f64::from(routers), reports.module.variation));
+        perfect.points.push((f64::from(routers), reports.perfect.variation));
+        if Verdict::of(&reports.module) == Verdict::RulesViolated {
+            verdict = Verdict::RulesViolated;
+        }
+    }
+    if let Some(path) = arguments.chart {
+        let labels = Labels { title: "Evenness of hosts", x: "routers", y: "variation of load" };
+        write_file(&path, &chart::svg(labels, &[module, perfect])?)?;
+    }
+    Ok(verdict)
+}
+
+fn print_schema() -> Result<Verdict, CommandError> {
+    println!("{}", serde_json::to_string_pretty(&schemars::schema_for!(Trial))?);
+    Ok(Verdict::NoViolation)
+}
+
+fn read_trial(path: &str, seed: Option<u64>) -> Result<Trial, CommandError> {
+    let text =
+        std::fs::read_to_string(path).map_err(|source| CommandError::File { path: path.into(), source })?;
+    let mut trial = Trial::read(&text).map_err(|source| CommandError::Trial { path: path.into(), source })?;
+    trial.seed = seed.unwrap_or(trial.seed);
+    Ok(trial)
+}
+
+fn write_file(path: &Path, text: &str) -> Result<(), CommandError> {
+    std::fs::write(path, text)
+        .map_err(|source| CommandError::File { path: path.display().to_string(), source })
+}
+
+/// Returns the given program, or the one in the folder of this program.
+fn daemon_path(given: Option<PathBuf>) -> Result<PathBuf, CommandError> {
+    match given {
+        Some(daemon) => Ok(daemon),
+        None => Ok(std::env::current_exe().map_err(CommandError::OwnPath)?.with_file_name(DAEMON)),
+    }
+}
+
+/// Reads numbers separated by commas, or a range such as `1..5`, which includes its last number.
+fn parse_seeds(text: &str) -> Result<Vec<u64>, CommandError> {
+    let seed = |text: &str| text.trim().parse::<u64>().map_err(|_| CommandError::Seed { text: text.into() });
+    if let Some((first, last)) = text.split_once("..") {
+        return Ok((seed(first)?..=seed(last)?).collect());
+    }
+    text.split(',').map(seed).collect()
+}
--- a/crates/comethitch-lab/src/compare.rs
+++ b/crates/comethitch-lab/src/compare.rs
@@ -1,53 +1,54 @@
-//! A paired comparison of two trials over the same seeds.
+//! Compares two trials in pairs of runs with the same seed.
 
 use crate::error::PlayError;
 use crate::ledger::Report;
 use crate::trial::Trial;
 
-/// A figure of a report.
+/// A figure of a report, by the name of its CSV column.
 struct Column {
     name: &'static str,
     value: fn(&Report) -> f64,
 }
 
-/// What is compared.
+/// The compared columns.
 const COLUMNS: [Column; 7] = [
     Column { name: "in_time", value: |report| report.in_time },
     Column { name: "throttled", value: |report| report.throttled },
     Column { name: "p99_ms", value: |report| report.p99_ms },
-    Column { name: "probes", value: |report| report.probes },
+    Column { name: "probes", value: |report| report.health_checks },
     Column { name: "connections", value: |report| report.connections },
     Column { name: "variation", value: |report| report.variation },
-    Column { name: "breaks", value: |report| report.breaks as f64 },
+    Column { name: "breaks", value: |report| report.violation_count as f64 },
 ];
 
 /// The comparison of one column.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Row {
-    /// The column's name.
+    /// Name of the column.
     pub column: &'static str,
-    /// The mean over the first trial's plays.
-    pub one: f64,
-    /// The mean over the second trial's plays.
-    pub other: f64,
-    /// The mean of the second's value less the first's, seed by seed.
+    /// Mean of the first trial.
+    pub first: f64,
+    /// Mean of the second trial.
+    pub second: f64,
+    /// Mean of the differences between the second and the first trial for each seed.
     pub difference: f64,
-    /// The standard error of that mean.
-    pub error: f64,
+    /// Standard error of the mean difference.
+    pub standard_error: f64,
 }
 
-/// The reports of both trials on one seed.
+/// Reports of both trials with one seed.
 struct Pair {
-    one: Report,
-    other: Report,
+    first: Report,
+    second: Report,
 }
 
-/// Plays both trials on each seed with `play`, and compares them seed by seed.
+/// Plays both trials with each seed using `play`, and compares their reports.
 ///
 /// # Errors
-/// Fewer than two seeds, or what `play` returns.
+///
+/// Returns an error if there are fewer than two seeds, or if `play` fails.
 pub fn compare(
-    one: &Trial, other: &Trial, seeds: &[u64], play: &mut dyn FnMut(&Trial) -> Result<Report, PlayError>,
+    first: &Trial, second: &Trial, seeds: &[u64], play: &mut dyn FnMut(&Trial) -> Result<Report, PlayError>,
 ) -> Result<Vec<Row>, PlayError> {
     if seeds.len() < 2 {
         return Err(PlayError::TooFewSeeds);
@@ -55,22 +56,22 @@
     let mut pairs = Vec::with_capacity(seeds.len());
     for seed in seeds {
         let seeded = |trial: &Trial| Trial { seed: *seed, ..trial.clone() };
-        pairs.push(Pair { one: play(&seeded(one))?, other: play(&seeded(other))? });
+        pairs.push(Pair { first: play(&seeded(first))?, second: play(&seeded(second))? });
     }
     Ok(COLUMNS.iter().map(|column| row(column, &pairs)).collect())
 }
 
 fn row(column: &Column, pairs: &[Pair]) -> Row {
     let value = column.value;
-    let ones: Vec<f64> = pairs.iter().map(|pair| value(&pair.one)).collect();
-    let others: Vec<f64> = pairs.iter().map(|pair| value(&pair.other)).collect();
-    let differences: Vec<f64> = pairs.iter().map(|pair| value(&pair.other) - value(&pair.one)).collect();
+    let first: Vec<f64> = pairs.iter().map(|pair| value(&pair.first)).collect();
+    let second: Vec<f64> = pairs.iter().map(|pair| value(&pair.second)).collect();
+    let differences: Vec<f64> = pairs.iter().map(|pair| value(&pair.second) - value(&pair.first)).collect();
     Row {
         column: column.name,
-        one: mean(&ones),
-        other: mean(&others),
+        first: mean(&first),
+        second: mean(&second),
         difference: mean(&differences),
-        error: standard_error(&differences),
+        standard_error: standard_error(&differences),
     }
 }
 
@@ -78,7 +79,7 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// The standard error of the mean of at least two values.
+/// Returns the standard error of the mean of at least two values.
 fn standard_error(values: &[f64]) -> f64 {
     let count = values.len() as f64;
     let mean = mean(values);
--- a/crates/comethitch-lab/src/error.rs
+++ b/crates/comethitch-lab/src/error.rs
@@ -1,4 +1,4 @@
-//! The error of playing trials, in simulated time or with real processes.
+//! The error of playing a trial, in simulated time or with real processes.
 
 use crate::trial::TrialError;
 use std::io;
@@ -8,73 +8,73 @@
 /// Why a trial could not be played to its end.
 #[derive(Debug, Error)]
 pub enum PlayError {
-    /// The trial itself is unusable.
+    /// The trial is invalid.
     #[error(transparent)]
     Trial(#[from] TrialError),
-    /// A fault that simulated time cannot play.
+    /// A fault cannot be played in simulated time.
     #[error("faults[{index}] is played with real processes alone: comethitch-lab live")]
     FaultNeedsProcesses {
-        /// Its place in the trial's list of faults.
+        /// Index in the trial's list of faults.
         index: usize,
     },
-    /// A key that simulated time would ignore.
+    /// A key has no effect in simulated time.
     #[error("{key} has an effect with real processes alone: comethitch-lab live")]
     KeyNeedsProcesses {
-        /// The key of the trial.
+        /// Key of the trial.
         key: &'static str,
     },
-    /// The simulation would take too long.
+    /// The simulation has too many events.
     #[error("more than {limit} events: fewer routers, seconds or load")]
     TooManyEvents {
-        /// The most events of one trial.
+        /// Maximum number of events of a trial.
         limit: u64,
     },
-    /// More router processes than one machine is asked to run.
+    /// The trial has too many router processes.
     #[error("routers must be at most {limit} with real processes, not {routers}")]
     TooManyProcesses {
-        /// The most routers of a trial with real processes.
+        /// Maximum number of routers with real processes.
         limit: u16,
-        /// The trial's routers.
+        /// Number of routers of the trial.
         routers: u16,
     },
-    /// SIGINT and SIGTERM cannot be waited for.
+    /// Handlers of SIGINT and SIGTERM cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// SIGINT or SIGTERM ended the trial.
+    /// SIGINT or SIGTERM interrupted the trial.
     #[error("interrupted")]
     Interrupted,
-    /// Some router did not answer its clients in time.
+    /// A router did not answer clients in time after its start.
     #[error("not every router was ready within {seconds} s")]
     NotReady {
-        /// How long the trial waited.
+        /// How long the trial waited, in seconds.
         seconds: u64,
     },
-    /// A router ended before it was ready.
+    /// A router exited before it was ready.
     #[error("router {router} ended before it was ready: {status}")]
     RouterEnded {
-        /// Its number.
+        /// Index of the router.
         router: usize,
-        /// How it ended.
+        /// Exit status.
         status: std::process::ExitStatus,
     },
-    /// The library of failing system calls can't be made.
+    /// The library that injects faults of system calls cannot be compiled.
     #[error("system_calls: {0}")]
     SystemCalls(#[source] io::Error),
-    /// A host or the discovery server got no port.
+    /// No port is free for a host or service discovery.
     #[error("no port to listen on: {0}")]
     Listen(#[source] io::Error),
-    /// No port for the routers' clients.
+    /// No port is free for the routers' clients.
     #[error(transparent)]
     ClientPort(io::Error),
-    /// A router's program, file or folder is unusable.
+    /// A program, file or folder of a router cannot be used.
     #[error("{}: {source}", path.display())]
     File {
-        /// The program, file or folder.
+        /// Path of the program, file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the system.
         source: io::Error,
     },
-    /// One seed gives no pairs to estimate an error from.
+    /// A standard error needs at least two seeds.
     #[error("at least two seeds are needed to tell a difference from chance")]
     TooFewSeeds,
 }
--- a/crates/comethitch-lab/src/fleet/attempts.rs
+++ b/crates/comethitch-lab/src/fleet/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks of a simulated fleet, from a router over the network to a host and back.
+//! Attempts and health checks of a simulated fleet, on their way from a router to a host and back.
 
 use super::events::{AttemptId, Event, HostResult, RouterId};
 use super::routers::{Attempt, attempt_end};
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, Exp};
 
 impl Fleet<'_> {
-    /// Sends an attempt over a connection of its own; its work is drawn here.
+    /// Sends an attempt on a connection of its own, and draws its service time.
     pub(super) fn send_attempt(&mut self, router: usize, id: RequestId, host: Host, timeout: Duration) {
         let host = self.host_index[&host];
         self.acquire_connection(router, host);
@@ -30,7 +30,7 @@
 
     fn draw_work(&mut self) -> Duration {
         let factor = Exp::new(1.0).expect("the rate is above 0").sample(&mut self.rng);
-        let micros = factor * self.trial.work_ms * 1e3;
+        let micros = factor * self.trial.mean_work_ms * 1e3;
         Duration::from_micros(micros.max(1.0) as u64)
     }
 
@@ -62,22 +62,22 @@
         }
     }
 
-    /// Passes a job to a host, and records what that does to a warming one.
+    /// Passes a job to a host, and records the effect on a host in slow start.
     fn admit(&mut self, host: usize, job: Job) -> Admission {
         let crashed_before = self.hosts[host].crashed;
-        let load_before = self.hosts[host].peak_cold_load;
-        let admission = self.hosts[host].arrive(job, &self.cold_start, self.now);
+        let load_before = self.hosts[host].peak_warmup_load;
+        let admission = self.hosts[host].arrive(job, &self.slow_start, self.now);
         if !crashed_before && self.hosts[host].crashed {
             let description = format!("host {host} crashed at {:?}", self.now - START);
             self.ledger.record_violation(Rule::SlowStart, description);
         }
-        self.ledger.cold_load_changed(host, load_before, self.hosts[host].peak_cold_load);
+        self.ledger.warmup_load_changed(host, load_before, self.hosts[host].peak_warmup_load);
         admission
     }
 
-    /// A job is finished: the next one starts, and the answer travels back, to whatever incarnation is running now.
+    /// Finishes a job: starts the next one, and sends the answer to the current incarnation of the router.
     pub(super) fn job_finishes(&mut self, host: usize, job: Job) {
-        let next = self.hosts[host].finish(&job, &self.cold_start, self.now);
+        let next = self.hosts[host].finish(&job, &self.slow_start, self.now);
         if let Some(StartedJob { job, duration }) = next {
             self.events.push(self.now + duration, Event::JobFinishes { host, job });
         }
@@ -110,7 +110,7 @@
         self.attempt_ended(router, id.request, end);
     }
 
-    /// The client receives the answer of an attempt, unless its request is finished.
+    /// Passes the answer of an attempt to the client, unless the request is finished.
     fn answer(&mut self, router: usize, id: RequestId, attempt: Attempt) {
         let Some(in_flight) = self.routers[router].requests.get_mut(&id) else { return };
         if in_flight.finished {
@@ -120,10 +120,13 @@
         let number = in_flight.number;
         let write = in_flight.request.write;
         self.ledger.answer_received(number, self.now, Answer::Answered);
-        let lag = Duration::from_millis(self.trial.lag_ms);
+        let lag = Duration::from_millis(self.trial.replication_lag_ms);
         let staleness = self.hosts[attempt.host].staleness(lag, attempt.sent_at);
-        if !write && staleness > Duration::from_millis(self.trial.bound_ms) {
-            let description = format!("command {number}, sent at {:?}", attempt.sent_at);
+        if !write && staleness > Duration::from_millis(self.trial.staleness_bound_ms) {
+            let description = format!(
+                "request {number}, sent at {:?}, was answered from data {staleness:?} old",
+                attempt.sent_at
+            );
             self.ledger.record_violation(Rule::Staleness, description);
         }
     }
@@ -134,8 +137,8 @@
     }
 
     pub(super) fn health_check_reaches_host(&mut self, router: RouterId, host: usize) {
-        let lag = Duration::from_millis(self.trial.lag_ms);
-        let interval = Duration::from_millis(self.trial.report_ms);
+        let lag = Duration::from_millis(self.trial.replication_lag_ms);
+        let interval = Duration::from_millis(self.trial.report_interval_ms);
         let report = self.hosts[host].report(lag, interval, self.now);
         let report = self.hosts[host].reachable().then_some(report);
         self.after_network_delay(Event::HealthCheckReturns { router, host, report });
--- a/crates/comethitch-lab/src/fleet/baseline.rs
+++ b/crates/comethitch-lab/src/fleet/baseline.rs
@@ -1,4 +1,4 @@
-//! The baseline that trials are compared with: host selection that knows each host's true capacity.
+//! The baseline that the policy is compared with: host selection by the actual capacity of each host.
 
 use super::Fleet;
 use crate::clients::ClientRequest;
@@ -8,11 +8,12 @@
 use comethitch_policy::time::Duration;
 use rand::RngExt;
 
-/// The least total weight that is drawn from, so that the range is never empty.
-const LEAST_TOTAL: f64 = 1e-9;
+/// Minimum total weight, so that the range of the draw is never empty.
+const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
 impl Fleet<'_> {
-    /// Sends a request to a usable host of its group, drawn by present capacity; throttles it if there is none.
+    /// Sends a request to a usable host of its shard, drawn with the current capacities as weights. Throttles it if there
+    /// is none.
     pub(super) fn submit_to_baseline(&mut self, router: usize, id: RequestId, request: ClientRequest) {
         let timeout = Duration::from_millis(self.trial.timeout_ms);
         match self.draw_host_by_capacity(request) {
@@ -26,7 +27,7 @@
             host.shard == request.shard && host.usable() && host.primary == request.write
         };
         let capacity = |host: &SimulatedHost| {
-            f64::from(host.cores) * host.capacity_fraction(&self.cold_start, self.now) / host.slowdown
+            f64::from(host.cores) * host.capacity_fraction(&self.slow_start, self.now) / host.slowdown
         };
         let candidates: Vec<(usize, f64)> = (0..self.hosts.len())
             .map(|index| (index, &self.hosts[index]))
@@ -34,12 +35,12 @@
             .map(|(index, host)| (index, capacity(host)))
             .collect();
         let total = candidates.iter().map(|(_, capacity)| capacity).sum::<f64>();
-        let mut remaining = self.rng.random_range(0.0..total.max(LEAST_TOTAL));
+        let mut remaining = self.rng.random_range(0.0..total.max(MIN_TOTAL_WEIGHT));
         let drawn = candidates.iter().find(|(_, capacity)| {
             remaining -= capacity;
             remaining < 0.0
         });
-        // Rounding may leave a rest: it belongs to the last one.
+        // A remainder due to rounding belongs to the last candidate.
         drawn.or(candidates.last()).map(|(index, _)| *index)
     }
 }
--- a/crates/comethitch-lab/src/fleet/clients.rs
+++ b/crates/comethitch-lab/src/fleet/clients.rs
@@ -1,9 +1,9 @@
-//! Clients of a simulated fleet: requests arrive at routers, are retried after a throttle, and get final answers.
+//! Clients of a simulated fleet: they send requests to routers, receive final answers, and retry throttled requests.
 
 use super::Fleet;
 use super::events::Event;
 use super::routers::RequestInFlight;
-use crate::clients::{ClientRequest, LEAST_RATE, MAX_RETRIES, RETRY_DELAY};
+use crate::clients::{ClientRequest, MAX_RETRIES, MIN_RATE, RETRY_DELAY};
 use crate::ledger::{Answer, Operation};
 use crate::trial::Routing;
 use comethitch_policy::time::Duration;
@@ -12,9 +12,9 @@
 use rand_distr::{Distribution, Exp};
 
 impl Fleet<'_> {
-    /// Draws when the next request of a router's own clients arrives.
+    /// Draws the arrival of the next request of a router's own clients.
     pub(super) fn schedule_next_request(&mut self, router: usize) {
-        let rate = self.routers[router].arrival_rate.max(LEAST_RATE);
+        let rate = self.routers[router].arrival_rate.max(MIN_RATE);
         let seconds = Exp::new(rate).expect("the rate is above 0").sample(&mut self.rng);
         let interval = Duration::from_micros((seconds * 1e6) as u64);
         self.events.push(self.now + interval, Event::RequestArrives { router });
@@ -22,14 +22,14 @@
 
     pub(super) fn request_arrives(&mut self, router: usize) {
         self.schedule_next_request(router);
-        let shard = self.rng.random_range(0..self.trial.groups);
-        let write = self.rng.random_bool(self.trial.writes);
+        let shard = self.rng.random_range(0..self.trial.shards);
+        let write = self.rng.random_bool(self.trial.write_fraction);
         let operation = Operation { id: self.next_number(), sent_at: self.now };
         self.ledger.operation_started(operation);
         self.submit(router, ClientRequest { operation, shard, write }, 0);
     }
 
-    /// Submits a request to a router, or to any other that runs if this one does not.
+    /// Submits a request to the clients' own router, or to a random running one if their own does not run.
     pub(super) fn submit(&mut self, own_router: usize, request: ClientRequest, retries: u8) {
         let Some(router) = self.running_router(own_router) else { return };
         let number = self.next_number();
@@ -64,7 +64,7 @@
         Some(running[self.rng.random_range(0..running.len())])
     }
 
-    /// A client receives a final answer other than of an attempt: throttled or failed.
+    /// Passes a final answer of the router itself, throttled or failed, to the client.
     pub(super) fn reject(&mut self, router: usize, id: RequestId, answer: Answer) {
         let Some(in_flight) = self.routers[router].requests.get_mut(&id) else { return };
         in_flight.finished = true;
@@ -74,6 +74,6 @@
             let retry = Event::ClientRetries { router, request, retries: retries + 1 };
             self.events.push(self.now + RETRY_DELAY, retry);
         }
-        self.routers[router].forget_if_complete(id);
+        self.routers[router].remove_if_complete(id);
     }
 }
--- a/crates/comethitch-lab/src/fleet/events.rs
+++ b/crates/comethitch-lab/src/fleet/events.rs
@@ -7,15 +7,15 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A router between two restarts.
+/// An incarnation of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RouterId {
     pub index: usize,
-    /// How often it had been killed before.
+    /// Number of times that the router was killed before.
     pub incarnation: u32,
 }
 
-/// An attempt, as its router numbers it.
+/// Identifies an attempt by its number at the router.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptId {
     pub router: RouterId,
@@ -23,7 +23,7 @@
     pub attempt: u16,
 }
 
-/// What a host made of an attempt.
+/// Result of an attempt at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HostResult {
     Answered,
@@ -33,7 +33,7 @@
 }
 
 impl HostResult {
-    /// What the policy is told of it.
+    /// Returns the outcome that the policy is notified of.
     pub(super) fn outcome(self) -> AttemptOutcome {
         match self {
             HostResult::Answered => AttemptOutcome::Answered,
@@ -44,14 +44,14 @@
     }
 }
 
-/// Something that happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
     /// The next request of a router's own clients arrives.
     RequestArrives {
         router: usize,
     },
-    /// A client sends a throttled request again.
+    /// A client retries a throttled request.
     ClientRetries {
         router: usize,
         request: ClientRequest,
@@ -94,9 +94,9 @@
     RouterRestarts {
         router: usize,
     },
-    /// The fault with this place in the trial's list begins.
+    /// The fault with this index in the trial's list begins.
     FaultBegins(usize),
-    /// A host begins to drain, and a new one takes its place.
+    /// A host begins to drain, and a new one is started.
     HostIsReplaced {
         host: usize,
     },
@@ -114,7 +114,7 @@
 }
 
 impl Event {
-    /// The router that an event is meant for. If that incarnation has ended, the event is void.
+    /// Returns the router that an event is for. If that incarnation has ended, the event is discarded.
     pub(super) fn recipient(&self) -> Option<RouterId> {
         match self {
             Event::AttemptReturns { attempt, .. } | Event::AttemptTimesOut { attempt } => {
@@ -128,7 +128,7 @@
     }
 }
 
-/// An event in the queue; events at one time are ordered as they were scheduled.
+/// An event in the queue. Events at the same time are handled in the order in which they were scheduled.
 #[derive(Debug)]
 struct ScheduledEvent {
     at: Timestamp,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Events to come, the earliest first.
+/// Scheduled events, the earliest first.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     last_sequence: u64,
@@ -170,13 +170,13 @@
 }
 
 impl EventQueue {
-    /// Schedules an event; of those at one time the first scheduled comes first.
+    /// Schedules an event.
     pub(super) fn push(&mut self, at: Timestamp, event: Event) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
-    /// Takes the next event, and its time.
+    /// Removes and returns the next event with its time.
     pub(super) fn pop(&mut self) -> Option<(Timestamp, Event)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
--- a/crates/comethitch-lab/src/fleet/faults.rs
+++ b/crates/comethitch-lab/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a simulated fleet: what a trial's [`FaultKind`]s do to routers and hosts.
+//! Injects the faults of a trial into a simulated fleet.
 
 use super::Fleet;
 use super::events::Event;
@@ -11,23 +11,23 @@
 impl Fleet<'_> {
     pub(super) fn begin_fault(&mut self, fault: FaultKind) {
         match fault {
-            FaultKind::Release { part, over_ms } => self.replace_replicas(part, over_ms),
-            FaultKind::Herd { part, back_ms } => {
-                self.kill_routers(part, Duration::from_millis(back_ms));
+            FaultKind::ReplaceReplicas { fraction, over_ms } => self.replace_replicas(fraction, over_ms),
+            FaultKind::KillRouters { fraction, restart_after_ms } => {
+                self.kill_routers(fraction, Duration::from_millis(restart_after_ms));
             }
-            FaultKind::Slow { part, factor } => self.slow_replicas(part, factor),
-            FaultKind::Stall { part, for_ms } => {
-                self.stall_replication(part, Duration::from_millis(for_ms));
+            FaultKind::SlowReplicas { fraction, factor } => self.slow_replicas(fraction, factor),
+            FaultKind::StallReplication { fraction, duration_ms } => {
+                self.stall_replication(fraction, Duration::from_millis(duration_ms));
             }
-            FaultKind::Takeover { part, after_ms } => {
-                self.kill_primaries(part, Duration::from_millis(after_ms));
+            FaultKind::Failover { fraction, promotion_after_ms } => {
+                self.fail_over(fraction, Duration::from_millis(promotion_after_ms));
             }
-            // Refused before the trial began.
-            FaultKind::Stop { .. }
-            | FaultKind::Restart { .. }
-            | FaultKind::Signals { .. }
-            | FaultKind::Reload { .. }
-            | FaultKind::Links { .. } => {}
+            // Rejected by `check_playable`.
+            FaultKind::PauseRouters { .. }
+            | FaultKind::RestartRouters { .. }
+            | FaultKind::SignalRouters { .. }
+            | FaultKind::ReloadRouters { .. }
+            | FaultKind::DisturbLinks { .. } => {}
         }
     }
 
@@ -68,8 +68,8 @@
         }
     }
 
-    fn kill_primaries(&mut self, probability: f64, promotion_after: Duration) {
-        for shard in 0..self.trial.groups {
+    fn fail_over(&mut self, probability: f64, promotion_after: Duration) {
+        for shard in 0..self.trial.shards {
             if !self.rng.random_bool(probability) {
                 continue;
             }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A host begins to drain, and a new one joins in its place. It leaves after twice the drain grace.
+    /// Drains a host, starts a new one in its place, and schedules its removal after twice the drain grace.
     pub(super) fn replace_host(&mut self, host: usize) {
         self.hosts[host].draining = Some(self.now);
         let replacement = self.add_host(self.hosts[host].shard, false);
--- a/crates/comethitch-lab/src/fleet/mod.rs
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -1,15 +1,15 @@
 //! A fleet in simulated time: a discrete-event simulation of routers, hosts, clients and the network.
 //!
-//! [`play`] takes one event after the other from the `events::EventQueue`; `Fleet::handle` dispatches each to its
-//! handler. Handlers stand with what they concern:
+//! [`play`] takes events from the `events::EventQueue`, and `Fleet::handle` passes each to its handler, in the module of
+//! its concern:
 //!
-//! - `clients`: requests arrive, are retried and get their final answers;
-//! - `routers`: routers start, decide, and have their actions carried out;
-//! - `attempts`: attempts and health checks travel to hosts and back;
-//! - `faults`: faults begin, and hosts are replaced, promoted and removed;
+//! - `clients`: requests, retries and final answers;
+//! - `routers`: routers, and the actions that they decide on;
+//! - `attempts`: attempts and health checks on their way to hosts and back;
+//! - `faults`: faults, and the replacement, promotion and removal of hosts;
 //! - `baseline`: host selection with perfect knowledge.
 //!
-//! All random draws come from one generator, in the order of events: the same trial and seed give the same report.
+//! All random draws come from one generator in the order of events, so that a trial and a seed determine the report.
 
 mod attempts;
 mod baseline;
@@ -19,9 +19,9 @@
 mod routers;
 
 use crate::error::PlayError;
-use crate::hosts::{ColdStart, SimulatedHost, replica_cores};
+use crate::hosts::{SimulatedHost, SlowStart, replica_cores};
 use crate::ledger::{Ledger, Report};
-use crate::trial::{Fault, FaultKind, Trial};
+use crate::trial::{Fault, Trial};
 use crate::usable::UsableReplicas;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Deployment, Host, ShardId};
@@ -31,20 +31,20 @@
 use routers::SimulatedRouter;
 use std::collections::BTreeMap;
 
-/// The start of every trial; positions count from long before.
+/// Start of every trial. It is after 0, so that positions can be before it.
 const START: Timestamp = Timestamp::from_millis(1_000_000);
-/// Most events of one trial: it ends with an error rather than run on.
-const EVENT_LIMIT: u64 = 60_000_000;
-/// The network delay varies around its mean by these factors.
+/// Maximum number of events of a trial.
+const MAX_EVENTS: u64 = 60_000_000;
+/// Range of the network delay, as a multiple of its mean.
 const NETWORK_DELAY_FACTORS: std::ops::Range<f64> = 0.8..1.2;
-/// The port of all hosts.
+/// Port of all hosts.
 const HOST_PORT: u16 = 5432;
 
-/// All of a trial's state.
+/// The state of a trial.
 struct Fleet<'a> {
     trial: &'a Trial,
     deployment: Deployment,
-    cold_start: ColdStart,
+    slow_start: SlowStart,
     now: Timestamp,
     events: EventQueue,
     rng: ChaCha8Rng,
@@ -53,14 +53,16 @@
     host_index: BTreeMap<Host, usize>,
     ledger: Ledger,
     usable: UsableReplicas,
-    /// The last number given to a request or a request.
+    /// Last assigned number of an operation or a request.
     last_number: u64,
 }
 
 /// Plays a trial to its end.
 ///
 /// # Errors
-/// A key of the trial that is out of bounds or has no effect in simulated time, or more events than a trial may have.
+///
+/// Returns an error if a key of the trial is out of bounds or has no effect in simulated time, or if there are too many
+/// events.
 pub fn play(trial: &Trial) -> Result<Report, PlayError> {
     trial.check()?;
     check_playable(trial)?;
@@ -72,24 +74,15 @@
     Ok(ledger.close(end, &throughout))
 }
 
-/// Refuses what only real processes can play.
+/// Rejects a trial that only real processes can play.
 fn check_playable(trial: &Trial) -> Result<(), PlayError> {
-    let needs_processes = |fault: &Fault| {
-        matches!(
-            fault.kind,
-            FaultKind::Stop { .. }
-                | FaultKind::Links { .. }
-                | FaultKind::Restart { .. }
-                | FaultKind::Signals { .. }
-                | FaultKind::Reload { .. }
-        )
-    };
+    let needs_processes = |fault: &Fault| !fault.kind.is_simulated();
     if let Some(index) = trial.faults.iter().position(needs_processes) {
         return Err(PlayError::FaultNeedsProcesses { index });
     }
     let keys = [
-        ("slots", trial.slots > 0),
-        ("namesakes", trial.namesakes > 0),
+        ("slots", trial.max_connections_per_host > 0),
+        ("namesakes", trial.routers_sharing_name > 0),
         ("settings", !trial.settings.is_empty()),
     ];
     match keys.into_iter().find(|(_, set)| *set) {
@@ -101,11 +94,11 @@
 impl<'a> Fleet<'a> {
     fn new(trial: &'a Trial) -> Result<Fleet<'a>, PlayError> {
         let mut rng = ChaCha8Rng::seed_from_u64(trial.seed);
-        // Drawn before all else: the same seed gives the same routers, whatever the hosts.
+        // Drawn first, so that a seed gives the same routers with any hosts.
         let rates_per_core = trial.arrival_rates(&mut rng, 1.0)?;
         let mut fleet = Fleet {
             deployment: trial.deployment()?,
-            cold_start: trial.cold_start(),
+            slow_start: trial.slow_start(),
             trial,
             now: START,
             events: EventQueue::default(),
@@ -114,7 +107,7 @@
             hosts: Vec::new(),
             host_index: BTreeMap::new(),
             ledger: Ledger::new(
-                Duration::from_millis(trial.target_ms),
+                Duration::from_millis(trial.latency_objective_ms),
                 Duration::from_millis(trial.drain_grace_ms),
                 START,
             ),
@@ -128,13 +121,13 @@
     }
 
     fn add_all_hosts(&mut self) {
-        for shard in 0..self.trial.groups {
+        for shard in 0..self.trial.shards {
             self.add_host(shard, true);
             for _ in 0..self.trial.replicas {
                 self.add_host(shard, false);
             }
         }
-        if self.trial.all_cold {
+        if self.trial.all_hosts_warming_up {
             self.hosts.iter_mut().for_each(|host| host.started = Some(START));
         }
     }
@@ -166,7 +159,7 @@
         }
     }
 
-    /// Handles events until clients stop sending at `end`, and for one timeout more.
+    /// Handles events until one timeout after `end`, when clients stop sending.
     fn run_until(&mut self, end: Timestamp) -> Result<(), PlayError> {
         let last = end + Duration::from_millis(self.trial.timeout_ms);
         let mut count = 0;
@@ -175,8 +168,8 @@
                 break;
             }
             count += 1;
-            if count > EVENT_LIMIT {
-                return Err(PlayError::TooManyEvents { limit: EVENT_LIMIT });
+            if count > MAX_EVENTS {
+                return Err(PlayError::TooManyEvents { limit: MAX_EVENTS });
             }
             self.now = at;
             self.handle(event, at <= end);
@@ -225,9 +218,9 @@
         RouterId { index: router, incarnation: self.routers[router].incarnation }
     }
 
-    /// Schedules an event for when a message that is sent now arrives.
+    /// Schedules an event for the arrival of a message that is sent now.
     fn after_network_delay(&mut self, event: Event) {
-        let mean_micros = self.trial.net_us as f64;
+        let mean_micros = self.trial.network_delay_us as f64;
         let factor = self.rng.random_range(NETWORK_DELAY_FACTORS);
         let delay = Duration::from_micros((mean_micros * factor) as u64);
         self.events.push(self.now + delay, event);
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -1,4 +1,4 @@
-//! Routers of a simulated fleet: a [`Router`] each, the requests it has in flight, and the actions that it decides.
+//! Routers of a simulated fleet: each with its [`Router`] policy, and its requests and attempts in flight.
 
 use super::Fleet;
 use super::events::{Event, RouterId};
@@ -13,8 +13,8 @@
 use rand::{Rng, RngExt};
 use std::collections::BTreeMap;
 
-/// How much later than it happens a router hears of a change of the endpoint list, in microseconds.
-const ENDPOINT_UPDATE_DELAY_MICROS: std::ops::Range<u64> = 200_000..1_500_000;
+/// Range of the delay until a router receives a change of the endpoint list, in microseconds.
+const ENDPOINT_UPDATE_DELAY_US: std::ops::Range<u64> = 200_000..1_500_000;
 
 /// An attempt that a router sent.
 #[derive(Clone, Copy, Debug)]
@@ -28,18 +28,18 @@
 /// A request at a router.
 #[derive(Debug)]
 pub(super) struct RequestInFlight {
-    /// Its number over all routers.
+    /// Number of the request over all routers.
     pub number: u64,
     pub request: ClientRequest,
-    /// How often its client had retried before.
+    /// Number of retries before this request.
     pub retries: u8,
     pub attempts: Vec<Attempt>,
-    /// Whether it has its final answer.
+    /// Whether the client has received the final answer.
     pub finished: bool,
 }
 
 impl RequestInFlight {
-    /// A request of which nothing was sent yet.
+    /// Creates a request without attempts.
     pub(super) fn new(number: u64, request: ClientRequest, retries: u8) -> RequestInFlight {
         RequestInFlight { number, request, retries, attempts: Vec::new(), finished: false }
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Connections of a router to one host. Those that are not in use stay open.
+/// Connections of a router to one host. Idle connections stay open.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Connections {
     in_use: u32,
@@ -57,7 +57,7 @@
 }
 
 impl Connections {
-    /// Takes an idle connection, or opens one; returns whether it opened one.
+    /// Uses an idle connection or opens a new one. Returns whether it opened one.
     fn acquire(&mut self) -> bool {
         self.in_use += 1;
         let opens = self.in_use > self.opened;
@@ -76,18 +76,18 @@
 pub(super) struct SimulatedRouter {
     /// `None` while it is down.
     router: Option<Router>,
-    /// How often it was killed: what was meant for an earlier incarnation is void.
+    /// Number of times that it was killed. Events for earlier incarnations are discarded.
     pub incarnation: u32,
-    /// Requests a second of its own clients.
+    /// Rate of its own clients, in requests per second.
     pub arrival_rate: f64,
     last_request: RequestId,
     pub requests: BTreeMap<RequestId, RequestInFlight>,
-    /// By host.
+    /// Connections by host.
     connections: BTreeMap<usize, Connections>,
 }
 
 impl SimulatedRouter {
-    /// A router that is not running yet.
+    /// Creates a router that does not run yet.
     pub(super) fn new(arrival_rate: f64) -> SimulatedRouter {
         SimulatedRouter {
             router: None,
@@ -99,26 +99,26 @@
         }
     }
 
-    /// Whether it is up.
+    /// Returns whether the router runs.
     pub(super) fn is_running(&self) -> bool {
         self.router.is_some()
     }
 
-    /// Adds a request under an id of its own.
+    /// Adds a request and returns its id.
     pub(super) fn add_request(&mut self, request: RequestInFlight) -> RequestId {
         self.last_request += 1;
         self.requests.insert(self.last_request, request);
         self.last_request
     }
 
-    /// Forgets a request that has its final answer and no attempt in flight.
-    pub(super) fn forget_if_complete(&mut self, id: RequestId) {
+    /// Removes a request with a final answer and no attempt in flight.
+    pub(super) fn remove_if_complete(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(RequestInFlight::is_complete) {
             self.requests.remove(&id);
         }
     }
 
-    /// Kills it; returns the requests that it had in flight.
+    /// Kills the router, and returns the requests that it had in flight.
     pub(super) fn kill(&mut self) -> BTreeMap<RequestId, RequestInFlight> {
         self.router = None;
         self.incarnation += 1;
@@ -132,11 +132,11 @@
         let seed = self.rng.next_u64();
         let mut out = ActionQueue::at(self.now);
         self.routers[router].router = Some(Router::start(self.deployment.clone(), seed, &mut out));
-        self.carry_out(router, out);
+        self.execute_actions(router, out);
         self.update_endpoints(router);
     }
 
-    /// Passes the present endpoint list to a router.
+    /// Passes the current endpoint list to a router.
     pub(super) fn update_endpoints(&mut self, router: usize) {
         for (host, _) in self.hosts.iter().enumerate().filter(|(_, host)| host.draining.is_some()) {
             self.ledger.drain_notified(router, host, self.now);
@@ -146,24 +146,24 @@
         self.call(router, |router, out| router.update_endpoints(&update, out));
     }
 
-    /// Notifies every router of a change of the endpoint list, each after a delay of its own.
+    /// Notifies every router of a change of the endpoint list, each after a random delay.
     pub(super) fn notify_all_routers(&mut self) {
         for router in 0..self.routers.len() {
-            let delay = Duration::from_micros(self.rng.random_range(ENDPOINT_UPDATE_DELAY_MICROS));
+            let delay = Duration::from_micros(self.rng.random_range(ENDPOINT_UPDATE_DELAY_US));
             let router = self.current_id(router);
             self.events.push(self.now + delay, Event::EndpointsReachRouter { router });
         }
     }
 
-    /// Calls a router, if it is running, and carries out what it decides.
+    /// Calls the policy of a router, if it runs, and executes the resulting actions.
     pub(super) fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
         let mut out = ActionQueue::at(self.now);
         let Some(policy) = self.routers[router].router.as_mut() else { return };
         call(policy, &mut out);
-        self.carry_out(router, out);
+        self.execute_actions(router, out);
     }
 
-    fn carry_out(&mut self, router: usize, queue: ActionQueue) {
+    fn execute_actions(&mut self, router: usize, queue: ActionQueue) {
         let id = self.current_id(router);
         for action in queue.actions {
             match action {
@@ -194,7 +194,7 @@
         self.attempt_ended(router, id, end);
     }
 
-    /// Releases the connection of an attempt in flight, and notifies the router of its end.
+    /// Releases the connection of an attempt in flight, and notifies the policy of its end.
     pub(super) fn attempt_ended(&mut self, router: usize, id: RequestId, end: AttemptEnd) {
         let simulated = &mut self.routers[router];
         let Some(in_flight) = simulated.requests.get_mut(&id) else { return };
@@ -209,7 +209,7 @@
                 handle.attempt_ended(router, end, out);
             }
         });
-        self.routers[router].forget_if_complete(id);
+        self.routers[router].remove_if_complete(id);
     }
 
     fn check_health(&mut self, router: RouterId, host: Host) {
@@ -227,7 +227,7 @@
     }
 }
 
-/// The end of an attempt without a report of its host, and leaves its request unfinished.
+/// Returns the end of an attempt that has no load report and does not finish the request.
 pub(super) fn attempt_end(attempt: u16, outcome: AttemptOutcome) -> AttemptEnd {
     AttemptEnd {
         attempt,
--- a/crates/comethitch-lab/src/ledger/evenness.rs
+++ b/crates/comethitch-lab/src/ledger/evenness.rs
@@ -1,23 +1,23 @@
-//! How evenly reads were spread over hosts, second by second.
+//! Measures how evenly reads were spread over hosts in each second.
 
 use std::collections::BTreeMap;
 
-/// Reads that reached hosts, for each core of theirs, by second and host.
+/// Reads per core, by second and host.
 #[derive(Debug, Default)]
 pub(super) struct LoadByHost {
     by_second: BTreeMap<u64, BTreeMap<usize, f64>>,
 }
 
-/// How one second's load was spread over the usable hosts.
+/// Spread of the load over the usable hosts in one second.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Spread {
-    /// The coefficient of variation.
+    /// Coefficient of variation.
     pub variation: f64,
-    /// The greatest load over the mean.
-    pub greatest: f64,
+    /// Ratio of the maximum to the mean.
+    pub peak_to_mean: f64,
 }
 
-/// Consecutive seconds in which a host got no read.
+/// Consecutive seconds in which a host received no read.
 #[derive(Clone, Copy, Debug, Default)]
 struct IdleSeconds {
     current: u64,
@@ -31,22 +31,22 @@
     }
 }
 
-/// The spread over a trial.
+/// Spread of the load over a whole trial.
 #[derive(Debug, Default)]
 pub(super) struct Evenness {
-    /// By second, where any load came.
+    /// Spread in each second with any load.
     pub by_second: Vec<(u64, Spread)>,
-    /// The most seconds in a row that a usable host was without a read.
-    pub longest_idle: u64,
+    /// Longest time that a usable host received no read, in seconds.
+    pub longest_idle_s: u64,
 }
 
 impl LoadByHost {
-    /// Adds load to a host in a second; 0 notes the host itself.
+    /// Adds load to a host in a second. A load of 0 registers the host.
     pub(super) fn add(&mut self, second: u64, host: usize, load: f64) {
         *self.by_second.entry(second).or_default().entry(host).or_insert(0.0) += load;
     }
 
-    /// Adds up all seconds, counting only hosts that were usable throughout a second.
+    /// Summarizes all seconds, each over the hosts that were usable throughout it.
     pub(super) fn summary(&self, usable: &dyn Fn(u64, usize) -> bool) -> Evenness {
         let mut evenness = Evenness::default();
         let mut idle: BTreeMap<usize, IdleSeconds> = BTreeMap::new();
@@ -60,13 +60,13 @@
                 evenness.by_second.push((*second, spread));
             }
         }
-        evenness.longest_idle = idle.values().map(|idle| idle.longest).max().unwrap_or(0);
+        evenness.longest_idle_s = idle.values().map(|idle| idle.longest).max().unwrap_or(0);
         evenness
     }
 }
 
 impl Spread {
-    /// `None` without any load.
+    /// Returns `None` without any load.
     fn of(loads: &[(usize, f64)]) -> Option<Spread> {
         let mean = loads.iter().map(|(_, load)| load).sum::<f64>() / loads.len().max(1) as f64;
         if mean <= 0.0 {
@@ -74,20 +74,20 @@
         }
         let squares = loads.iter().map(|(_, load)| (load - mean).powi(2)).sum::<f64>();
         let variance = squares / loads.len() as f64;
-        let greatest = loads.iter().map(|(_, load)| *load).fold(0.0, f64::max);
-        Some(Spread { variation: variance.sqrt() / mean, greatest: greatest / mean })
+        let peak = loads.iter().map(|(_, load)| *load).fold(0.0, f64::max);
+        Some(Spread { variation: variance.sqrt() / mean, peak_to_mean: peak / mean })
     }
 }
 
 impl Evenness {
-    /// The coefficient of variation, mean over the seconds.
+    /// Returns the mean coefficient of variation over all seconds.
     pub(super) fn mean_variation(&self) -> f64 {
         self.mean(|spread| spread.variation)
     }
 
-    /// The greatest load over the mean, mean over the seconds.
-    pub(super) fn mean_greatest(&self) -> f64 {
-        self.mean(|spread| spread.greatest)
+    /// Returns the mean ratio of the maximum to the mean over all seconds.
+    pub(super) fn mean_peak_to_mean(&self) -> f64 {
+        self.mean(|spread| spread.peak_to_mean)
     }
 
     fn mean(&self, figure: fn(&Spread) -> f64) -> f64 {
--- a/crates/comethitch-lab/src/ledger/rule.rs
+++ b/crates/comethitch-lab/src/ledger/rule.rs
@@ -1,28 +1,31 @@
-//! The rules that a trial is checked against.
+//! The rules that a trial is checked against, and their violations.
 
 use std::fmt::{self, Display, Formatter};
 
-/// What the ledger checks. Its name begins the text of each violation.
+/// Maximum number of violations that are described; all are counted.
+const MAX_DESCRIBED_VIOLATIONS: usize = 20;
+
+/// A rule that the ledger checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Each request gets one final answer, in time, and no attempt after it.
+    /// Each request gets one final answer before its deadline, and no attempt starts after it.
     OneFinalAnswer,
-    /// A write that may have run is neither sent again nor throttled.
+    /// A write that may have been executed is neither sent again nor throttled.
     NoDuplicateWrite,
-    /// Nothing is sent to a draining host past the grace.
+    /// No attempt is sent to a draining host after the drain grace.
     Drain,
-    /// No warming host is overloaded.
+    /// No host is overloaded during slow start.
     SlowStart,
     /// No read is answered from data past the staleness bound.
     Staleness,
-    /// A host is told no more time than the client has left.
-    ToldTime,
-    /// Nothing begins for a client that has gone.
-    ClientGone,
-    /// A client that stops within a request gets its error, or is closed, in time.
-    StalledClient,
-    /// A router's own checks find no broken rule.
-    OwnCheck,
+    /// The timeout forwarded to a host is not longer than the time that the client has left.
+    ForwardedTimeout,
+    /// No attempt starts for a client that has disconnected.
+    ClientDisconnected,
+    /// A client that sends only a part of a request gets an error, or is disconnected, in time.
+    IncompleteRequest,
+    /// The routers' own checks find no violation.
+    SelfCheck,
     /// Every process starts.
     ProcessStart,
     /// No router process ends by itself.
@@ -32,17 +35,56 @@
 impl Display for Rule {
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         f.write_str(match self {
-            Rule::OneFinalAnswer => "lost",
-            Rule::NoDuplicateWrite => "twice",
-            Rule::Drain => "drains",
-            Rule::SlowStart => "cold",
-            Rule::Staleness => "stale",
-            Rule::ToldTime => "told",
-            Rule::ClientGone => "gone",
-            Rule::StalledClient => "stalled",
-            Rule::OwnCheck => "own check",
-            Rule::ProcessStart => "start",
-            Rule::ProcessCrash => "crash",
+            Rule::OneFinalAnswer => "one final answer",
+            Rule::NoDuplicateWrite => "duplicate write",
+            Rule::Drain => "drain",
+            Rule::SlowStart => "slow start",
+            Rule::Staleness => "staleness",
+            Rule::ForwardedTimeout => "forwarded timeout",
+            Rule::ClientDisconnected => "client disconnected",
+            Rule::IncompleteRequest => "incomplete request",
+            Rule::SelfCheck => "self-check",
+            Rule::ProcessStart => "process start",
+            Rule::ProcessCrash => "process crash",
         })
     }
 }
+
+/// A violation of a rule. Its text begins with the name of the rule.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Violation {
+    /// The rule.
+    pub rule: Rule,
+    /// What happened.
+    pub description: String,
+}
+
+impl Display for Violation {
+    fn fmt(&self, f: &mut Formatter) -> fmt::Result {
+        write!(f, "{}: {}", self.rule, self.description)
+    }
+}
+
+/// Counts all violations and keeps the descriptions of the first ones.
+#[derive(Debug, Default)]
+pub(super) struct ViolationLog {
+    descriptions: Vec<String>,
+    count: u64,
+}
+
+impl ViolationLog {
+    pub(super) fn record(&mut self, violation: Violation) {
+        self.count += 1;
+        if self.descriptions.len() < MAX_DESCRIBED_VIOLATIONS {
+            self.descriptions.push(violation.to_string());
+        }
+    }
+
+    pub(super) fn count(&self) -> u64 {
+        self.count
+    }
+
+    pub(super) fn into_descriptions(self) -> Vec<String> {
+        self.descriptions
+    }
+}
--- a/crates/comethitch-lab/src/lib.rs
+++ b/crates/comethitch-lab/src/lib.rs
@@ -1,19 +1,19 @@
-//! A lab for fleets of routers: many routers before many hosts, in simulated time within one process ([`fleet`]), or as
-//! processes on loopback in real time ([`live`]).
+//! A lab for fleets of routers: many routers in front of many hosts, simulated in one process ([`fleet`]), or as real
+//! processes on loopback ([`live`]).
 //!
-//! The decision module has no clock and no sockets, so hundreds of [`comethitch_policy::Router`]s can be driven over
-//! minutes of simulated time within seconds. A [`trial::Trial`] (a JSON file) gives their number, the hosts, the load
-//! and the faults; [`fleet::play`] plays it; the [`ledger::Ledger`] checks what happens against the rules and measures
-//! how evenly the hosts were loaded. The same trial with the same seed gives the same output, byte for byte.
+//! A [`trial::Trial`] (a JSON file) defines the routers, the hosts, the load and the faults. [`fleet::play`] and
+//! [`live::play`] play it, and the [`ledger::Ledger`] checks what happens against the rules and measures how evenly the
+//! hosts were loaded. The policy has neither clock nor sockets, so that hundreds of [`comethitch_policy::Router`]s run
+//! through minutes of simulated time within seconds. There the same trial with the same seed gives the same output.
 //!
-//! Simulated time leaves out sockets, file descriptors and the routers' processor time. Its [`hosts`] serve in order of
-//! arrival on a number of cores; replicas have a fixed lag.
+//! Not simulated are sockets, file descriptors and the routers' processor time. The simulated [`hosts`] serve requests in
+//! order of arrival on a number of cores; replicas have a fixed lag.
 //!
 //! ```
 //! use comethitch_lab::{fleet, trial::Trial};
-//! let trial = Trial { routers: 4, replicas: 3, groups: 1, seconds: 3, ..Trial::default() };
+//! let trial = Trial { routers: 4, replicas: 3, shards: 1, seconds: 3, ..Trial::default() };
 //! let report = fleet::play(&trial).unwrap();
-//! assert!(report.broken.is_empty(), "{:?}", report.broken);
+//! assert!(report.violations.is_empty(), "{:?}", report.violations);
 //! assert_eq!(report.to_string(), fleet::play(&trial).unwrap().to_string());
 //! ```
 
--- a/crates/comethitch-lab/src/links.rs
+++ b/crates/comethitch-lab/src/links.rs
@@ -1,32 +1,32 @@
 //! Network faults on the links between routers and hosts: cut, delayed or reset, in either direction.
 //!
-//! Without clock or sockets: the fleet of real processes calls [`Links::fate`] for each message.
+//! The model has neither clock nor sockets. The fleet of real processes calls [`Links::fate`] for each message.
 
 use crate::trial::{Direction, LinkFault};
 use comethitch_policy::time::Duration;
 use std::collections::BTreeSet;
 
-/// What becomes of a message.
+/// Fate of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It arrives, later than usual by this much.
+    /// It arrives after this additional delay.
     Delivered(Duration),
-    /// It never arrives, and neither end is notified.
+    /// It is dropped without notice.
     Dropped,
     /// The connection is reset.
     Reset,
 }
 
-/// Where a message is going.
+/// Destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
-    /// From a router to a host.
+    /// A host, from a router.
     Host,
-    /// From a host to a router.
+    /// A router, from a host.
     Router,
 }
 
-/// One fault that is active on the links between some routers and some hosts.
+/// An active fault of the links between some routers and some hosts.
 #[derive(Debug)]
 struct ActiveFault {
     id: u64,
@@ -46,12 +46,12 @@
         direction_matches && self.routers.contains(&router) && self.hosts.contains(&host)
     }
 
-    fn is_cut_both_ways(&self) -> bool {
+    fn is_partition(&self) -> bool {
         self.fault == LinkFault::Cut && self.direction == Direction::Both && !self.hosts.is_empty()
     }
 }
 
-/// All link faults that are active at present.
+/// All active link faults.
 #[derive(Debug, Default)]
 pub struct Links {
     last_id: u64,
@@ -59,8 +59,7 @@
 }
 
 impl Links {
-    /// Applies a fault to the links between each of these routers and each of these hosts, until the id that it
-    /// returns is passed to [`Links::clear`].
+    /// Injects a fault into the links between these routers and these hosts, and returns its id for [`Links::clear`].
     pub fn inject(
         &mut self, routers: BTreeSet<usize>, hosts: BTreeSet<usize>, direction: Direction, fault: LinkFault,
     ) -> u64 {
@@ -74,8 +73,9 @@
         self.active.retain(|active| active.id != id);
     }
 
-    /// The fate of a message; `draw` is a random number from 0 to 1. Of several faults on one link a cut counts before
-    /// a reset, a reset before a delay; delays add up.
+    /// Returns the fate of a message. `draw` is a random number from 0 to 1.
+    ///
+    /// Of several faults of a link, a cut takes precedence over a reset, and a reset over delays, which add up.
     pub fn fate(&self, router: usize, host: usize, destination: Destination, draw: f64) -> Fate {
         let mut delay = Duration::ZERO;
         let mut reset = false;
@@ -89,9 +89,9 @@
         if reset { Fate::Reset } else { Fate::Delivered(delay) }
     }
 
-    /// Whether a router is cut off from some host in both directions: then endpoint updates are withheld as well.
+    /// Returns whether a router is cut off from some host in both directions, so that it receives no endpoint updates.
     pub fn is_partitioned(&self, router: usize) -> bool {
-        self.active.iter().any(|active| active.is_cut_both_ways() && active.routers.contains(&router))
+        self.active.iter().any(|active| active.is_partition() && active.routers.contains(&router))
     }
 }
 
--- a/crates/comethitch-lab/src/links/tests.rs
+++ b/crates/comethitch-lab/src/links/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_message_meets_the_worst_active_fault_and_none_once_all_are_cleared() {
+fn the_worst_active_fault_applies_until_it_is_cleared() {
     let mut links = Links::default();
     let (some, one) = (BTreeSet::from([0, 1]), BTreeSet::from([7]));
     let slow = links.inject(some.clone(), one.clone(), Direction::Both, LinkFault::DelayMs(5));
--- a/crates/comethitch-lab/src/live/discovery.rs
+++ b/crates/comethitch-lab/src/live/discovery.rs
@@ -1,7 +1,6 @@
-//! Service discovery on loopback: the endpoint list over HTTP, and its updates, to each router a little later than they
-//! happen.
+//! Service discovery on loopback: serves the endpoint list over HTTP, and delayed watch events to each router.
 
-use super::network::{Listener, Purpose, address, dialling_router, listen, now, sleep};
+use super::network::{Listener, Purpose, address, connecting_router, listen, now, sleep};
 use super::state::{LiveFleet, SharedFleet};
 use crate::error::PlayError;
 use crate::hosts::SimulatedHost;
@@ -12,23 +11,24 @@
 use std::io;
 use std::net::TcpStream;
 
-/// The end of a request's head.
+/// End of the head of a request.
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
-/// The longest head that is read, in bytes.
-const LONGEST_HEAD: usize = 4096;
-/// How a request asks to be sent updates.
-const FOLLOW: &str = "follow=1";
-/// The head of a response that goes on.
+/// Maximum length of the head of a request.
+const MAX_HEAD_BYTES: usize = 4096;
+/// Query parameter of a watch request.
+const WATCH_PARAMETER: &str = "follow=1";
+/// Head of a response that streams watch events.
 const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// After how long without an update an empty line is sent.
+/// Time without an update after which an empty line is sent.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How often a response looks for updates.
+/// Interval at which a watch checks for updates.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The least delay of an update, and how much more it may be by chance, in microseconds.
-const LEAST_DELAY_MICROS: f64 = 200_000.0;
-const DELAY_SPREAD_MICROS: f64 = 1_300_000.0;
+/// Minimum delay of a watch event, in microseconds.
+const MIN_DELAY_US: f64 = 200_000.0;
+/// Maximum random addition to the delay of a watch event, in microseconds.
+const DELAY_SPREAD_US: f64 = 1_300_000.0;
 
-/// The complete endpoint list, as one router sees it.
+/// Returns the complete endpoint list with the addresses that a router connects to.
 pub(super) fn endpoint_list(fleet: &LiveFleet, router: usize) -> Value {
     let hosts = fleet.hosts.borrow();
     let ports = fleet.ports.borrow();
@@ -53,7 +53,7 @@
     })
 }
 
-/// Records that a router is being notified which hosts drain.
+/// Records that a router is notified which hosts are draining.
 fn record_drain_notifications(fleet: &LiveFleet, router: usize) {
     let hosts = fleet.hosts.borrow();
     let mut ledger = fleet.ledger.borrow_mut();
@@ -62,16 +62,16 @@
     }
 }
 
-/// Serves the endpoint list; returns its port, which is the same on each router's own address.
+/// Serves the endpoint list, and returns the port, which is the same at each router's address.
 pub(super) fn start(fleet: &SharedFleet) -> Result<u16, PlayError> {
     let Listener { listener, port } = listen()?;
     let served = fleet.clone();
     fleet.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let Some(router) = dialling_router(&stream) else { continue };
+            let Some(router) = connecting_router(&stream) else { continue };
             let fleet = served.clone();
             served.spawn(async move {
-                // A connection ends when its router ends.
+                // An error means that the router has closed the connection.
                 let _ = serve(&fleet, router, stream).await;
             });
         }
@@ -81,9 +81,9 @@
 
 async fn serve(fleet: &LiveFleet, router: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
     let head = read_head(&mut stream).await?;
-    let follows = head.lines().next().is_some_and(|line| line.contains(FOLLOW));
-    if follows {
-        return send_updates(fleet, router, stream).await;
+    let is_watch = head.lines().next().is_some_and(|line| line.contains(WATCH_PARAMETER));
+    if is_watch {
+        return serve_watch(fleet, router, stream).await;
     }
     record_drain_notifications(fleet, router);
     let body = endpoint_list(fleet, router).to_string();
@@ -93,7 +93,7 @@
 
 async fn read_head(stream: &mut Async<TcpStream>) -> io::Result<String> {
     let mut head = Vec::new();
-    while !head.ends_with(END_OF_HEAD) && head.len() < LONGEST_HEAD {
+    while !head.ends_with(END_OF_HEAD) && head.len() < MAX_HEAD_BYTES {
         let mut byte = [0];
         stream.read_exact(&mut byte).await?;
         head.push(byte[0]);
@@ -101,19 +101,19 @@
     Ok(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// A watch of the list by one router.
+/// A router's watch of the endpoint list.
 struct Watch<'a> {
     fleet: &'a LiveFleet,
     router: usize,
     sent_version: u64,
     last_sent: Timestamp,
-    /// When an update that is on its way arrives.
+    /// When the next update arrives.
     update_due: Option<Timestamp>,
 }
 
-/// Sends the list, and again whenever it has changed, one line each, until the router closes the connection. Nothing
-/// reaches a router that is cut off.
-async fn send_updates(fleet: &LiveFleet, router: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
+/// Sends the list in one line at once and after each change, until the router closes the connection. Withholds changes
+/// from a partitioned router.
+async fn serve_watch(fleet: &LiveFleet, router: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
     stream.write_all(CHUNKED_HEAD).await?;
     let mut watch = Watch { fleet, router, sent_version: 0, last_sent: now(), update_due: None };
     while !is_closed(&stream) {
@@ -128,13 +128,13 @@
     Ok(())
 }
 
-/// Whether the router has closed the connection: it is not notified on it any more.
+/// Returns whether the router has closed the connection.
 fn is_closed(stream: &Async<TcpStream>) -> bool {
     stream.get_ref().peek(&mut [0]).is_ok_and(|length| length == 0)
 }
 
 impl Watch<'_> {
-    /// The list once a change of it has arrived, an empty line if the connection was quiet for long, else `None`.
+    /// Returns the list if a change is due, an empty line if a keep-alive is due, and otherwise `None`.
     fn next_line(&mut self) -> Option<String> {
         if self.fleet.links.borrow().is_partitioned(self.router) {
             return None;
@@ -143,21 +143,21 @@
             let due = self.update_due.unwrap_or_else(|| now() + self.update_delay());
             self.update_due = Some(due);
             if now() >= due {
-                return Some(self.list());
+                return Some(self.next_list());
             }
         }
         (now() - self.last_sent > KEEP_ALIVE_INTERVAL).then(String::new)
     }
 
-    /// The first list is there at once, an update of it comes later.
+    /// Returns the delay of the next update, which is zero for the first list.
     fn update_delay(&self) -> Duration {
         if self.sent_version == 0 {
             return Duration::ZERO;
         }
-        Duration::from_micros((LEAST_DELAY_MICROS + DELAY_SPREAD_MICROS * self.fleet.draw()) as u64)
+        Duration::from_micros((MIN_DELAY_US + DELAY_SPREAD_US * self.fleet.draw()) as u64)
     }
 
-    fn list(&mut self) -> String {
+    fn next_list(&mut self) -> String {
         self.update_due = None;
         self.sent_version = self.fleet.endpoints_version.get();
         record_drain_notifications(self.fleet, self.router);
--- a/crates/comethitch-lab/src/live/faults.rs
+++ b/crates/comethitch-lab/src/live/faults.rs
@@ -1,48 +1,53 @@
-//! Faults of a fleet of real processes: what a trial's [`FaultKind`]s do to routers, hosts and links.
+//! Injects the faults of a trial into a fleet of real processes.
 
 use super::network::{now, sleep};
 use super::state::{LiveFleet, SLACK, SharedFleet};
-use super::{hosts, processes};
+use super::{hosts, startup};
 use crate::hosts::{SimulatedHost, fraction_of_each_shard, usable_replicas};
 use crate::ledger::Rule;
 use crate::trial::{Direction, FaultKind, LinkFault};
 use comethitch_policy::time::Duration;
 use std::rc::Rc;
 
-/// How much longer than the longest timeout a router may take to end: what SIGKILL allows at the least.
-const END_GRACE: Duration = Duration::from_millis(700);
-/// A longer timeout counts as this: SIGKILL comes no later for it.
-const LONGEST_COUNTED_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many signals of a kind come in a series, and how soon after one another while a router ends.
+/// Minimum time between the end of the longest timeout and SIGKILL: the limit for a graceful shutdown.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
+/// Timeout beyond which SIGKILL is not deferred.
+const MAX_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
+/// Number of signals of one kind in a series.
 const SIGNALS_IN_SERIES: u64 = 4;
-const SIGNAL_INTERVAL_WHILE_ENDING: Duration = Duration::from_millis(60);
-/// How often it is looked at whether it has ended.
-const END_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval of signals while a router shuts down.
+const SIGNAL_INTERVAL_DURING_SHUTDOWN: Duration = Duration::from_millis(60);
+/// Interval at which the end of a process is polled.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl LiveFleet {
-    /// Plays a fault from its beginning to its end.
+    /// Injects a fault and waits until its end.
     pub(super) async fn play_fault(self: Rc<LiveFleet>, fault: FaultKind) {
         match fault {
-            FaultKind::Release { part, over_ms } => self.replace_replicas(part, over_ms).await,
-            FaultKind::Herd { part, back_ms } => {
-                self.kill_routers(part, Duration::from_millis(back_ms)).await;
+            FaultKind::ReplaceReplicas { fraction, over_ms } => {
+                self.replace_replicas(fraction, over_ms).await;
             }
-            FaultKind::Slow { part, factor } => self.slow_replicas(part, factor),
-            FaultKind::Stall { part, for_ms } => {
-                self.stall_replication(part, Duration::from_millis(for_ms)).await;
+            FaultKind::KillRouters { fraction, restart_after_ms } => {
+                self.kill_routers(fraction, Duration::from_millis(restart_after_ms)).await;
             }
-            FaultKind::Takeover { part, after_ms } => {
-                self.kill_primaries(part, Duration::from_millis(after_ms)).await;
+            FaultKind::SlowReplicas { fraction, factor } => self.slow_replicas(fraction, factor),
+            FaultKind::StallReplication { fraction, duration_ms } => {
+                self.stall_replication(fraction, Duration::from_millis(duration_ms)).await;
             }
-            FaultKind::Stop { part, for_ms } => {
-                self.stop_routers(part, Duration::from_millis(for_ms)).await;
+            FaultKind::Failover { fraction, promotion_after_ms } => {
+                self.fail_over(fraction, Duration::from_millis(promotion_after_ms)).await;
             }
-            FaultKind::Restart { part, over_ms } => self.restart_routers(part, over_ms).await,
-            FaultKind::Signals { part, over_ms } => self.signal_routers(part, Duration::from_millis(over_ms)),
-            FaultKind::Reload { part } => self.reload_routers(part),
-            FaultKind::Links { routers, hosts, direction, fault, for_ms } => {
+            FaultKind::PauseRouters { fraction, duration_ms } => {
+                self.pause_routers(fraction, Duration::from_millis(duration_ms)).await;
+            }
+            FaultKind::RestartRouters { fraction, over_ms } => self.restart_routers(fraction, over_ms).await,
+            FaultKind::SignalRouters { fraction, over_ms } => {
+                self.signal_routers(fraction, Duration::from_millis(over_ms));
+            }
+            FaultKind::ReloadRouters { fraction } => self.reload_routers(fraction),
+            FaultKind::DisturbLinks { routers, hosts, direction, fault, duration_ms } => {
                 let affected = AffectedLinks { routers, hosts, direction };
-                self.disturb_links(affected, fault, Duration::from_millis(for_ms)).await;
+                self.disturb_links(affected, fault, Duration::from_millis(duration_ms)).await;
             }
         }
     }
@@ -65,17 +70,17 @@
         let chosen = self.draw_for_fault(self.all_routers(), fraction);
         for router in &chosen {
             let in_flight = self.processes.borrow_mut().kill(*router);
-            self.record_lost(in_flight);
+            self.record_router_lost(in_flight);
         }
         sleep(restart_after).await;
         for router in chosen {
             if !self.clients_send.get() {
                 return;
             }
-            if let Err(error) = processes::start(self, router) {
+            if let Err(error) = startup::start_router(self, router) {
                 self.record_violation(Rule::ProcessStart, error.to_string());
             }
-            self.spawn(processes::wait_until_ready(self.clone(), router));
+            self.spawn(startup::wait_until_ready(self.clone(), router));
         }
     }
 
@@ -97,8 +102,8 @@
         }
     }
 
-    async fn kill_primaries(&self, fraction: f64, promotion_after: Duration) {
-        let shards = self.draw_for_fault((0..usize::from(self.trial.groups)).collect(), fraction);
+    async fn fail_over(&self, fraction: f64, promotion_after: Duration) {
+        let shards = self.draw_for_fault((0..usize::from(self.trial.shards)).collect(), fraction);
         let is_in = |host: &SimulatedHost, shard: usize| usize::from(host.shard) == shard && !host.removed;
         for shard in &shards {
             let mut hosts = self.hosts.borrow_mut();
@@ -117,11 +122,11 @@
         self.publish_endpoints();
     }
 
-    async fn stop_routers(&self, fraction: f64, duration: Duration) {
+    async fn pause_routers(&self, fraction: f64, duration: Duration) {
         let chosen = self.draw_for_fault(self.all_routers(), fraction);
         for router in &chosen {
-            let in_flight = self.processes.borrow_mut().stop(*router);
-            self.record_lost(in_flight);
+            let in_flight = self.processes.borrow_mut().pause(*router);
+            self.record_router_lost(in_flight);
         }
         sleep(duration).await;
         for router in &chosen {
@@ -172,7 +177,7 @@
     direction: Direction,
 }
 
-/// Sends a router SIGHUP again and again, then tells it to end, and sends both signals again while it ends.
+/// Sends a router a series of SIGHUP, then restarts it, and sends SIGHUP and SIGTERM several times during the shutdown.
 async fn signal_router(fleet: SharedFleet, router: usize, duration: Duration) {
     for _ in 0..SIGNALS_IN_SERIES {
         if !fleet.processes.borrow().is_undisturbed(router) {
@@ -187,8 +192,8 @@
     let signalled = fleet.clone();
     fleet.spawn(async move {
         for _ in 0..SIGNALS_IN_SERIES {
-            sleep(SIGNAL_INTERVAL_WHILE_ENDING).await;
-            if !signalled.processes.borrow().is_ending(router) {
+            sleep(SIGNAL_INTERVAL_DURING_SHUTDOWN).await;
+            if !signalled.processes.borrow().is_shutting_down(router) {
                 return;
             }
             signalled.processes.borrow_mut().reload(router);
@@ -198,41 +203,41 @@
     restart_router(fleet, router).await;
 }
 
-/// Tells a router to end, waits until it has, and starts it again. It must end by itself, with success, within its
-/// clients' longest timeout and a grace; what it has taken and not answered by then is lost.
+/// Shuts a router down gracefully and starts it again. It must exit with success within the clients' timeout and a
+/// grace; a router that does not is killed.
 async fn restart_router(fleet: SharedFleet, router: usize) {
     fleet.processes.borrow_mut().terminate(router);
-    let told = fleet.processes.borrow().current(router);
-    let told_at = now();
-    let timeout = Duration::from_millis(fleet.trial.timeout_ms).min(LONGEST_COUNTED_TIMEOUT);
-    let limit = timeout + END_GRACE + SLACK;
+    let terminated = fleet.processes.borrow().current(router);
+    let terminated_at = now();
+    let timeout = Duration::from_millis(fleet.trial.timeout_ms).min(MAX_SHUTDOWN_TIMEOUT);
+    let limit = timeout + SHUTDOWN_GRACE + SLACK;
     let status = loop {
-        sleep(END_POLL_INTERVAL).await;
-        // Killed or stopped meanwhile, it is another fault's.
-        if !fleet.processes.borrow().is_current(told) {
+        sleep(EXIT_POLL_INTERVAL).await;
+        // Another fault has killed or paused it meanwhile.
+        if !fleet.processes.borrow().is_current(terminated) {
             return;
         }
-        let ended = fleet.processes.borrow_mut().take_end(router);
-        if let Some(status) = ended {
+        let exit_status = fleet.processes.borrow_mut().take_shutdown_status(router);
+        if let Some(status) = exit_status {
             break status;
         }
-        if now() - told_at > limit {
-            let description = format!("router {router} did not end within {limit:?} of SIGTERM");
+        if now() - terminated_at > limit {
+            let description = format!("router {router} did not exit within {limit:?} of SIGTERM");
             fleet.record_violation(Rule::ProcessCrash, description);
             let in_flight = fleet.processes.borrow_mut().kill(router);
-            return fleet.record_lost(in_flight);
+            return fleet.record_router_lost(in_flight);
         }
     };
     if !status.success() {
-        fleet.record_violation(Rule::ProcessCrash, format!("router {router} ended with {status}"));
+        fleet.record_violation(Rule::ProcessCrash, format!("router {router} exited with {status}"));
     }
     if !fleet.clients_send.get() {
         return;
     }
-    if let Err(error) = processes::start(&fleet, router) {
+    if let Err(error) = startup::start_router(&fleet, router) {
         fleet.record_violation(Rule::ProcessStart, error.to_string());
     }
-    processes::wait_until_ready(fleet, router).await;
+    startup::wait_until_ready(fleet, router).await;
 }
 
 /// Drains a host, starts a new one in its place, and removes it after twice the drain grace.
--- a/crates/comethitch-lab/src/live/hosts.rs
+++ b/crates/comethitch-lab/src/live/hosts.rs
@@ -1,7 +1,7 @@
-//! Database hosts on loopback: the simulated hosts behind sockets that speak PostgreSQL's protocol.
+//! Database hosts on loopback: serves the simulated hosts over the PostgreSQL protocol.
 
 use super::network::{
-    Listener, Message, Purpose, address, dialling_router, listen, message_type, now, read_message,
+    Listener, Message, Purpose, address, connecting_router, listen, message_type, now, read_message,
 };
 use super::state::{JobId, LiveFleet, SharedFleet};
 use crate::error::PlayError;
@@ -17,25 +17,29 @@
 use std::io;
 use std::net::TcpStream;
 
-/// SQL states of errors.
+/// SQLSTATE of a full host.
 const TOO_MANY_CONNECTIONS: &str = "53300";
+/// SQLSTATE of a write at a replica.
 const READ_ONLY_TRANSACTION: &str = "25006";
+/// SQLSTATE of a statement without a request number.
 const PROTOCOL_VIOLATION: &str = "08P01";
-/// The query of a health check.
-const REPORT_QUERY: &str = "SHOW vitals";
-/// The query that proves a connection alive.
+/// Query of a health check.
+const HEALTH_CHECK_QUERY: &str = "SHOW vitals";
+/// Query that checks whether a connection is alive.
 const PING_QUERY: &str = "SELECT 1";
-/// What marks a statement as a write.
+/// Keyword of statements that write.
 const WRITE_KEYWORD: &str = "INSERT";
-/// What precedes a request's number in its statement, and the number's hexadecimal digits.
+/// Key of the request number in the comment of a statement.
 const NUMBER_KEY: &str = "id=";
-/// What precedes the milliseconds that the client has left.
-const TOLD_KEY: &str = ",d=";
+/// Key of the forwarded timeout, in milliseconds, in the comment of a statement.
+const TIMEOUT_KEY: &str = ",d=";
+/// Number of hexadecimal digits of a request number.
 const NUMBER_DIGITS: usize = 16;
-/// The length of a startup message's length field, which counts itself, and the longest message that is read, in bytes.
-const LENGTH_FIELD: usize = 4;
-const LONGEST_STARTUP: usize = 10_000;
-/// The status of a connection outside of any transaction.
+/// Length of the length field of a startup message, which counts itself.
+const LENGTH_FIELD_BYTES: usize = 4;
+/// Maximum length of a startup message.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// Transaction status outside of any transaction.
 const IDLE_STATUS: &[u8] = b"I";
 const AUTHENTICATION_OK: &[u8] = &[0; 4];
 
@@ -51,7 +55,7 @@
     let served = fleet.clone();
     fleet.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let Some(router) = dialling_router(&stream) else { continue };
+            let Some(router) = connecting_router(&stream) else { continue };
             let connection = Connection { fleet: served.clone(), host: index, router, stream };
             served.spawn(connection.run());
         }
@@ -67,13 +71,13 @@
     stream: Async<TcpStream>,
 }
 
-/// A request as its statement carries it.
+/// A request as read from its statement.
 #[derive(Clone, Copy)]
 struct HostRequest {
     number: u64,
     write: bool,
-    /// How much time its router says that its client has left.
-    told: Option<Duration>,
+    /// Remaining time of the client, as forwarded by the router.
+    forwarded_timeout: Option<Duration>,
     received_at: Timestamp,
 }
 
@@ -81,7 +85,7 @@
     async fn run(mut self) {
         let fleet = self.fleet.clone();
         *fleet.open_connections.borrow_mut().entry(self.host).or_default() += 1;
-        // An error ends the connection: its router closed it, or a fault was to.
+        // An error means that the router or a fault has closed the connection.
         let _ = self.serve().await;
         *fleet.open_connections.borrow_mut().entry(self.host).or_default() -= 1;
     }
@@ -117,12 +121,12 @@
         Ok(())
     }
 
-    /// Reads the startup message and accepts it. `false` if the connection ends instead.
+    /// Reads the startup message and accepts the connection. Returns `false` if it closes the connection instead.
     async fn start_session(&mut self) -> io::Result<bool> {
-        let mut length = [0; LENGTH_FIELD];
+        let mut length = [0; LENGTH_FIELD_BYTES];
         self.stream.read_exact(&mut length).await?;
-        let body_length =
-            (u32::from_be_bytes(length) as usize).clamp(LENGTH_FIELD, LONGEST_STARTUP) - LENGTH_FIELD;
+        let body_length = (u32::from_be_bytes(length) as usize).clamp(LENGTH_FIELD_BYTES, MAX_STARTUP_BYTES)
+            - LENGTH_FIELD_BYTES;
         self.stream.read_exact(&mut vec![0; body_length]).await?;
         if !self.transmit(Destination::Host).await {
             return Ok(false);
@@ -141,15 +145,15 @@
     }
 
     fn is_full(&self) -> bool {
-        let slots = self.fleet.trial.slots;
-        slots > 0 && self.fleet.open_connections.borrow()[&self.host] > slots
+        let limit = self.fleet.trial.max_connections_per_host;
+        limit > 0 && self.fleet.open_connections.borrow()[&self.host] > limit
     }
 
-    /// The messages that answer a query. `None` if the connection ends instead.
+    /// Returns the answer to a query, or `None` if the connection is to be closed.
     async fn reply(&mut self, body: &[u8], received_at: Timestamp) -> Option<Vec<u8>> {
         let text = String::from_utf8_lossy(body.strip_suffix(b"\0").unwrap_or(body)).into_owned();
         match text.as_str() {
-            REPORT_QUERY => {
+            HEALTH_CHECK_QUERY => {
                 self.fleet.ledger.borrow_mut().health_checks += 1;
                 Some(load_report(&self.fleet, self.host))
             }
@@ -158,12 +162,13 @@
             _ => {
                 let Some(number) = request_number(&text) else { return Some(error(PROTOCOL_VIOLATION)) };
                 let write = text.contains(WRITE_KEYWORD);
-                self.execute(HostRequest { number, write, told: told_time(&text), received_at }).await
+                let forwarded_timeout = forwarded_timeout(&text);
+                self.execute(HostRequest { number, write, forwarded_timeout, received_at }).await
             }
         }
     }
 
-    /// Sends a reply, the host's role, and that it is ready for the next query.
+    /// Sends a reply, the role of the host, and `ReadyForQuery`.
     async fn send_reply(&mut self, reply: Vec<u8>) -> io::Result<()> {
         let rank = if self.fleet.hosts.borrow()[self.host].primary { "source" } else { "copy" };
         let rank = message(message_type::PARAMETER_STATUS, format!("rank\0{rank}\0").as_bytes());
@@ -171,14 +176,14 @@
         self.stream.write_all(&[reply, rank, ready].concat()).await
     }
 
-    /// Runs a request, or rejects it. `None` if it is not answered any more.
+    /// Runs or rejects a request. Returns `None` if it is cancelled or the host is unreachable.
     async fn execute(&mut self, request: HostRequest) -> Option<Vec<u8>> {
         let HostRequest { number, write, received_at, .. } = request;
         self.fleet.ledger.borrow_mut().attempt_sent(number, self.router, self.host, received_at);
-        if let Some(told) = request.told {
-            self.fleet.ledger.borrow_mut().time_told(number, told, received_at);
+        if let Some(timeout) = request.forwarded_timeout {
+            self.fleet.ledger.borrow_mut().timeout_forwarded(number, timeout, received_at);
         }
-        let second = self.fleet.second();
+        let second = self.fleet.current_second();
         if !write {
             let cores = self.fleet.hosts.borrow()[self.host].cores;
             self.fleet.ledger.borrow_mut().read_arrived(second, self.host, cores);
@@ -198,7 +203,7 @@
             Admission::Unreachable => return None,
         }
         self.fleet.ledger.borrow_mut().attempt_may_run(number);
-        // A router cancels an attempt by closing the connection.
+        // Routers cancel an attempt by closing the connection.
         let cancelled = async {
             let _ = self.stream.read(&mut [0]).await;
             false
@@ -216,30 +221,31 @@
         self.fleet.job_waiters.borrow_mut().insert(id, waiter);
     }
 
-    /// Passes a job to the host, and records what that does to a warming one.
+    /// Passes a job to the host, and records the effect on a host in slow start.
     fn admit(&self, job: Job, second: u64) -> Admission {
         let host = self.host;
         let mut hosts = self.fleet.hosts.borrow_mut();
         let simulated = &mut hosts[host];
         let crashed_before = simulated.crashed;
-        let load_before = simulated.peak_cold_load;
-        let admission = simulated.arrive(job, &self.fleet.trial.cold_start(), now());
+        let load_before = simulated.peak_warmup_load;
+        let admission = simulated.arrive(job, &self.fleet.trial.slow_start(), now());
         let mut ledger = self.fleet.ledger.borrow_mut();
         if !crashed_before && simulated.crashed {
             ledger.record_violation(Rule::SlowStart, format!("host {host} crashed in second {second}"));
         }
-        ledger.cold_load_changed(host, load_before, simulated.peak_cold_load);
+        ledger.warmup_load_changed(host, load_before, simulated.peak_warmup_load);
         admission
     }
 
     fn check_staleness(&self, request: HostRequest) {
         let HostRequest { number, write, received_at, .. } = request;
         let host = self.host;
-        let lag = Duration::from_millis(self.fleet.trial.lag_ms);
-        let bound = Duration::from_millis(self.fleet.trial.bound_ms);
+        let lag = Duration::from_millis(self.fleet.trial.replication_lag_ms);
+        let bound = Duration::from_millis(self.fleet.trial.staleness_bound_ms);
         let staleness = self.fleet.hosts.borrow()[host].staleness(lag, received_at);
         if !write && staleness > bound {
-            let description = format!("command {number:x} ran at host {host}");
+            let description =
+                format!("request {number} was answered by host {host} from data {staleness:?} old");
             self.fleet.record_violation(Rule::Staleness, description);
         }
     }
@@ -255,13 +261,13 @@
 
 fn draw_work(fleet: &LiveFleet) -> Duration {
     let factor = Exp::new(1.0).expect("the rate is above 0").sample(&mut *fleet.rng.borrow_mut());
-    Duration::from_micros((factor * fleet.trial.work_ms * 1e3).max(1.0) as u64)
+    Duration::from_micros((factor * fleet.trial.mean_work_ms * 1e3).max(1.0) as u64)
 }
 
-/// The reply to a health check: position in seconds, role, and queue.
+/// Returns the answer to a health check: replication position in seconds, role, and queue length.
 fn load_report(fleet: &LiveFleet, host: usize) -> Vec<u8> {
-    let lag = Duration::from_millis(fleet.trial.lag_ms);
-    let interval = Duration::from_millis(fleet.trial.report_ms);
+    let lag = Duration::from_millis(fleet.trial.replication_lag_ms);
+    let interval = Duration::from_millis(fleet.trial.report_interval_ms);
     let report = fleet.hosts.borrow_mut()[host].report(lag, interval, now());
     let position_ms = report.position.unwrap_or(Timestamp::ZERO).as_micros() / 1000;
     let queue = report.queue.unwrap_or_default();
@@ -271,14 +277,14 @@
     row(format!("x0={seconds}.{milliseconds:03},x1={primary},queue={queue}").as_bytes())
 }
 
-/// The time that a statement says its client has left.
-fn told_time(text: &str) -> Option<Duration> {
-    let (_, rest) = text.split_once(TOLD_KEY)?;
-    let digits = rest.split(|letter: char| !letter.is_ascii_digit()).next()?;
+/// Returns the remaining time of the client from the comment of a statement.
+fn forwarded_timeout(text: &str) -> Option<Duration> {
+    let (_, rest) = text.split_once(TIMEOUT_KEY)?;
+    let digits = rest.split(|character: char| !character.is_ascii_digit()).next()?;
     digits.parse().ok().map(Duration::from_millis)
 }
 
-/// The number that a statement carries as its id.
+/// Returns the request number from the comment of a statement.
 fn request_number(text: &str) -> Option<u64> {
     let (_, rest) = text.split_once(NUMBER_KEY)?;
     u64::from_str_radix(rest.get(..NUMBER_DIGITS)?, 16).ok()
--- a/crates/comethitch-lab/src/live/network.rs
+++ b/crates/comethitch-lab/src/live/network.rs
@@ -1,23 +1,27 @@
-//! Loopback addresses and sockets, timers, and the PostgreSQL messages that pass between clients, routers and hosts.
+//! Loopback addresses, sockets, timers and PostgreSQL messages.
 
 use crate::error::PlayError;
 use async_io::{Async, Timer};
 use comethitch_policy::time::{Duration, Timestamp};
 pub(super) use comethitch_testkit::postgres::message_type;
-use futures_lite::AsyncReadExt;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::SystemTime;
 
-/// The most connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// The longest message, in bytes.
-const LONGEST_MESSAGE: usize = 1 << 20;
-/// The length field of a message counts itself.
-const LENGTH_FIELD: usize = 4;
-/// The second byte of the first router's addresses.
+/// Maximum length of a message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Length of the length field of a message, which counts itself.
+const LENGTH_FIELD_BYTES: usize = 4;
+/// Second byte of the first router's addresses.
 const FIRST_BLOCK: u8 = 64;
+/// Version 3.0 of the PostgreSQL protocol.
+const PROTOCOL_VERSION: u32 = 3 << 16;
+/// Parameters of a startup message.
+const STARTUP_PARAMETERS: &[u8] = b"user\0portal\0database\0crm\0\0";
 
 /// A PostgreSQL message.
 pub(super) struct Message {
@@ -25,39 +29,39 @@
     pub body: Vec<u8>,
 }
 
-/// What an address of a router is for: the last byte of the address.
+/// Purpose of a loopback address of a router: the last byte of the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// Where it dials hosts.
+    /// The router connects to hosts here.
     Hosts = 1,
-    /// Where its clients dial it.
+    /// The router listens for clients here.
     Clients = 2,
-    /// Where it dials service discovery.
+    /// The router connects to service discovery here.
     Discovery = 3,
 }
 
-/// The present, since the Unix epoch.
+/// Returns the current time since the Unix epoch.
 pub(super) fn now() -> Timestamp {
     let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     Timestamp::from_micros(elapsed.as_micros() as u64)
 }
 
-/// Waits this long.
+/// Waits for this duration.
 pub(super) async fn sleep(duration: Duration) {
     Timer::after(duration.to_std()).await;
 }
 
-/// Waits until this time, or not at all if it has passed.
+/// Waits until this time. Returns at once if it has passed.
 pub(super) async fn sleep_until(at: Timestamp) {
     sleep(at - now()).await;
 }
 
-/// A router's own address for a purpose.
+/// Returns the address of a router for a purpose.
 pub(super) fn address(router: usize, purpose: Purpose) -> Ipv4Addr {
     Ipv4Addr::new(127, FIRST_BLOCK + (router >> 8) as u8, router as u8, purpose as u8)
 }
 
-/// The router whose address this is.
+/// Returns the router with this address.
 fn router_at(address: Ipv4Addr) -> Option<usize> {
     match address.octets() {
         [127, block @ FIRST_BLOCK..=127, low, _] => {
@@ -67,8 +71,8 @@
     }
 }
 
-/// The router that dialled this connection: it did so at an address of its own.
-pub(super) fn dialling_router(stream: &Async<TcpStream>) -> Option<usize> {
+/// Returns the router that opened this connection, by the address that it connected to.
+pub(super) fn connecting_router(stream: &Async<TcpStream>) -> Option<usize> {
     match stream.get_ref().local_addr().ok()?.ip() {
         IpAddr::V4(address) => router_at(address),
         IpAddr::V6(_) => None,
@@ -81,14 +85,14 @@
     pub port: u16,
 }
 
-/// Listens on all loopback addresses and no others, at a port that is free.
+/// Listens on all loopback addresses, and only on these, at a free port.
 pub(super) fn listen() -> Result<Listener, PlayError> {
     bind().map_err(PlayError::Listen)
 }
 
 fn bind() -> io::Result<Listener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-    // Where the system does not allow it, the check of each connection's address is enough.
+    // Without the permission to do so, `connecting_router` still rejects other addresses.
     let _ = socket.bind_device(Some(b"lo"));
     socket.bind(&SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)).into())?;
     socket.listen(BACKLOG)?;
@@ -97,16 +101,27 @@
     Ok(Listener { listener: Async::new(listener)?, port })
 }
 
+/// Opens a client's connection to a router, and waits until the router has accepted it.
+pub(super) async fn connect_client(address: SocketAddr) -> io::Result<Async<TcpStream>> {
+    let mut stream = Async::<TcpStream>::connect(address).await?;
+    let _ = stream.get_ref().set_nodelay(true);
+    let body = [&PROTOCOL_VERSION.to_be_bytes()[..], STARTUP_PARAMETERS].concat();
+    let length = ((body.len() + LENGTH_FIELD_BYTES) as u32).to_be_bytes();
+    stream.write_all(&[&length[..], &body].concat()).await?;
+    while read_message(&mut stream).await?.kind != message_type::READY_FOR_QUERY {}
+    Ok(stream)
+}
+
 /// Reads the next message.
 pub(super) async fn read_message(stream: &mut Async<TcpStream>) -> io::Result<Message> {
-    let mut head = [0; 1 + LENGTH_FIELD];
+    let mut head = [0; 1 + LENGTH_FIELD_BYTES];
     stream.read_exact(&mut head).await?;
     let [kind, length @ ..] = head;
     let length = u32::from_be_bytes(length) as usize;
-    if !(LENGTH_FIELD..=LONGEST_MESSAGE).contains(&length) {
+    if !(LENGTH_FIELD_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(io::ErrorKind::InvalidData.into());
     }
-    let mut body = vec![0; length - LENGTH_FIELD];
+    let mut body = vec![0; length - LENGTH_FIELD_BYTES];
     stream.read_exact(&mut body).await?;
     Ok(Message { kind, body })
 }
--- a/crates/comethitch-lab/src/live/play.rs
+++ b/crates/comethitch-lab/src/live/play.rs
@@ -1,10 +1,9 @@
-//! The course of a trial with real processes: start everything, let clients send and faults begin, wait, add up.
+//! Plays a trial with real processes: starts the fleet, its clients and faults, waits for the end, and summarizes.
 
 use super::network::{now, sleep, sleep_until};
 use super::process_table::RouterProcesses;
-use super::processes;
 use super::state::{LiveFleet, SLACK, SharedFleet};
-use super::{clients, crowd, discovery, hosts, punctuality, stalled_clients};
+use super::{adaptive_slack, clients, discovery, hosts, idle_clients, incomplete_requests, startup};
 use crate::error::PlayError;
 use crate::hosts::replica_cores;
 use crate::ledger::{Report, Rule};
@@ -17,18 +16,17 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Most routers: each is a process.
-const ROUTER_LIMIT: u16 = 300;
+/// Maximum number of routers, each of which is a process.
+const MAX_ROUTERS: u16 = 300;
 /// How long routers may take until all are ready, in seconds.
-const READY_SECONDS: u64 = 60;
-/// How often their readiness is looked at.
+const READY_TIMEOUT_S: u64 = 60;
+/// Interval at which the readiness of routers is checked.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ends all router processes when it is dropped. Tasks hold one another and are never dropped, so that their own
-/// handles would not do it.
-struct EndProcesses(Rc<RefCell<RouterProcesses>>);
+/// Ends all router processes when it is dropped, as tasks may not be dropped with the executor.
+struct EndProcessesGuard(Rc<RefCell<RouterProcesses>>);
 
-impl Drop for EndProcesses {
+impl Drop for EndProcessesGuard {
     fn drop(&mut self) {
         if let Ok(mut processes) = self.0.try_borrow_mut() {
             processes.end_all();
@@ -36,15 +34,16 @@
     }
 }
 
-/// Plays a trial with processes of the program at `daemon`. Their files and logs are kept in `logs`, if it is given.
+/// Plays a trial with processes of the program at `daemon`. Keeps their files and logs in `logs`, if given.
 ///
 /// # Errors
-/// A key of the trial that is out of bounds, a program that does not start within 60 s, no port, no file descriptors,
-/// and an interruption by a signal.
+///
+/// Returns an error if a key of the trial is out of bounds, the routers are not ready within 60 s, ports or file
+/// descriptors are exhausted, or a signal interrupts the trial.
 pub fn play(trial: &Trial, daemon: &Path, logs: Option<&Path>) -> Result<Report, PlayError> {
     trial.check()?;
-    if trial.routers > ROUTER_LIMIT {
-        return Err(PlayError::TooManyProcesses { limit: ROUTER_LIMIT, routers: trial.routers });
+    if trial.routers > MAX_ROUTERS {
+        return Err(PlayError::TooManyProcesses { limit: MAX_ROUTERS, routers: trial.routers });
     }
     let executor = Rc::new(LocalExecutor::new());
     let mut signals = Signals::new([Signal::Int, Signal::Term]).map_err(PlayError::Signals)?;
@@ -53,9 +52,9 @@
         Err(PlayError::Interrupted)
     };
     let processes = Rc::new(RefCell::new(RouterProcesses::new(daemon, trial.routers.into(), logs)?));
-    let _end_processes = EndProcesses(processes.clone());
-    let course = run(trial, processes, executor.clone());
-    future::block_on(executor.run(future::or(interrupted, course)))
+    let _end_processes = EndProcessesGuard(processes.clone());
+    let completed = run(trial, processes, executor.clone());
+    future::block_on(executor.run(future::or(interrupted, completed)))
 }
 
 async fn run(
@@ -66,27 +65,27 @@
     start_hosts(&fleet)?;
     let discovery_port = discovery::start(&fleet)?;
     fleet.processes.borrow_mut().discovery_port = discovery_port;
-    fleet.processes.borrow_mut().let_system_calls_fail(&trial.system_calls)?;
+    fleet.processes.borrow_mut().inject_system_call_faults(&trial.system_calls)?;
     start_routers(&fleet)?;
     wait_until_ready(&fleet).await?;
     let start = now();
     fleet.start.set(start);
     fleet.ledger.borrow_mut().set_start(start);
     fleet.spawn(observe_each_second(fleet.clone()));
-    if trial.sharp {
-        fleet.spawn(punctuality::adapt_slack(fleet.clone()));
+    if trial.adaptive_slack {
+        fleet.spawn(adaptive_slack::adapt_slack(fleet.clone()));
     }
-    fleet.spawn(stalled_clients::come(fleet.clone(), trial.stalled_clients));
-    fleet.spawn(crowd::come(fleet.clone(), trial.crowd));
+    fleet.spawn(incomplete_requests::start_clients(fleet.clone(), trial.incomplete_requests));
+    fleet.spawn(idle_clients::connect_to_all_routers(fleet.clone(), trial.idle_clients));
     start_clients(&fleet, rates_per_core);
     schedule_faults(&fleet);
     show_progress(trial.seconds, start).await;
     fleet.clients_send.set(false);
     let end = now();
-    // The last requests have their timeout, and their retries.
+    // The last requests may take until their timeout.
     sleep(Duration::from_millis(trial.timeout_ms) + SLACK).await;
-    for (router, line) in fleet.processes.borrow().own_violations() {
-        fleet.record_violation(Rule::OwnCheck, format!("router {router}: {line}"));
+    for (router, line) in fleet.processes.borrow().self_check_violations() {
+        fleet.record_violation(Rule::SelfCheck, format!("router {router}: {line}"));
     }
     fleet.processes.borrow_mut().end_all();
     let usable = fleet.usable.take();
@@ -95,14 +94,14 @@
 }
 
 fn start_hosts(fleet: &SharedFleet) -> Result<(), PlayError> {
-    for shard in 0..fleet.trial.groups {
+    for shard in 0..fleet.trial.shards {
         hosts::start(fleet, shard, true)?;
         for _ in 0..fleet.trial.replicas {
             hosts::start(fleet, shard, false)?;
         }
     }
-    if fleet.trial.all_cold {
-        // Before the routers: their first endpoint list has it.
+    if fleet.trial.all_hosts_warming_up {
+        // Before the routers start, so that their first endpoint list contains it.
         fleet.hosts.borrow_mut().iter_mut().for_each(|host| host.started = Some(now()));
     }
     Ok(())
@@ -110,20 +109,20 @@
 
 fn start_routers(fleet: &SharedFleet) -> Result<(), PlayError> {
     for router in 0..usize::from(fleet.trial.routers) {
-        processes::start(fleet, router)?;
-        fleet.spawn(processes::wait_until_ready(fleet.clone(), router));
+        startup::start_router(fleet, router)?;
+        fleet.spawn(startup::wait_until_ready(fleet.clone(), router));
     }
     Ok(())
 }
 
 async fn wait_until_ready(fleet: &SharedFleet) -> Result<(), PlayError> {
-    let begun = now();
+    let started = now();
     while fleet.processes.borrow().serving().len() < usize::from(fleet.trial.routers) {
         if let Some(exit) = fleet.processes.borrow_mut().take_exits().first() {
             return Err(PlayError::RouterEnded { router: exit.router, status: exit.status });
         }
-        if now() - begun > Duration::from_secs(READY_SECONDS) {
-            return Err(PlayError::NotReady { seconds: READY_SECONDS });
+        if now() - started > Duration::from_secs(READY_TIMEOUT_S) {
+            return Err(PlayError::NotReady { seconds: READY_TIMEOUT_S });
         }
         sleep(READY_POLL_INTERVAL).await;
     }
@@ -147,7 +146,7 @@
     }
 }
 
-/// Records by second which replicas are usable, and which routers have ended by themselves.
+/// Records in each second which replicas are usable, and which routers have ended by themselves.
 async fn observe_each_second(fleet: SharedFleet) {
     for second in 0.. {
         sleep_until(fleet.start.get() + Duration::from_secs(second)).await;
@@ -161,7 +160,7 @@
     }
 }
 
-/// Waits for the end of the trial, and shows how far it is.
+/// Waits for the end of the trial, and shows the progress.
 async fn show_progress(seconds: u64, start: Timestamp) {
     let bar = indicatif::ProgressBar::new(seconds);
     for second in 1..=seconds {
--- a/crates/comethitch-lab/src/live/process_table.rs
+++ b/crates/comethitch-lab/src/live/process_table.rs
@@ -1,8 +1,8 @@
-//! The router processes: spawned, stopped, resumed, killed and ended by process id.
+//! The table of router processes: spawns, signals and kills them, and knows which requests each has in flight.
 
 use super::network::{Purpose, address};
 use crate::error::PlayError;
-use crate::system_calls::SystemCallFaults;
+use crate::system_calls::{FaultLibrary, SystemCallFaults};
 use comethitch_policy::time::Duration;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -13,27 +13,23 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// The environment variable that names a router's configuration file.
+/// Environment variable with the path of a router's configuration file.
 const CONFIGURATION_VARIABLE: &str = "RELAY_CONFIG";
+/// Delay after the deadline up to which an answer is late but not lost, as the rules define it.
+const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
+/// Log message of a router whose own checks find a violation.
+const SELF_CHECK_MESSAGE: &str = "rule broken";
 
-/// The setting of the library of failing calls that says for how long a write is held up.
-const HELD_UP_SETTING: &str = "hold_ms=";
-/// By the rules an answer that comes up to so long after its time earns nothing, and is not lost.
-const LOST_AFTER: Duration = Duration::from_millis(500);
-
-/// What a router logs when its own checks find a broken rule.
-const OWN_VIOLATION: &str = "rule broken";
-
-/// A router between two restarts or stops.
+/// A router between two restarts or pauses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RouterIncarnation {
     pub router: usize,
     pub incarnation: u32,
-    /// How often it was killed or stopped before.
-    pub losses: u32,
+    /// How often it was killed or paused before.
+    pub interruptions: u32,
 }
 
-/// A router process that ended by itself.
+/// A router process that exited by itself.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Exit {
     pub router: usize,
@@ -43,25 +39,25 @@
 #[derive(Default)]
 struct RouterProcess {
     child: Option<Child>,
-    /// It has answered a client.
+    /// Whether it has answered a client.
     ready: bool,
-    stopped: bool,
-    /// It was told to end.
-    ending: bool,
+    paused: bool,
+    /// Whether it was sent SIGTERM.
+    shutting_down: bool,
     incarnation: u32,
-    losses: u32,
+    interruptions: u32,
     requests_in_flight: BTreeSet<u64>,
 }
 
 impl RouterProcess {
     fn is_serving(&self) -> bool {
-        self.ready && !self.stopped && !self.ending
+        self.ready && !self.paused && !self.shutting_down
     }
 
-    /// Begins a new incarnation; returns the commands that the last one had in flight.
-    fn lose_requests(&mut self) -> BTreeSet<u64> {
+    /// Begins a new incarnation, and returns the requests that the last one had in flight.
+    fn interrupt(&mut self) -> BTreeSet<u64> {
         self.incarnation += 1;
-        self.losses += 1;
+        self.interruptions += 1;
         std::mem::take(&mut self.requests_in_flight)
     }
 }
@@ -69,28 +65,28 @@
 /// All router processes.
 pub(super) struct RouterProcesses {
     pub daemon: PathBuf,
-    /// Their configuration and logs.
+    /// Folder of their configuration files and logs.
     folder: PathBuf,
-    /// Whether the folder is kept at the end.
-    folder_is_kept: bool,
-    /// Where clients reach each router, at its own address.
+    /// Whether to keep the folder at the end.
+    keeps_folder: bool,
+    /// Port that each router listens on for clients, at an address of its own.
     client_port: u16,
-    /// Holds that port at an address of its own, so that no host's listener is given it.
-    _client_port_holder: TcpListener,
+    /// Reserves the port, so that no host's listener gets it.
+    _client_port_reservation: TcpListener,
     pub discovery_port: u16,
-    /// The library of failing system calls, and its settings, dealt out to the routers in turn.
-    system_calls: Option<SystemCallFaults>,
-    system_call_settings: Vec<String>,
+    fault_library: Option<FaultLibrary>,
+    /// Faults of system calls, assigned to the routers in turn.
+    system_call_faults: Vec<SystemCallFaults>,
     processes: Vec<RouterProcess>,
 }
 
 impl RouterProcesses {
-    /// None is running yet. Files and logs are kept in `logs`, if it is given.
+    /// Creates a table of routers that do not run yet. Keeps files and logs in `logs`, if given.
     pub(super) fn new(
         daemon: &Path, routers: usize, logs: Option<&Path>,
     ) -> Result<RouterProcesses, PlayError> {
-        let holder = TcpListener::bind("127.0.0.1:0").map_err(PlayError::ClientPort)?;
-        let client_port = holder.local_addr().map_err(PlayError::ClientPort)?.port();
+        let reservation = TcpListener::bind("127.0.0.1:0").map_err(PlayError::ClientPort)?;
+        let client_port = reservation.local_addr().map_err(PlayError::ClientPort)?.port();
         let folder = match logs {
             Some(logs) => logs.to_path_buf(),
             None => temporary_folder(client_port),
@@ -100,77 +96,75 @@
         Ok(RouterProcesses {
             daemon: daemon.into(),
             folder,
-            folder_is_kept: logs.is_some(),
+            keeps_folder: logs.is_some(),
             client_port,
-            _client_port_holder: holder,
+            _client_port_reservation: reservation,
             discovery_port: 0,
-            system_calls: None,
-            system_call_settings: Vec::new(),
+            fault_library: None,
+            system_call_faults: Vec::new(),
             processes: (0..routers).map(|_| RouterProcess::default()).collect(),
         })
     }
 
-    /// Lets system calls of the routers that are started from now on fail by these settings.
-    pub(super) fn let_system_calls_fail(&mut self, settings: &[String]) -> Result<(), PlayError> {
-        if settings.iter().any(|settings| !settings.is_empty()) {
-            let library = SystemCallFaults::compile(&self.folder).map_err(PlayError::SystemCalls)?;
-            self.system_calls = Some(library);
-            self.system_call_settings = settings.to_vec();
+    /// Injects faults of system calls into the routers that are started from now on.
+    pub(super) fn inject_system_call_faults(&mut self, faults: &[SystemCallFaults]) -> Result<(), PlayError> {
+        if faults.iter().any(|faults| !faults.is_empty()) {
+            let library = FaultLibrary::compile(&self.folder).map_err(PlayError::SystemCalls)?;
+            self.fault_library = Some(library);
+            self.system_call_faults = faults.to_vec();
         }
         Ok(())
     }
 
-    /// How late a router's answers may come for what its settings of failing calls do to it. Deadlines allow for writes
-    /// that are held up, of which several may come in a row: up to where an answer counts as lost.
-    pub(super) fn lateness_allowed(&self, router: usize) -> Duration {
-        let count = self.system_call_settings.len().max(1);
-        let settings = self.system_call_settings.get(router % count);
-        let is_held_up = settings.is_some_and(|settings| settings.contains(HELD_UP_SETTING));
-        if is_held_up { LOST_AFTER } else { Duration::ZERO }
+    /// Returns how late a router may answer because its writes are delayed, several of which may be in a row.
+    pub(super) fn answer_delay_tolerance(&self, router: usize) -> Duration {
+        let count = self.system_call_faults.len().max(1);
+        let faults = self.system_call_faults.get(router % count);
+        if faults.is_some_and(SystemCallFaults::delay_writes) { LATE_ANSWER_LIMIT } else { Duration::ZERO }
     }
 
-    /// Where clients reach a router.
+    /// Returns the address that a router listens on for clients.
     pub(super) fn client_address(&self, router: usize) -> SocketAddr {
         (address(router, Purpose::Clients), self.client_port).into()
     }
 
-    /// The routers that take commands.
+    /// Returns the routers that accept requests.
     pub(super) fn serving(&self) -> Vec<usize> {
         (0..self.processes.len()).filter(|router| self.processes[*router].is_serving()).collect()
     }
 
-    /// A router's present incarnation.
+    /// Returns the current incarnation of a router.
     pub(super) fn current(&self, router: usize) -> RouterIncarnation {
-        let RouterProcess { incarnation, losses, .. } = self.processes[router];
-        RouterIncarnation { router, incarnation, losses }
+        let RouterProcess { incarnation, interruptions, .. } = self.processes[router];
+        RouterIncarnation { router, incarnation, interruptions }
     }
 
-    /// Whether a router has neither been killed nor stopped since.
+    /// Returns whether a router was not restarted, killed or paused since.
     pub(super) fn is_current(&self, router: RouterIncarnation) -> bool {
         self.current(router.router) == router
     }
 
-    /// Whether a router owes answers to what it was sent then: it was neither killed nor stopped since.
-    pub(super) fn owes(&self, router: RouterIncarnation) -> bool {
-        self.processes[router.router].losses == router.losses
+    /// Returns whether a router must answer the requests that this incarnation received: it was not killed or paused.
+    pub(super) fn must_answer(&self, router: RouterIncarnation) -> bool {
+        self.processes[router.router].interruptions == router.interruptions
     }
 
-    /// Whether a router was told to end and has not ended.
-    pub(super) fn is_ending(&self, router: usize) -> bool {
-        self.processes[router].ending
+    /// Returns whether a router was sent SIGTERM and has not exited.
+    pub(super) fn is_shutting_down(&self, router: usize) -> bool {
+        self.processes[router].shutting_down
     }
 
-    /// Counts a command as in flight at a router.
-    pub(super) fn request_sent(&mut self, router: usize, command: u64) {
-        self.processes[router].requests_in_flight.insert(command);
+    /// Adds a request in flight at a router.
+    pub(super) fn request_sent(&mut self, router: usize, request: u64) {
+        self.processes[router].requests_in_flight.insert(request);
     }
 
-    /// A command is no longer in flight.
-    pub(super) fn request_ended(&mut self, router: usize, command: u64) {
-        self.processes[router].requests_in_flight.remove(&command);
+    /// Removes a request in flight at a router.
+    pub(super) fn request_ended(&mut self, router: usize, request: u64) {
+        self.processes[router].requests_in_flight.remove(&request);
     }
 
-    /// Kills a router; returns the commands that it had in flight.
+    /// Kills a router, and returns the requests that it had in flight.
     pub(super) fn kill(&mut self, router: usize) -> BTreeSet<u64> {
         let process = &mut self.processes[router];
         if let Some(mut child) = process.child.take() {
@@ -178,80 +172,80 @@
             let _ = child.wait();
         }
         process.ready = false;
-        process.ending = false;
-        process.lose_requests()
+        process.shutting_down = false;
+        process.interrupt()
     }
 
-    /// Tells a router to end (SIGTERM); it owes what it has taken.
+    /// Starts the graceful shutdown of a router (SIGTERM). It must answer the requests that it has received.
     pub(super) fn terminate(&mut self, router: usize) {
         self.signal(router, Signal::TERM);
-        self.processes[router].ending = true;
+        self.processes[router].shutting_down = true;
     }
 
-    /// How a router that was told to end has ended, once it has. Its clients still find out what it owed them.
-    pub(super) fn take_end(&mut self, router: usize) -> Option<ExitStatus> {
+    /// Returns the exit status of a router that was shutting down, once it has exited. Its requests must be answered.
+    pub(super) fn take_shutdown_status(&mut self, router: usize) -> Option<ExitStatus> {
         let process = &mut self.processes[router];
         let status = process.child.as_mut()?.try_wait().ok()??;
         process.child = None;
         process.ready = false;
-        process.ending = false;
+        process.shutting_down = false;
         process.incarnation += 1;
         process.requests_in_flight.clear();
         Some(status)
     }
 
-    /// Whether a process of a router runs.
+    /// Returns whether a process of a router runs.
     pub(super) fn is_running(&self, router: usize) -> bool {
         self.processes[router].child.is_some()
     }
 
-    /// Whether a router runs, and was neither stopped nor told to end.
+    /// Returns whether a router serves clients, and is neither paused nor shutting down.
     pub(super) fn is_undisturbed(&self, router: usize) -> bool {
         let process = &self.processes[router];
         process.child.is_some() && process.is_serving()
     }
 
-    /// Tells a router to read its configuration again (SIGHUP).
+    /// Makes a router reload its configuration (SIGHUP).
     pub(super) fn reload(&mut self, router: usize) {
         self.signal(router, Signal::HUP);
     }
 
-    /// What the routers' own checks found, line by line, with the router's number.
-    pub(super) fn own_violations(&self) -> Vec<(usize, String)> {
+    /// Returns the log lines of violations that the routers' own checks found, with the index of the router.
+    pub(super) fn self_check_violations(&self) -> Vec<(usize, String)> {
         let mut found = Vec::new();
         for router in 0..self.processes.len() {
             let log = std::fs::read_to_string(self.folder.join(format!("r{router}.log"))).unwrap_or_default();
-            let broken = log.lines().filter(|line| line.contains(OWN_VIOLATION));
-            found.extend(broken.map(|line| (router, line.to_string())));
+            let violations = log.lines().filter(|line| line.contains(SELF_CHECK_MESSAGE));
+            found.extend(violations.map(|line| (router, line.to_string())));
         }
         found
     }
 
-    /// Stops a router (SIGSTOP); returns the commands that it has in flight.
-    pub(super) fn stop(&mut self, router: usize) -> BTreeSet<u64> {
+    /// Pauses a router (SIGSTOP), and returns the requests that it has in flight.
+    pub(super) fn pause(&mut self, router: usize) -> BTreeSet<u64> {
         self.signal(router, Signal::STOP);
         let process = &mut self.processes[router];
-        process.stopped = true;
-        process.lose_requests()
+        process.paused = true;
+        process.interrupt()
     }
 
-    /// Lets a stopped router go on (SIGCONT).
+    /// Resumes a paused router (SIGCONT).
     pub(super) fn resume(&mut self, router: usize) {
         self.signal(router, Signal::CONT);
-        self.processes[router].stopped = false;
+        self.processes[router].paused = false;
     }
 
     fn signal(&self, router: usize, signal: Signal) {
         if let Some(child) = &self.processes[router].child {
-            // It may have ended by itself: that is reported elsewhere.
+            // The process may have exited, which `take_exits` reports.
             let _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
-    /// The routers that ended by themselves since the last call.
+    /// Returns the routers that exited by themselves since the last call.
     pub(super) fn take_exits(&mut self) -> Vec<Exit> {
         let mut exits = Vec::new();
-        let running = self.processes.iter_mut().enumerate().filter(|(_, process)| !process.ending);
+        let running = self.processes.iter_mut().enumerate().filter(|(_, process)| !process.shutting_down);
         for (router, process) in running {
             let status = process.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
             if let Some(status) = status {
@@ -263,33 +257,33 @@
         exits
     }
 
-    /// Ends all: however a trial ends, it leaves no process, and no file that is not to be kept.
+    /// Kills all processes, and removes the folder unless it is to be kept.
     pub(super) fn end_all(&mut self) {
         for router in 0..self.processes.len() {
             self.kill(router);
         }
-        if !self.folder_is_kept {
+        if !self.keeps_folder {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
 
-    /// Marks a router as ready for clients, unless it was restarted or stopped since.
+    /// Marks a router as ready for clients, unless it was restarted or paused since.
     pub(super) fn mark_ready(&mut self, router: RouterIncarnation) {
         self.processes[router.router].ready = self.is_current(router);
     }
 
-    /// Writes a router's configuration, and starts a process with it whose log goes to a file.
+    /// Writes the configuration file of a router, and starts its process with the log in a file.
     pub(super) fn spawn(&mut self, router: usize, configuration: &Value) -> io::Result<()> {
         let path = self.folder.join(format!("r{router}.json"));
         let log = self.folder.join(format!("r{router}.log"));
         std::fs::write(&path, configuration.to_string())?;
         let log = File::options().create(true).append(true).open(&log)?;
-        let level = if self.folder_is_kept { "info" } else { "warn" };
+        let level = if self.keeps_folder { "info" } else { "warn" };
         let mut command = Command::new(&self.daemon);
         command.args(["serve", "--log", level]).env(CONFIGURATION_VARIABLE, &path);
-        if let Some(library) = &self.system_calls {
-            let settings = &self.system_call_settings[router % self.system_call_settings.len()];
-            command.envs(library.environment(settings));
+        if let Some(library) = &self.fault_library {
+            let faults = &self.system_call_faults[router % self.system_call_faults.len()];
+            command.envs(library.environment(faults));
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         self.processes[router].child = Some(command.spawn()?);
--- a/crates/comethitch-lab/src/live/state.rs
+++ b/crates/comethitch-lab/src/live/state.rs
@@ -1,4 +1,4 @@
-//! The state of a fleet of real processes, shared by all tasks of the one thread that plays a trial.
+//! The state of a fleet of real processes, shared by all tasks of the thread that plays a trial.
 
 use super::network::{now, sleep};
 use super::process_table::RouterProcesses;
@@ -15,53 +15,53 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
 
-/// How much later than the router something may be seen here: many processes share few cores.
+/// How much later than the router the lab may observe an event, as many processes share few cores.
 pub(super) const SLACK: Duration = Duration::from_millis(300);
-/// Separates the random draws for faults from all others.
+/// Combined with the trial's seed to the seed of the draws for faults.
 const FAULT_SEED: u64 = 0x66_61_75_6c_74;
-/// How often a message on a link that is cut looks whether the cut has ended.
+/// Interval at which a message on a cut link checks whether the cut has ended.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A job by its host and its number.
+/// Identifies a job by its host and its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct JobId {
     pub host: usize,
     pub job: u32,
 }
 
-/// The fleet; tasks share it through an [`Rc`].
+/// A fleet of real processes. Tasks share it through an [`Rc`].
 pub(super) struct LiveFleet {
     pub trial: Trial,
-    /// Tasks hold the fleet: if it held the executor, neither would ever be dropped, nor the tasks' sockets closed.
+    /// Weak, as the tasks of the executor own the fleet: a cycle would keep their sockets open.
     executor: Weak<LocalExecutor<'static>>,
     pub start: Cell<Timestamp>,
     pub ledger: RefCell<Ledger>,
     pub hosts: RefCell<Vec<SimulatedHost>>,
-    /// The port of each host, the same for all routers.
+    /// Port of each host, the same for all routers.
     pub ports: RefCell<Vec<u16>>,
-    /// Connections that each host holds.
+    /// Number of open connections of each host.
     pub open_connections: RefCell<BTreeMap<usize, u32>>,
     pub links: RefCell<Links>,
     pub processes: Rc<RefCell<RouterProcesses>>,
     pub rng: RefCell<ChaCha8Rng>,
-    /// For faults alone: a seed affects the same routers and hosts in every play, whatever else was drawn meanwhile.
+    /// Used for faults only, so that a seed affects the same routers and hosts in every run.
     fault_rng: RefCell<ChaCha8Rng>,
-    /// Whom to notify when a job is finished.
+    /// Notified when a job is finished.
     pub job_waiters: RefCell<BTreeMap<JobId, async_channel::Sender<()>>>,
     last_job: Cell<u32>,
     last_number: Cell<u64>,
-    /// The version of the endpoint list.
+    /// Version of the endpoint list.
     pub endpoints_version: Cell<u64>,
     pub usable: RefCell<UsableReplicas>,
     /// Whether clients still send new requests.
     pub clients_send: Cell<bool>,
 }
 
-/// The fleet as tasks hold it.
+/// A shared reference to the fleet.
 pub(super) type SharedFleet = Rc<LiveFleet>;
 
 impl LiveFleet {
-    /// A fleet without hosts and running routers.
+    /// Creates a fleet without hosts and running routers.
     pub(super) fn new(
         trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
     ) -> SharedFleet {
@@ -86,31 +86,31 @@
         })
     }
 
-    /// Runs a task beside all others.
+    /// Runs a task concurrently with all others.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(task).detach();
         }
     }
 
-    /// Takes the ledger out at the end of the trial.
+    /// Takes the ledger at the end of the trial.
     pub(super) fn take_ledger(&self) -> Ledger {
         self.ledger.replace(empty_ledger(&self.trial))
     }
 
-    /// A random number from 0 to 1.
+    /// Draws a random number from 0 to 1.
     pub(super) fn draw(&self) -> f64 {
         self.rng.borrow_mut().random_range(0.0..1.0)
     }
 
-    /// This fraction of the candidates, drawn for a fault.
+    /// Draws this fraction of the candidates for a fault.
     pub(super) fn draw_for_fault(&self, mut candidates: Vec<usize>, fraction: f64) -> Vec<usize> {
         let count = (candidates.len() as f64 * fraction).round() as usize;
         let mut rng = self.fault_rng.borrow_mut();
         (0..count).map(|_| candidates.swap_remove(rng.random_range(0..candidates.len()))).collect()
     }
 
-    /// Waits as long as a message is on its link. `false` if the connection breaks instead.
+    /// Waits while a message is on its link. Returns `false` if the connection breaks instead.
     pub(super) async fn transmit(&self, router: usize, host: usize, destination: Destination) -> bool {
         let draw = self.draw();
         let fate = || self.links.borrow().fate(router, host, destination, draw);
@@ -121,7 +121,7 @@
                 true
             }
             Fate::Reset => false,
-            // Silence until the link works again; what was on it then is lost.
+            // The connection hangs until the cut has ended, and is then closed without the message.
             Fate::Dropped => {
                 while fate() == Fate::Dropped {
                     sleep(CUT_POLL_INTERVAL).await;
@@ -131,18 +131,18 @@
         }
     }
 
-    /// The number of the present second of the trial.
-    pub(super) fn second(&self) -> u64 {
+    /// Returns the number of the current second of the trial.
+    pub(super) fn current_second(&self) -> u64 {
         (now() - self.start.get()).as_micros() / 1_000_000
     }
 
-    /// The next number of a request or a request.
+    /// Returns the next number of an operation or a request.
     pub(super) fn next_number(&self) -> u64 {
         self.last_number.set(self.last_number.get() + 1);
         self.last_number.get()
     }
 
-    /// The next number of a job.
+    /// Returns the next number of a job.
     pub(super) fn next_job(&self) -> u32 {
         self.last_job.set(self.last_job.get().wrapping_add(1));
         self.last_job.get()
@@ -160,17 +160,17 @@
     fn finish_job(self: &Rc<LiveFleet>, host: usize, job: Job) {
         let waiter = self.job_waiters.borrow_mut().remove(&JobId { host, job: job.request });
         if let Some(waiter) = waiter {
-            // Whoever waited may have given up meanwhile.
+            // The waiting task may have ended meanwhile.
             let _ = waiter.try_send(());
         }
-        let next = self.hosts.borrow_mut()[host].finish(&job, &self.trial.cold_start(), now());
+        let next = self.hosts.borrow_mut()[host].finish(&job, &self.trial.slow_start(), now());
         if let Some(next) = next {
             self.run_job(host, next);
         }
     }
 
-    /// Requests whose router was killed or stopped: no answer is owed.
-    pub(super) fn record_lost(&self, requests: BTreeSet<u64>) {
+    /// Records that the router of these requests was killed or paused.
+    pub(super) fn record_router_lost(&self, requests: BTreeSet<u64>) {
         for request in requests {
             self.ledger.borrow_mut().router_lost(request);
         }
@@ -188,7 +188,7 @@
 }
 
 fn empty_ledger(trial: &Trial) -> Ledger {
-    let latency_objective = Duration::from_millis(trial.target_ms);
+    let latency_objective = Duration::from_millis(trial.latency_objective_ms);
     let drain_grace = Duration::from_millis(trial.drain_grace_ms);
     Ledger::new(latency_objective, drain_grace, Timestamp::ZERO).with_slack(SLACK)
 }
--- /dev/null
+++ b/crates/comethitch-lab/src/output.rs
@@ -0,0 +1,47 @@
+//! Prints reports as CSV, and draws charts of them.
+
+use comethitch_lab::chart::{self, ChartError, Labels};
+use comethitch_lab::ledger::{Report, Second};
+use comethitch_lab::trial::Trial;
+
+/// Tolerance of the in-time fraction within which a fleet counts as recovered from a fault.
+const RECOVERY_TOLERANCE: f64 = 0.02;
+
+pub(crate) fn print_header() {
+    println!("routing,seed,routers,{}", Report::CSV_HEADER);
+}
+
+pub(crate) fn print_row(routing: &str, trial: &Trial, report: &Report) {
+    println!("{routing},{},{},{}", trial.seed, trial.routers, report.csv_row());
+}
+
+pub(crate) fn print_violations(report: &Report) {
+    for violation in &report.violations {
+        println!("BROKEN {violation}");
+    }
+}
+
+/// Prints for each fault how long the in-time fraction took to recover.
+pub(crate) fn print_recoveries(trial: &Trial, report: &Report) {
+    for fault in &trial.faults {
+        let recovery = match report.recovery_seconds(fault.at_ms / 1000, RECOVERY_TOLERANCE) {
+            Some(seconds) => format!("after {seconds} s"),
+            None => "not within the trial".into(),
+        };
+        println!("# fault at {} ms: in-time share back {recovery}", fault.at_ms);
+    }
+}
+
+/// Returns an SVG chart of the figures of each second.
+pub(crate) fn chart_by_second(trial: &Trial, report: &Report) -> Result<String, ChartError> {
+    let line = |name: &str, value: fn(&Second) -> f64| chart::Line {
+        name: name.into(),
+        points: report.seconds.iter().map(|(index, second)| (*index as f64, value(second))).collect(),
+    };
+    let lines = [
+        line("answered in time", |second| second.in_time as f64 / second.operations.max(1) as f64),
+        line("variation of load", |second| second.variation),
+    ];
+    let title = format!("{} routers, seed {}", trial.routers, trial.seed);
+    chart::svg(Labels { title: &title, x: "second", y: "share" }, &lines)
+}
--- a/crates/comethitch-lab/src/soak.rs
+++ b/crates/comethitch-lab/src/soak.rs
@@ -1,102 +1,122 @@
-//! Random trials: from a seed, a fleet of real processes with several troubles that overlap in time, of routers, hosts,
-//! links, clients, and the system's calls and clocks. A failure is a seed.
+//! Random trials for soak tests: a fleet of real processes with overlapping faults, all derived from a seed.
 
+use crate::system_calls::{SystemCallFault, SystemCallFaults};
 use crate::trial::{Direction, Fault, FaultKind, LinkFault, Trial};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use std::ops::RangeInclusive;
 
-/// How many routers a trial has.
-const ROUTERS: std::ops::RangeInclusive<u16> = 10..=24;
-/// How many faults a trial has; most last for seconds, so that two or three overlap.
-const FAULTS: std::ops::RangeInclusive<usize> = 5..=8;
-/// Faults begin after this long: routers have found their hosts.
+/// Number of routers of a trial.
+const ROUTERS: RangeInclusive<u16> = 10..=24;
+/// Number of faults of a trial. Most last for seconds, so that two or three overlap.
+const FAULTS: RangeInclusive<usize> = 5..=8;
+/// Earliest start of a fault, when routers have found their hosts.
 const FIRST_FAULT_MS: u64 = 800;
-/// The system's calls of a router, one of these; most routers have some trouble of their own.
-const SYSTEM_CALLS: [&str; 15] = [
-    "",
-    "",
-    "interrupt=30",
-    "short=7",
-    "accept=30",
-    "interrupt=20,short=40",
-    "wall_ms=-3600000",
-    "wall_ms=3600000",
-    "wall_ms=-5000,interrupt=50",
-    "wall_ms=4000,mend_ms=3000",
-    "step_ms=3600000,step_every_ms=1500",
-    "hold=150,hold_ms=120,stderr=3",
-    "socket=30,connect=30,wait=30",
-    "share=4",
-    "share=10,interrupt=50",
+const HOUR_MS: i64 = 3_600_000;
+
+/// Faults of system calls, of which each router gets one entry.
+const SYSTEM_CALL_FAULTS: [&[SystemCallFault]; 15] = [
+    &[],
+    &[],
+    &[SystemCallFault::InterruptedTransfers { one_in: 30 }],
+    &[SystemCallFault::ShortTransfers { max_bytes: 7 }],
+    &[SystemCallFault::FailedAccepts { one_in: 30 }],
+    &[
+        SystemCallFault::InterruptedTransfers { one_in: 20 },
+        SystemCallFault::ShortTransfers { max_bytes: 40 },
+    ],
+    &[SystemCallFault::WrongWallClock { offset_ms: -HOUR_MS, corrected_after_ms: None }],
+    &[SystemCallFault::WrongWallClock { offset_ms: HOUR_MS, corrected_after_ms: None }],
+    &[
+        SystemCallFault::WrongWallClock { offset_ms: -5_000, corrected_after_ms: None },
+        SystemCallFault::InterruptedTransfers { one_in: 50 },
+    ],
+    &[SystemCallFault::WrongWallClock { offset_ms: 4_000, corrected_after_ms: Some(3_000) }],
+    &[SystemCallFault::SteppedWallClock { step_ms: HOUR_MS, interval_ms: 1_500 }],
+    &[
+        SystemCallFault::DelayedWrites { one_in: 150, delay_ms: 120 },
+        SystemCallFault::FailedLogWrites { one_in: 3 },
+    ],
+    &[
+        SystemCallFault::FailedSockets { one_in: 30 },
+        SystemCallFault::FailedConnects { one_in: 30 },
+        SystemCallFault::InterruptedWaits { one_in: 30 },
+    ],
+    &[SystemCallFault::LimitedProcessor { one_in: 4 }],
+    &[SystemCallFault::LimitedProcessor { one_in: 10 }, SystemCallFault::InterruptedTransfers { one_in: 50 }],
 ];
 
-/// The clients' timeout. SIGKILL comes 0.7 s after it, and after three seconds of a longer one.
+/// Timeouts of clients.
 const TIMEOUTS_MS: [u64; 5] = [500, 1_200, 1_200, 3_000, 5_000];
-/// Shards: mostly few, sometimes so many that each sees little.
-const GROUPS: [u16; 5] = [1, 2, 3, 3, 40];
-/// The traffic grows with the groups up to this many.
-const MANY_GROUPS: u16 = 3;
-/// Idle clients that come to each router at once: in some trials they fill its descriptors.
-const CROWDS: [u16; 4] = [0, 0, 0, 720];
+/// Numbers of shards, with one so large that each shard gets little traffic.
+const SHARDS: [u16; 5] = [1, 2, 3, 3, 40];
+/// Number of shards up to which the traffic grows with them.
+const MAX_SHARDS_WITH_FULL_LOAD: u16 = 3;
+/// Idle clients that connect to each router at once. The larger number fills a router's descriptors.
+const IDLE_CLIENTS: [u16; 4] = [0, 0, 0, 720];
 
-/// The trial of a seed, in which clients send for so many seconds.
+/// Returns the trial of a seed, in which clients send for this many seconds.
 pub fn trial(seed: u64, seconds: u64) -> Trial {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let routers = rng.random_range(ROUTERS);
     let faults = (0..rng.random_range(FAULTS)).map(|_| fault(&mut rng, seconds)).collect();
-    let system_calls = (0..routers).map(|router| system_calls(&mut rng, router)).collect();
-    let groups = *GROUPS.choose(&mut rng).unwrap_or(&2);
-    // The traffic is that of a few groups, however many there are.
-    let load = rng.random_range(0.2..0.6) * f64::from(groups.min(MANY_GROUPS)) / f64::from(groups);
+    let system_calls = (0..routers).map(|router| system_call_faults(&mut rng, router)).collect();
+    let shards = *SHARDS.choose(&mut rng).unwrap_or(&2);
+    let full_load = rng.random_range(0.2..0.6);
+    let load = full_load * f64::from(shards.min(MAX_SHARDS_WITH_FULL_LOAD)) / f64::from(shards);
     Trial {
         seed,
         routers,
-        groups,
+        shards,
         replicas: rng.random_range(3..=5),
         seconds,
         cores: vec![2, 2, 3],
         load,
-        writes: rng.random_range(0.05..0.3),
-        bound_ms: *[1_000, 2_000, 3_000].choose(&mut rng).unwrap_or(&3_000),
+        write_fraction: rng.random_range(0.05..0.3),
+        staleness_bound_ms: *[1_000, 2_000, 3_000].choose(&mut rng).unwrap_or(&3_000),
         drain_grace_ms: *[1_000, 2_000].choose(&mut rng).unwrap_or(&2_000),
         timeout_ms: *TIMEOUTS_MS.choose(&mut rng).unwrap_or(&1_200),
-        crowd: *CROWDS.choose(&mut rng).unwrap_or(&0),
-        leave: rng.random_range(0.0..0.2),
-        stalled_clients: rng.random_range(0..=20),
-        sharp: true,
+        idle_clients: *IDLE_CLIENTS.choose(&mut rng).unwrap_or(&0),
+        disconnect_probability: rng.random_range(0.0..0.2),
+        incomplete_requests: rng.random_range(0..=20),
+        adaptive_slack: true,
         system_calls,
         faults,
         ..Trial::default()
     }
 }
 
-fn system_calls(rng: &mut ChaCha8Rng, router: u16) -> String {
-    let settings = SYSTEM_CALLS.choose(rng).copied().unwrap_or_default();
-    if settings.is_empty() { String::new() } else { format!("seed={},{settings}", u64::from(router) + 1) }
+fn system_call_faults(rng: &mut ChaCha8Rng, router: u16) -> SystemCallFaults {
+    let faults = SYSTEM_CALL_FAULTS.choose(rng).copied().unwrap_or_default().to_vec();
+    let seed = (!faults.is_empty()).then_some(u64::from(router) + 1);
+    SystemCallFaults { seed, faults }
 }
 
 fn fault(rng: &mut ChaCha8Rng, seconds: u64) -> Fault {
     let last_ms = (seconds * 1_000).saturating_sub(2_000).max(FIRST_FAULT_MS + 1);
     let at_ms = rng.random_range(FIRST_FAULT_MS..last_ms);
-    let part = rng.random_range(0.2..0.8);
-    let for_ms = rng.random_range(300..4_000);
+    let fraction = rng.random_range(0.2..0.8);
+    let duration_ms = rng.random_range(300..4_000);
     let kind = match rng.random_range(0..11) {
-        0 => FaultKind::Release { part, over_ms: for_ms },
-        1 => FaultKind::Herd { part, back_ms: rng.random_range(50..1_000) },
-        2 => FaultKind::Slow { part: part / 2.0, factor: rng.random_range(2.0..8.0) },
-        3 => FaultKind::Stall { part: if rng.random_bool(0.5) { 1.0 } else { part }, for_ms },
-        4 => FaultKind::Takeover { part, after_ms: rng.random_range(500..2_500) },
-        5 => FaultKind::Stop { part: part / 2.0, for_ms: rng.random_range(100..1_500) },
-        6 => FaultKind::Restart { part, over_ms: for_ms },
-        7 => FaultKind::Reload { part },
-        8 => FaultKind::Signals { part: part / 2.0, over_ms: for_ms / 2 },
-        _ => links(rng, part, for_ms),
+        0 => FaultKind::ReplaceReplicas { fraction, over_ms: duration_ms },
+        1 => FaultKind::KillRouters { fraction, restart_after_ms: rng.random_range(50..1_000) },
+        2 => FaultKind::SlowReplicas { fraction: fraction / 2.0, factor: rng.random_range(2.0..8.0) },
+        3 => {
+            let fraction = if rng.random_bool(0.5) { 1.0 } else { fraction };
+            FaultKind::StallReplication { fraction, duration_ms }
+        }
+        4 => FaultKind::Failover { fraction, promotion_after_ms: rng.random_range(500..2_500) },
+        5 => FaultKind::PauseRouters { fraction: fraction / 2.0, duration_ms: rng.random_range(100..1_500) },
+        6 => FaultKind::RestartRouters { fraction, over_ms: duration_ms },
+        7 => FaultKind::ReloadRouters { fraction },
+        8 => FaultKind::SignalRouters { fraction: fraction / 2.0, over_ms: duration_ms / 2 },
+        _ => link_fault(rng, fraction, duration_ms),
     };
     Fault { at_ms, kind }
 }
 
-fn links(rng: &mut ChaCha8Rng, routers: f64, for_ms: u64) -> FaultKind {
+fn link_fault(rng: &mut ChaCha8Rng, routers: f64, duration_ms: u64) -> FaultKind {
     let directions = [Direction::Both, Direction::ToHosts, Direction::ToRouters];
     let fault = match rng.random_range(0..3) {
         0 => LinkFault::Cut,
@@ -104,5 +124,6 @@
         _ => LinkFault::Reset(rng.random_range(0.05..0.5)),
     };
     let direction = *directions.choose(rng).unwrap_or(&Direction::Both);
-    FaultKind::Links { routers, hosts: rng.random_range(0.2..0.8), direction, fault, for_ms }
+    let hosts = rng.random_range(0.2..0.8);
+    FaultKind::DisturbLinks { routers, hosts, direction, fault, duration_ms }
 }
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -1,11 +1,12 @@
 //! Trials: a fleet, its load and its faults, as read from a JSON file.
 //!
-//! The words of the file are a stable format: types and fields whose names differ here carry the file's word in a
+//! The keys of the file are a stable format: fields and variants with other names here carry the file's key in a
 //! `serde` attribute.
 
 mod faults;
 
-use crate::hosts::ColdStart;
+use crate::hosts::SlowStart;
+use crate::system_calls::SystemCallFaults;
 use comethitch_policy::time::Duration;
 use comethitch_policy::{Deployment, DeploymentError};
 pub use faults::{Direction, Fault, FaultKind, LinkFault};
@@ -17,34 +18,34 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The longest that a trial, or a fault of it, may take, in milliseconds.
-const LONGEST_MS: f64 = 600_000.0;
+/// Maximum duration of a trial or a fault, in milliseconds.
+const MAX_DURATION_MS: f64 = 600_000.0;
 
 /// Why a trial is unusable.
 #[derive(Debug, Error)]
 pub enum TrialError {
-    /// Not the JSON of a trial.
+    /// The text is not the JSON of a trial.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A number that is not within its bounds.
-    #[error("{key} must be from {least} to {most}, not {value}")]
+    /// A number is out of its bounds.
+    #[error("{key} must be from {min} to {max}, not {value}")]
     OutOfBounds {
-        /// The key in the file.
+        /// Key in the file.
         key: String,
-        /// The least allowed value.
-        least: f64,
-        /// The greatest allowed value.
-        most: f64,
-        /// The value in the file.
+        /// Minimum value.
+        min: f64,
+        /// Maximum value.
+        max: f64,
+        /// Value in the file.
         value: f64,
     },
-    /// Hosts without cores.
+    /// A host has no cores.
     #[error("cores must name at least one number of cores, none of them 0")]
     NoCores,
-    /// The distribution of traffic over routers does not exist.
+    /// There is no distribution of traffic with this skew.
     #[error("skew is unusable")]
     Skew,
-    /// The routers' settings are refused.
+    /// The policy rejects the routers' settings.
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
 }
@@ -53,85 +54,107 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Routing {
-    /// The decision module, one for each router.
+    /// The policy, one instance for each router.
     #[default]
     Module,
-    /// A baseline: each read goes to any usable replica, drawn by the capacity that it truly has at that moment, with
-    /// no health checks, concurrency limits or retries.
+    /// A baseline that sends each read to a usable replica, drawn with the hosts' actual capacities as weights, without
+    /// health checks, concurrency limits or retries.
     Perfect,
 }
 
-/// A trial. What is left out of the file is as in [`Trial::default`].
+/// A trial. Keys that are left out of the file are as in [`Trial::default`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Trial {
-    /// The seed of all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Who selects hosts.
     pub routing: Routing,
-    /// How many routers.
+    /// Number of routers.
     pub routers: u16,
-    /// How many shards (shards).
-    pub groups: u16,
-    /// Replicas in each group, beside its primary.
+    /// Number of shards.
+    #[serde(rename = "groups")]
+    pub shards: u16,
+    /// Number of replicas of each shard, besides its primary.
     pub replicas: u16,
-    /// How long clients send requests.
+    /// How long clients send requests, in seconds.
     pub seconds: u64,
-    /// Cores of the hosts, dealt out in turn.
+    /// Numbers of cores of the hosts, assigned in turn.
     pub cores: Vec<u16>,
-    /// The mean time of a request on one core.
-    pub work_ms: f64,
-    /// The mean part of all replicas' cores that the reads take.
+    /// Mean time of a request on one core, in milliseconds.
+    #[serde(rename = "work_ms")]
+    pub mean_work_ms: f64,
+    /// Mean utilization of all replicas' cores by reads.
     pub load: f64,
-    /// How unequal routers' traffic is: the standard deviation of its logarithm.
+    /// Inequality of the routers' traffic: the standard deviation of its logarithm.
     pub skew: f64,
-    /// The part of requests that write.
-    pub writes: f64,
-    /// The latency objective.
-    pub target_ms: u64,
-    /// The clients' timeout.
+    /// Fraction of requests that write.
+    #[serde(rename = "writes")]
+    pub write_fraction: f64,
+    /// Latency objective, in milliseconds.
+    #[serde(rename = "target_ms")]
+    pub latency_objective_ms: u64,
+    /// Timeout of clients, in milliseconds.
     pub timeout_ms: u64,
-    /// The bound on the staleness of reads.
-    pub bound_ms: u64,
-    /// The replication lag of replicas.
-    pub lag_ms: u64,
-    /// How often hosts renew their report.
-    pub report_ms: u64,
-    /// The mean network delay between routers and hosts, one way, in microseconds.
-    pub net_us: u64,
-    /// The part of its capacity that a host has as it starts.
-    pub cold_from: f64,
-    /// How long a host takes to reach its full capacity.
-    pub warm_within_ms: u64,
-    /// A warming host crashes when it is sent more than this multiple of what it can serve within `fall_ms`.
-    pub fall_multiple: f64,
-    /// The window of that count.
-    pub fall_ms: u64,
-    /// How long a router may still send to a host after it was notified that the host drains.
+    /// Bound on the staleness of reads, in milliseconds.
+    #[serde(rename = "bound_ms")]
+    pub staleness_bound_ms: u64,
+    /// Replication lag of replicas, in milliseconds.
+    #[serde(rename = "lag_ms")]
+    pub replication_lag_ms: u64,
+    /// Interval at which hosts renew their load report, in milliseconds.
+    #[serde(rename = "report_ms")]
+    pub report_interval_ms: u64,
+    /// Mean one-way network delay between routers and hosts, in microseconds.
+    #[serde(rename = "net_us")]
+    pub network_delay_us: u64,
+    /// Fraction of its capacity that a host has as it starts.
+    #[serde(rename = "cold_from")]
+    pub initial_capacity: f64,
+    /// Length of a host's slow start, in milliseconds.
+    #[serde(rename = "warm_within_ms")]
+    pub warmup_ms: u64,
+    /// A host crashes in slow start if it receives more than this multiple of what it can serve within the overload
+    /// window (`fall_ms`).
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    /// Length of the overload window, in milliseconds.
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: u64,
+    /// How long a router may still send to a host after it was notified that the host drains, in milliseconds.
     pub drain_grace_ms: u64,
-    /// How many requests may wait at a host for each of its cores.
+    /// Maximum number of requests queued at a host per core.
     pub queue_per_core: u16,
-    /// How many connections a host accepts, 0 for any number; more are rejected. Real processes alone.
-    pub slots: u32,
-    /// How many routers share one name and one random seed. Real processes alone.
-    pub namesakes: u16,
-    /// Settings of failing system calls (`shim/system_calls.c` lists them), dealt out to the routers in turn; an empty
-    /// one leaves a router its own calls. Real processes alone.
-    pub system_calls: Vec<String>,
-    /// The part of requests whose client closes its connection before it has the answer. Real processes alone.
-    pub leave: f64,
-    /// How many clients connect to each router at once, in the middle of the trial, and rest until it ends them. Real
-    /// processes alone.
-    pub crowd: u16,
-    /// How many clients send a part of a request and stay, over the trial. Real processes alone.
-    pub stalled_clients: u16,
-    /// Whether time limits are as close as the lab itself is punctual, in place of a fixed slack. Real processes alone.
-    pub sharp: bool,
-    /// Whether all hosts have just started as the trial begins.
-    pub all_cold: bool,
-    /// What goes wrong, or is done, and when.
+    /// Maximum number of connections that a host accepts, 0 for no limit. Real processes only.
+    #[serde(rename = "slots")]
+    pub max_connections_per_host: u32,
+    /// Number of routers that share one name and one random seed. Real processes only.
+    #[serde(rename = "namesakes")]
+    pub routers_sharing_name: u16,
+    /// Faults of system calls (settings of `shim/system_calls.c`), assigned to the routers in turn; an empty text stands
+    /// for none. Real processes only.
+    #[schemars(with = "Vec<String>")]
+    pub system_calls: Vec<SystemCallFaults>,
+    /// Fraction of requests whose client closes its connection before the answer. Real processes only.
+    #[serde(rename = "leave")]
+    pub disconnect_probability: f64,
+    /// Number of clients that connect to each router at once in the middle of the trial and stay idle. Real processes
+    /// only.
+    #[serde(rename = "crowd")]
+    pub idle_clients: u16,
+    /// Number of clients over the trial that send only a part of a request. Real processes only.
+    #[serde(rename = "stalled_clients")]
+    pub incomplete_requests: u16,
+    /// Whether the slack of time limits follows the measured lag of the lab, in place of a fixed slack. Real processes
+    /// only.
+    #[serde(rename = "sharp")]
+    pub adaptive_slack: bool,
+    /// Whether all hosts are in slow start as the trial begins.
+    #[serde(rename = "all_cold")]
+    pub all_hosts_warming_up: bool,
+    /// Faults and planned changes, with their times.
     pub faults: Vec<Fault>,
-    /// Settings of the routers that replace the trial's own, to turn a defence off for example. Real processes alone.
+    /// Settings of the routers that replace the trial's own, for example to disable a protection. Real processes only.
     pub settings: BTreeMap<String, Value>,
 }
 
@@ -141,52 +164,53 @@
             seed: 1,
             routing: Routing::Module,
             routers: 30,
-            groups: 2,
+            shards: 2,
             replicas: 12,
             seconds: 20,
             cores: vec![4, 4, 6],
-            work_ms: 40.0,
+            mean_work_ms: 40.0,
             load: 0.5,
             skew: 0.8,
-            writes: 0.05,
-            target_ms: 400,
+            write_fraction: 0.05,
+            latency_objective_ms: 400,
             timeout_ms: 1200,
-            bound_ms: 3000,
-            lag_ms: 20,
-            report_ms: 100,
-            net_us: 250,
-            cold_from: 0.2,
-            warm_within_ms: 10_000,
-            fall_multiple: 2.5,
-            fall_ms: 1500,
+            staleness_bound_ms: 3000,
+            replication_lag_ms: 20,
+            report_interval_ms: 100,
+            network_delay_us: 250,
+            initial_capacity: 0.2,
+            warmup_ms: 10_000,
+            overload_multiple: 2.5,
+            overload_window_ms: 1500,
             drain_grace_ms: 2000,
             queue_per_core: 20,
-            slots: 0,
-            namesakes: 0,
+            max_connections_per_host: 0,
+            routers_sharing_name: 0,
             system_calls: Vec::new(),
-            leave: 0.0,
-            crowd: 0,
-            stalled_clients: 0,
-            sharp: false,
-            all_cold: false,
+            disconnect_probability: 0.0,
+            idle_clients: 0,
+            incomplete_requests: 0,
+            adaptive_slack: false,
+            all_hosts_warming_up: false,
             faults: Vec::new(),
             settings: BTreeMap::new(),
         }
     }
 }
 
-fn check_range(key: &str, value: f64, least: f64, most: f64) -> Result<(), TrialError> {
-    if (least..=most).contains(&value) {
+fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), TrialError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(TrialError::OutOfBounds { key: key.into(), least, most, value })
+    Err(TrialError::OutOfBounds { key: key.into(), min, max, value })
 }
 
 impl Trial {
-    /// Reads the text of a trial's file.
+    /// Reads a trial from the text of its file.
     ///
     /// # Errors
-    /// Text that is no trial, or a key out of bounds, which the error names.
+    ///
+    /// Returns an error if the text is not a trial, or names the first key that is out of bounds.
     ///
     /// ```
     /// use comethitch_lab::trial::Trial;
@@ -203,10 +227,11 @@
         Ok(trial)
     }
 
-    /// Checks all bounds: a trial of 1,000 routers and 4,000 hosts for ten minutes is the largest.
+    /// Checks that all values are within their bounds: at most 1,000 routers and 4,000 hosts for ten minutes.
     ///
     /// # Errors
-    /// The first key that is out of bounds.
+    ///
+    /// Returns an error with the first key that is out of bounds.
     pub fn check(&self) -> Result<(), TrialError> {
         self.check_size()?;
         self.check_load()?;
@@ -220,65 +245,72 @@
     }
 
     fn check_size(&self) -> Result<(), TrialError> {
-        let hosts = f64::from(self.groups) * f64::from(self.replicas + 1);
+        let hosts = f64::from(self.shards) * f64::from(self.replicas + 1);
         check_range("routers", self.routers.into(), 1.0, 1000.0)?;
-        check_range("groups", self.groups.into(), 1.0, 1000.0)?;
+        check_range("groups", self.shards.into(), 1.0, 1000.0)?;
         check_range("replicas", self.replicas.into(), 1.0, 600.0)?;
         check_range("groups * (replicas + 1)", hosts, 1.0, 4000.0)?;
         check_range("seconds", self.seconds as f64, 1.0, 600.0)
     }
 
     fn check_load(&self) -> Result<(), TrialError> {
-        check_range("work_ms", self.work_ms, 0.1, 10_000.0)?;
+        check_range("work_ms", self.mean_work_ms, 0.1, 10_000.0)?;
         check_range("load", self.load, 0.01, 3.0)?;
         check_range("skew", self.skew, 0.0, 3.0)?;
-        check_range("writes", self.writes, 0.0, 1.0)?;
-        check_range("leave", self.leave, 0.0, 1.0)?;
-        check_range("cold_from", self.cold_from, 0.01, 1.0)?;
-        check_range("fall_multiple", self.fall_multiple, 1.0, 100.0)?;
-        check_range("report_ms", self.report_ms as f64, 1.0, 60_000.0)?;
-        check_range("timeout_ms", self.timeout_ms as f64, self.target_ms as f64, LONGEST_MS)
+        check_range("writes", self.write_fraction, 0.0, 1.0)?;
+        check_range("leave", self.disconnect_probability, 0.0, 1.0)?;
+        check_range("cold_from", self.initial_capacity, 0.01, 1.0)?;
+        check_range("fall_multiple", self.overload_multiple, 1.0, 100.0)?;
+        check_range("report_ms", self.report_interval_ms as f64, 1.0, 60_000.0)?;
+        check_range("timeout_ms", self.timeout_ms as f64, self.latency_objective_ms as f64, MAX_DURATION_MS)
     }
 
-    /// How hosts that have just started behave.
-    pub fn cold_start(&self) -> ColdStart {
-        ColdStart {
-            initial_capacity: self.cold_from,
-            warmup: Duration::from_millis(self.warm_within_ms),
-            overload_multiple: self.fall_multiple,
-            window: Duration::from_millis(self.fall_ms),
-            mean_work: Duration::from_micros((self.work_ms * 1e3) as u64),
+    /// Returns how hosts behave in slow start.
+    pub fn slow_start(&self) -> SlowStart {
+        SlowStart {
+            initial_capacity: self.initial_capacity,
+            warmup: Duration::from_millis(self.warmup_ms),
+            overload_multiple: self.overload_multiple,
+            window: Duration::from_millis(self.overload_window_ms),
+            mean_work: Duration::from_micros((self.mean_work_ms * 1e3) as u64),
         }
     }
 
-    /// Requests a second from each router's own clients: unequal, and together the trial's load on this many cores.
+    /// Draws the rates of the routers' clients, in requests per second, whose reads add up to the trial's load on this
+    /// many cores.
     ///
     /// # Errors
-    /// A skew that no distribution has.
+    ///
+    /// Returns [`TrialError::Skew`] if there is no distribution with the trial's skew.
     pub fn arrival_rates(&self, rng: &mut ChaCha8Rng, cores: f64) -> Result<Vec<f64>, TrialError> {
         let distribution = LogNormal::new(0.0, self.skew).map_err(|_| TrialError::Skew)?;
-        let shares: Vec<f64> = (0..self.routers).map(|_| distribution.sample(rng)).collect();
-        let total = self.load * cores / (self.work_ms / 1e3) / (1.0 - self.writes).max(0.01);
-        let sum: f64 = shares.iter().sum();
-        Ok(shares.into_iter().map(|share| total * share / sum).collect())
+        let weights: Vec<f64> = (0..self.routers).map(|_| distribution.sample(rng)).collect();
+        let total = self.load * cores / (self.mean_work_ms / 1e3) / (1.0 - self.write_fraction).max(0.01);
+        let sum: f64 = weights.iter().sum();
+        Ok(weights.into_iter().map(|weight| total * weight / sum).collect())
     }
 
-    /// The settings of each router.
+    /// Returns the settings of each router in simulated time.
     ///
     /// # Errors
-    /// Settings that the decision module refuses.
+    ///
+    /// Returns an error if the policy rejects the settings.
     pub fn deployment(&self) -> Result<Deployment, TrialError> {
-        let Trial { routers, target_ms, timeout_ms, bound_ms, .. } = self;
+        let Trial { routers, latency_objective_ms, timeout_ms, staleness_bound_ms, .. } = self;
         let text = format!(
             "domain.guards=off\ndomain.tokens=carried\nload_info.names=x0,x1,queue\nsiblings={routers}\n\
              tick_us=5000\npermissions.cancel=true\npermissions.may_probe=true\nprices.probe=0.015\n\
              permissions.second_copies=true\npermissions.max_attempts=6\npermissions.connect_timeout_us=250000\n\
              rules.drain_grace_us={}000\nrules.cold_from={}\nrules.warm_within_us={}000\n\
              rules.fall_multiple={}\nrules.fall_us={}000\nclasses.count=2\ndomain.class_read=bounded,write\n\
-             domain.oldest_data_us={bound_ms}000,0\nclasses.0.effect=repeatable\nclasses.1.effect=once\n\
-             classes.0.target_us={target_ms}000\nclasses.0.deadline_us={timeout_ms}000\nclasses.0.value=1\n\
-             classes.1.target_us={target_ms}000\nclasses.1.deadline_us={timeout_ms}000\nclasses.1.value=2\n",
-            self.drain_grace_ms, self.cold_from, self.warm_within_ms, self.fall_multiple, self.fall_ms,
+             domain.oldest_data_us={staleness_bound_ms}000,0\nclasses.0.effect=repeatable\nclasses.1.effect=once\n\
+             classes.0.target_us={latency_objective_ms}000\nclasses.0.deadline_us={timeout_ms}000\nclasses.0.value=1\n\
+             classes.1.target_us={latency_objective_ms}000\nclasses.1.deadline_us={timeout_ms}000\nclasses.1.value=2\n",
+            self.drain_grace_ms,
+            self.initial_capacity,
+            self.warmup_ms,
+            self.overload_multiple,
+            self.overload_window_ms,
         );
         Ok(Deployment::read(&text)?)
     }
--- a/crates/comethitch-lab/src/trial/faults.rs
+++ b/crates/comethitch-lab/src/trial/faults.rs
@@ -1,125 +1,167 @@
-//! The faults of a trial: what goes wrong, or is done, and when.
+//! The faults and planned changes of a trial, and their times.
 
-use super::{LONGEST_MS, TrialError, check_range};
+use super::{MAX_DURATION_MS, TrialError, check_range};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The longest delay of a link, in milliseconds.
-const LONGEST_DELAY_MS: f64 = 60_000.0;
+/// Maximum delay of a link, in milliseconds.
+const MAX_DELAY_MS: f64 = 60_000.0;
 
-/// What a fault does. Each `part` is a fraction from 0 to 1.
+/// What a fault does. Fractions are from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename = "Trouble", rename_all = "snake_case", deny_unknown_fields)]
+#[serde(rename = "Trouble", deny_unknown_fields)]
 pub enum FaultKind {
-    /// This part of the replicas is drained and replaced by newly started ones, spread over some milliseconds.
-    Release {
-        /// The part of the replicas.
-        part: f64,
-        /// Over how many milliseconds.
+    /// Drains replicas one after the other and replaces each by a newly started one.
+    #[serde(rename = "release")]
+    ReplaceReplicas {
+        /// Fraction of the replicas.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Time over which the replacements are spread, in milliseconds.
         over_ms: u64,
     },
-    /// This part of the routers is killed at once and restarts later, knowing only the endpoint list.
-    Herd {
-        /// The part of the routers.
-        part: f64,
-        /// After how many milliseconds they restart.
-        back_ms: u64,
+    /// Kills routers at once and restarts them later, with only the endpoint list.
+    #[serde(rename = "herd")]
+    KillRouters {
+        /// Fraction of the routers.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Time until they are restarted, in milliseconds.
+        #[serde(rename = "back_ms")]
+        restart_after_ms: u64,
     },
-    /// This part of the replicas becomes slower.
-    Slow {
-        /// The part of the replicas.
-        part: f64,
-        /// By what factor their requests take longer.
+    /// Slows replicas down.
+    #[serde(rename = "slow")]
+    SlowReplicas {
+        /// Fraction of the replicas.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Factor by which their requests take longer.
         factor: f64,
     },
-    /// Replication to this part of each group's replicas stalls; afterwards they have caught up at once.
-    Stall {
-        /// The part of each group's replicas.
-        part: f64,
-        /// For how many milliseconds.
-        for_ms: u64,
+    /// Stalls the replication to some replicas of each shard. At the end they catch up at once.
+    #[serde(rename = "stall")]
+    StallReplication {
+        /// Fraction of each shard's replicas.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Duration in milliseconds.
+        #[serde(rename = "for_ms")]
+        duration_ms: u64,
     },
-    /// The primaries of this part of the groups die at once; later a replica of each is promoted.
-    Takeover {
-        /// The part of the groups.
-        part: f64,
-        /// After how many milliseconds a replica is promoted.
-        after_ms: u64,
+    /// Crashes the primaries of some shards at once; later a replica of each is promoted.
+    #[serde(rename = "takeover")]
+    Failover {
+        /// Fraction of the shards.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Time until the promotion, in milliseconds.
+        #[serde(rename = "after_ms")]
+        promotion_after_ms: u64,
     },
-    /// This part of the routers is stopped (SIGSTOP) for a while. Real processes alone.
-    Stop {
-        /// The part of the routers.
-        part: f64,
-        /// For how many milliseconds.
-        for_ms: u64,
+    /// Pauses routers (SIGSTOP) for a while. Real processes only.
+    #[serde(rename = "stop")]
+    PauseRouters {
+        /// Fraction of the routers.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Duration in milliseconds.
+        #[serde(rename = "for_ms")]
+        duration_ms: u64,
     },
-    /// This part of the routers is told to end (SIGTERM), one after the other, and each is started again once it has
-    /// ended; it owes all that it has taken. Real processes alone.
-    Restart {
-        /// The part of the routers.
-        part: f64,
-        /// Over how many milliseconds they are told.
+    /// Shuts routers down gracefully (SIGTERM), one after the other, and starts each again once it has ended. They must
+    /// answer all requests that they have received. Real processes only.
+    #[serde(rename = "restart")]
+    RestartRouters {
+        /// Fraction of the routers.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Time over which the shutdowns are spread, in milliseconds.
         over_ms: u64,
     },
-    /// This part of the routers reads its configuration again (SIGHUP). Real processes alone.
-    Reload {
-        /// The part of the routers.
-        part: f64,
+    /// Makes routers reload their configuration (SIGHUP). Real processes only.
+    #[serde(rename = "reload")]
+    ReloadRouters {
+        /// Fraction of the routers.
+        #[serde(rename = "part")]
+        fraction: f64,
     },
-    /// This part of the routers gets signals in a series: SIGHUP again and again, then SIGTERM and, while it ends, both
-    /// again; each is started again once it has ended. Real processes alone.
-    Signals {
-        /// The part of the routers.
-        part: f64,
-        /// Over how many milliseconds the signals before the end come.
+    /// Sends routers a series of signals: SIGHUP several times, then SIGTERM, and both several times while they shut
+    /// down. Each is started again once it has ended. Real processes only.
+    #[serde(rename = "signals")]
+    SignalRouters {
+        /// Fraction of the routers.
+        #[serde(rename = "part")]
+        fraction: f64,
+        /// Time over which the signals before the shutdown are spread, in milliseconds.
         over_ms: u64,
     },
-    /// A fault of the links between parts of the routers and of the hosts. Routers cut off in both directions hear of
-    /// endpoint updates only afterwards. Real processes alone.
-    Links {
-        /// The part of the routers.
+    /// Disturbs the links between some routers and some hosts. Routers cut off in both directions receive endpoint
+    /// updates only afterwards. Real processes only.
+    #[serde(rename = "links")]
+    DisturbLinks {
+        /// Fraction of the routers.
         routers: f64,
-        /// The part of the hosts.
+        /// Fraction of the hosts.
         hosts: f64,
-        /// Which direction is affected.
+        /// Direction that is affected.
         #[serde(rename = "way")]
         direction: Direction,
         /// What happens to messages.
         #[serde(rename = "harm")]
         fault: LinkFault,
-        /// For how many milliseconds.
-        for_ms: u64,
+        /// Duration in milliseconds.
+        #[serde(rename = "for_ms")]
+        duration_ms: u64,
     },
 }
 
 impl FaultKind {
-    /// How long the fault lasts, in milliseconds; 0 if it has no end.
+    /// Returns how long the fault lasts, in milliseconds, and 0 if it has no end.
     fn duration_ms(self) -> u64 {
         match self {
-            FaultKind::Release { over_ms: ms, .. }
-            | FaultKind::Restart { over_ms: ms, .. }
-            | FaultKind::Signals { over_ms: ms, .. }
-            | FaultKind::Herd { back_ms: ms, .. }
-            | FaultKind::Takeover { after_ms: ms, .. }
-            | FaultKind::Stop { for_ms: ms, .. }
-            | FaultKind::Stall { for_ms: ms, .. }
-            | FaultKind::Links { for_ms: ms, .. } => ms,
-            FaultKind::Slow { .. } | FaultKind::Reload { .. } => 0,
+            FaultKind::ReplaceReplicas { over_ms: ms, .. }
+            | FaultKind::RestartRouters { over_ms: ms, .. }
+            | FaultKind::SignalRouters { over_ms: ms, .. }
+            | FaultKind::KillRouters { restart_after_ms: ms, .. }
+            | FaultKind::Failover { promotion_after_ms: ms, .. }
+            | FaultKind::PauseRouters { duration_ms: ms, .. }
+            | FaultKind::StallReplication { duration_ms: ms, .. }
+            | FaultKind::DisturbLinks { duration_ms: ms, .. } => ms,
+            FaultKind::SlowReplicas { .. } | FaultKind::ReloadRouters { .. } => 0,
+        }
+    }
+
+    /// Returns whether the fault can be played in simulated time, and not with real processes only.
+    pub(crate) fn is_simulated(self) -> bool {
+        match self {
+            FaultKind::ReplaceReplicas { .. }
+            | FaultKind::KillRouters { .. }
+            | FaultKind::SlowReplicas { .. }
+            | FaultKind::StallReplication { .. }
+            | FaultKind::Failover { .. } => true,
+            FaultKind::PauseRouters { .. }
+            | FaultKind::RestartRouters { .. }
+            | FaultKind::ReloadRouters { .. }
+            | FaultKind::SignalRouters { .. }
+            | FaultKind::DisturbLinks { .. } => false,
         }
     }
 
     fn check(self, index: usize) -> Result<(), TrialError> {
         match self {
-            FaultKind::Release { part, .. }
-            | FaultKind::Herd { part, .. }
-            | FaultKind::Slow { part, .. }
-            | FaultKind::Stall { part, .. }
-            | FaultKind::Takeover { part, .. }
-            | FaultKind::Stop { part, .. }
-            | FaultKind::Restart { part, .. }
-            | FaultKind::Signals { part, .. }
-            | FaultKind::Reload { part } => check_range(&format!("faults[{index}].part"), part, 0.0, 1.0),
-            FaultKind::Links { routers, hosts, fault, .. } => {
+            FaultKind::ReplaceReplicas { fraction, .. }
+            | FaultKind::KillRouters { fraction, .. }
+            | FaultKind::SlowReplicas { fraction, .. }
+            | FaultKind::StallReplication { fraction, .. }
+            | FaultKind::Failover { fraction, .. }
+            | FaultKind::PauseRouters { fraction, .. }
+            | FaultKind::RestartRouters { fraction, .. }
+            | FaultKind::SignalRouters { fraction, .. }
+            | FaultKind::ReloadRouters { fraction } => {
+                check_range(&format!("faults[{index}].part"), fraction, 0.0, 1.0)
+            }
+            FaultKind::DisturbLinks { routers, hosts, fault, .. } => {
                 check_range(&format!("faults[{index}].routers"), routers, 0.0, 1.0)?;
                 check_range(&format!("faults[{index}].hosts"), hosts, 0.0, 1.0)?;
                 fault.check(index)
@@ -128,7 +170,7 @@
     }
 }
 
-/// Which direction of a link is affected: from routers to hosts, from hosts to routers, or both.
+/// Direction of a link: from routers to hosts, from hosts to routers, or both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Way", rename_all = "snake_case")]
 #[expect(
@@ -145,33 +187,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Harm", rename_all = "snake_case")]
 pub enum LinkFault {
-    /// Nothing passes, and neither end is notified.
+    /// Drops all messages without notice.
     Cut,
-    /// Each message arrives later by this many milliseconds.
+    /// Delays each message by this many milliseconds.
     DelayMs(u64),
-    /// The probability that a message ends in a reset connection.
+    /// Resets the connection with this probability, at each message.
     Reset(f64),
 }
 
 impl LinkFault {
     fn check(self, index: usize) -> Result<(), TrialError> {
         match self {
-            LinkFault::Reset(part) => check_range(&format!("faults[{index}].harm.reset"), part, 0.0, 1.0),
+            LinkFault::Reset(probability) => {
+                check_range(&format!("faults[{index}].harm.reset"), probability, 0.0, 1.0)
+            }
             LinkFault::DelayMs(ms) => {
-                check_range(&format!("faults[{index}].harm.delay_ms"), ms as f64, 0.0, LONGEST_DELAY_MS)
+                check_range(&format!("faults[{index}].harm.delay_ms"), ms as f64, 0.0, MAX_DELAY_MS)
             }
             LinkFault::Cut => Ok(()),
         }
     }
 }
 
-/// A fault at a time.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Milliseconds after the start of the trial.
+    /// Start of the fault, in milliseconds after the start of the trial.
     pub at_ms: u64,
-    /// What happens then.
+    /// What the fault does.
     #[serde(rename = "trouble")]
     pub kind: FaultKind,
 }
@@ -179,8 +223,8 @@
 impl Fault {
     pub(super) fn check(&self, index: usize) -> Result<(), TrialError> {
         let duration_ms = self.kind.duration_ms();
-        check_range(&format!("faults[{index}].at_ms"), self.at_ms as f64, 0.0, LONGEST_MS)?;
-        check_range(&format!("faults[{index}]: its span in ms"), duration_ms as f64, 0.0, LONGEST_MS)?;
+        check_range(&format!("faults[{index}].at_ms"), self.at_ms as f64, 0.0, MAX_DURATION_MS)?;
+        check_range(&format!("faults[{index}]: its span in ms"), duration_ms as f64, 0.0, MAX_DURATION_MS)?;
         self.kind.check(index)
     }
 }
--- a/crates/comethitch-lab/src/usable.rs
+++ b/crates/comethitch-lab/src/usable.rs
@@ -1,25 +1,25 @@
-//! Which replicas could take reads in which second: only these count when load is compared over hosts.
+//! Records which replicas were usable for reads in each second, over which the evenness of load is measured.
 
 use crate::hosts::SimulatedHost;
 use std::collections::BTreeMap;
 
-/// By second, the replicas that were usable as it began.
+/// Indices of the replicas that were usable at the start of each second.
 #[derive(Debug, Default)]
 pub struct UsableReplicas {
     by_second: BTreeMap<u64, Vec<usize>>,
 }
 
 impl UsableReplicas {
-    /// Records the replicas that are usable as a second begins, and returns their indices.
+    /// Records the replicas that are usable at the start of a second, and returns their indices.
     pub fn record(&mut self, second: u64, hosts: &[SimulatedHost]) -> &[usize] {
-        let takes_reads =
+        let serves_reads =
             |host: &SimulatedHost| host.usable() && !host.primary && host.replication_stalled_since.is_none();
-        let usable = hosts.iter().enumerate().filter(|(_, host)| takes_reads(host)).map(|(index, _)| index);
+        let usable = hosts.iter().enumerate().filter(|(_, host)| serves_reads(host)).map(|(index, _)| index);
         self.by_second.entry(second).insert_entry(usable.collect()).into_mut()
     }
 
-    /// Whether a host was usable as a second began and as it ended. Seconds from `limit` on never are: the last one is
-    /// cut short, and no measure of evenness.
+    /// Returns whether a host was usable at the start and at the end of a second. Returns `false` from second `limit` on,
+    /// as the load of an incomplete second cannot be compared.
     pub fn throughout(&self, second: u64, host: usize, limit: u64) -> bool {
         second < limit && self.contains(second, host) && self.contains(second + 1, host)
     }
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code, unused_imports)]
 
 use async_io::Async;
-use comethitch_lab::system_calls::SystemCallFaults;
+use comethitch_lab::system_calls::{FaultLibrary, SystemCallFaults};
 pub(crate) use comethitch_testkit::TEST_TIMEOUT;
 pub(crate) use comethitch_testkit::postgres::{error, message, query, row};
 use comethitchd::protocols::tds::settings::TdsSettings;
@@ -171,9 +171,10 @@
         Program::start_in_environment(name, site, more, &[])
     }
 
-    /// The same with system calls that fail by these settings (see [`SystemCallFaults`]).
-    pub(crate) fn start_with_faults(name: &str, site: &Value, settings: &str) -> Program {
-        Program::start_in_environment(name, site, &[], &system_call_faults().environment(settings))
+    /// The same with faults of system calls, in the text form of [`SystemCallFaults`].
+    pub(crate) fn start_with_faults(name: &str, site: &Value, faults: &str) -> Program {
+        let faults: SystemCallFaults = faults.parse().expect("faults of system calls");
+        Program::start_in_environment(name, site, &[], &fault_library().environment(&faults))
     }
 
     fn start_in_environment(
@@ -243,12 +244,11 @@
     }
 }
 
-/// The library of faults, compiled once for each test binary.
-fn system_call_faults() -> &'static SystemCallFaults {
-    static LIBRARY: OnceLock<SystemCallFaults> = OnceLock::new();
+/// The library that injects faults of system calls, compiled once for each test binary.
+fn fault_library() -> &'static FaultLibrary {
+    static LIBRARY: OnceLock<FaultLibrary> = OnceLock::new();
     LIBRARY.get_or_init(|| {
-        SystemCallFaults::compile(Path::new(env!("CARGO_TARGET_TMPDIR")))
-            .expect("a C compiler links this test")
+        FaultLibrary::compile(Path::new(env!("CARGO_TARGET_TMPDIR"))).expect("a C compiler links this test")
     })
 }
 
