--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -1,108 +1,43 @@
-//! The states of a shard: which member is believed to be the primary, and whether it serves.
+//! The state machine of a shard: whether the believed primary serves, and when it counts as lost.
 //!
-//! Healthy becomes Unhealthy at the primary's first fault, Unhealthy becomes Failover when the primary is
-//! surely lost, and a member that proves itself primary ends both.
+//! Healthy becomes Unhealthy at the primary's first fault. Unhealthy becomes Failover when the primary is certainly lost.
+//! A member that proves to be the primary ends both.
 
-use super::{
-    Actions, Duration, HELD_UP, HostIndex, LoadReport, Role, Router, SILENCE_TIMEOUT, Shard, ShardId,
-    ShardState, Timestamp,
-};
+use super::intervals::{SILENCE_TIMEOUT, STALL_ALLOWANCE};
+use super::router::Router;
+use crate::host_table::HostIndex;
+use crate::shard::Shard;
+use crate::time::{Duration, Timestamp};
+use crate::{Actions, Role, ShardId, ShardState};
 
-/// How long a group stays Unhealthy at the least before it goes to Failover, from the design page.
+/// Minimum time that a shard stays Unhealthy before Failover, from the design page.
 const FAILOVER_DELAY: Duration = Duration::from_secs(3);
-/// The share of the attempts in flight at the fault that must be lost for it, from the design page.
-const FAILOVER_LOST_SHARE: f64 = 0.6;
+/// Minimum fraction of the attempts in flight at the fault that must be lost, from the design page.
+const FAILOVER_LOST_FRACTION: f64 = 0.6;
+/// A draining host gets new requests for its drain grace over this; the rest is left for requests in flight.
+const DRAIN_GRACE_DIVISOR: u64 = 2;
 
 impl Router {
-    /// Applies a host's load report and, if it answered a request, the note on the answer.
-    pub(super) fn apply_report(
-        &mut self, index: HostIndex, report: LoadReport, trailer: Option<LoadReport>, out: &mut dyn Actions,
-    ) {
-        let now = out.now();
-        self.observe_host_time(index, &report, now);
-        if let Some(position) = report.position {
-            // Where the hosts' time is not known yet, nothing is known of a lag either.
-            let age = self.latest_host_time(now).map_or(Duration::ZERO, |host_time| host_time - position);
-            if report.role == Some(Role::Primary) {
-                self.report_age.add(age);
-            }
-            let report_age = self.report_age.quantile(0.5).unwrap_or_default();
-            let host = &mut self.hosts[index];
-            host.position = host.position.max(position);
-            host.apply_position(age - report_age, &report, now);
-        }
-        let host = &mut self.hosts[index];
-        // A report may be older than an answer: one from before it last answered as primary is void.
-        let last_seen_primary = self.host_clock.probably(host.last_seen_primary);
-        let newer = report.position.is_none_or(|position| position > last_seen_primary);
-        let reported_role = report.role.filter(|role| *role == Role::Primary || newer);
-        let Some(role) = trailer.and_then(|trailer| trailer.role).or(reported_role) else { return };
-        host.role = Some(role);
-        if role == Role::Primary && self.proves_primary(index, trailer.is_some()) {
-            self.confirm_primary(index, out);
-        } else if role == Role::Replica && self.shard_of(index).primary == Some(index) {
-            self.fail_over(self.hosts[index].shard_id, out);
-        }
-    }
-
-    fn confirm_primary(&mut self, index: HostIndex, out: &mut dyn Actions) {
-        let now = out.now();
-        if self.shard_of(index).primary.is_some_and(|primary| primary != index) {
-            self.fail_over(self.hosts[index].shard_id, out);
-        }
-        self.hosts[index].last_seen_primary = now;
-        let shard = self.shard_of_mut(index);
-        if shard.state != ShardState::Healthy || shard.primary != Some(index) {
-            shard.primary = Some(index);
-            shard.enter(ShardState::Healthy, now);
-            self.drain_queues(self.hosts[index].shard_id, out);
-        }
-    }
-
-    fn proves_primary(&self, index: HostIndex, by_answer: bool) -> bool {
-        let host = &self.hosts[index];
-        let shard = self.shard_of(index);
-        if shard.primary != Some(index) {
-            // Two claim the role: the one whose data are newer took over.
-            let newer = |primary: HostIndex| host.position > self.hosts[primary].position;
-            return by_answer || shard.primary.is_none_or(newer);
-        }
-        match shard.state {
-            ShardState::Healthy => true,
-            ShardState::Unhealthy => by_answer || !host.unresponsive,
-            // Failover ends with evidence newer than it: a report made earlier tells of the time before.
-            ShardState::Failover => {
-                let since = self.host_clock.probably(shard.state_since);
-                by_answer || (host.position > since && !host.unresponsive)
-            }
-        }
-    }
-
-    /// Healthy to Unhealthy: something went wrong at the believed primary.
+    /// Moves a shard from Healthy to Unhealthy after a fault of a host, if that is its believed primary.
     pub(super) fn mark_unhealthy(&mut self, index: HostIndex, now: Timestamp) {
         let shard = self.shard_of(index);
-        if shard.primary != Some(index) || shard.state != ShardState::Healthy {
+        if !shard.is_primary(index) || shard.state != ShardState::Healthy {
             return;
         }
-        let in_flight = self.mark_in_flight_at_fault(index);
-        let shard = self.shard_of_mut(index);
-        shard.enter(ShardState::Unhealthy, now);
-        shard.in_flight_at_fault = in_flight;
-        shard.lost_since_fault = 0;
-        self.set_next_health_check(index, now);
+        let in_flight = self.requests.mark_in_flight_at_fault(index);
+        self.shard_of_mut(index).enter_unhealthy(in_flight, now);
+        self.schedule_health_check(index, now);
     }
 
-    /// To Failover: the serial goes up, the old primary's connections close, queued writes are rejected.
+    /// Moves a shard to Failover: the old primary's idle connections are closed, all members are checked at once, and
+    /// queued writes are rejected.
     pub(super) fn fail_over(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
-        let shard = self.shards.get_mut(&shard_id);
+        let shard = self.shards.get_mut(shard_id);
         let Some(shard) = shard.filter(|shard| shard.state != ShardState::Failover) else { return };
-        shard.enter(ShardState::Failover, now);
-        shard.serial += 1;
-        shard.next_check_review = now;
+        shard.enter_failover(now);
         for &member in &shard.members {
-            let host = &mut self.hosts[member];
-            host.next_health_check = host.next_health_check.min(now);
+            self.hosts[member].checks.bring_forward(now);
         }
         if let Some(primary) = shard.primary {
             out.close_idle_connections(self.hosts[primary].host);
@@ -111,15 +46,15 @@
         self.drain_queues(shard_id, out);
     }
 
-    /// Acts on what time alone shows of the believed primary: that it is silent, past its drain, or lost.
+    /// Acts on what time alone shows of the believed primary: that it is silent, past its drain grace, or lost.
     pub(super) fn check_primary(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
-        let shard = &self.shards[&shard_id];
+        let shard = &self.shards[shard_id];
         let Some(primary) = shard.primary else { return };
-        let silent = self.hosts[primary].silent_for(now) > SILENCE_TIMEOUT;
+        let is_silent = self.hosts[primary].health.silent_for(now) > SILENCE_TIMEOUT;
         match shard.state {
-            ShardState::Healthy if self.past_drain_grace(primary, now) => self.fail_over(shard_id, out),
-            ShardState::Healthy if silent => self.mark_unhealthy(primary, now),
+            ShardState::Healthy if self.is_past_drain_grace(primary, now) => self.fail_over(shard_id, out),
+            ShardState::Healthy if is_silent => self.mark_unhealthy(primary, now),
             ShardState::Unhealthy if self.is_failover_due(primary, shard, now) => {
                 self.fail_over(shard_id, out);
             }
@@ -128,41 +63,42 @@
     }
 
     fn is_failover_due(&self, primary: HostIndex, shard: &Shard, now: Timestamp) -> bool {
-        let host = &self.hosts[primary];
-        let required = FAILOVER_LOST_SHARE * f64::from(shard.in_flight_at_fault);
+        let health = &self.hosts[primary].health;
+        let required = FAILOVER_LOST_FRACTION * f64::from(shard.in_flight_at_fault);
         let attempts_lost = f64::from(shard.lost_since_fault) >= required;
-        (host.unresponsive || host.is_unreachable() && attempts_lost)
+        (health.is_unresponsive() || health.is_unreachable() && attempts_lost)
             && now - shard.state_since > FAILOVER_DELAY
             && !self.keeps_primary(shard, now)
     }
 
-    /// Whether the believed primary may get what only a primary can do.
+    /// Returns whether the believed primary may get requests that need a primary.
     pub(super) fn primary_serves(&self, primary: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
-        let reachable = !host.is_ejected(now) && !host.is_unreachable();
+        let is_reachable = !host.health.is_ejected(now) && !host.health.is_unreachable();
         match shard.state {
-            _ if self.past_drain_grace(primary, now) => false,
-            ShardState::Healthy => host.role != Some(Role::Replica),
-            // Beyond the design: a host that answers health checks and no requests gets one now and then.
-            ShardState::Unhealthy => reachable || self.keeps_primary(shard, now),
+            _ if self.is_past_drain_grace(primary, now) => false,
+            ShardState::Healthy => host.replication.role() != Some(Role::Replica),
+            // Beyond the design: an unresponsive host is tried with a request occasionally.
+            ShardState::Unhealthy => is_reachable || self.keeps_primary(shard, now),
             ShardState::Failover => false,
         }
     }
 
-    /// Beyond the design: whether the group keeps a primary that this router can't reach. Without one no
-    /// member's position moves on; with one, it is tried further, as no other could do its work.
+    /// Returns whether the shard has a working primary that only this router cannot reach.
+    ///
+    /// Beyond the design: without a primary no member's position advances, so an advancing one shows that it works.
     fn keeps_primary(&self, shard: &Shard, now: Timestamp) -> bool {
-        let mut others = shard.members.iter().filter(|member| shard.primary != Some(**member));
-        let host_time = self.host_clock.probably(now);
-        let moving = others.any(|member| host_time - self.hosts[*member].position < SILENCE_TIMEOUT);
-        moving && shard.primary.is_some_and(|primary| !self.hosts[primary].unresponsive)
+        let mut others = shard.members.iter().filter(|member| !shard.is_primary(**member));
+        let host_time = self.host_clock.estimated(now);
+        let advances =
+            others.any(|member| host_time - self.hosts[*member].replication.position() < SILENCE_TIMEOUT);
+        advances && shard.primary.is_some_and(|primary| !self.hosts[primary].health.is_unresponsive())
     }
 
-    /// Whether a host has been draining for over half of its grace: the rest is left for what is in flight, and for a
-    /// router that is held up before it writes.
-    pub(super) fn past_drain_grace(&self, index: HostIndex, now: Timestamp) -> bool {
-        let grace = self.deployment.drain_grace;
-        let usable = (grace / 2).min(grace - HELD_UP);
-        self.hosts[index].draining_since.is_some_and(|since| now - since > usable)
+    /// Returns whether a host has been draining for so long that it gets no new requests.
+    pub(super) fn is_past_drain_grace(&self, index: HostIndex, now: Timestamp) -> bool {
+        let grace = self.settings.deployment().drain_grace;
+        let usable = (grace / DRAIN_GRACE_DIVISOR).min(grace - STALL_ALLOWANCE);
+        self.hosts[index].listing.draining_since().is_some_and(|since| now - since > usable)
     }
 }
--- a/crates/comethitchd/src/state/mod.rs
+++ b/crates/comethitchd/src/state/mod.rs
@@ -1,7 +1,6 @@
-//! What a running router holds: its configuration, buffers, connections, requests in progress, the endpoint list and
-//! its counts.
+//! The state of a running router: configuration, connections, requests in progress, endpoint list, memory and metrics.
 //!
-//! [`router_state::RouterState`] owns all of it.
+//! [`router_state::RouterState`] joins the owners of each.
 
 pub mod arrivals;
 pub mod buffer;
@@ -11,8 +10,11 @@
 pub mod connection_pool;
 pub mod descriptors;
 pub mod discovery_state;
+pub mod dropped_log_lines;
 pub mod endpoints;
+pub mod event_loop_clock;
 pub mod host_connection;
+pub mod hosts;
 pub mod log_fields;
 pub mod memory_budget;
 pub mod metrics;
@@ -23,5 +25,6 @@
 pub mod signals;
 pub mod socket;
 pub mod stall_detector;
+pub mod statement_rules;
 pub mod step_times;
 pub mod transition_log;
