--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -40,7 +40,7 @@
     /// Returns the bound on the number of requests within `window` if the settings allow `allowed` requests of mean work.
     ///
     /// Routers draw independently whether they send a request, so that the standard deviation of their sum is at most the
-    /// square root of the mean. The bound exceeds the mean by two of these.
+    /// square root of the mean. The bound exceeds the mean by two of these and two requests.
     ///
     /// ```
     /// assert_eq!(comethitch_lab::hosts::SlowStart::request_bound(25.0), 37.0);
--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -1,7 +1,7 @@
-//! A router between stand-in hosts and clients, with one failover in the middle: `make demo`.
+//! A router between scripted hosts and clients, with a failover of the primary: `make demo`.
 //!
-//! Prints how the clients' requests were answered before, during and after the failover, and whether any rule on
-//! attempts was broken.
+//! Prints how the clients' requests were answered before, during and after the failover, and the violations of the
+//! router's rules.
 
 use async_io::Async;
 use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Reply};
@@ -20,8 +20,8 @@
 const HOST_NAMES: [&str; 3] = ["db-1", "db-2", "db-3"];
 const HOST_LATENCY: Duration = Duration::from_millis(3);
 const CLIENTS: usize = 4;
-/// Every so many requests of a client, one writes.
-const COMMANDS_PER_WRITE: usize = 4;
+/// Number of requests of a client for each write among them.
+const REQUESTS_PER_WRITE: usize = 4;
 const BEFORE_FAILOVER: Duration = Duration::from_secs(2);
 const WITHOUT_PRIMARY: Duration = Duration::from_millis(500);
 const AFTER_FAILOVER: Duration = Duration::from_secs(3);
@@ -37,13 +37,13 @@
         "A router at {} before three hosts; {CLIENTS} clients unlock chapters and read pages.",
         router.address
     );
-    let requests = run_clients(router.address, &hosts);
+    let exchanges = run_clients(router.address, &hosts);
     router.stop();
-    print_answers(&requests);
-    check_rules(&ledger, requests);
+    print_answers(&exchanges);
+    check_rules(&ledger, exchanges);
 }
 
-/// Starts the hosts, of which the first is the primary.
+/// Starts the hosts. The first one is the primary.
 fn start_hosts(ledger: &Ledger) -> Vec<Host> {
     let start = |(index, name): (usize, &&str)| {
         let host = Host::start(name, Protocol::Postgres, index == 0, ledger);
@@ -53,7 +53,7 @@
     HOST_NAMES.iter().enumerate().map(start).collect()
 }
 
-/// The deployed configuration, with these hosts in place of discovery's.
+/// Returns the deployed configuration with a static endpoint list of these hosts.
 fn configuration(hosts: &[Host]) -> Value {
     let entry = |(index, host): (usize, &Host)| {
         json!({"host": HOST_NAMES[index], "dial": host.address.to_string(), "site": "north", "block": 0,
@@ -103,31 +103,32 @@
     }));
 }
 
-/// A request and its answer, and how long after the start it came.
-struct TimedRequest {
+/// A request with its answer.
+struct TimedExchange {
+    /// Time from the start of the demo to the answer.
     answered_at: Duration,
-    request: Exchange,
+    exchange: Exchange,
 }
 
-/// Runs all clients while the primary fails and another host takes over.
-fn run_clients(router: SocketAddr, hosts: &[Host]) -> Vec<TimedRequest> {
+/// Runs all clients during a failover.
+fn run_clients(router: SocketAddr, hosts: &[Host]) -> Vec<TimedExchange> {
     let stop = AtomicBool::new(false);
     let started = Instant::now();
-    let requests = Mutex::new(Vec::new());
+    let exchanges = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let (stop, requests) = (&stop, &requests);
-            scope.spawn(move || run_client(client, router, started, stop, requests));
+            let (stop, exchanges) = (&stop, &exchanges);
+            scope.spawn(move || run_client(client, router, started, stop, exchanges));
         }
         fail_over(hosts, started);
         stop.store(true, Ordering::SeqCst);
     });
-    requests.into_inner().expect("no client panicked")
+    exchanges.into_inner().expect("no client panicked")
 }
 
 fn run_client(
     client: usize, router: SocketAddr, started: Instant, stop: &AtomicBool,
-    requests: &Mutex<Vec<TimedRequest>>,
+    exchanges: &Mutex<Vec<TimedExchange>>,
 ) {
     let mut connection = Client::connect(Protocol::Postgres, router);
     for number in 0.. {
@@ -136,44 +137,44 @@
         }
         let text = statement(client, number);
         let answer = connection.execute(&text);
-        let request = Exchange { text, answers: vec![answer] };
-        let request = TimedRequest { answered_at: started.elapsed(), request };
-        requests.lock().expect("no client panicked").push(request);
+        let exchange = Exchange { text, answers: vec![answer] };
+        let exchange = TimedExchange { answered_at: started.elapsed(), exchange };
+        exchanges.lock().expect("no client panicked").push(exchange);
     }
 }
 
 fn statement(client: usize, number: usize) -> String {
     let key = format!("c{client}-{number}");
-    if number.is_multiple_of(COMMANDS_PER_WRITE) {
+    if number.is_multiple_of(REQUESTS_PER_WRITE) {
         return format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)");
     }
     format!("SELECT data FROM facts WHERE code = '{key}'")
 }
 
-/// Has the primary fail, and after a while the second host take over.
+/// Crashes the primary, and later promotes the second host.
 fn fail_over(hosts: &[Host], started: Instant) {
     std::thread::sleep(BEFORE_FAILOVER);
-    println!("{:4} ms: db-1 dies", started.elapsed().as_millis());
+    println!("{:4} ms: db-1, the primary, crashes", started.elapsed().as_millis());
     hosts[0].set_down(true);
     std::thread::sleep(WITHOUT_PRIMARY);
-    println!("{:4} ms: db-2 takes over", started.elapsed().as_millis());
+    println!("{:4} ms: failover: db-2 becomes the primary", started.elapsed().as_millis());
     hosts[1].set_primary(true);
     std::thread::sleep(AFTER_FAILOVER);
 }
 
 /// Prints a table of the answers in each phase.
-fn print_answers(requests: &[TimedRequest]) {
+fn print_answers(exchanges: &[TimedExchange]) {
     println!("\n| | answered | throttled | failed |\n| --- | --- | --- | --- |");
-    let takeover = BEFORE_FAILOVER + WITHOUT_PRIMARY;
+    let failover_at = BEFORE_FAILOVER + WITHOUT_PRIMARY;
     let phases = [
-        ("before", Duration::ZERO..BEFORE_FAILOVER),
-        ("without a primary", BEFORE_FAILOVER..takeover),
-        ("after the takeover", takeover..Duration::MAX),
+        ("before the crash", Duration::ZERO..BEFORE_FAILOVER),
+        ("without a primary", BEFORE_FAILOVER..failover_at),
+        ("after the failover", failover_at..Duration::MAX),
     ];
     for (name, phase) in phases {
         let count = |is_counted: fn(&Reply) -> bool| {
-            let in_phase = requests.iter().filter(|request| phase.contains(&request.answered_at));
-            in_phase.filter(|request| is_counted(&request.request.answers[0])).count()
+            let in_phase = exchanges.iter().filter(|timed| phase.contains(&timed.answered_at));
+            in_phase.filter(|timed| is_counted(&timed.exchange.answers[0])).count()
         };
         let answered = count(|answer| matches!(answer, Reply::Answered(_)));
         let throttled = count(|answer| *answer == Reply::Throttled);
@@ -182,16 +183,20 @@
     }
 }
 
-/// Holds the hosts' ledger against what clients were answered, and panics if a rule was broken.
-fn check_rules(ledger: &Ledger, requests: Vec<TimedRequest>) {
-    let requests: Vec<Exchange> = requests.into_iter().map(|request| request.request).collect();
-    let broken = ledger.violations(&requests);
+/// Checks the answers against the ledger of the hosts.
+///
+/// # Panics
+///
+/// Panics if a rule was violated.
+fn check_rules(ledger: &Ledger, exchanges: Vec<TimedExchange>) {
+    let exchanges: Vec<Exchange> = exchanges.into_iter().map(|timed| timed.exchange).collect();
+    let violations = ledger.violations(&exchanges);
     println!(
-        "\n{} commands, {} dispatches, {} rules broken",
-        requests.len(),
+        "\n{} requests, {} attempts, {} violations",
+        exchanges.len(),
         ledger.attempt_count(),
-        broken.len()
+        violations.len()
     );
-    broken.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
-    assert!(broken.is_empty(), "a rule was broken");
+    violations.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
+    assert!(violations.is_empty(), "a rule was violated");
 }
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -1,5 +1,5 @@
-//! What a request costs the router's thread on each protocol, beside a plain forwarder of bytes, all on loopback
-//! in one run. Prints the table of docs/measured/fronts.md:
+//! Measures the processor time per request of the router for each protocol, compared with a plain forwarder of bytes,
+//! on loopback. Prints the table of docs/measured/fronts.md:
 //!
 //!     cargo run --release -p comethitchd --example fronts
 
@@ -21,20 +21,20 @@
 use std::time::Instant;
 
 const CLIENTS: usize = 8;
-const COMMANDS_PER_CLIENT: usize = 4_000;
+const REQUESTS_PER_CLIENT: usize = 4_000;
 const ROUNDS: usize = 5;
 
-/// The CPU time that this thread has taken, in microseconds.
-fn thread_cpu_micros() -> f64 {
-    let taken = clock_gettime(ClockId::ThreadCPUTime);
-    taken.tv_sec as f64 * 1e6 + taken.tv_nsec as f64 / 1e3
+/// Returns the processor time of this thread, in microseconds.
+fn thread_cpu_us() -> f64 {
+    let used = clock_gettime(ClockId::ThreadCPUTime);
+    used.tv_sec as f64 * 1e6 + used.tv_nsec as f64 / 1e3
 }
 
-/// What stands between clients and the host, on a thread of its own.
+/// A router or forwarder between the clients and the host, on a thread of its own.
 struct Intermediary {
     address: SocketAddr,
     stop: async_channel::Sender<()>,
-    /// Returns the CPU time that it took.
+    /// Returns the processor time of the thread, in microseconds.
     thread: JoinHandle<f64>,
 }
 
@@ -68,12 +68,12 @@
         async_io::block_on(server::serve(state, protocol.client, vec![listener], async {
             let _ = stopped.recv().await;
         }));
-        thread_cpu_micros()
+        thread_cpu_us()
     });
     Intermediary { address, stop, thread }
 }
 
-/// A forwarder with a connection to the host for each client, which reads nothing of the bytes.
+/// Starts a forwarder with a connection to the host for each client.
 fn start_forwarder(host: SocketAddr) -> Intermediary {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -91,12 +91,12 @@
             let _ = stopped.recv().await;
         };
         async_io::block_on(tasks.run(or(accept, stopped)));
-        thread_cpu_micros()
+        thread_cpu_us()
     });
     Intermediary { address, stop, thread }
 }
 
-/// Forwards the bytes of a client's connection, in both directions.
+/// Forwards the bytes of a client's connection in both directions.
 async fn forward(client: Async<TcpStream>, host: SocketAddr) {
     let host = Async::<TcpStream>::connect(host).await.expect("the host");
     let _ = client.get_ref().set_nodelay(true);
@@ -113,14 +113,14 @@
     }
 }
 
-/// What a request costs, and how many come through.
+/// Processor time and throughput of one round.
 struct Measurement {
-    /// The CPU time of the intermediary for a request, in microseconds.
-    cpu_micros: f64,
-    commands_per_second: f64,
+    /// Processor time of the intermediary per request, in microseconds.
+    cpu_us: f64,
+    requests_per_second: f64,
 }
 
-/// Has all clients send their requests at once.
+/// Runs all clients concurrently through a new intermediary.
 fn measure(case: &Case) -> Measurement {
     let host = Host::start("p", case.protocol, true, &Ledger::default());
     let intermediary =
@@ -132,16 +132,16 @@
             scope.spawn(move || run_client(client, case.protocol, address));
         }
     });
-    let requests = (CLIENTS * COMMANDS_PER_CLIENT) as f64;
-    let commands_per_second = requests / began.elapsed().as_secs_f64();
+    let requests = (CLIENTS * REQUESTS_PER_CLIENT) as f64;
+    let requests_per_second = requests / began.elapsed().as_secs_f64();
     intermediary.stop.close();
-    let cpu_micros = intermediary.thread.join().expect("no panic") / requests;
-    Measurement { cpu_micros, commands_per_second }
+    let cpu_us = intermediary.thread.join().expect("no panic") / requests;
+    Measurement { cpu_us, requests_per_second }
 }
 
 fn run_client(client: usize, protocol: Protocol, address: SocketAddr) {
     let mut connection = Client::connect(protocol, address);
-    for number in 0..COMMANDS_PER_CLIENT {
+    for number in 0..REQUESTS_PER_CLIENT {
         let key = format!("k{client}-{number}");
         let text = format!("INSERT INTO monedas (lector, n) VALUES ('{key}', 1)");
         assert_eq!(connection.execute(&text), Reply::Answered(key));
@@ -153,7 +153,7 @@
     values[values.len() / 2]
 }
 
-/// What is measured.
+/// An intermediary to measure.
 struct Case {
     name: &'static str,
     protocol: Protocol,
@@ -168,15 +168,15 @@
 ];
 
 fn main() {
-    println!("| between clients and host | CPU for a command | commands a second |\n| --- | --- | --- |");
-    // In turns, so that what else the machine does slows all of them alike.
+    println!("| between clients and host | CPU per request | requests per second |\n| --- | --- | --- |");
+    // Alternated, so that other load of the machine affects all cases alike.
     let mut rounds: Vec<Vec<Measurement>> = Vec::new();
     for _ in 0..ROUNDS {
         rounds.push(CASES.iter().map(measure).collect());
     }
     for (index, case) in CASES.iter().enumerate() {
-        let cpu = median(rounds.iter().map(|round| round[index].cpu_micros).collect());
-        let rate = median(rounds.iter().map(|round| round[index].commands_per_second).collect());
+        let cpu = median(rounds.iter().map(|round| round[index].cpu_us).collect());
+        let rate = median(rounds.iter().map(|round| round[index].requests_per_second).collect());
         println!("| {} | {cpu:.1} µs | {rate:.0} |", case.name);
     }
 }
