--- a/crates/comethitch-lab/shim/system_calls.c
+++ b/crates/comethitch-lab/shim/system_calls.c
@@ -1,27 +1,27 @@
 /*
- * Faults of system calls, for tests and the soak only: a library that is loaded in front of the C library (LD_PRELOAD)
- * and lets calls fail as Linux documents that they may. The product neither contains nor needs it.
+ * Injects faults of system calls, for tests and the soak only. The library is loaded in front of the C library
+ * (LD_PRELOAD) and makes calls fail in ways that Linux documents. The product neither contains nor needs it.
  *
- * COMETHITCH_FAULTS holds `name=number` pairs, separated by commas. "One in N" is drawn from the seed.
+ * COMETHITCH_FAULTS holds `name=number` pairs, separated by commas. "One in N" is drawn with the seed.
  *
- *   seed=N           the seed of all draws
+ *   seed=N           seed of all random draws
  *   interrupt=N      one in N reads and writes of sockets fails with EINTR
  *   short=N          reads and writes of TCP sockets move 1 to N bytes
- *   socket=N         one in N sockets can't be made (ENFILE, ENOBUFS, EMFILE, ENOMEM in turn)
- *   socket_first=N   the first N sockets can't be made
+ *   socket=N         one in N sockets cannot be created (ENFILE, ENOBUFS, EMFILE, ENOMEM in turn)
+ *   socket_first=N   the first N sockets cannot be created
  *   accept=N         one in N accepts fails (ECONNABORTED, ENFILE, ENOBUFS, EMFILE in turn)
  *   connect=N        one in N connects fails (EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EINTR in turn)
- *   wait=N           one in N waits ends with EINTR
- *   hold=N           one in N writes of sockets is held up first ...
- *   hold_ms=N        ... for so long
+ *   wait=N           one in N waits fails with EINTR
+ *   hold=N           one in N writes of TCP sockets is delayed ...
+ *   hold_ms=N        ... by this many milliseconds
  *   stderr=N         one in N writes to standard error fails with ENOSPC or EIO
- *   wall_ms=N        the wall clock is wrong by so much, which may be negative ...
- *   mend_ms=N        ... until so long after the start; for good if it is left out
- *   step_ms=N        the wall clock is stepped by so much, and back ...
- *   step_every_ms=N  ... this often
- *   share=N          the process has one part in N of a core: for what each thread used of one it waits N - 1 times as long
- *   from_ms=N        calls fail from so long after the start on ...
- *   until_ms=N       ... to so long after it
+ *   wall_ms=N        the wall clock is wrong by N, which may be negative ...
+ *   mend_ms=N        ... until N after the start; without it, for ever
+ *   step_ms=N        the wall clock is stepped by N, and back ...
+ *   step_every_ms=N  ... at this interval
+ *   share=N          the process has 1/N of a core: each thread waits N - 1 times the processor time that it has used
+ *   from_ms=N        calls fail only from N after the start ...
+ *   until_ms=N       ... until N after the start
  */
 #define _GNU_SOURCE
 #include <errno.h>
@@ -76,7 +76,7 @@
     }
 }
 
-/* The next number of the seed's sequence (splitmix64). */
+/* Returns the next random number of the seed (splitmix64). */
 static uint64_t draw(void) {
     uint64_t mixed = (uint64_t)settings[SEED] + (atomic_fetch_add(&draws, 1) + 1) * 0x9e3779b97f4a7c15u;
     mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -108,32 +108,32 @@
 static size_t shortened(int fd, size_t length) {
     if (settings[SHORT] <= 0 || length <= 1 || !calls_fail() || !is_tcp(fd))
         return length;
-    size_t most = 1 + draw() % (uint64_t)settings[SHORT];
-    return length < most ? length : most;
+    size_t limit = 1 + draw() % (uint64_t)settings[SHORT];
+    return length < limit ? length : limit;
 }
 
-/* Shorter waits are put off: the system wakes a thread late by some tens of microseconds. */
-#define LEAST_WAIT_NS 1000000
+/* Shorter waits are postponed, as the system wakes threads some tens of microseconds late. */
+#define MIN_WAIT_NS 1000000
 
-/* Waits for the processor time that this thread has used since the last call, as a process with a share of a core would.
- * All that the daemon does between two of the calls below counts, so that a long computation is one long wait. */
-static void wait_for_share(void) {
-    static __thread int64_t counted_ns, owed_ns;
+/* Waits in proportion to the processor time that this thread has used since the last call, as if the process had a
+ * fraction of a core. A long computation between two system calls results in one long wait. */
+static void wait_for_processor(void) {
+    static __thread int64_t counted_ns, pending_ns;
     if (settings[SHARE] <= 1)
         return;
     int64_t used_ns = clock_ns(CLOCK_THREAD_CPUTIME_ID);
     if (calls_fail())
-        owed_ns += (used_ns - counted_ns) * (settings[SHARE] - 1);
+        pending_ns += (used_ns - counted_ns) * (settings[SHARE] - 1);
     counted_ns = used_ns;
-    if (owed_ns < LEAST_WAIT_NS)
+    if (pending_ns < MIN_WAIT_NS)
         return;
     int64_t from_ns = clock_ns(CLOCK_MONOTONIC);
-    struct timespec span = { owed_ns / 1000000000, owed_ns % 1000000000 };
+    struct timespec span = { pending_ns / 1000000000, pending_ns % 1000000000 };
     syscall(SYS_nanosleep, &span, NULL);
-    owed_ns -= clock_ns(CLOCK_MONOTONIC) - from_ns;
+    pending_ns -= clock_ns(CLOCK_MONOTONIC) - from_ns;
 }
 
-static void hold_up(int fd) {
+static void delay_write(int fd) {
     if (settings[HOLD] > 0 && is_tcp(fd) && happens(HOLD)) {
         struct timespec span = { settings[HOLD_MS] / 1000, settings[HOLD_MS] % 1000 * 1000000 };
         syscall(SYS_nanosleep, &span, NULL);
@@ -141,7 +141,7 @@
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
-    wait_for_share();
+    wait_for_processor();
     if (happens(INTERRUPT)) {
         errno = EINTR;
         return -1;
@@ -152,12 +152,12 @@
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
-    wait_for_share();
+    wait_for_processor();
     if (happens(INTERRUPT)) {
         errno = EINTR;
         return -1;
     }
-    hold_up(fd);
+    delay_write(fd);
     return syscall(SYS_sendto, fd, buffer, shortened(fd, length), flags, NULL, 0);
 }
 
@@ -168,7 +168,7 @@
 }
 
 ssize_t read(int fd, void *buffer, size_t length) {
-    wait_for_share();
+    wait_for_processor();
     if (settings[INTERRUPT] > 0 && is_socket(fd) && happens(INTERRUPT)) {
         errno = EINTR;
         return -1;
@@ -177,7 +177,7 @@
 }
 
 ssize_t write(int fd, const void *buffer, size_t length) {
-    wait_for_share();
+    wait_for_processor();
     if (fd == STDERR_FILENO && happens(STDERR)) {
         errno = draw() % 2 ? ENOSPC : EIO;
         return -1;
@@ -207,12 +207,12 @@
     return syscall(SYS_connect, fd, address, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     if (happens(WAIT)) {
         errno = EINTR;
         return -1;
     }
-    return syscall(SYS_epoll_pwait, fd, events, most, timeout, NULL, (size_t)8);
+    return syscall(SYS_epoll_pwait, fd, events, max_events, timeout, NULL, (size_t)8);
 }
 
 int poll(struct pollfd *polled, nfds_t number, int timeout) {
@@ -225,15 +225,15 @@
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
-    wait_for_share();
+    wait_for_processor();
     int result = syscall(SYS_clock_gettime, clock, now);
     if (result == 0 && clock == CLOCK_REALTIME) {
-        int64_t passed = since_start_ms();
-        int64_t wrong_ms = settings[MEND_MS] == 0 || passed < settings[MEND_MS] ? settings[WALL_MS] : 0;
-        if (settings[STEP_EVERY_MS] > 0 && passed / settings[STEP_EVERY_MS] % 2 == 1)
-            wrong_ms += settings[STEP_MS];
-        now->tv_sec += wrong_ms / 1000;
-        now->tv_nsec += wrong_ms % 1000 * 1000000;
+        int64_t elapsed = since_start_ms();
+        int64_t offset_ms = settings[MEND_MS] == 0 || elapsed < settings[MEND_MS] ? settings[WALL_MS] : 0;
+        if (settings[STEP_EVERY_MS] > 0 && elapsed / settings[STEP_EVERY_MS] % 2 == 1)
+            offset_ms += settings[STEP_MS];
+        now->tv_sec += offset_ms / 1000;
+        now->tv_nsec += offset_ms % 1000 * 1000000;
         if (now->tv_nsec < 0) {
             now->tv_nsec += 1000000000;
             now->tv_sec -= 1;
