--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -480,9 +480,9 @@
     assert_eq!(client.ask(""), ClientReply::Empty);
     assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"value".to_vec()));
     std::fs::write(&program.file, "{\"settings\": {}}").expect("written");
-    for request in ["serve", "check"] {
+    for subcommand in ["serve", "check"] {
         let out = Command::new(env!("CARGO_BIN_EXE_comethitchd"))
-            .args([request, "--configuration"])
+            .args([subcommand, "--configuration"])
             .arg(&program.file)
             .output()
             .expect("an end");
