--- a/crates/comethitch-statement/tests/corpus.rs
+++ b/crates/comethitch-statement/tests/corpus.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_statement_gets_its_verdict() {
+fn corpus_statements_get_their_expected_verdicts() {
     let mut wrong = Vec::new();
     let mut rows = 0;
     let mut reads = 0;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn long_and_deep_statements_end_in_time_and_are_no_reads() {
+fn long_and_deep_statements_end_in_time_and_are_not_reads() {
     let many = |part: &str| part.repeat(MAX_STATEMENT_BYTES / part.len());
     let deep = |open: &str, close: &str, n: usize| format!("SELECT {}1{}", open.repeat(n), close.repeat(n));
     for dialect in [Dialect::Postgres, Dialect::Tsql] {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_chain_as_long_as_is_parsed_fits_the_stack() {
+fn longest_parsed_chain_fits_the_stack() {
     let chain = |length: usize| format!("SELECT {}1", "1+".repeat(length));
     assert_eq!(verdict(Dialect::Postgres, chain(990).as_bytes()).effect, Effect::Read);
     assert_eq!(verdict(Dialect::Postgres, chain(1_010).as_bytes()).effect, Effect::Unknown);
--- a/crates/comethitch-statement/tests/memory.rs
+++ b/crates/comethitch-statement/tests/memory.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_scan_of_unique_shapes_evicts_nothing_in_use() {
+fn scan_of_unique_shapes_evicts_no_entry_in_use() {
     let mut cache = Cache::new(BOUND);
     warm_up(&mut cache, 3, 500, 1);
     let mut missed = 0;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_clients_flood_costs_another_none_of_its_hits() {
+fn flood_by_one_client_costs_another_no_cache_hits() {
     let mut cache = Cache::new(BOUND);
     warm_up(&mut cache, 3, 300, 1);
     // Each shape of the flood comes again and again, so that its frequency does not give it away.
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn values_of_any_size_come_and_go_within_the_bound() {
+fn cache_stays_within_its_bound_for_values_of_any_size() {
     let mut cache = Cache::new(BOUND);
     let mut seed = 7_u64;
     let mut draw = |below: u64| {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_client_that_exceeds_its_budget_leaves_others_theirs() {
+fn client_over_its_budget_leaves_others_theirs() {
     let shares = BudgetShares { total: 0.1, client: 0.25 };
     let second = Duration::from_secs(1);
     let mut budget = Budget::new(shares, Timestamp::ZERO);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn many_clients_together_stay_within_the_budget_of_all() {
+fn all_clients_together_stay_within_the_total_budget() {
     let mut budget = Budget::new(BudgetShares { total: 0.05, client: 0.5 }, Timestamp::ZERO);
     let mut spent = 0;
     let mut exceeded = false;
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_shape_that_proves_costly_changes_its_band_without_flapping() {
+fn costly_shape_changes_its_band_without_flapping() {
     let bounds = [Duration::from_millis(20)];
     let lookup_time = LookupTime::default();
     let mut cost = Cost::default();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn the_average_lookup_time_makes_the_first_estimate() {
+fn first_estimate_is_the_average_lookup_time() {
     let mut lookup_time = LookupTime::default();
     (0..1_000).for_each(|_| lookup_time.record(4.0, Duration::from_millis(40)));
     let estimated = lookup_time.estimate(2.0);
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_statement_for_two_groups_of_hosts_or_none_is_rejected_with_its_reason() {
+fn statement_for_two_shards_or_none_is_rejected_with_its_reason() {
     let mut admission = admission(&rules()).expect("rules");
     let two =
         ["a", "b", "c", "d", "e", "f"].iter().map(|key| format!("'{key}'")).collect::<Vec<_>>().join(", ");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_comment_may_be_stricter_than_the_text_and_never_milder() {
+fn comment_may_be_stricter_than_its_statement_but_not_weaker() {
     let mut admission = admission(&rules()).expect("rules");
     for (text, class, passes) in [
         ("SELECT 1", "read", true),
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_shape_that_proves_costly_moves_to_the_heavy_group() {
+fn costly_shape_moves_to_the_heavy_class() {
     let mut admission = admission(&rules()).expect("rules");
     let text = "SELECT * FROM series WHERE titulo LIKE 'x%'";
     let passed = admit(&mut admission, text, None).expect("it passes");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn past_the_budget_a_statement_is_unknown_or_throttled() {
+fn statement_past_the_budget_is_unknown_or_throttled() {
     for beyond in ["cautious", "throttle"] {
         let mut with_budget = rules();
         with_budget["parsing"] = json!({"core_part": 0.001, "client_part": 0.5, "beyond": beyond});
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn statements_that_differ_in_literals_case_and_space_alone_share_a_shape() {
+fn shape_ignores_literals_case_and_whitespace() {
     let alike = [
         (
             Dialect::Postgres,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn literals_keep_their_places_and_the_placeholders_that_they_fold_into() {
+fn literals_keep_their_positions_and_placeholders() {
     let text = "INSERT INTO t (a, b) VALUES (1, 'x'), (2, 'y') ON CONFLICT (a) DO UPDATE SET b = 'z'";
     let mut lexer = Lexer::new(Dialect::Postgres);
     lexer.read(text.as_bytes());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn tables_and_the_values_that_their_columns_are_compared_with() {
+fn tables_and_compared_column_values_are_extracted() {
     let uses_of = |text: &str| -> Vec<String> {
         let found = verdict(Dialect::Postgres, text.as_bytes());
         assert!(found.parsed, "{text}: {}", found.why);
@@ -190,7 +190,7 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn space_case_comments_and_literals_change_neither_shape_nor_verdict(
+    fn formatting_and_literals_change_neither_shape_nor_verdict(
         pick in any::<prop::sample::Index>(), tsql in any::<bool>(),
         drawn in prop::collection::vec(any::<(u8, u64, u8)>(), 1..40),
     ) {
@@ -203,14 +203,14 @@
     }
 
     #[test]
-    fn any_bytes_get_a_verdict(bytes in prop::collection::vec(any::<u8>(), 0..200), tsql in any::<bool>()) {
+    fn arbitrary_bytes_get_a_verdict(bytes in prop::collection::vec(any::<u8>(), 0..200), tsql in any::<bool>()) {
         let dialect = if tsql { Dialect::Tsql } else { Dialect::Postgres };
         let found = verdict(dialect, &bytes);
         prop_assert!(std::str::from_utf8(&bytes).is_ok() || found.effect != Effect::Read);
     }
 
     #[test]
-    fn a_read_with_a_write_behind_it_is_no_read(
+    fn read_followed_by_a_write_is_not_a_read(
         parts in prop::collection::vec(prop::sample::select(vec![
             "SELECT", "1", "a", "FROM", "t", "WHERE", "(", ")", "'", "\"", "--", "/*", "*/", "$$", "$a$", "\\", ",", ";",
             "=", "IN", "AS", "E'", "[", "]", "\n", " ", "UNION", "CASE", "END", "b.c", "::int", "@x", "N'", "WITH", "*",
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_client_that_goes_behind_pipelined_commands_has_gone() {
+fn client_exit_behind_pipelined_requests_cancels_the_attempt() {
     for exit in ClientExit::ALL {
         let primary = host(true, |_, _| HostAction::Silence);
         let router = router_with_one_host(&primary);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_command_read_after_its_client_has_gone_is_not_begun() {
+fn request_read_after_its_client_disconnected_is_not_started() {
     for exit in ClientExit::ALL {
         let primary = host(true, |_, _| answer("value"));
         let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_its_client_has_gone_carries_no_command() {
+fn late_host_connection_carries_no_request_of_a_disconnected_client() {
     for (exit, cancel) in ClientExit::ALL.into_iter().flat_map(|exit| [(exit, true), (exit, false)]) {
         let (address, greet, told) = host_with_late_greeting();
         let mut all = configuration(&[entry("p", address, true, "ready")], None, 1024);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn bytes_that_cross_the_close_of_a_resting_connection_reset_nothing_and_are_not_carried_out() {
+fn request_crossing_an_idle_close_is_not_executed_and_causes_no_reset() {
     let primary = host(true, |nth, _| answer(&format!("value {nth}")));
     let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_client_that_sends_on_and_on_holds_no_router_up_and_loses_no_answer() {
+fn shutdown_during_continuous_pipelining_is_prompt_and_loses_no_answer() {
     let primary = host(true, |nth, _| answer(&format!("value {nth}")));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("on-and-on", &all);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_router_that_stops_before_a_host_that_hangs_answers_within_the_short_time_left() {
+fn shutdown_with_a_hung_host_answers_within_the_client_timeout() {
     let primary = host(true, |_, _| HostAction::Silence);
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("hangs", &all);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_client_that_never_reads_holds_no_router_up() {
+fn client_that_never_reads_does_not_block_shutdown() {
     let primary = host(true, |_, _| HostAction::Answer(row(&[b'x'; 60_000])));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("never-reads", &all);
@@ -262,7 +262,7 @@
 
 /// Whatever a configuration that is read again does to the request classes, a request ends under what it came in under.
 #[test]
-fn a_reload_that_reorders_command_groups_changes_nothing_for_commands_in_hand() {
+fn reload_with_reordered_classes_leaves_requests_in_flight_unchanged() {
     let (tell, go) = channel::<()>();
     let go = std::sync::Mutex::new(go);
     let primary = host(true, move |nth, _| {
@@ -302,7 +302,7 @@
 
 /// Two routers of two deployments in one process: nothing of one is read by the other.
 #[test]
-fn two_deployments_in_one_process_keep_apart() {
+fn two_routers_in_one_process_share_no_state() {
     let hosts = [host(true, |_, _| answer("one")), host(true, |_, _| answer("two"))];
     let mut two = configuration(&[entry("p", hosts[1].address, true, "ready")], None, 1024);
     let settings = &mut two["settings"];
@@ -329,7 +329,7 @@
 /// Idle clients take every descriptor meant for clients while discovery is down. Clients at work, hosts and discovery
 /// still get theirs, and the list is fresh soon after the return.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_nobody_else_from_theirs() {
+fn idle_clients_at_descriptor_limit_block_neither_clients_nor_discovery() {
     let primary = host(true, |_, _| answer("value"));
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut all: Value = configuration(&[entry("p", primary.address, true, "ready")], None, 64);
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn a_router_that_stops_answers_also_whoever_would_wait_longer_than_it_runs() {
+fn shutdown_answers_requests_that_outlast_the_shutdown_period() {
     let primary = host(true, |_, _| HostAction::Silence);
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start("waits-long", &all);
@@ -391,7 +391,7 @@
 const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
 
 #[test]
-fn a_router_whose_clients_may_wait_long_answers_all_before_it_can_be_killed() {
+fn shutdown_with_long_timeouts_ends_before_the_earliest_sigkill() {
     let primary = host(true, |_, _| HostAction::Silence);
     let mut all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     all["settings"]["classes"][2]["deadline_us"] = 10_000_000.into();
@@ -407,7 +407,7 @@
 }
 
 #[test]
-fn a_command_in_hand_is_not_given_up_for_want_of_room_for_the_next() {
+fn request_in_flight_survives_an_exhausted_memory_budget() {
     let (tell, go) = channel::<()>();
     let go = std::sync::Mutex::new(go);
     let primary = host(true, move |_, _| {
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_pipelined_command_is_timed_by_its_own_last_byte_and_not_by_those_that_come_later() {
+fn pipelined_request_timeout_starts_at_its_own_last_byte() {
     let (tell, go) = channel::<()>();
     let go = std::sync::Mutex::new(go);
     let primary = host(true, move |nth, _| {
@@ -487,7 +487,7 @@
 }
 
 #[test]
-fn a_cancel_request_ends_its_command_alone_and_only_for_who_knows_the_key() {
+fn cancel_request_with_the_correct_key_cancels_only_its_request() {
     let primary = host(true, |nth, _| if nth == 0 { HostAction::Silence } else { answer("value") });
     let router = router_with_one_host(&primary);
     let mut client = Client::raw(router.address);
@@ -520,7 +520,7 @@
 }
 
 #[test]
-fn a_write_under_which_a_kept_connection_closes_may_have_run_and_a_read_goes_again() {
+fn reused_connection_closed_by_host_fails_write_and_retries_read() {
     let primary =
         host(true, |nth, _| if nth % 2 == 1 { HostAction::Close } else { answer(&format!("value {nth}")) });
     let router = router_with_one_host(&primary);
@@ -540,7 +540,7 @@
 }
 
 #[test]
-fn a_router_whose_clients_wait_a_moment_only_stops_without_a_panic() {
+fn shutdown_with_very_short_timeouts_does_not_panic() {
     let primary = host(true, |_, _| HostAction::Silence);
     let mut all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     for group in all["settings"]["classes"].as_array_mut().expect("groups") {
--- a/crates/comethitchd/tests/endpoint_updates.rs
+++ b/crates/comethitchd/tests/endpoint_updates.rs
@@ -224,12 +224,12 @@
 }
 
 #[test]
-fn a_watch_that_stops_sending_and_restarted_ones_that_do_so_at_once() {
+fn silent_watches_do_not_delay_updates() {
     updated_in_time("silent", |_, watch, _| if watch { Behavior::StopsSending } else { Behavior::Correct });
 }
 
 #[test]
-fn restarted_watches_that_are_unresponsive_from_their_first_byte() {
+fn unresponsive_restarted_watches_do_not_delay_updates() {
     updated_in_time("mute", |nth, watch, _| match (watch, nth) {
         (true, 0) => Behavior::StopsSending,
         (true, _) => Behavior::Unresponsive,
@@ -238,17 +238,17 @@
 }
 
 #[test]
-fn watches_that_send_fragments_without_end() {
+fn endless_fragments_on_watches_do_not_delay_updates() {
     updated_in_time("fragments", |_, watch, _| if watch { Behavior::Fragments } else { Behavior::Correct });
 }
 
 #[test]
-fn a_watch_whose_head_never_ends_is_restarted() {
+fn watch_with_an_endless_response_head_is_restarted() {
     updated_in_time("head", |nth, _, _| if nth < 3 { Behavior::EndlessHead } else { Behavior::Correct });
 }
 
 #[test]
-fn watches_that_get_an_error_or_are_closed_at_once() {
+fn failing_or_closed_watches_do_not_delay_updates() {
     updated_in_time("refused", |nth, watch, _| match watch {
         true if nth % 2 == 0 => Behavior::RespondsWithError,
         true => Behavior::Closes,
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn polls_that_fail_while_watches_are_answered() {
+fn failing_polls_do_not_delay_updates() {
     updated_in_time(
         "calls",
         |nth, watch, _| if watch || nth == 0 { Behavior::Correct } else { Behavior::Unresponsive },
@@ -265,12 +265,12 @@
 }
 
 #[test]
-fn lists_and_updates_that_are_indented() {
+fn indented_lists_and_updates_are_applied_in_time() {
     updated_in_time("indented", |_, _, _| Behavior::Indented);
 }
 
 #[test]
-fn an_agent_that_is_unresponsive_for_four_seconds_and_then_answers() {
+fn update_is_applied_in_time_after_a_four_second_discovery_outage() {
     updated_in_time("returns", |nth, _, since| match since {
         _ if nth == 0 => Behavior::StopsSending,
         Some(since) if since > Duration::from_secs(4) => Behavior::Correct,
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_complete_list_cut_by_a_reset_is_not_applied() {
+fn complete_list_cut_by_a_reset_is_not_applied() {
     for (name, behavior) in [("chunked", Behavior::CutChunked), ("unmeasured", Behavior::CutUnmeasured)] {
         let agent = Agent::start(move |nth, _, _| if nth < 2 { behavior } else { Behavior::Correct });
         // Without a list of its own the router fetches the complete one first.
@@ -297,7 +297,7 @@
 /// SIGHUP names another discovery while the old watch still sends: nothing of it is applied any more, and the new
 /// service is asked for its complete list, whatever version the old one was at.
 #[test]
-fn a_replaced_watch_changes_nothing() {
+fn update_from_a_replaced_watch_is_ignored() {
     let (old, new) = (Agent::start(|_, _, _| Behavior::Correct), Agent::start(|_, _, _| Behavior::Correct));
     let mut all =
         configuration(&[entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")], None, 1024);
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_list_newer_than_the_configured_one_is_applied_at_once() {
+fn list_newer_than_the_configured_one_is_applied_at_once() {
     let agent = Agent::start(|_, _, _| Behavior::Correct);
     agent.change();
     let known = [entry("p", "127.0.0.1:1".parse().expect("an address"), true, "ready")];
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn a_discovery_service_that_answers_late_is_heard_all_the_same() {
+fn responses_of_a_slow_discovery_service_are_used() {
     let primary = host(true, |_, _| HostAction::Answer(row(b"value")));
     let list = json!({"seq": 1, "whole": true, "hosts": [entry("p", primary.address, true, "ready")]});
     let mut all = configuration(&[], None, 1024);
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn both_protocols_come_to_the_same_and_no_rule_breaks() {
+fn both_protocols_give_the_same_outcomes_without_violations() {
     let ran: Vec<[(Counts, Vec<String>); 2]> = std::thread::scope(|scope| {
         let all: Vec<_> = SCENARIOS
             .iter()
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn a_large_answer_that_breaks_midway_is_seen_not_to_be_whole_and_not_sent_again() {
+fn truncated_large_response_closes_the_client_and_is_not_retried() {
     for protocol in Protocol::BOTH {
         for writes in [true, false] {
             let mut test_bed = TestBed::new(protocol);
@@ -458,7 +458,7 @@
 }
 
 #[test]
-fn a_slow_reader_of_a_large_answer_holds_up_no_other() {
+fn slow_reader_of_a_large_response_does_not_delay_others() {
     use std::io::Read;
     for protocol in Protocol::BOTH {
         let mut test_bed = TestBed::new(protocol);
@@ -489,7 +489,7 @@
 }
 
 #[test]
-fn a_checker_that_finds_nothing_is_no_checker() {
+fn ledger_reports_violations_of_a_faulty_history() {
     use comethitch_testkit::ledger::Entry;
     let ledger = Ledger::default();
     let text = "INSERT INTO t VALUES ('k')".to_string();
--- a/crates/comethitchd/tests/fleet.rs
+++ b/crates/comethitchd/tests/fleet.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn half_of_the_hosts_replaced_while_routers_are_killed_breaks_no_rule_and_the_fleet_serves_on() {
+fn replacing_half_the_hosts_while_routers_restart_breaks_no_rule() {
     let release = Fault { at_ms: 1000, kind: FaultKind::ReplaceReplicas { fraction: 0.5, over_ms: 1500 } };
     let herd = Fault { at_ms: 1500, kind: FaultKind::KillRouters { fraction: 0.7, restart_after_ms: 300 } };
     let trial = Trial { seed: 2, load: 0.7, overload_multiple: 1.2, faults: vec![release, herd], ..small() };
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn routers_cut_off_from_some_hosts_serve_on_at_the_others() {
+fn partitioned_routers_keep_serving_through_reachable_hosts() {
     let cut = FaultKind::DisturbLinks {
         routers: 0.5,
         hosts: 0.34,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn all_hosts_in_slow_start_and_all_routers_new_overload_no_host() {
+fn restart_of_all_hosts_and_routers_overloads_no_host() {
     let trial = Trial { all_hosts_warming_up: true, load: 0.6, overload_multiple: 1.3, ..small() };
     for (routers, seconds) in [(20, 6), (30, 4)] {
         // What all processes send a host within its slow-start window, against N + 2 sqrt(N) + 2.
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn routers_that_stalled_answer_all_that_they_receive_afterwards() {
+fn paused_routers_answer_every_request_received_after_resuming() {
     let stop = Fault { at_ms: 1500, kind: FaultKind::PauseRouters { fraction: 0.5, duration_ms: 1500 } };
     let slow = FaultKind::DisturbLinks {
         routers: 0.5,
--- a/crates/comethitchd/tests/large_fleet.rs
+++ b/crates/comethitchd/tests/large_fleet.rs
@@ -227,11 +227,11 @@
 }
 
 #[test]
-fn six_in_ten_of_thousands_of_hosts_replaced_loses_no_command() {
+fn replacing_six_in_ten_hosts_of_many_shards_loses_no_request() {
     play_fleet("many-groups", 8);
 }
 
 #[test]
-fn six_in_ten_of_the_hosts_of_large_groups_replaced_loses_no_command() {
+fn replacing_six_in_ten_hosts_of_large_shards_loses_no_request() {
     play_fleet("large-groups", 400);
 }
--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_host_is_told_no_more_time_than_its_client_has_left_when_the_connection_was_slow() {
+fn host_is_sent_the_remaining_timeout_after_a_slow_connect() {
     const WAIT_MS: u32 = 600;
     let host = late_host();
     let router = Router::start(configuration(&[entry("p", host.address, true, "ready")], None, 1024));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_stall_in_which_a_client_goes_sends_nothing_for_it_although_its_host_is_heard_first() {
+fn nothing_is_sent_for_a_client_that_disconnected_during_a_stall() {
     let host = late_host();
     let mut all = configuration(&[entry("p", host.address, true, "ready")], None, 1024);
     all["settings"]["permissions"]["connect_timeout_us"] = 3_000_000.into();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_bounded_read_that_a_host_takes_in_too_slowly_never_arrives_complete() {
+fn bounded_read_received_too_slowly_never_arrives_complete() {
     const BOUND: Duration = Duration::from_secs(3);
     let primary = host(true, |_, _| HostAction::Answer(row(b"new")));
     let stands_still = SystemTime::now() - BOUND + Duration::from_millis(600);
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn statements_pass_unchanged_and_answers_come_in_order() {
+fn statements_are_forwarded_unchanged_and_answered_in_order() {
     let primary = host(true, |nth, _| answer(&format!("value {nth}")));
     let router = alone(&primary);
     let mut client = Client::raw(router.address);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_large_value_is_passed_on_completely() {
+fn large_value_is_returned_completely() {
     let large = vec![0x9f; 64 * 1024];
     let value = large.clone();
     let primary = host(true, move |_, _| HostAction::Answer(row(&value)));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_failed_and_never_sent_again() {
+fn write_that_may_have_run_fails_and_is_never_retried() {
     let primary = host(true, |nth, _| if nth == 0 { HostAction::Close } else { answer("again") });
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_write_that_never_ran_is_throttled() {
+fn write_that_never_ran_is_throttled() {
     let refused = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let router = Router::start(configuration(&[entry("p", refused, true, "ready")], None, 1024));
     let mut client = Client::connect(router.address);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_host_that_accepts_and_never_greets_has_run_nothing() {
+fn write_to_a_host_that_never_greets_is_throttled() {
     let mute = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = mute.local_addr().expect("an address");
     let router = Router::start(configuration(&[entry("p", address, true, "ready")], None, 1024));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_answer_that_makes_no_sense_may_have_run_and_ends_its_connection() {
+fn malformed_response_fails_the_write_and_closes_the_connection() {
     let senseless = [message(b'?', b""), message(b'D', b"\0\x01"), [row(b"a"), row(b"b")].concat()];
     for bytes in senseless {
         let primary = host(true, move |nth, _| match nth {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_surplus_behind_a_good_answer_is_nobodys() {
+fn extra_bytes_after_response_close_the_connection() {
     for surplus in [row(b"theirs"), vec![0x7f; 40], row(b"theirs")[..9].to_vec()] {
         let primary = host(true, move |nth, _| match nth {
             0 => HostAction::Answer([row(b"value"), ready(), surplus.clone()].concat()),
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn commands_that_come_too_late_are_throttled_and_blame_no_host() {
+fn expired_requests_are_throttled_without_blaming_the_host() {
     let primary = host(true, |_, _| answer("value"));
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn not_primary_and_overloaded_errors_prove_that_nothing_ran() {
+fn writes_met_by_not_primary_or_overloaded_errors_are_throttled() {
     for code in ["25006", "53300"] {
         let primary = host(true, move |_, _| HostAction::Answer(error(code)));
         let router = alone(&primary);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_read_delayed_by_its_connection_gets_no_data_past_their_bound() {
+fn read_delayed_by_a_slow_connect_gets_no_data_past_its_bound() {
     let bound = std::time::Duration::from_secs(2);
     let still = Some((std::time::SystemTime::now(), bound));
     let replica =
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_read_is_retried_elsewhere_after_a_reset() {
+fn read_is_retried_after_the_host_closes_its_connection() {
     let primary = host(true, |nth, _| if nth == 0 { HostAction::Close } else { answer("second") });
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_attempt_at_a_silent_host_times_out_and_its_connection_is_closed() {
+fn attempt_at_a_silent_host_times_out_and_closes_its_connection() {
     let primary = host(true, |_, _| HostAction::Silence);
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_cancels_its_attempt() {
+fn client_disconnect_cancels_its_attempt() {
     let primary = host(true, |_, _| HostAction::Silence);
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_reused() {
+fn idle_host_connection_is_reused() {
     let primary = host(true, |_, _| answer("value"));
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_affects_no_others() {
+fn invalid_input_gets_an_error_and_affects_no_other_client() {
     let primary = host(true, |_, _| answer("value"));
     let router = alone(&primary);
     let mut client = Client::connect(router.address);
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn the_id_of_a_command_in_progress_can_not_be_used_by_another() {
+fn id_of_a_request_in_flight_is_rejected_for_another_request() {
     let (release, held) = channel::<()>();
     let held = std::sync::Mutex::new(held);
     let primary = host(true, move |_, _| {
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn clients_that_never_send_a_command_get_an_error_in_time() {
+fn clients_without_a_valid_request_get_an_error_in_time() {
     let primary = host(true, |_, _| answer("value"));
     let router = alone(&primary);
     let started = std::time::Instant::now();
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn hundreds_of_silent_clients_keep_no_others_out() {
+fn silent_clients_do_not_exclude_active_or_new_clients() {
     let primary = host(true, |_, _| answer("value"));
     let router = Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 64));
     let mut usual = Client::connect(router.address);
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn at_the_descriptor_limit_idle_clients_make_room() {
+fn idle_clients_are_evicted_at_the_descriptor_limit() {
     let primary = host(true, |_, _| answer("value"));
     let router = Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 64));
     // Three times as many as fit, all kept open: each new one is served.
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn at_the_descriptor_limit_a_new_client_is_closed_for_nobody() {
+fn new_client_is_not_evicted_when_no_other_waits() {
     let primary = host(true, |_, _| answer("value"));
     let router = Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 64));
     // Five eighths of the 44 descriptors that are not reserved.
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn past_the_descriptor_limit_commands_are_throttled_at_once() {
+fn requests_past_the_descriptor_limit_are_throttled_at_once() {
     let elsewhere = |id: u32| query(&write(id, 60_000).replace("cluster=0", "cluster=1"));
     let primary = host(true, |_, _| answer("value"));
     let hosts = [entry("p", primary.address, true, "ready")];
@@ -399,7 +399,7 @@
 }
 
 #[test]
-fn the_list_is_followed_and_a_malformed_line_changes_nothing() {
+fn endpoint_list_is_followed_and_malformed_lines_are_ignored() {
     let (first, second) = (host(true, |_, _| answer("first")), host(true, |_, _| answer("second")));
     let discovery = discovery();
     let known = entry("p", first.address, true, "ready");
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn a_start_without_any_list_is_ready_once_discovery_has_sent_one() {
+fn router_without_a_list_is_ready_once_discovery_sends_one() {
     let primary = host(true, |_, _| answer("value"));
     let discovery = discovery();
     let router = Router::start(configuration(&[], Some(&discovery), 1024));
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn commands_received_around_the_signal_are_answered() {
+fn requests_received_around_shutdown_are_answered() {
     let (release, held) = channel::<()>();
     let held = std::sync::Mutex::new(held);
     let primary = host(true, move |nth, _| {
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn the_program_serves_until_sigterm_and_says_what_is_wrong() {
+fn daemon_serves_until_sigterm_and_reports_configuration_errors() {
     let primary = host(true, |_, _| answer("value"));
     let program =
         Program::start("sigterm", &configuration(&[entry("p", primary.address, true, "ready")], None, 1024));
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn sighup_changes_to_another_discovery_and_a_faulty_file_changes_nothing() {
+fn reload_switches_discovery_and_a_faulty_file_changes_nothing() {
     let (first, second) = (host(true, |_, _| answer("first")), host(true, |_, _| answer("second")));
     let old = discovery();
     let at = |address| entry("p", address, true, "ready");
@@ -534,7 +534,7 @@
 }
 
 #[test]
-fn a_configuration_that_is_still_being_written_at_sighup_is_read_again() {
+fn configuration_half_written_at_reload_is_read_again() {
     let primary = host(true, |_, _| answer("value"));
     let old = discovery();
     let mut all = configuration(&[entry("p", primary.address, true, "ready")], Some(&old), 1024);
@@ -555,7 +555,7 @@
 }
 
 #[test]
-fn a_throttled_command_logs_its_id_and_the_reason() {
+fn throttled_request_is_logged_with_its_id_and_reason() {
     // A primary whose port takes no connection: the write never runs, and the policy rejects it.
     let refused = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let config = configuration(&[entry("p", refused, true, "ready")], None, 1024);
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn no_statement_that_writes_reaches_a_replica_whatever_its_comment_says() {
+fn writing_statement_never_reaches_a_replica_despite_its_comment() {
     let (primary, replica, at_primary, at_replica) = start_primary_and_replica(|_| false);
     for disagreement in ["refuse", "raise"] {
         let mut rules = rules();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn under_resets_nothing_that_may_change_data_is_sent_twice() {
+fn statements_that_may_write_are_not_retried_after_resets() {
     let (primary, replica, at_primary, at_replica) = start_primary_and_replica(|nth| nth % 3 == 1);
     let mut with_rules = rules();
     with_rules["disagreement"] = "raise".into();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_comment_that_claims_less_than_the_text_is_refused_or_raised() {
+fn comment_weaker_than_its_statement_is_rejected_or_raised() {
     let (primary, replica, at_primary, at_replica) = start_primary_and_replica(|_| false);
     let lie = "/* id=1,c=read,d=900,cluster=0 */ DELETE FROM facts";
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn without_rules_the_platforms_form_alone_is_taken() {
+fn without_rules_only_the_platform_form_is_accepted() {
     let (primary, replica, ..) = start_primary_and_replica(|_| false);
     let router = Router::start(hosts(&primary, &replica));
     let mut client = Client::connect(router.address);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn what_concerns_a_session_or_a_transaction_is_not_half_done() {
+fn session_and_transaction_statements_are_never_half_executed() {
     let (primary, replica, at_primary, _) = start_primary_and_replica(|_| false);
     let router = Router::with_statement_rules(hosts(&primary, &replica), Some(rules()));
     let mut client = Client::connect(router.address);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn answers_of_any_form_and_a_hosts_own_errors_are_passed_on() {
+fn responses_of_any_form_and_host_errors_are_forwarded() {
     let two_rows = {
         let described = message(b'T', &[&[0, 2][..], b"a\0", &[0; 18], b"b\0", &[0; 18]].concat());
         let data = |a: &[u8]| message(b'D', &[&[0, 2, 0, 0, 0, 1][..], a, &[0xff; 4]].concat());
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn an_answer_of_four_megabytes_passes_in_a_router_of_little_memory() {
+fn four_megabyte_response_passes_with_a_small_memory_budget() {
     let huge = vec![b'x'; 100 << 10];
     let primary = host(true, move |nth, _| {
         let rows = message(b'D', &[&[0, 1][..], &(huge.len() as u32).to_be_bytes(), &huge].concat());
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_connection_with_a_transaction_open_is_not_used_again() {
+fn connection_with_an_open_transaction_is_not_reused() {
     let primary = host(true, |nth, _| match nth {
         0 => HostAction::Raw([row(b"first"), message(b'Z', b"T")].concat()),
         _ => HostAction::Answer(row(b"second")),
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn keys_lead_to_their_group_of_hosts_and_nothing_goes_to_two() {
+fn keys_select_the_shard_and_cross_shard_statements_are_rejected() {
     let (first, second) =
         (host(true, |_, _| HostAction::Answer(row(b"0"))), host(true, |_, _| HostAction::Answer(row(b"1"))));
     let mut other = entry("q", second.address, true, "ready");
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn rules_are_taken_over_whole_or_not_at_all() {
+fn reloaded_rules_are_applied_completely_or_not_at_all() {
     let primary = host(true, |_, _| HostAction::Answer(row(b"value")));
     let config = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let file = std::env::temp_dir().join(format!("comethitchd-{}-rules.json", std::process::id()));
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn the_log_tells_verdicts_as_fields_of_json() {
+fn statement_verdicts_are_logged_as_json_fields() {
     let primary = host(true, |_, _| HostAction::Answer(row(b"value")));
     let config = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let file = std::env::temp_dir().join(format!("comethitchd-{}-told.json", std::process::id()));
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn the_sample_of_rules_fits_the_sample_of_a_configuration_and_its_schema() {
+fn sample_rules_match_the_sample_configuration_and_schema() {
     let site = Config::read(SAMPLE, |_| None).expect("the sample");
     site.with_statement_rules(include_str!("../../../deploy/statements.json")).expect("the sample of rules");
     let schema: Value =
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn classify_answers_each_line_in_order_whatever_it_is() {
+fn classify_answers_every_line_in_order() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_comethitch"))
         .args(["classify", "--dialect", "tsql"])
         .stdin(Stdio::piped())
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn interrupted_reads_and_writes_lose_no_command() {
+fn interrupted_reads_and_writes_lose_no_request() {
     let primary = host(true, |_, _| answer("value"));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     // Every other read and write of a socket is interrupted.
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_wall_clock_an_hour_behind_allows_no_read_from_stale_data() {
+fn wall_clock_an_hour_behind_allows_no_stale_read() {
     let primary = host(true, |_, _| answer("new"));
     let stands_still = SystemTime::now() - Duration::from_secs(10);
     let replica = host_since(false, |_, _| answer("stale"), Some((stands_still, Duration::ZERO)));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_wall_clock_an_hour_ahead_keeps_replicas_in_use() {
+fn wall_clock_an_hour_ahead_keeps_replicas_in_use() {
     let primary = host(true, |_, _| answer("primary"));
     let replica = host(false, |_, _| answer("replica"));
     let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_shortage_of_sockets_at_the_start_delays_it_only() {
+fn socket_shortage_at_startup_only_delays_readiness() {
     let primary = host(true, |_, _| answer("value"));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let program = Program::start_with_faults("no-socket", &all, "seed=1,socket_first=3");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_log_that_cannot_be_written_loses_no_command() {
+fn unwritable_log_loses_no_request() {
     const FULL_FROM: Duration = Duration::from_millis(500);
     let primary = host(true, |_, _| answer("value"));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_rule_broken_by_a_process_held_up_behind_the_check_is_counted() {
+fn rule_broken_by_a_stall_after_the_send_check_is_counted() {
     let primary = host(true, |_, _| answer("value"));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     // Each write is held up for longer than the request's client waits: it leaves after its deadline.
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn interrupted_signals_neither_stop_a_router_nor_get_lost() {
+fn interrupted_signals_are_not_lost_and_do_not_stop_the_router() {
     let primary = host(true, |_, _| answer("value"));
     let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
     let mut program = Program::start_with_faults("signals", &all, "seed=1,interrupt=2");
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn no_batch_that_writes_reaches_a_replica_whatever_its_comment_says() {
+fn writing_batch_never_reaches_a_replica_despite_its_comment() {
     // Every statement is parsed, however slow the machine: past the client's share of a core even reads would go to the
     // primary, by the cautious verdict.
     let mut rules = rules();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_read_that_is_not_parsed_for_want_of_budget_goes_to_the_primary() {
+fn read_past_the_parsing_budget_goes_to_the_primary() {
     let mut rules = rules();
     rules["parsing"] = json!({"core_part": 1e-9, "client_part": 1.0});
     let TestBed { primary: _primary, replica: _replica, ledger, router } = start_test_bed(rules);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_client_library_reads_every_type_and_asks_with_parameters() {
+fn client_library_reads_every_type_and_sends_parameters() {
     let TestBed { primary, replica, router, .. } = start_test_bed(rules());
     for host in [&primary, &replica] {
         host.script(
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_attention_calls_the_command_off_and_is_acknowledged_once() {
+fn attention_cancels_its_request_and_is_acknowledged_once() {
     let TestBed { primary, replica: _replica, ledger, router } = start_test_bed(rules());
     primary.script(|nth, _| if nth == 0 { HostBehavior::HangAfterExecution } else { HostBehavior::Answer });
     let mut client = Client::connect(Protocol::Tds, router.address);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_pipelined_batch_is_timed_by_its_own_last_byte_and_not_by_those_that_come_later() {
+fn pipelined_batch_timeout_starts_at_its_own_last_byte() {
     let TestBed { primary, replica: _replica, ledger, router } = start_test_bed(rules());
     let (tell, go) = std::sync::mpsc::channel::<()>();
     let go = std::sync::Mutex::new(go);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn prepared_statements_are_kept_by_the_router_and_run_at_any_host() {
+fn router_keeps_prepared_statements_and_runs_them_at_any_host() {
     let TestBed { primary, replica: _replica, ledger, router } = start_test_bed(rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
     let send = |client: &mut Client, payload: &[u8]| {
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_parameters_value_leads_to_its_group_of_hosts() {
+fn parameter_value_selects_the_shard() {
     let ledger = Ledger::default();
     let (first, second) =
         (Host::start("0", Protocol::Tds, true, &ledger), Host::start("1", Protocol::Tds, true, &ledger));
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn what_is_no_login_or_too_large_is_told_and_closed() {
+fn invalid_or_oversized_logins_are_closed_with_an_error() {
     let TestBed { router, .. } = start_test_bed(rules());
     let ended = |wire: &[u8]| {
         let mut stream = TcpStream::connect(router.address).expect("a connection");
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn the_sample_and_its_schema_fit_and_faults_are_named_by_key() {
+fn sample_settings_match_the_schema_and_errors_name_the_key() {
     let sample = include_str!("../../../deploy/tds.json");
     TdsSettings::read(sample).expect("the sample");
     let schema: Value = serde_json::from_str(include_str!("../../../deploy/tds.schema.json")).expect("JSON");
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn a_drain_notice_in_the_middle_of_a_batch_lets_it_end_and_keeps_the_next_away() {
+fn draining_host_finishes_its_batch_and_gets_no_later_one() {
     let ledger = Ledger::default();
     let old = Host::start("old", Protocol::Tds, true, &ledger);
     let new = Host::start("new", Protocol::Tds, false, &ledger);
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn an_attention_in_the_middle_of_a_takeover_is_acknowledged_and_harms_nothing() {
+fn attention_during_failover_is_acknowledged_once() {
     let TestBed { primary, replica, ledger, router } = start_test_bed(rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
     assert_eq!(client.execute("INSERT INTO t VALUES ('a')"), Reply::Answered("a".into()));
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_answer_is_the_same_at_every_split() {
+fn response_is_parsed_the_same_at_every_split() {
     let told = [parameter("rank", "source"), parameter("as_of", "1767225600123")].concat();
     let bytes = [row(b"\x9f\x00\x03"), notice(), told, ready()].concat();
     for pieces in [1, 2, 3, 5, 7, bytes.len()] {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_is_no_whole_answer_is_told_apart() {
+fn incomplete_or_malformed_responses_are_detected() {
     let cut = [&row(b"x")[..row(b"x").len() - 14], &ready()].concat();
     assert!(response_in_pieces(1, &cut).is_err(), "ready without CommandComplete");
     let twice = [row(b"x"), row(b"x"), ready()].concat();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn openings_are_told_apart() {
+fn startup_requests_are_distinguished() {
     let code = |code: u32| [8u32.to_be_bytes(), code.to_be_bytes()].concat();
     assert_eq!(
         postgres::startup_message(&code(80_877_103)),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn comments_are_read_or_say_what_is_wrong() {
+fn request_comments_are_parsed_or_the_error_names_the_fault() {
     let good = b"  /* x=1, after=17,cluster=65535,c=order,d=480,id=9b */ INSERT INTO f (code, data) VALUES('k', '\\x9f')RETURNING data";
     let comment = statement::parse_request_comment(good).expect("a comment");
     assert_eq!((comment.class, comment.shard, comment.after_ms), ("order", 65_535, Some(17)));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn chunks_are_the_same_at_every_split() {
+fn chunked_body_is_decoded_the_same_at_every_split() {
     let bytes = b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n3;x=y\r\n{\"a\r\n1\r\n\n\r\n4\r\nb\"}\n\r\n0\r\nT: 1\r\n\r\nrest";
     for pieces in [1, 2, 3, 5, bytes.len()] {
         let (mut held, mut body, mut out) = (Vec::new(), None, Vec::new());
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn any_bytes_are_taken_without_a_panic() {
+fn arbitrary_bytes_cause_no_panic() {
     let mut chance = RandomGenerator::new(17);
     for round in 0..3_000 {
         let mut bytes: Vec<u8> =
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn every_end_of_a_connection_has_its_outcome() {
+fn every_connection_result_maps_to_an_attempt_outcome() {
     let code = |code: &str| Err(ConnectionError::HostError(HostErrorCode::Postgres(code.into())));
     let table = [
         (Ok(()), AttemptOutcome::Answered, false),
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_buffer_grows_is_compacted_and_has_a_limit() {
+fn buffer_grows_is_compacted_and_has_a_limit() {
     let room = MemoryBudget::new(3_500);
     let (mut buffer, mut other) = (Buffer::new(3_000, &room), Buffer::new(3_000, &room));
     let bytes = [7u8; 5_000];
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_list_is_read_or_says_what_is_wrong() {
+fn endpoint_list_is_parsed_or_the_error_names_the_key() {
     let zones = ["north".to_string(), "south".to_string()];
     let address = "127.0.0.1:5433".parse().expect("an address");
     let list = |host: Value| json!({"seq": 4, "whole": false, "hosts": [host]}).to_string();
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_list_whose_hosts_are_replaced_without_end_stays_small() {
+fn endpoint_directory_stays_small_while_hosts_are_replaced() {
     let address = "127.0.0.1:5433".parse().expect("an address");
     let mut list = EndpointDirectory::default();
     for round in 0..3_000 {
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_faulty_configuration_names_its_key() {
+fn configuration_errors_name_the_key() {
     let without = |path: &str| changed(path, Value::Null);
     let cases = [
         ("{".to_string(), "this is no JSON"),
