--- /dev/null
+++ b/crates/comethitchd/tests/client_disconnects.rs
@@ -0,0 +1,173 @@
+//! Clients that disconnect or cancel while a request is in flight: nothing more may be sent for them.
+//! `docs/endings.md` lists the cases.
+
+mod support;
+
+use std::io::{Read, Write};
+use std::net::Shutdown;
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+use support::{
+    BUSY_MACHINE_SLACK, ClientReply, DISCONNECT_GRACE, Daemon, HostAction, HostEvent, LateHost,
+    PostgresClient, Router, ScriptedHost, answer, message, pipelined_writes, query,
+    single_primary_configuration, startup, write_request,
+};
+
+/// How a client disconnects.
+#[derive(Clone, Copy, Debug)]
+enum ClientExit {
+    Closes,
+    /// Ends its sending direction, and could still read.
+    HalfCloses,
+    Resets,
+}
+
+impl ClientExit {
+    const ALL: [ClientExit; 3] = [ClientExit::Closes, ClientExit::HalfCloses, ClientExit::Resets];
+
+    /// Disconnects. Returns the client if its connection is only half closed and must stay open.
+    fn apply(self, client: PostgresClient) -> Option<PostgresClient> {
+        match self {
+            ClientExit::Closes => None,
+            ClientExit::HalfCloses => {
+                client.stream.shutdown(Shutdown::Write).expect("half closed");
+                Some(client)
+            }
+            ClientExit::Resets => {
+                rustix::net::sockopt::set_socket_linger(&client.stream, Some(Duration::ZERO))
+                    .expect("an option");
+                None
+            }
+        }
+    }
+}
+
+#[test]
+fn client_exit_behind_pipelined_requests_cancels_the_attempt() {
+    for exit in ClientExit::ALL {
+        let primary = ScriptedHost::primary(|_, _| HostAction::Silence);
+        let router = Router::with_single_primary(&primary);
+        let mut client = PostgresClient::connect(router.address);
+        client.send(&write_request(1, 5_000));
+        assert!(matches!(primary.next_event(), HostEvent::Query(_)), "the first request was sent");
+        client.stream.write_all(&pipelined_writes(2)).expect("sent");
+        let (disconnected_at, _half_open) = (Instant::now(), exit.apply(client));
+        assert_eq!(
+            primary.next_event(),
+            HostEvent::ConnectionClosed,
+            "{exit:?}: the first attempt is cancelled"
+        );
+        let took = disconnected_at.elapsed();
+        assert!(took < DISCONNECT_GRACE + BUSY_MACHINE_SLACK, "{exit:?}: cancelled only after {took:?}");
+        // None of the four hundred pipelined requests was started.
+        router.shut_down();
+        assert_eq!(primary.pending_queries().len(), 0, "{exit:?}");
+    }
+}
+
+#[test]
+fn request_read_after_its_client_disconnected_is_not_started() {
+    for exit in ClientExit::ALL {
+        let primary = ScriptedHost::primary(|_, _| answer("value"));
+        let config = single_primary_configuration(primary.address);
+        let daemon = Daemon::start(&format!("read-late-{exit:?}"), &config);
+        let mut first = PostgresClient::connect(daemon.address);
+        assert_eq!(first.execute(&write_request(1, 5_000)), ClientReply::value("value"));
+        let mut open = PostgresClient::connect(daemon.address);
+        // The kernel buffers what arrives while the router is stopped.
+        daemon.signal("STOP");
+        let mut new = PostgresClient::connect_without_startup(daemon.address);
+        new.stream.write_all(&[startup(), query(&write_request(2, 5_000))].concat()).expect("sent");
+        open.send(&write_request(3, 5_000));
+        let _half_open = [exit.apply(new), exit.apply(open)];
+        sleep(DISCONNECT_GRACE);
+        daemon.signal("CONT");
+        assert_eq!(first.execute(&write_request(4, 5_000)), ClientReply::value("value"));
+        daemon.shut_down();
+        let queries = primary.pending_queries();
+        let started = |id: u32| queries.iter().any(|text| text.contains(&format!("id={id},")));
+        assert!(started(1) && started(4) && !started(2) && !started(3), "{exit:?}: {queries:?}");
+    }
+}
+
+#[test]
+fn late_host_connection_carries_no_request_of_a_disconnected_client() {
+    for (exit, cancel) in ClientExit::ALL.into_iter().flat_map(|exit| [(exit, true), (exit, false)]) {
+        let host = LateHost::start();
+        let mut config = single_primary_configuration(host.address);
+        config["settings"]["permissions"]["cancel"] = cancel.into();
+        config["settings"]["permissions"]["connect_timeout_us"] = 3_000_000.into();
+        let router = Router::start(config);
+        let mut client = PostgresClient::connect(router.address);
+        client.send(&write_request(1, 5_000));
+        // The router connects for the request and for a health check. Both startup messages are sent before the client
+        // disconnects.
+        sleep(DISCONNECT_GRACE);
+        let _half_open = exit.apply(client);
+        sleep(DISCONNECT_GRACE * 2);
+        host.greet.send(()).expect("the host waits");
+        let sent: Vec<Vec<u8>> = host.received.iter().collect();
+        assert!(!sent.is_empty(), "a connection was attempted");
+        let started = sent.iter().any(|bytes| String::from_utf8_lossy(bytes).contains("id=1,"));
+        assert!(!started, "{exit:?}, cancel {cancel}");
+        router.shut_down();
+    }
+}
+
+#[test]
+fn client_disconnect_cancels_its_attempt() {
+    let primary = ScriptedHost::primary(|_, _| HostAction::Silence);
+    let router = Router::with_single_primary(&primary);
+    let mut client = PostgresClient::connect(router.address);
+    client.send(&write_request(1, 60_000));
+    assert!(matches!(primary.next_event(), HostEvent::Query(_)));
+    drop(client);
+    assert_eq!(primary.next_event(), HostEvent::ConnectionClosed);
+    router.shut_down();
+}
+
+/// Logs in, and returns the process id and the secret key that the router sends.
+fn cancel_key(client: &mut PostgresClient) -> [u8; 8] {
+    client.stream.write_all(&startup()).expect("sent");
+    let mut received = Vec::new();
+    let mut byte = [0];
+    while !received.ends_with(&message(b'Z', b"I")) {
+        client.stream.read_exact(&mut byte).expect("the greeting");
+        received.push(byte[0]);
+    }
+    let at = received.windows(5).rposition(|five| five == [b'K', 0, 0, 0, 12]).expect("a key");
+    received[at + 5..at + 13].try_into().expect("eight bytes")
+}
+
+#[test]
+fn cancel_request_with_the_correct_key_cancels_only_its_request() {
+    let primary =
+        ScriptedHost::primary(|nth, _| if nth == 0 { HostAction::Silence } else { answer("value") });
+    let router = Router::with_single_primary(&primary);
+    let mut client = PostgresClient::connect_without_startup(router.address);
+    let key = cancel_key(&mut client);
+    let cancel = |key: [u8; 8]| {
+        let request = [&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), &key].concat();
+        let mut other = PostgresClient::connect_without_startup(router.address);
+        other.stream.write_all(&request).expect("sent");
+        assert_eq!(other.receive(), ClientReply::Closed, "a cancel request gets no reply");
+    };
+    // Between two requests there is nothing to cancel.
+    cancel(key);
+    client.send(&write_request(1, 5_000));
+    assert!(matches!(primary.next_event(), HostEvent::Query(_)));
+    let mut wrong = key;
+    wrong[7] ^= 1;
+    cancel(wrong);
+    assert!(primary.events.recv_timeout(DISCONNECT_GRACE).is_err(), "a wrong key cancels nothing");
+    let cancelled_at = Instant::now();
+    cancel(key);
+    assert_eq!(client.receive(), ClientReply::error("57014"));
+    assert_eq!(primary.next_event(), HostEvent::ConnectionClosed, "its attempt is cancelled");
+    assert!(cancelled_at.elapsed() < DISCONNECT_GRACE + BUSY_MACHINE_SLACK, "{:?}", cancelled_at.elapsed());
+    assert_eq!(client.execute(&write_request(2, 5_000)), ClientReply::value("value"));
+    router.shut_down();
+    let sent = primary.pending_queries();
+    let second = matches!(&sent[..], [text] if text.contains("id=2,"));
+    assert!(second, "only the second request follows, the first is not retried: {sent:?}");
+}
--- a/crates/comethitchd/tests/large_fleet.rs
+++ b/crates/comethitchd/tests/large_fleet.rs
@@ -1,6 +1,7 @@
-//! A router that has a small part of a core, in front of thousands of hosts of which six in ten are replaced within
-//! seconds. What it does for each event must not grow with the hosts that the event has nothing to do with: else it falls
-//! behind, and requests get their final answers too late.
+//! A router with a fraction of a core in front of thousands of hosts, of which six in ten are replaced within seconds.
+//!
+//! The work for each event must not grow with the number of hosts that the event does not concern. Otherwise the router
+//! falls behind, and requests get their final answers too late.
 
 mod support;
 
@@ -11,35 +12,41 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{scope, sleep, spawn};
 use std::time::{Duration, Instant, SystemTime};
-use support::*;
+use support::{
+    ClientReply, Daemon, Discovery, PostgresClient, ScriptedHost, answer, configuration_with_discovery,
+    endpoint, read_request,
+};
 
-/// The router has this part of a core: a twentieth, or as much more as a build without optimisation needs.
+/// The router runs with one part in this many of a core; a build without optimisation needs more.
 const CORE_PARTS: u32 = if cfg!(debug_assertions) { 3 } else { 20 };
-/// Hosts in all. A group of them has one primary, and replicas besides.
+/// Number of hosts in all shards, each of which has one primary.
 const HOSTS: usize = 3_200;
-/// How long a host takes for a request.
-const WORK: Duration = Duration::from_millis(30);
-/// Clients, each with one request at a time, and how long each waits between two.
+/// Service time of a request at a host.
+const SERVICE_TIME: Duration = Duration::from_millis(30);
+/// Number of clients, each with one request at a time.
 const CLIENTS: u32 = 24;
+/// Pause of a client between two requests.
 const PAUSE: Duration = Duration::from_millis(500);
-/// How long a client waits for an answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_millis(1_000);
-/// An answer that comes later than this after the client's timeout counts as lost.
-const LATENESS_ALLOWED: Duration = Duration::from_millis(500);
-/// Hosts are replaced over this time, and clients go on for as long after it.
-const REPLACEMENT: Duration = Duration::from_secs(7);
+/// Time after its timeout from which a request without an answer counts as lost.
+const LATENESS_TOLERANCE: Duration = Duration::from_millis(500);
+/// Time over which hosts are replaced.
+const REPLACEMENT_PERIOD: Duration = Duration::from_secs(7);
+/// Number of updates of the endpoint list in this time.
 const STEPS: usize = 35;
+/// How long clients continue after the last update.
 const AFTERWARDS: Duration = Duration::from_secs(3);
-/// The first version of the endpoint list: the one that the router is started with.
+/// Version of the endpoint list that the router starts with.
 const FIRST_VERSION: u64 = 7;
 
-/// The endpoint list as discovery has it: all hosts, and what each version has changed.
+/// The endpoint list in discovery: the first hosts, and the changes in each later version.
 struct Endpoints {
     hosts: Vec<Value>,
     changes: Vec<Vec<Value>>,
 }
 
-/// Hosts of many groups. All primaries are played by one listener, and all replicas by another.
+/// Hosts of many shards. One listener serves all primaries, and another all replicas.
 struct Fleet {
     primaries: SocketAddr,
     replicas: SocketAddr,
@@ -54,12 +61,12 @@
 impl Fleet {
     fn start(shard_size: usize) -> Arc<Fleet> {
         let serve = |_: usize, _: &str| {
-            sleep(WORK);
-            HostAction::Answer(row(b"value"))
+            sleep(SERVICE_TIME);
+            answer("value")
         };
         let fleet = Fleet {
-            primaries: host(true, serve).address,
-            replicas: host(false, serve).address,
+            primaries: ScriptedHost::primary(serve).address,
+            replicas: ScriptedHost::replica(serve).address,
             shard_size,
             endpoints: Mutex::new(Endpoints { hosts: Vec::new(), changes: Vec::new() }),
         };
@@ -68,17 +75,17 @@
         Arc::new(fleet)
     }
 
-    /// The host at a place in the fleet, as it was first or as its `generation`th replacement.
+    /// Returns the entry of the host at an index, either the first one or its `generation`th replacement.
     fn entry(&self, index: usize, generation: u32, health: &str) -> Value {
         let is_primary = index.is_multiple_of(self.shard_size);
         let address = if is_primary { self.primaries } else { self.replicas };
-        let mut entry = entry(&format!("db-{index}-{generation}"), address, is_primary, health);
+        let mut entry = endpoint(&format!("db-{index}-{generation}"), address, is_primary, health);
         entry["block"] = (index / self.shard_size).into();
         entry["born_ms"] = if generation == 0 { 0 } else { unix_ms() }.into();
         entry
     }
 
-    /// Replaces six in ten of the replicas, a few of all groups at each step.
+    /// Replaces six in ten of the replicas, a few in all shards at each step.
     fn replace_hosts(&self) {
         let is_replaced = |index: &usize| !index.is_multiple_of(self.shard_size) && index % 5 < 3;
         let replaced: Vec<usize> = (0..HOSTS).filter(is_replaced).collect();
@@ -87,11 +94,11 @@
             let changed =
                 indices.flat_map(|index| [self.entry(*index, 0, "gone"), self.entry(*index, 1, "ready")]);
             self.endpoints.lock().expect("the list").changes.push(changed.collect());
-            sleep(REPLACEMENT / STEPS as u32);
+            sleep(REPLACEMENT_PERIOD / STEPS as u32);
         }
     }
 
-    /// The complete list at its latest version.
+    /// Returns the complete list at its latest version.
     fn complete_list(&self) -> String {
         let endpoints = self.endpoints.lock().expect("the list");
         let mut hosts = endpoints.hosts.clone();
@@ -103,7 +110,7 @@
         json!({"seq": version, "whole": true, "hosts": hosts}).to_string() + "\n"
     }
 
-    /// What changed after this many changes, if anything did.
+    /// Returns the update after this many updates, if there is one.
     fn changes_after(&self, sent: usize) -> Option<String> {
         let endpoints = self.endpoints.lock().expect("the list");
         let hosts = endpoints.changes.get(sent)?;
@@ -113,11 +120,11 @@
         )
     }
 
-    /// Answers requests for the list for ever.
+    /// Starts to answer requests for the list.
     fn serve_discovery(self: &Arc<Fleet>, discovery: Discovery) {
         let fleet = self.clone();
         spawn(move || {
-            for (request, stream) in discovery.asked {
+            for (request, stream) in discovery.requests {
                 let fleet = fleet.clone();
                 spawn(move || fleet.answer_discovery(&request, stream));
             }
@@ -145,39 +152,40 @@
     }
 }
 
-/// What became of a client's requests.
+/// Outcomes of requests.
 #[derive(Debug, Default)]
 struct Outcomes {
     answered: u32,
     rejected: u32,
-    /// Answers that came too late, by how long after the request was sent.
+    /// Latencies of answers that arrived too late.
     lost: Vec<Duration>,
 }
 
-/// Sends one request after the other, each to a group drawn evenly.
-fn run_client(address: SocketAddr, groups: usize, ids: &AtomicU32, done: &AtomicBool) -> Outcomes {
-    let mut client = Client::connect(address);
+/// Sends one request after another, distributed evenly over the shards.
+fn run_client(address: SocketAddr, shards: usize, ids: &AtomicU32, done: &AtomicBool) -> Outcomes {
+    let mut client = PostgresClient::connect(address);
     let mut outcomes = Outcomes::default();
     while !done.load(SeqCst) {
         let id = ids.fetch_add(1, SeqCst);
-        // Knuth's multiplicative hash: neighbouring ids go to groups far apart.
-        let group = id.wrapping_mul(2_654_435_761) as usize % groups;
-        let text = read(id, TIMEOUT.as_millis() as u32).replace("cluster=0", &format!("cluster={group}"));
+        // Knuth's multiplicative hash: successive ids go to distant shards.
+        let shard = id.wrapping_mul(2_654_435_761) as usize % shards;
+        let text =
+            read_request(id, TIMEOUT.as_millis() as u32).replace("cluster=0", &format!("cluster={shard}"));
         let sent = Instant::now();
-        let reply = client.ask(&text);
+        let reply = client.execute(&text);
         let took = sent.elapsed();
         match reply {
-            _ if took > TIMEOUT + LATENESS_ALLOWED => outcomes.lost.push(took),
+            _ if took > TIMEOUT + LATENESS_TOLERANCE => outcomes.lost.push(took),
             ClientReply::Value(_) => outcomes.answered += 1,
             ClientReply::Error(_) => outcomes.rejected += 1,
-            other => panic!("command {id} got {other:?}"),
+            other => panic!("request {id} got {other:?}"),
         }
         sleep(PAUSE);
     }
     outcomes
 }
 
-/// Plays the replacement of hosts before clients that go on all the time, and adds up what they got.
+/// Replaces hosts while clients send requests, and sums up the outcomes.
 fn play(router: SocketAddr, fleet: &Fleet) -> Outcomes {
     let done = AtomicBool::new(false);
     let ids = AtomicU32::new(1);
@@ -202,25 +210,25 @@
     })
 }
 
-/// A configuration that knows the fleet, and follows its discovery.
+/// Returns a configuration that starts with the fleet, and follows its discovery.
 fn fleet_configuration(fleet: &Arc<Fleet>) -> Value {
-    let discovery = discovery();
+    let discovery = Discovery::start();
     let hosts = fleet.endpoints.lock().expect("the list").hosts.clone();
-    let mut all = configuration(&hosts, Some(&discovery), 1024);
-    all["known"]["seq"] = FIRST_VERSION.into();
-    all["settings"]["siblings"] = 300.into();
+    let mut config = configuration_with_discovery(&hosts, &discovery);
+    config["known"]["seq"] = FIRST_VERSION.into();
+    config["settings"]["siblings"] = 300.into();
     fleet.serve_discovery(discovery);
-    all
+    config
 }
 
-/// Plays a fleet of groups of this size, of which no request may be lost and most must be answered.
+/// Plays a fleet with shards of this size. No request may be lost, and most must be answered.
 fn play_fleet(name: &str, shard_size: usize) {
     let fleet = Fleet::start(shard_size);
-    let all = fleet_configuration(&fleet);
-    let mut program = Program::start_with_faults(name, &all, &format!("share={CORE_PARTS},from_ms=2000"));
-    let broken_rules = program.collect_log("rule broken");
+    let config = fleet_configuration(&fleet);
+    let mut daemon = Daemon::start_with_faults(name, &config, &format!("share={CORE_PARTS},from_ms=2000"));
+    let broken_rules = daemon.collect_log("rule broken");
     sleep(Duration::from_secs(2));
-    let outcomes = play(program.address, &fleet);
+    let outcomes = play(daemon.address, &fleet);
     assert_eq!(*broken_rules.lock().expect("the lines"), Vec::<String>::new());
     assert!(outcomes.lost.is_empty(), "{outcomes:?}");
     assert!(outcomes.answered > outcomes.rejected, "{outcomes:?}");
@@ -228,10 +236,10 @@
 
 #[test]
 fn replacing_six_in_ten_hosts_of_many_shards_loses_no_request() {
-    play_fleet("many-groups", 8);
+    play_fleet("many-shards", 8);
 }
 
 #[test]
 fn replacing_six_in_ten_hosts_of_large_shards_loses_no_request() {
-    play_fleet("large-groups", 400);
+    play_fleet("large-shards", 400);
 }
--- /dev/null
+++ b/crates/comethitchd/tests/limits.rs
@@ -0,0 +1,170 @@
+//! Limits on descriptors, memory and invalid input: who is rejected, and who must not be affected.
+
+mod support;
+
+use serde_json::json;
+use std::io::{Read, Write};
+use std::net::TcpListener;
+use std::thread::{sleep, spawn};
+use std::time::{Duration, Instant};
+use support::{
+    ClientReply, DISCONNECT_GRACE, Daemon, HostEvent, PostgresClient, Router, ScriptedHost, TEST_TIMEOUT,
+    answer, configuration_with_sockets, gate, pipelined_writes, query, read_http_request, read_request,
+    ready_primary, single_primary_configuration, startup, write_request,
+};
+
+/// Descriptor limit that a test can reach.
+const DESCRIPTOR_LIMIT: usize = 64;
+
+#[test]
+fn clients_without_a_valid_request_get_an_error_in_time() {
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let router = Router::with_single_primary(&primary);
+    let started = Instant::now();
+    let mut idle = PostgresClient::connect(router.address);
+    let silent: Vec<PostgresClient> =
+        (0..100).map(|_| PostgresClient::connect_without_startup(router.address)).collect();
+    let mut half = PostgresClient::connect(router.address);
+    half.stream.write_all(&query(&write_request(1, 2_000))[..40]).expect("sent");
+    let mut many = PostgresClient::connect(router.address);
+    many.stream
+        .write_all(&query(&read_request(1, 9).replace("c=read", "c=unheard")).repeat(600))
+        .expect("sent");
+    assert_eq!(many.receive(), ClientReply::error("22023"));
+    assert!(
+        (0..10).any(|_| many.receive() == ClientReply::error("08P01")),
+        "too many invalid requests close the connection"
+    );
+    // The error can be read although the client is still sending 60 MB.
+    let mut large = PostgresClient::connect(router.address);
+    large.stream.write_all(&[&[b'Q'][..], &60_000_000_u32.to_be_bytes()].concat()).expect("sent");
+    let sent = (0..60).take_while(|_| large.stream.write_all(&[b'x'; 1_000_000]).is_ok()).count();
+    assert_eq!((sent, large.receive()), (60, ClientReply::error("08P01")));
+    assert_eq!(half.receive(), ClientReply::error("08P01"));
+    for mut client in silent {
+        assert_eq!(client.stream.read(&mut [0]).unwrap_or(0), 0, "closed");
+    }
+    assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
+    assert!(primary.pending_queries().is_empty(), "nothing reached the host");
+    assert_eq!(
+        idle.execute(&write_request(2, 2_000)),
+        ClientReply::Closed,
+        "a client that has sent no request is closed too"
+    );
+    assert_eq!(
+        PostgresClient::connect(router.address).execute(&write_request(2, 2_000)),
+        ClientReply::value("value")
+    );
+    router.shut_down();
+}
+
+#[test]
+fn requests_past_the_descriptor_limit_are_throttled_at_once() {
+    let elsewhere = |id: u32| query(&write_request(id, 60_000).replace("cluster=0", "cluster=1"));
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let hosts = [ready_primary("p", primary.address)];
+    let mut config = configuration_with_sockets(&hosts, DESCRIPTOR_LIMIT);
+    // With a long latency objective, a request waits long for a shard without hosts.
+    config["settings"]["classes"][2]["target_us"] = 60_000_000.into();
+    config["settings"]["permissions"]["connect_timeout_us"] = 10_000_000.into();
+    let router = Router::start(config);
+    let mut waiting: Vec<PostgresClient> = (0..22).map(|_| PostgresClient::connect(router.address)).collect();
+    (100..).zip(&mut waiting).for_each(|(id, client)| client.stream.write_all(&elsewhere(id)).expect("sent"));
+    let mut throttled = |id| {
+        PostgresClient::connect(router.address).execute(&write_request(id, 5_000))
+            != ClientReply::value("value")
+    };
+    assert!((0..10_000).any(&mut throttled), "the limit is reached once all of them are admitted");
+    primary.events.try_iter().for_each(drop);
+    assert!((0..10).all(&mut throttled), "the limit stays reached");
+    assert!(primary.pending_queries().is_empty(), "nothing was sent to the host");
+    drop(waiting);
+    let served = |_| {
+        PostgresClient::connect(router.address).execute(&write_request(9, 5_000))
+            == ClientReply::value("value")
+    };
+    assert!((0..10_000).any(served), "requests are served again once the waiting clients have disconnected");
+    router.shut_down();
+}
+
+/// Idle clients use every descriptor for clients while discovery is down. Active clients, hosts and discovery still get
+/// descriptors, and the endpoint list is current soon after discovery returns.
+#[test]
+fn idle_clients_at_descriptor_limit_block_neither_clients_nor_discovery() {
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let reserved = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut config = configuration_with_sockets(&[ready_primary("p", primary.address)], DESCRIPTOR_LIMIT);
+    let address = reserved.local_addr().expect("an address");
+    config["discovery"] = address.to_string().into();
+    drop(reserved);
+    let mut daemon = Daemon::start("filled", &config);
+    let idle: Vec<PostgresClient> = (0..200)
+        .map(|nth| {
+            let mut client = PostgresClient::connect_without_startup(daemon.address);
+            if nth % 2 == 0 {
+                let _ =
+                    client.stream.write_all(&[startup(), query(&write_request(1_000 + nth, 9_000))].concat());
+            }
+            client
+        })
+        .collect();
+    for id in 0..20 {
+        let mut client = PostgresClient::connect(daemon.address);
+        assert_eq!(client.execute(&write_request(id, 5_000)), ClientReply::value("value"));
+    }
+    let listener = TcpListener::bind(address).expect("the same address");
+    let returned_at = Instant::now();
+    let hosts = [ready_primary("p", primary.address)];
+    let list = json!({"seq": 9, "whole": true, "hosts": hosts}).to_string();
+    spawn(move || {
+        for mut stream in listener.incoming().flatten() {
+            let line = read_http_request(&stream);
+            if line.contains("follow") {
+                let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n");
+                spawn(move || (0..20).for_each(|_| sleep(Duration::from_secs(1))));
+            } else {
+                let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+            }
+        }
+    });
+    let kill_timer = daemon.kill_after(TEST_TIMEOUT);
+    daemon.wait_for_log("endpoint received version=9 ");
+    kill_timer.cancel();
+    assert!(returned_at.elapsed() < Duration::from_secs(6), "current only after {:?}", returned_at.elapsed());
+    drop(idle);
+    daemon.shut_down();
+}
+
+#[test]
+fn request_in_flight_survives_an_exhausted_memory_budget() {
+    let (opener, gate) = gate();
+    let primary = ScriptedHost::primary(move |_, _| {
+        gate.wait();
+        answer("value")
+    });
+    let mut config = single_primary_configuration(primary.address);
+    config["limits"]["memory_mb"] = 32.into();
+    let router = Router::start(config);
+    let mut client = PostgresClient::connect(router.address);
+    client.send(&write_request(1, 5_000));
+    assert!(matches!(primary.next_event(), HostEvent::Query(_)));
+    // Incomplete messages of falling size, until the memory budget has no room for the smallest read.
+    let mut others: Vec<PostgresClient> = Vec::new();
+    for (number, bytes) in [(100, 120_000), (6, 30_000), (8, 7_000), (10, 1_500), (10, 600)] {
+        let incomplete = [startup(), query(&"x".repeat(130_000))[..bytes].to_vec()].concat();
+        for _ in 0..number {
+            let mut other = PostgresClient::connect_without_startup(router.address);
+            let _ = other.stream.write_all(&incomplete);
+            others.push(other);
+        }
+    }
+    let last = others.last_mut().expect("clients");
+    let rejected = [last.receive(), last.receive()].contains(&ClientReply::error("53300"));
+    assert!(rejected, "the memory budget is exhausted");
+    client.stream.write_all(&pipelined_writes(2)[..6_000]).expect("sent");
+    sleep(DISCONNECT_GRACE);
+    opener.send(()).expect("the host waits");
+    assert_eq!(client.receive(), ClientReply::value("value"));
+    drop((client, others, opener));
+    router.shut_down();
+}
--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -1,5 +1,4 @@
-//! What must hold at the very moment in which an attempt leaves: it was decided on earlier, and connections, stalls and
-//! hosts that read slowly come between.
+//! Conditions that must still hold when an attempt is sent, after slow connects, stalls and hosts that read slowly.
 
 mod support;
 
@@ -8,53 +7,13 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant, SystemTime};
-use support::*;
+use support::{
+    ClientReply, DISCONNECT_GRACE, Daemon, LateHost, PostgresClient, Router, ScriptedHost, answer,
+    configuration, message, parameter, read_request, ready, ready_primary, ready_replica, row,
+    single_primary_configuration, write_request,
+};
 
-/// After this long nothing may begin any more for a client that has disconnected.
-const EXIT_GRACE: Duration = Duration::from_millis(100);
-/// How long a host that was greeted late reads before it reports what it was sent.
-const READ_SPAN: Duration = Duration::from_millis(300);
-
-/// A host that accepts connections and greets none before it is told to.
-struct LateHost {
-    address: SocketAddr,
-    greet: Sender<()>,
-    /// All bytes of each connection, once no more come.
-    received: Receiver<Vec<u8>>,
-}
-
-fn late_host() -> LateHost {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let (greet, greeted) = channel::<()>();
-    let (report, received) = channel();
-    spawn(move || {
-        let mut held: Vec<TcpStream> = Vec::new();
-        listener.set_nonblocking(true).expect("an option");
-        while greeted.try_recv().is_err() {
-            held.extend(listener.accept().ok().map(|(stream, _)| stream));
-            sleep(Duration::from_millis(2));
-        }
-        for stream in held {
-            let report = report.clone();
-            spawn(move || report.send(greet_and_read(stream)));
-        }
-    });
-    LateHost { address, greet, received }
-}
-
-fn greet_and_read(mut stream: TcpStream) -> Vec<u8> {
-    stream.set_nonblocking(false).expect("an option");
-    stream.set_read_timeout(Some(READ_SPAN)).expect("a limit");
-    let _ = stream.write_all(&[message(b'R', &[0; 4]), ready()].concat());
-    let (mut all, mut some) = (Vec::new(), [0; 4096]);
-    while let Ok(length @ 1..) = stream.read(&mut some) {
-        all.extend(&some[..length]);
-    }
-    all
-}
-
-/// The text of what was received, if the request with this id is in it.
+/// Returns the received text that contains the request with this id.
 fn request_in(received: &[Vec<u8>], id: u32) -> Option<String> {
     let texts = received.iter().map(|bytes| String::from_utf8_lossy(bytes).into_owned());
     texts.into_iter().find(|text| text.contains(&format!("id={id},")))
@@ -62,49 +21,49 @@
 
 #[test]
 fn host_is_sent_the_remaining_timeout_after_a_slow_connect() {
-    const WAIT_MS: u32 = 600;
-    let host = late_host();
-    let router = Router::start(configuration(&[entry("p", host.address, true, "ready")], None, 1024));
-    let mut client = Client::connect(router.address);
+    const TIMEOUT_MS: u32 = 600;
+    let host = LateHost::start();
+    let router = Router::start(single_primary_configuration(host.address));
+    let mut client = PostgresClient::connect(router.address);
     let sent_at = Instant::now();
-    client.0.write_all(&query(&write(1, WAIT_MS))).expect("sent");
+    client.send(&write_request(1, TIMEOUT_MS));
     sleep(Duration::from_millis(200));
     let passed_ms = sent_at.elapsed().as_millis() as u32;
-    host.greet.send(()).expect("told");
+    host.greet.send(()).expect("the host waits");
     let received: Vec<Vec<u8>> = host.received.iter().collect();
-    let text = request_in(&received, 1).expect("the command was sent");
-    let told = text.split(",d=").nth(1).and_then(|rest| rest.split(',').next()).expect("d");
-    let told_ms: u32 = told.parse().expect("a number");
-    assert!(told_ms <= WAIT_MS - passed_ms, "told {told_ms} ms, {passed_ms} of {WAIT_MS} had passed");
+    let text = request_in(&received, 1).expect("the request was sent");
+    let sent_timeout = text.split(",d=").nth(1).and_then(|rest| rest.split(',').next()).expect("d");
+    let sent_ms: u32 = sent_timeout.parse().expect("a number");
+    assert!(sent_ms <= TIMEOUT_MS - passed_ms, "sent {sent_ms} ms, {passed_ms} of {TIMEOUT_MS} had passed");
     drop(client);
-    router.wait();
+    router.shut_down();
 }
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnected_during_a_stall() {
-    let host = late_host();
-    let mut all = configuration(&[entry("p", host.address, true, "ready")], None, 1024);
-    all["settings"]["permissions"]["connect_timeout_us"] = 3_000_000.into();
-    let program = Program::start("stalled", &all);
-    let mut client = Client::connect(program.address);
-    client.0.write_all(&query(&write(1, 5_000))).expect("sent");
-    // The connection to the host is on its way; the router stands still as its greeting comes, and then its client goes.
-    sleep(EXIT_GRACE);
-    program.signal("STOP");
-    host.greet.send(()).expect("told");
-    sleep(EXIT_GRACE / 2);
+    let host = LateHost::start();
+    let mut config = single_primary_configuration(host.address);
+    config["settings"]["permissions"]["connect_timeout_us"] = 3_000_000.into();
+    let daemon = Daemon::start("stalled", &config);
+    let mut client = PostgresClient::connect(daemon.address);
+    client.send(&write_request(1, 5_000));
+    // The router is stopped while it connects to the host; the greeting arrives, and then the client disconnects.
+    sleep(DISCONNECT_GRACE);
+    daemon.signal("STOP");
+    host.greet.send(()).expect("the host waits");
+    sleep(DISCONNECT_GRACE / 2);
     drop(client);
-    sleep(EXIT_GRACE * 3 / 2);
-    program.signal("CONT");
+    sleep(DISCONNECT_GRACE * 3 / 2);
+    daemon.signal("CONT");
     let received: Vec<Vec<u8>> = host.received.iter().collect();
     assert!(!received.is_empty(), "a connection was attempted");
-    assert_eq!(request_in(&received, 1), None, "nothing begins for a client that has gone");
-    program.signal("TERM");
-    program.ends();
+    assert_eq!(request_in(&received, 1), None, "nothing is sent for a client that has disconnected");
+    daemon.shut_down();
 }
 
-/// A replica whose data stand still, and that takes in a long statement only after a while: when it had all of it.
-fn slowly_reading_replica(stands_still: SystemTime, pause: Duration) -> (SocketAddr, Receiver<SystemTime>) {
+/// Starts a replica whose position stays at `position`, and that waits for `pause` before it reads a long statement.
+/// Returns its address, and the times at which it had read each long statement completely.
+fn slowly_reading_replica(position: SystemTime, pause: Duration) -> (SocketAddr, Receiver<SystemTime>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     // Accepted connections inherit it.
     rustix::net::sockopt::set_socket_recv_buffer_size(&listener, 2048).expect("an option");
@@ -113,14 +72,14 @@
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let report = report.clone();
-            spawn(move || slowly_reading_connection(stream, stands_still, pause, &report));
+            spawn(move || slowly_reading_connection(stream, position, pause, &report));
         }
     });
     (address, complete)
 }
 
 fn slowly_reading_connection(
-    mut stream: TcpStream, stands_still: SystemTime, pause: Duration, report: &Sender<SystemTime>,
+    mut stream: TcpStream, position: SystemTime, pause: Duration, report: &Sender<SystemTime>,
 ) -> Option<()> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
@@ -139,7 +98,7 @@
         if is_long {
             report.send(SystemTime::now()).ok()?;
         }
-        let unix = stands_still.duration_since(SystemTime::UNIX_EPOCH).ok()?.as_millis();
+        let unix = position.duration_since(SystemTime::UNIX_EPOCH).ok()?.as_millis();
         let vitals = format!("x0={}.{:03},x1=0", unix / 1000, unix % 1000);
         let value = if is_long { "stale".into() } else { vitals };
         stream.write_all(&[row(value.as_bytes()), parameter("rank", "copy"), ready()].concat()).ok()?;
@@ -149,19 +108,19 @@
 #[test]
 fn bounded_read_received_too_slowly_never_arrives_complete() {
     const BOUND: Duration = Duration::from_secs(3);
-    let primary = host(true, |_, _| HostAction::Answer(row(b"new")));
-    let stands_still = SystemTime::now() - BOUND + Duration::from_millis(600);
-    let (replica, complete) = slowly_reading_replica(stands_still, Duration::from_millis(900));
-    let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica, false, "ready")];
-    let router = Router::start(configuration(&hosts, None, 1024));
-    let mut client = Client::connect(router.address);
+    let primary = ScriptedHost::primary(|_, _| answer("new"));
+    let position = SystemTime::now() - BOUND + Duration::from_millis(600);
+    let (replica, complete) = slowly_reading_replica(position, Duration::from_millis(900));
+    let hosts = [ready_primary("p", primary.address), ready_replica("r", replica)];
+    let router = Router::start(configuration(&hosts));
+    let mut client = PostgresClient::connect(router.address);
     let from_replica = |reply| matches!(reply, ClientReply::Value(value) if value.starts_with(b"x0="));
-    assert!((10..40).any(|id| from_replica(client.ask(&read(id, 600)))), "the replica is in use");
-    let long = read(1, 2_500).replace("'k1'", &format!("'{}'", "k".repeat(100_000)));
-    let got = client.ask(&long);
-    let too_late = complete.try_iter().find(|at| *at > stands_still + BOUND);
+    assert!((10..40).any(|id| from_replica(client.execute(&read_request(id, 600)))), "the replica is in use");
+    let long = read_request(1, 2_500).replace("'k1'", &format!("'{}'", "k".repeat(100_000)));
+    let got = client.execute(&long);
+    let too_late = complete.try_iter().find(|at| *at > position + BOUND);
     assert_eq!(too_late, None, "the replica had the read complete from data too old, and it got {got:?}");
-    assert_eq!(got, ClientReply::Value(b"new".to_vec()), "the primary serves it");
+    assert_eq!(got, ClientReply::value("new"), "the primary serves it");
     drop(client);
-    router.wait();
+    router.shut_down();
 }
--- a/crates/comethitchd/tests/soak.rs
+++ b/crates/comethitchd/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak: a few seeded trials of the lab with real processes, in which several faults overlap. Longer ones are
-//! played by hand (`comethitch-lab soak`).
+//! A short soak test: seeded trials of the lab with real daemons, in which several faults overlap. `comethitch-lab soak`
+//! plays longer ones.
 
 use comethitch_lab::live::play;
 use comethitch_lab::soak;
@@ -8,11 +8,11 @@
 
 /// Seeds whose trials contain restarts, signals, idle clients, many shards and failing system calls.
 const SEEDS: [u64; 5] = [1, 2, 4, 5, 6];
-/// How long clients send in each.
+/// Duration of each trial.
 const SECONDS: u64 = 5;
 
-/// Descriptors that this process may have more of after the trials: of the async layer, which lives as long as it.
-const DESCRIPTORS_KEPT: usize = 8;
+/// Number of descriptors that the async runtime may keep open for the lifetime of the process.
+const MAX_RUNTIME_DESCRIPTORS: usize = 8;
 
 fn open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").expect("the descriptors").count()
@@ -24,11 +24,11 @@
     for seed in SEEDS {
         let mut trial = soak::trial(seed, SECONDS);
         if cfg!(debug_assertions) {
-            // A fraction of a core is too little for a build without optimisation.
+            // A build without optimisation needs more than a fraction of a core.
             let limited = trial.system_calls.iter_mut().filter(|faults| faults.limit_processor());
             limited.for_each(|faults| *faults = SystemCallFaults::default());
         }
-        // Kept for whoever looks for the cause of a failure.
+        // The logs of a failed trial are kept.
         let logs = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
         let _ = std::fs::remove_dir_all(&logs);
         let daemon = Path::new(env!("CARGO_BIN_EXE_comethitchd"));
@@ -37,6 +37,9 @@
         let _ = std::fs::remove_dir_all(&logs);
         assert!(report.in_time > 0.3, "seed {seed}: {report}");
     }
-    // A long soak plays hundreds of trials in one process.
-    assert!(open_descriptors() <= descriptors_before + DESCRIPTORS_KEPT, "the lab leaves descriptors open");
+    // A long soak test plays hundreds of trials in one process.
+    assert!(
+        open_descriptors() <= descriptors_before + MAX_RUNTIME_DESCRIPTORS,
+        "the lab leaves descriptors open"
+    );
 }
--- /dev/null
+++ b/crates/comethitchd/tests/support/configuration.rs
@@ -0,0 +1,77 @@
+//! Configurations, endpoints and statement rules for the router under test.
+
+use super::Discovery;
+use serde_json::{Value, json};
+use std::net::{SocketAddr, TcpListener};
+
+/// The sample configuration in `deploy/`.
+pub(crate) const SAMPLE_CONFIGURATION: &str = include_str!("../../../../deploy/configuration.json");
+
+/// Descriptor limit that no test reaches by accident.
+const AMPLE_SOCKETS: usize = 1024;
+
+/// An address where nothing listens.
+const NO_DISCOVERY: &str = "127.0.0.1:1";
+
+/// Returns an address whose port accepts no connections.
+pub(crate) fn unreachable_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address")
+}
+
+/// Returns an entry of the endpoint list.
+pub(crate) fn endpoint(name: &str, address: SocketAddr, is_primary: bool, health: &str) -> Value {
+    json!({"host": name, "dial": address.to_string(), "site": "north", "class": "m", "block": 0,
+        "health": health, "share": 1.0, "rank": if is_primary { "source" } else { "copy" }, "born_ms": 0})
+}
+
+/// Returns the entry of a primary in service.
+pub(crate) fn ready_primary(name: &str, address: SocketAddr) -> Value {
+    endpoint(name, address, true, "ready")
+}
+
+/// Returns the entry of a replica in service.
+pub(crate) fn ready_replica(name: &str, address: SocketAddr) -> Value {
+    endpoint(name, address, false, "ready")
+}
+
+/// Returns a configuration with this initial endpoint list, version 7, and without a discovery service.
+pub(crate) fn configuration(hosts: &[Value]) -> Value {
+    configuration_with_sockets(hosts, AMPLE_SOCKETS)
+}
+
+/// Returns a configuration with one primary.
+pub(crate) fn single_primary_configuration(address: SocketAddr) -> Value {
+    configuration(&[ready_primary("p", address)])
+}
+
+/// Returns a configuration that follows a discovery service.
+pub(crate) fn configuration_with_discovery(hosts: &[Value], discovery: &Discovery) -> Value {
+    let mut config = configuration(hosts);
+    config["discovery"] = discovery.address.to_string().into();
+    config
+}
+
+/// Returns a configuration with a limit on descriptors.
+pub(crate) fn configuration_with_sockets(hosts: &[Value], sockets: usize) -> Value {
+    let mut config: Value = serde_json::from_str(SAMPLE_CONFIGURATION).expect("the sample is JSON");
+    config["known"] = json!({"seq": 7, "whole": true, "hosts": hosts});
+    config["limits"]["sockets"] = sockets.into();
+    config["listen"] = "127.0.0.1:0".into();
+    config["discovery"] = NO_DISCOVERY.into();
+    config
+}
+
+/// Returns statement rules that reject a comment weaker than its statement, and give statements without a comment this
+/// timeout.
+pub(crate) fn statement_rules(dialect: &str, timeout_ms: u32) -> Value {
+    json!({
+        "dialect": dialect,
+        "disagreement": "refuse",
+        "commentless": {"wait_ms": timeout_ms},
+        "groups": [
+            {"group": "read", "effects": ["read"]},
+            {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}
+        ],
+        "elsewhere": 0
+    })
+}
--- /dev/null
+++ b/crates/comethitchd/tests/support/postgres_client.rs
@@ -0,0 +1,94 @@
+//! A PostgreSQL client with control over the bytes that it sends.
+//!
+//! `comethitch_testkit::Client` speaks both protocols and classifies errors. This one returns SQLSTATEs as they are, and
+//! can connect without a startup message.
+
+use super::messages::{read_message, startup};
+use super::{TEST_TIMEOUT, query};
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+
+/// The reply to one query, or to the startup message.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum ClientReply {
+    /// The value of the last row.
+    Value(Vec<u8>),
+    /// An error, by its SQLSTATE.
+    Error(String),
+    /// The reply to an empty query.
+    Empty,
+    /// A command tag without a row, or `welcome` for a completed login.
+    Done(String),
+    /// The connection ended without a reply.
+    Closed,
+}
+
+impl ClientReply {
+    /// Returns a reply of one value.
+    pub(crate) fn value(text: &str) -> ClientReply {
+        ClientReply::Value(text.as_bytes().to_vec())
+    }
+
+    /// Returns an error with this SQLSTATE.
+    pub(crate) fn error(sqlstate: &str) -> ClientReply {
+        ClientReply::Error(sqlstate.to_string())
+    }
+}
+
+/// A connection to a router.
+pub(crate) struct PostgresClient {
+    /// The socket, for tests that send or read bytes of their own.
+    pub stream: TcpStream,
+}
+
+impl PostgresClient {
+    /// Connects and logs in.
+    pub(crate) fn connect(address: SocketAddr) -> PostgresClient {
+        let mut client = PostgresClient::connect_without_startup(address);
+        client.stream.write_all(&startup()).expect("the startup message is sent");
+        assert_eq!(client.receive(), ClientReply::Done("welcome".into()));
+        client
+    }
+
+    /// Connects and sends nothing.
+    pub(crate) fn connect_without_startup(address: SocketAddr) -> PostgresClient {
+        let stream = TcpStream::connect(address).expect("a connection");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
+        PostgresClient { stream }
+    }
+
+    /// Sends a query.
+    pub(crate) fn send(&mut self, text: &str) {
+        self.stream.write_all(&query(text)).expect("the query is sent");
+    }
+
+    /// Sends a query and waits for its reply.
+    pub(crate) fn execute(&mut self, text: &str) -> ClientReply {
+        self.send(text);
+        self.receive()
+    }
+
+    /// Reads the next reply, up to `ReadyForQuery` or the end of the connection.
+    pub(crate) fn receive(&mut self) -> ClientReply {
+        let mut reply = ClientReply::Closed;
+        while let Some((message_type, body)) = read_message(&mut self.stream) {
+            match message_type {
+                b'Z' => return reply,
+                b'R' => reply = ClientReply::Done("welcome".into()),
+                b'D' => reply = ClientReply::Value(body[6..].to_vec()),
+                b'I' => reply = ClientReply::Empty,
+                b'C' if reply == ClientReply::Closed => reply = ClientReply::Done(text_of(&body)),
+                b'E' => {
+                    let code = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&b'C'));
+                    reply = ClientReply::Error(text_of(&code.expect("a SQLSTATE")[1..]));
+                }
+                _ => {}
+            }
+        }
+        reply
+    }
+}
+
+fn text_of(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).trim_end_matches('\0').to_string()
+}
--- /dev/null
+++ b/crates/comethitchd/tests/support/primary_and_replica.rs
@@ -0,0 +1,29 @@
+//! A router in front of a primary and a replica of the testkit, with either protocol.
+
+use super::{Router, configuration, ready_primary, ready_replica};
+use comethitch_testkit::{Host, Ledger, Protocol};
+use serde_json::Value;
+
+/// A router with two hosts that share a ledger.
+pub(crate) struct PrimaryAndReplica {
+    /// The primary, which the ledger calls `p`.
+    pub primary: Host,
+    /// The replica, which the ledger calls `r`.
+    pub replica: Host,
+    /// What reached the hosts.
+    pub ledger: Ledger,
+    /// The router under test.
+    pub router: Router,
+}
+
+impl PrimaryAndReplica {
+    /// Starts the hosts, and a router with these statement rules.
+    pub(crate) fn start(protocol: Protocol, rules: Value) -> PrimaryAndReplica {
+        let ledger = Ledger::default();
+        let primary = Host::start("p", protocol, true, &ledger);
+        let replica = Host::start("r", protocol, false, &ledger);
+        let hosts = [ready_primary("p", primary.address), ready_replica("r", replica.address)];
+        let router = Router::start_with_protocol(protocol, configuration(&hosts), Some(rules));
+        PrimaryAndReplica { primary, replica, ledger, router }
+    }
+}
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -1,23 +1,21 @@
-//! The program while the system's calls fail as Linux documents that they may: interrupted reads and writes, sockets
-//! that can't be made for a moment, and a wall clock that is wrong.
+//! The daemon while system calls fail in documented ways: interrupted reads and writes, a shortage of sockets, a log that
+//! cannot be written, and a wrong wall clock.
 
 mod support;
 
 use std::io::Write;
-use std::sync::atomic::Ordering::SeqCst;
+use std::thread::sleep;
 use std::time::{Duration, SystemTime};
-use support::*;
+use support::{
+    ClientReply, Daemon, PostgresClient, ScriptedHost, TEST_TIMEOUT, answer, configuration, query,
+    read_request, ready_primary, ready_replica, single_primary_configuration, write_request,
+};
 
-/// An hour, as the settings of faults take it.
 const HOUR_MS: i64 = 3_600_000;
-/// How often a client asks until the router has learned what it needs; each time it waits for the answer.
-const MAX_ASKS: u32 = 60;
-/// The wait between two of these.
-const ASK_INTERVAL: Duration = Duration::from_millis(50);
-
-fn answer(value: &str) -> HostAction {
-    HostAction::Answer(row(value.as_bytes()))
-}
+/// Maximum number of reads until the router uses the replica.
+const MAX_READS: u32 = 60;
+/// Pause between two of these reads.
+const READ_INTERVAL: Duration = Duration::from_millis(50);
 
 fn wall_clock_wrong_by(ms: i64) -> String {
     format!("wall_ms={ms}")
@@ -25,117 +23,110 @@
 
 #[test]
 fn interrupted_reads_and_writes_lose_no_request() {
-    let primary = host(true, |_, _| answer("value"));
-    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let config = single_primary_configuration(primary.address);
     // Every other read and write of a socket is interrupted.
-    let program = Program::start_with_faults("interrupted", &all, "seed=1,interrupt=2");
-    let mut client = Client::connect(program.address);
+    let daemon = Daemon::start_with_faults("interrupted", &config, "seed=1,interrupt=2");
+    let mut client = PostgresClient::connect(daemon.address);
     for id in 1..=20 {
-        assert_eq!(client.ask(&write(id, 2_000)), ClientReply::Value(b"value".to_vec()), "command {id}");
+        assert_eq!(client.execute(&write_request(id, 2_000)), ClientReply::value("value"), "request {id}");
     }
-    // Also those that wait behind another.
-    let pipelined: Vec<u8> = (21..=40).flat_map(|id| query(&write(id, 2_000))).collect();
-    client.0.write_all(&pipelined).expect("sent");
+    // Pipelined requests are answered too.
+    let pipelined: Vec<u8> = (21..=40).flat_map(|id| query(&write_request(id, 2_000))).collect();
+    client.stream.write_all(&pipelined).expect("sent");
     for id in 21..=40 {
-        assert_eq!(client.receive(), ClientReply::Value(b"value".to_vec()), "command {id}");
+        assert_eq!(client.receive(), ClientReply::value("value"), "request {id}");
     }
-    program.signal("TERM");
-    program.ends();
+    daemon.shut_down();
 }
 
 #[test]
 fn wall_clock_an_hour_behind_allows_no_stale_read() {
-    let primary = host(true, |_, _| answer("new"));
-    let stands_still = SystemTime::now() - Duration::from_secs(10);
-    let replica = host_since(false, |_, _| answer("stale"), Some((stands_still, Duration::ZERO)));
-    let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
-    let all = configuration(&hosts, None, 1024);
-    let program = Program::start_with_faults("behind", &all, &wall_clock_wrong_by(-HOUR_MS));
-    let mut client = Client::connect(program.address);
-    let replies: Vec<ClientReply> = (1..=20).map(|id| client.ask(&read(id, 600))).collect();
-    assert!(!replies.contains(&ClientReply::Value(b"stale".to_vec())), "{replies:?}");
-    assert!(replies.contains(&ClientReply::Value(b"new".to_vec())), "the primary serves: {replies:?}");
-    program.signal("TERM");
-    program.ends();
+    let primary = ScriptedHost::primary(|_, _| answer("new"));
+    let position = SystemTime::now() - Duration::from_secs(10);
+    let replica = ScriptedHost::stale_replica(position, Duration::ZERO, |_, _| answer("stale"));
+    let hosts = [ready_primary("p", primary.address), ready_replica("r", replica.address)];
+    let config = configuration(&hosts);
+    let daemon = Daemon::start_with_faults("behind", &config, &wall_clock_wrong_by(-HOUR_MS));
+    let mut client = PostgresClient::connect(daemon.address);
+    let replies: Vec<ClientReply> = (1..=20).map(|id| client.execute(&read_request(id, 600))).collect();
+    assert!(!replies.contains(&ClientReply::value("stale")), "{replies:?}");
+    assert!(replies.contains(&ClientReply::value("new")), "the primary serves: {replies:?}");
+    daemon.shut_down();
 }
 
 #[test]
 fn wall_clock_an_hour_ahead_keeps_replicas_in_use() {
-    let primary = host(true, |_, _| answer("primary"));
-    let replica = host(false, |_, _| answer("replica"));
-    let hosts = [entry("p", primary.address, true, "ready"), entry("r", replica.address, false, "ready")];
-    let all = configuration(&hosts, None, 1024);
-    let program = Program::start_with_faults("ahead", &all, &wall_clock_wrong_by(HOUR_MS));
-    let mut client = Client::connect(program.address);
-    let served_by_replica = (1..=MAX_ASKS).any(|id| {
-        std::thread::sleep(ASK_INTERVAL);
-        client.ask(&read(id, 600)) == ClientReply::Value(b"replica".to_vec())
+    let primary = ScriptedHost::primary(|_, _| answer("primary"));
+    let replica = ScriptedHost::replica(|_, _| answer("replica"));
+    let hosts = [ready_primary("p", primary.address), ready_replica("r", replica.address)];
+    let config = configuration(&hosts);
+    let daemon = Daemon::start_with_faults("ahead", &config, &wall_clock_wrong_by(HOUR_MS));
+    let mut client = PostgresClient::connect(daemon.address);
+    let served_by_replica = (1..=MAX_READS).any(|id| {
+        sleep(READ_INTERVAL);
+        client.execute(&read_request(id, 600)) == ClientReply::value("replica")
     });
     assert!(served_by_replica, "no read reached the replica");
-    program.signal("TERM");
-    program.ends();
+    daemon.shut_down();
 }
 
 #[test]
 fn socket_shortage_at_startup_only_delays_readiness() {
-    let primary = host(true, |_, _| answer("value"));
-    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
-    let program = Program::start_with_faults("no-socket", &all, "seed=1,socket_first=3");
-    let mut client = Client::connect(program.address);
-    assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"value".to_vec()));
-    program.signal("TERM");
-    program.ends();
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let config = single_primary_configuration(primary.address);
+    let daemon = Daemon::start_with_faults("no-socket", &config, "seed=1,socket_first=3");
+    let mut client = PostgresClient::connect(daemon.address);
+    assert_eq!(client.execute(&write_request(1, 2_000)), ClientReply::value("value"));
+    daemon.shut_down();
 }
 
 #[test]
 fn unwritable_log_loses_no_request() {
     const FULL_FROM: Duration = Duration::from_millis(500);
-    let primary = host(true, |_, _| answer("value"));
-    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let config = single_primary_configuration(primary.address);
     let settings = format!("seed=1,stderr=1,from_ms={}", FULL_FROM.as_millis());
-    let program = Program::start_with_faults("full-log", &all, &settings);
-    std::thread::sleep(FULL_FROM);
-    let mut client = Client::connect(program.address);
+    let daemon = Daemon::start_with_faults("full-log", &config, &settings);
+    sleep(FULL_FROM);
+    let mut client = PostgresClient::connect(daemon.address);
     for id in 1..=10 {
-        // There is no such shard: it is throttled, which is logged.
-        let elsewhere = write(id, 300).replace("cluster=0", "cluster=1");
-        assert_eq!(client.ask(&elsewhere), ClientReply::Error("53300".into()), "command {id}");
-        assert_eq!(client.ask(&write(100 + id, 2_000)), ClientReply::Value(b"value".to_vec()));
+        // The shard does not exist, so the request is throttled and logged.
+        let elsewhere = write_request(id, 300).replace("cluster=0", "cluster=1");
+        assert_eq!(client.execute(&elsewhere), ClientReply::error("53300"), "request {id}");
+        assert_eq!(client.execute(&write_request(100 + id, 2_000)), ClientReply::value("value"));
     }
-    program.signal("TERM");
-    program.ends();
+    daemon.shut_down();
 }
 
 #[test]
 fn rule_broken_by_a_stall_after_the_send_check_is_counted() {
-    let primary = host(true, |_, _| answer("value"));
-    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
-    // Each write is held up for longer than the request's client waits: it leaves after its deadline.
-    let mut program = Program::start_with_faults("held-up", &all, "seed=1,hold=1,hold_ms=300,from_ms=1000");
-    let done = program.ends_after(TEST_TIMEOUT);
-    let mut client = Client::connect(program.address);
-    assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"value".to_vec()));
-    std::thread::sleep(Duration::from_secs(1));
-    let _ = client.ask(&write(2, 250));
-    program.logs("rule broken rule=sent_after_deadline subject=2");
-    done.store(true, SeqCst);
-    program.signal("TERM");
-    program.ends();
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let config = single_primary_configuration(primary.address);
+    // Each socket write is delayed by more than the request's timeout, so it is sent after its deadline.
+    let mut daemon = Daemon::start_with_faults("delayed", &config, "seed=1,hold=1,hold_ms=300,from_ms=1000");
+    let kill_timer = daemon.kill_after(TEST_TIMEOUT);
+    let mut client = PostgresClient::connect(daemon.address);
+    assert_eq!(client.execute(&write_request(1, 2_000)), ClientReply::value("value"));
+    sleep(Duration::from_secs(1));
+    let _ = client.execute(&write_request(2, 250));
+    daemon.wait_for_log("rule broken rule=sent_after_deadline subject=2");
+    kill_timer.cancel();
+    daemon.shut_down();
 }
 
 #[test]
 fn interrupted_signals_are_not_lost_and_do_not_stop_the_router() {
-    let primary = host(true, |_, _| answer("value"));
-    let all = configuration(&[entry("p", primary.address, true, "ready")], None, 1024);
-    let mut program = Program::start_with_faults("signals", &all, "seed=1,interrupt=2");
-    let done = program.ends_after(TEST_TIMEOUT);
+    let primary = ScriptedHost::primary(|_, _| answer("value"));
+    let config = single_primary_configuration(primary.address);
+    let mut daemon = Daemon::start_with_faults("signals", &config, "seed=1,interrupt=2");
+    let kill_timer = daemon.kill_after(TEST_TIMEOUT);
     for id in 1..=10 {
-        program.signal("HUP");
-        program.logs("configuration reloaded");
-        let mut client = Client::connect(program.address);
-        assert_eq!(client.ask(&write(id, 2_000)), ClientReply::Value(b"value".to_vec()), "command {id}");
+        daemon.signal("HUP");
+        daemon.wait_for_log("configuration reloaded");
+        let mut client = PostgresClient::connect(daemon.address);
+        assert_eq!(client.execute(&write_request(id, 2_000)), ClientReply::value("value"), "request {id}");
     }
-    done.store(true, SeqCst);
-    program.signal("TERM");
-    program.ends();
+    kill_timer.cancel();
+    daemon.shut_down();
 }
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -17,33 +17,33 @@
 use comethitchd::wire::{MalformedMessage, discovery, host_report, statement};
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
-use support::*;
+use support::{SAMPLE_CONFIGURATION, endpoint, error, parameter, ready, ready_replica, row, startup};
 
-/// Feeds a response in pieces of this size; an error if any of them is malformed.
+/// Parses a response in pieces of this size. Returns an error if it is malformed.
 fn response_in_pieces(pieces: usize, bytes: &[u8]) -> Result<HostResponse, ResponseError> {
-    let (mut answer, mut held) = (HostResponse::default(), Vec::new());
+    let (mut response, mut received) = (HostResponse::default(), Vec::new());
     for piece in bytes.chunks(pieces) {
-        held.extend(piece);
-        while let Some(next) = answer.next_message(&held)? {
-            answer.accept(&next)?;
+        received.extend(piece);
+        while let Some(next) = response.next_message(&received)? {
+            response.accept(&next)?;
             let length = next.raw.len();
-            held.drain(..length);
+            received.drain(..length);
         }
     }
-    Ok(answer)
+    Ok(response)
 }
 
 #[test]
 fn response_is_parsed_the_same_at_every_split() {
-    let told = [parameter("rank", "source"), parameter("as_of", "1767225600123")].concat();
-    let bytes = [row(b"\x9f\x00\x03"), notice(), told, ready()].concat();
+    let report = [parameter("rank", "source"), parameter("as_of", "1767225600123")].concat();
+    let bytes = [row(b"\x9f\x00\x03"), notice(), report, ready()].concat();
     for pieces in [1, 2, 3, 5, 7, bytes.len()] {
         let answer = response_in_pieces(pieces, &bytes).expect("an answer");
         assert!(answer.is_complete() && answer.is_ready() && answer.error_code.is_none());
-        assert_eq!(answer.rows, row(b"\x9f\x00\x03"), "only the value itself is passed on");
-        let noted = host_report::from_parameters(&answer.parameters);
+        assert_eq!(answer.rows, row(b"\x9f\x00\x03"), "only the value is forwarded");
+        let report = host_report::from_parameters(&answer.parameters);
         assert_eq!(
-            (noted.role, noted.position),
+            (report.role, report.position),
             (Some(Role::Primary), Some(Timestamp::from_millis(1_767_225_600_123)))
         );
     }
@@ -60,24 +60,24 @@
     let twice = [row(b"x"), row(b"x"), ready()].concat();
     assert!(response_in_pieces(1, &twice).is_err(), "two values for one query");
     let none = [support::message(b'C', b"INSERT 0 1\0"), ready()].concat();
-    assert!(!response_in_pieces(1, &none).expect("an answer").is_complete(), "a command without its row");
+    assert!(!response_in_pieces(1, &none).expect("an answer").is_complete(), "a query without its row");
     let late = [row(b"x"), error("XX000"), ready()].concat();
     let late = response_in_pieces(1, &late).expect("an answer");
     assert!(
         !late.is_complete() && late.error_code.as_deref() == Some("XX000"),
-        "an error takes the value back"
+        "an error after the value discards it"
     );
     assert!(
         response_in_pieces(9, &support::message(b'R', &[0, 0, 0, 3])).is_err(),
-        "a password is asked for"
+        "a request for a password"
     );
     let large = [&b"D"[..], &(MAX_MESSAGE_BYTES as u32 + 1).to_be_bytes()].concat();
     assert_eq!(message(&large).err(), Some(MalformedMessage("a message has an impossible length")));
     assert!(message(b"Q\0\0\0\x03").is_err(), "a length shorter than its own field");
-    // Lengths that don't fit, at each level, are rejected at the first bytes that show it: no more need come.
+    // Impossible lengths at each level are rejected at the first byte that shows them.
     let whole = [row(b"abc"), ready()].concat();
     let data = whole.iter().skip(20).position(|b| *b == b'D').expect("a row") + 20;
-    let spoilt = [
+    let malformed = [
         ("an unknown type", 0, b'?', 1),
         ("columns of the description", 6, 2, data),
         ("a name without its end", 11, b'x', data),
@@ -89,21 +89,24 @@
         ("no value", data + 7, 0xff, data + 11),
         ("a row larger than any value", data + 1, 1, data + 5),
         ("a tag without its end", data + 27, b'x', data + 28),
-        ("longer than its kind ever is", data + 32, 6, data + 33),
-        ("a state of no kind", data + 33, b'?', data + 34),
+        ("longer than messages of its type", data + 32, 6, data + 33),
+        ("an unknown transaction status", data + 33, b'?', data + 34),
     ];
-    for (what, at, byte, detected_at) in spoilt {
+    for (what, at, byte, detected_at) in malformed {
         let mut bytes = whole.clone();
         bytes[at] = byte;
         assert!(response_in_pieces(1, &bytes[..detected_at]).is_err(), "{what}");
-        assert!(response_in_pieces(1, &bytes[..at]).is_ok(), "{what}: nothing wrong before it");
+        assert!(response_in_pieces(1, &bytes[..at]).is_ok(), "{what}: nothing malformed before it");
     }
-    assert!(response_in_pieces(1, &support::message(b'S', b"rank\0copy\0more\0")).is_err(), "no pair");
+    assert!(
+        response_in_pieces(1, &support::message(b'S', b"rank\0copy\0more\0")).is_err(),
+        "not a pair of name and value"
+    );
     assert!(
         response_in_pieces(1, &support::message(b'E', b"SERROR\0C53300\0")).is_err(),
-        "an error that goes on"
+        "an error without its final zero"
     );
-    assert!(response_in_pieces(1, &error("5330")).is_err(), "a code that is none");
+    assert!(response_in_pieces(1, &error("5330")).is_err(), "a malformed SQLSTATE");
 }
 
 #[test]
@@ -137,8 +140,8 @@
     assert_eq!((comment.class, comment.shard, comment.after_ms), ("order", 65_535, Some(17)));
     assert_eq!(&good[comment.timeout.range], b"480");
     assert_eq!(statement::session_key(good), statement::session_key(b"SELECT 'k'"));
-    assert_eq!(statement::session_key(b"SELECT 'k"), 0, "a quote without an end names nothing");
-    let ways = [
+    assert_eq!(statement::session_key(b"SELECT 'k"), 0, "a quote without an end gives no key");
+    let unsupported = [
         "select data from facts where code = 'k'",
         "SELECT 1",
         "SELECT data FROM facts WHERE code = 'k' OR 'k'",
@@ -146,10 +149,10 @@
         "INSERT INTO f (code, data) VALUES ('k', 'x') RETURNING data",
         "",
     ];
-    for way in ways {
-        let text = format!("/* id=1,c=a,d=5,cluster=2 */ {way}");
+    for sql in unsupported {
+        let text = format!("/* id=1,c=a,d=5,cluster=2 */ {sql}");
         let message = statement::parse_request_comment(text.as_bytes()).map_err(|why| why.to_string());
-        assert_eq!(message, Err("the statement is none that hosts take".into()), "{way}");
+        assert_eq!(message, Err("the statement is none that hosts take".into()), "{sql}");
     }
     let cases = [
         ("/* id=1 or so,c=a,d=5,cluster=2 */", "id is none"),
@@ -173,24 +176,24 @@
 fn chunked_body_is_decoded_the_same_at_every_split() {
     let bytes = b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n3;x=y\r\n{\"a\r\n1\r\n\n\r\n4\r\nb\"}\n\r\n0\r\nT: 1\r\n\r\nrest";
     for pieces in [1, 2, 3, 5, bytes.len()] {
-        let (mut held, mut body, mut out) = (Vec::new(), None, Vec::new());
+        let (mut received, mut body, mut out) = (Vec::new(), None, Vec::new());
         for piece in bytes.chunks(pieces) {
-            held.extend(piece);
+            received.extend(piece);
             if body.is_none()
                 && let Some(ResponseHead { status, body: form, length }) =
-                    http::parse_head(&held).expect("a head")
+                    http::parse_head(&received).expect("a head")
             {
                 assert_eq!(status, 200);
-                held.drain(..length);
+                received.drain(..length);
                 body = Some(form);
             }
             if let Some(body) = &mut body {
-                let taken = body.decode(&held, &mut out).expect("a body");
-                held.drain(..taken);
+                let decoded = body.decode(&received, &mut out).expect("a body");
+                received.drain(..decoded);
             }
         }
         assert_eq!(out, b"{\"a\nb\"}\n");
-        assert!(body.is_some_and(|body| body.is_complete()) && held == b"rest");
+        assert!(body.is_some_and(|body| body.is_complete()) && received == b"rest");
     }
     assert_eq!(
         http::parse_head(b"HTTP/1.1 503 Off\r\nContent-Length: 2\r\n\r\n"),
@@ -207,10 +210,10 @@
 
 #[test]
 fn arbitrary_bytes_cause_no_panic() {
-    let mut chance = RandomGenerator::new(17);
+    let mut random = RandomGenerator::new(17);
     for round in 0..3_000 {
         let mut bytes: Vec<u8> =
-            (0..chance.below(60.0) as usize).map(|_| chance.below(256.0) as u8).collect();
+            (0..random.below(60.0) as usize).map(|_| random.below(256.0) as u8).collect();
         if round % 2 == 0 {
             bytes = [b"D\0\0\0\x0c", &bytes[..]].concat();
         }
@@ -263,22 +266,22 @@
 
 #[test]
 fn buffer_grows_is_compacted_and_has_a_limit() {
-    let room = MemoryBudget::new(3_500);
-    let (mut buffer, mut other) = (Buffer::new(3_000, &room), Buffer::new(3_000, &room));
+    let budget = MemoryBudget::new(3_500);
+    let (mut buffer, mut other) = (Buffer::new(3_000, &budget), Buffer::new(3_000, &budget));
     let bytes = [7u8; 5_000];
     let mut from = &bytes[..];
     while buffer.unread().len() < 3_000 {
-        block_on(buffer.fill(&mut from)).expect("room");
+        block_on(buffer.fill(&mut from)).expect("memory");
     }
-    assert!(block_on(buffer.fill(&mut from)).is_err(), "no room without a limit");
-    let full = block_on(other.fill(&mut from)).expect_err("no room for a second one");
+    assert!(block_on(buffer.fill(&mut from)).is_err(), "the buffer has a limit");
+    let full = block_on(other.fill(&mut from)).expect_err("no memory for a second buffer");
     assert_eq!(full.kind(), std::io::ErrorKind::OutOfMemory);
     buffer.consume(2_999);
-    assert!(block_on(buffer.fill(&mut from)).expect("room again") > 1_000, "compacted in place");
+    assert!(block_on(buffer.fill(&mut from)).expect("memory again") > 1_000, "compacted in place");
     assert!(buffer.unread().iter().all(|b| *b == 7));
     drop(buffer);
-    assert_eq!(room.available(), 3_500, "given back");
-    assert!(block_on(other.fill(&mut from)).is_ok(), "room again");
+    assert_eq!(budget.available(), 3_500, "the dropped buffer's memory is free");
+    assert!(block_on(other.fill(&mut from)).is_ok(), "the other buffer can grow");
 }
 
 #[test]
@@ -286,19 +289,19 @@
     let zones = ["north".to_string(), "south".to_string()];
     let address = "127.0.0.1:5433".parse().expect("an address");
     let list = |host: Value| json!({"seq": 4, "whole": false, "hosts": [host]}).to_string();
-    let mut host = entry("s-1", address, true, "draining");
+    let mut host = endpoint("s-1", address, true, "draining");
     host["site"] = "south".into();
     host["born_ms"] = 1_767_225_600_123_u64.into();
     let read = discovery::parse_endpoint_list(list(host.clone()).as_bytes(), &zones).expect("a list");
-    let one = &read.entries[0];
+    let entry = &read.entries[0];
     assert_eq!(
-        (read.version, read.complete, one.endpoint.zone, one.endpoint.is_primary),
+        (read.version, read.complete, entry.endpoint.zone, entry.endpoint.is_primary),
         (4, false, 1, true)
     );
-    assert_eq!((one.endpoint.lifecycle, one.address), (Lifecycle::Draining, address));
-    assert_eq!(one.endpoint.started, Some(Timestamp::from_millis(1_767_225_600_123)));
-    assert_eq!(discovery::host_id("s-1"), one.endpoint.host);
-    assert_ne!(discovery::host_id("s-2"), one.endpoint.host);
+    assert_eq!((entry.endpoint.lifecycle, entry.address), (Lifecycle::Draining, address));
+    assert_eq!(entry.endpoint.started, Some(Timestamp::from_millis(1_767_225_600_123)));
+    assert_eq!(discovery::host_id("s-1"), entry.endpoint.host);
+    assert_ne!(discovery::host_id("s-2"), entry.endpoint.host);
     for (key, wrong) in [
         ("dial", json!("db.example")),
         ("health", json!("well")),
@@ -320,21 +323,21 @@
     let mut list = EndpointDirectory::default();
     for round in 0..3_000 {
         let (new, old) = (format!("s-{}", round + 1), format!("s-{round}"));
-        let hosts = [entry(&new, address, false, "ready"), entry(&old, address, false, "gone")];
-        // Listed as gone, or missing from a complete list.
+        let hosts = [ready_replica(&new, address), endpoint(&old, address, false, "gone")];
+        // The old host is listed as removed, or missing from a complete list.
         let whole = round % 2 == 0;
-        let told = json!({"seq": round, "whole": whole, "hosts": hosts[..if whole { 1 } else { 2 }]});
-        list.apply(&discovery::endpoint_list_from_json(&told, &[]).expect("a list"));
+        let update = json!({"seq": round, "whole": whole, "hosts": hosts[..if whole { 1 } else { 2 }]});
+        list.apply(&discovery::endpoint_list_from_json(&update, &[]).expect("a list"));
         list.record_role(discovery::host_id(&new), Role::Replica);
         assert!(
             list.is_listed_at(discovery::host_id(&new), address)
                 && !list.is_listed_at(discovery::host_id(&old), address)
         );
     }
-    assert!(list.len() < 64, "{} hosts are kept", list.len());
+    assert!(list.len() < 64, "{} hosts remain", list.len());
     assert!(
         !list.record_role(discovery::host_id("s-3"), Role::Primary),
-        "nothing is noted of one that is forgotten"
+        "no role is recorded for a host that is forgotten"
     );
 }
 
@@ -364,26 +367,26 @@
         let message = Config::read(&text, |_| None).expect_err(wanted).to_string();
         assert!(message.contains(wanted) && !message.contains('\n'), "{message}");
     }
-    let site = Config::read(&changed("listen", Value::Null), |name| {
+    let config = Config::read(&changed("listen", Value::Null), |name| {
         (name == "RELAY_LISTEN").then(|| "127.0.0.1:7000".into())
     });
-    assert_eq!(site.expect("a configuration").listen.port(), 7000, "the variable stands in");
+    assert_eq!(config.expect("a configuration").listen.port(), 7000, "the variable replaces a missing key");
     assert!(
         Config::read(&changed("settings.more", json!([1, 2])), |_| None).is_ok(),
-        "unknown keys are let be"
+        "unknown keys are ignored"
     );
 }
 
-/// The sample with the value at a path replaced, or taken out.
+/// Returns the sample configuration with the value at a path replaced, or removed if it is null.
 fn changed(path: &str, value: Value) -> String {
-    let mut all: Value = serde_json::from_str(SAMPLE).expect("the sample");
+    let mut config: Value = serde_json::from_str(SAMPLE_CONFIGURATION).expect("the sample");
     let (above, key) = path.rsplit_once('.').unwrap_or(("", path));
-    let holder = above.split('.').filter(|k| !k.is_empty()).fold(&mut all, |value, key| &mut value[key]);
-    let holder = holder.as_object_mut().expect("an object");
+    let parent = above.split('.').filter(|k| !k.is_empty()).fold(&mut config, |value, key| &mut value[key]);
+    let parent = parent.as_object_mut().expect("an object");
     if value.is_null() {
-        holder.remove(key)
+        parent.remove(key)
     } else {
-        holder.insert(key.into(), value)
+        parent.insert(key.into(), value)
     };
-    all.to_string()
+    config.to_string()
 }
