--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod actions;
 mod admission_queue;
 pub mod deployment;
+mod health_check_budget;
 mod health_check_state;
 pub mod histogram;
 pub mod host;
--- a/crates/comethitch-policy/src/policy/admission.rs
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -12,7 +12,7 @@
 const SHARDS_RETRIED_PER_TICK: usize = 16;
 /// A request may wait for its first attempt for its latency objective over this.
 const FIRST_ATTEMPT_WAIT_DIVISOR: u64 = 2;
-/// Clients of requests that lack capacity are told to retry after the latency objective over this.
+/// Retry-After of requests that lack capacity: the latency objective over this.
 const RETRY_AFTER_DIVISOR: u64 = 8;
 
 impl Router {
--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -29,7 +29,7 @@
 }
 
 impl Router {
-    /// Sends an attempt of a request, which is taken out of the queue.
+    /// Sends an attempt of a request, which leaves the queue.
     pub(super) fn send(&mut self, id: RequestId, index: HostIndex, out: &mut dyn Actions) {
         let now = out.now();
         let request_class = self.requests[id].request_class;
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -114,7 +114,7 @@
         let index = self.hosts.insert(HostState::new(endpoint, relative_latency, now));
         let shard = self.shards.get_or_add(endpoint.shard_id);
         shard.add_member(index, self.settings.deployment().classes.len());
-        shard.health_check_budget += 1.0;
+        shard.health_check_budget.add_one();
         index
     }
 
--- a/crates/comethitch-policy/src/policy/event_loop_lag.rs
+++ b/crates/comethitch-policy/src/policy/event_loop_lag.rs
@@ -5,9 +5,9 @@
 
 use crate::time::{Duration, Timestamp};
 
-/// Maximum lag taken into account: a longer one is a process that was stopped, which predicts nothing.
+/// Maximum lag that counts: a longer one means that the process was stopped, which predicts nothing.
 const MAX_LAG: Duration = Duration::from_millis(500);
-/// The maximum decays by one part in this many with each tick.
+/// The maximum decays by this fraction of itself, as a divisor, with each tick.
 const DECAY_DIVISOR: u64 = 16;
 
 /// Decaying maximum of the lag of recent ticks.
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -66,9 +66,9 @@
     pub(super) fn record_request_of_shard(&mut self, shard_id: ShardId, now: Timestamp) {
         let Some(shard) = self.shards.get_mut(shard_id) else { return };
         let fraction = if self.settings.refreshes_on_demand() { PERIODIC_FRACTION } else { 1.0 };
-        let points = POINTS_PER_REQUEST * fraction;
-        let funded = shard.health_check_budget + points / self.settings.deployment().health_check_price;
-        shard.health_check_budget = funded.min(shard.members.len() as f64 * MAX_BUDGET_PER_MEMBER);
+        let checks = POINTS_PER_REQUEST * fraction / self.settings.deployment().health_check_price;
+        let max = shard.members.len() as f64 * MAX_BUDGET_PER_MEMBER;
+        shard.health_check_budget.deposit(checks, max);
         if !is_in_use(shard, now) {
             // The state of an unused shard may be outdated.
             shard.next_check_review = now;
--- a/crates/comethitch-policy/src/policy/periodic_checks.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -147,13 +147,12 @@
     fn charge_health_check(&mut self, index: HostIndex, now: Timestamp) -> bool {
         let due_at = self.hosts[index].checks.next_at();
         let shard = &mut self.shards[self.hosts[index].listing.shard_id()];
-        if shard.health_check_budget >= 1.0 {
-            shard.health_check_budget -= 1.0;
+        if shard.health_check_budget.withdraw() {
             return true;
         }
         let admitted = self.health_checks.admit_unpaid(due_at, now);
         if admitted {
-            shard.health_check_budget = 0.0;
+            shard.health_check_budget.clear();
         }
         admitted
     }
--- a/crates/comethitch-policy/src/policy/retry_budget.rs
+++ b/crates/comethitch-policy/src/policy/retry_budget.rs
@@ -24,7 +24,7 @@
         self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Takes out one retry. A hedged request takes it out as well.
+    /// Takes out one retry, for a retry or a hedged request.
     pub(super) fn withdraw(&mut self) {
         self.available -= 1.0;
     }
--- a/crates/comethitch-policy/src/policy/send_guard.rs
+++ b/crates/comethitch-policy/src/policy/send_guard.rs
@@ -1,5 +1,5 @@
 //! The send guard: the check that every attempt passes right before it is written, whether it is the first, a retry or a
-//! hedged request; and the rules that what was written is held to.
+//! hedged request; and the rules that hold for what was written.
 //!
 //! An attempt is written some time after it was decided on: its connection may take long to establish, its host may read
 //! slowly, and the process may stall.
--- a/crates/comethitch-policy/src/shard.rs
+++ b/crates/comethitch-policy/src/shard.rs
@@ -2,6 +2,7 @@
 //!
 //! The transitions between the states are decided in [`policy`](crate::policy).
 
+use crate::health_check_budget::HealthCheckBudget;
 use crate::{host_table::HostIndex, time::Timestamp};
 use comethitch_fleet::subset::Ranking;
 use comethitch_fleet::{concurrency_limit::ConcurrencyLimit, decaying_counter::DecayingCounter};
@@ -34,8 +35,7 @@
     pub in_flight_at_fault: u32,
     /// Number of these that were lost.
     pub lost_since_fault: u32,
-    /// Number of health checks that the shard's requests have paid for, in fractions.
-    pub health_check_budget: f64,
+    pub health_check_budget: HealthCheckBudget,
     pub recent_requests: DecayingCounter,
     /// Limits on the work in flight to all members together, by request class.
     pub concurrency_limits: Vec<ConcurrencyLimit>,
