--- a/crates/comethitchd/src/stages/updates.rs
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -53,10 +53,10 @@
 
 fn reload_discovery(state: &RouterState, config: &Config) {
     if state.discovery.service().address == config.discovery {
-        log::info!(discovery:% = config.discovery; "configuration reloaded, discovery service unchanged");
+        log::info!(address:% = config.discovery; "configuration reloaded, discovery service unchanged");
         return;
     }
-    log::info!(discovery:% = config.discovery; "configuration reloaded, discovery service changed");
+    log::info!(address:% = config.discovery; "configuration reloaded, discovery service changed");
     state.hosts.forget_list_version();
     state.discovery.replace(config.discovery);
 }
