--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -9,7 +9,9 @@
 use super::packet_buffer;
 use super::prepared::PreparedStatements;
 use super::settings::TdsSettings;
-use crate::protocols::client_connection::{Admission, ClientConnection, ClosingError, Disconnect};
+use crate::protocols::client_connection::{
+    Admission, ClientConnection, ClosingError, Disconnect, SubmittedRequest,
+};
 use crate::stages::admit::AdmittedRequest;
 use crate::stages::policy_driver;
 use crate::state::descriptors::DescriptorPermit;
@@ -19,7 +21,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use comethitch_tds::packet::{
-    HEADER_BYTES, INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_parts, status,
+    HEADER_BYTES, INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_packets, status,
 };
 use comethitch_tds::token::code;
 use comethitch_tds::write::put_change_bytes;
@@ -94,7 +96,7 @@
         let mut reservation = Reservation::new(&self.connection.state.memory);
         loop {
             let consumed =
-                assembler.take(self.connection.buffer.unread()).map_err(operation::protocol_violation)?;
+                assembler.accept(self.connection.buffer.unread()).map_err(operation::protocol_violation)?;
             self.connection.consume(consumed);
             if !reservation.resize_to(assembler.payload().len()) {
                 return Err(Disconnect::Io(std::io::ErrorKind::OutOfMemory.into()));
@@ -202,7 +204,8 @@
         let framing = statement.framing;
         let shape = request.shape.as_ref();
         let is_idempotent = shape.is_some_and(|shape| shape.verdict.effect.may_repeat());
-        let (id, reply) = self.connection.submit(request, statement.payload, statement.kind.code());
+        let SubmittedRequest { id, reply } =
+            self.connection.submit(request, statement.payload, statement.kind.code());
         let is_attention = |unread: &[u8]| unread.first() == Some(&MessageKind::Attention.code());
         let waited = self.connection.wait_until_interrupted(reply.recv(), Some(is_attention)).await;
         let end = match waited {
@@ -257,7 +260,7 @@
         }
         let rest = tokens.split_off(tokens.len() - DONE_TOKEN_BYTES);
         let mut packets = packet_buffer(tokens.len());
-        put_parts(&mut packets, MessageKind::Response, self.packet_size, tokens, 0, false);
+        put_packets(&mut packets, MessageKind::Response, self.packet_size, tokens, 0, false);
         *tokens = rest;
         self.connection.write(&packets).await
     }
