--- a/crates/comethitch-lab/src/live/hosts.rs
+++ b/crates/comethitch-lab/src/live/hosts.rs
@@ -11,7 +11,9 @@
 use async_io::Async;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Host, Role, ShardId};
-use comethitch_testkit::postgres::{error, message, row};
+use comethitch_testkit::postgres::{
+    TransactionStatus, error, message, parameter_status, ready_for_query, row,
+};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rand_distr::{Distribution, Exp};
 use std::io;
@@ -39,8 +41,6 @@
 const LENGTH_FIELD_BYTES: usize = 4;
 /// Maximum length of a startup message.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Transaction status outside of any transaction.
-const IDLE_STATUS: &[u8] = b"I";
 const AUTHENTICATION_OK: &[u8] = &[0; 4];
 
 /// Adds a host, serves it, and returns its index.
@@ -139,7 +139,7 @@
             return Ok(false);
         }
         let authenticated = message(message_type::AUTHENTICATION, AUTHENTICATION_OK);
-        let ready = message(message_type::READY_FOR_QUERY, IDLE_STATUS);
+        let ready = ready_for_query(TransactionStatus::Idle);
         self.stream.write_all(&[authenticated, ready].concat()).await?;
         Ok(true)
     }
@@ -171,8 +171,8 @@
     /// Sends a reply, the role of the host, and `ReadyForQuery`.
     async fn send_reply(&mut self, reply: Vec<u8>) -> io::Result<()> {
         let rank = if self.fleet.hosts.borrow()[self.host].primary { "source" } else { "copy" };
-        let rank = message(message_type::PARAMETER_STATUS, format!("rank\0{rank}\0").as_bytes());
-        let ready = message(message_type::READY_FOR_QUERY, IDLE_STATUS);
+        let rank = parameter_status("rank", rank);
+        let ready = ready_for_query(TransactionStatus::Idle);
         self.stream.write_all(&[reply, rank, ready].concat()).await
     }
 
--- a/crates/comethitch-lab/src/live/network.rs
+++ b/crates/comethitch-lab/src/live/network.rs
@@ -4,6 +4,7 @@
 use async_io::{Async, Timer};
 use comethitch_policy::time::{Duration, Timestamp};
 pub(super) use comethitch_testkit::postgres::message_type;
+use comethitch_testkit::postgres::startup_message;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use socket2::{Domain, Socket, Type};
 use std::io;
@@ -18,10 +19,6 @@
 const LENGTH_FIELD_BYTES: usize = 4;
 /// Second byte of the first router's addresses.
 const FIRST_BLOCK: u8 = 64;
-/// Version 3.0 of the PostgreSQL protocol.
-const PROTOCOL_VERSION: u32 = 3 << 16;
-/// Parameters of a startup message.
-const STARTUP_PARAMETERS: &[u8] = b"user\0portal\0database\0crm\0\0";
 
 /// A PostgreSQL message.
 pub(super) struct Message {
@@ -105,9 +102,7 @@
 pub(super) async fn connect_client(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let mut stream = Async::<TcpStream>::connect(address).await?;
     let _ = stream.get_ref().set_nodelay(true);
-    let body = [&PROTOCOL_VERSION.to_be_bytes()[..], STARTUP_PARAMETERS].concat();
-    let length = ((body.len() + LENGTH_FIELD_BYTES) as u32).to_be_bytes();
-    stream.write_all(&[&length[..], &body].concat()).await?;
+    stream.write_all(&startup_message()).await?;
     while read_message(&mut stream).await?.kind != message_type::READY_FOR_QUERY {}
     Ok(stream)
 }
--- a/crates/comethitch-testkit/src/postgres/client.rs
+++ b/crates/comethitch-testkit/src/postgres/client.rs
@@ -1,20 +1,14 @@
 //! The client side of a PostgreSQL connection: the login, and decoding of replies.
 
-use super::{message_type, read_message};
+use super::{message_type, read_message, startup_message};
 use crate::error::ConnectionError;
 use crate::reply::Reply;
 use std::io::Write;
 use std::net::TcpStream;
 
-/// Version 3.0 of the protocol, as encoded in a `StartupMessage`.
-const PROTOCOL_VERSION: u32 = 3 << 16;
-
 /// Sends a `StartupMessage` and reads until the server is ready.
 pub(crate) fn log_in(stream: &mut TcpStream) -> Result<(), ConnectionError> {
-    let parameters = b"user\0portal\0database\0crm\0\0";
-    let body = [&PROTOCOL_VERSION.to_be_bytes()[..], parameters].concat();
-    let length = (body.len() as u32 + 4).to_be_bytes();
-    stream.write_all(&[&length[..], &body].concat())?;
+    stream.write_all(&startup_message())?;
     while read_message(stream)?.message_type != message_type::READY_FOR_QUERY {}
     Ok(())
 }
--- a/crates/comethitch-testkit/src/postgres/mod.rs
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -9,10 +9,17 @@
 use std::io::{self, Read};
 use std::net::TcpStream;
 
+/// Version 3.0 of the protocol, as encoded in a `StartupMessage`.
+const PROTOCOL_VERSION: u32 = 3 << 16;
+/// Parameters of a `StartupMessage`.
+const STARTUP_PARAMETERS: &[u8] = b"user\0portal\0database\0crm\0\0";
+
 /// Transaction status in a `ReadyForQuery` message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TransactionStatus {
+pub enum TransactionStatus {
+    /// Outside of a transaction.
     Idle,
+    /// Within a transaction.
     InTransaction,
 }
 
@@ -21,6 +28,18 @@
     [&[message_type], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
+/// Encodes the `StartupMessage` of a client.
+pub fn startup_message() -> Vec<u8> {
+    let body = [&PROTOCOL_VERSION.to_be_bytes()[..], STARTUP_PARAMETERS].concat();
+    let length = (body.len() as u32 + 4).to_be_bytes();
+    [&length[..], &body].concat()
+}
+
+/// Encodes a `ParameterStatus` message.
+pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
+    message(message_type::PARAMETER_STATUS, format!("{name}\0{value}\0").as_bytes())
+}
+
 /// Encodes an answer of one row with one column, up to `CommandComplete`. `ReadyForQuery` must follow.
 pub fn row(value: &[u8]) -> Vec<u8> {
     [row_description(), data_row(value), command_complete()].concat()
@@ -52,7 +71,8 @@
     message(message_type::COMMAND_COMPLETE, b"SELECT 1\0")
 }
 
-fn ready_for_query(status: TransactionStatus) -> Vec<u8> {
+/// Encodes a `ReadyForQuery` message.
+pub fn ready_for_query(status: TransactionStatus) -> Vec<u8> {
     let code = match status {
         TransactionStatus::Idle => b"I",
         TransactionStatus::InTransaction => b"T",
@@ -61,12 +81,20 @@
 }
 
 /// A decoded message.
-struct Message {
-    message_type: u8,
-    body: Vec<u8>,
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Message {
+    /// Type byte, one of [`message_type`].
+    pub message_type: u8,
+    /// Content after the length.
+    pub body: Vec<u8>,
 }
 
-fn read_message(stream: &mut TcpStream) -> io::Result<Message> {
+/// Reads the next message.
+///
+/// # Errors
+///
+/// Returns an error if the connection fails or ends.
+pub fn read_message(stream: &mut TcpStream) -> io::Result<Message> {
     let mut header = [0; 5];
     stream.read_exact(&mut header)?;
     let [message_type, length @ ..] = header;
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -17,14 +17,6 @@
 /// How much later than it should something may happen on a busy machine.
 const BUSY_MACHINE_SLACK: Duration = Duration::from_millis(400);
 
-fn answer(value: &str) -> HostAction {
-    HostAction::Answer(row(value.as_bytes()))
-}
-
-fn router_with_one_host(primary: &Host) -> Router {
-    Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 1024))
-}
-
 fn queries(host: &Host) -> usize {
     host.met.try_iter().filter(|met| matches!(met, HostEvent::Query(_))).count()
 }
--- a/crates/comethitchd/tests/faults.rs
+++ b/crates/comethitchd/tests/faults.rs
@@ -5,9 +5,9 @@
 mod support;
 
 use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Reply};
-use serde_json::{Value, json};
+use serde_json::Value;
 use std::time::Duration;
-use support::{Router, configuration, entry};
+use support::{Router, configuration, entry, statement_rules};
 
 /// How often each answer was given in a scenario, and how many attempts were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -33,16 +33,7 @@
 }
 
 fn rules(protocol: Protocol) -> Value {
-    json!({
-        "dialect": if protocol == Protocol::Tds { "tsql" } else { "postgres" },
-        "disagreement": "refuse",
-        "commentless": {"wait_ms": 900},
-        "groups": [
-            {"group": "read", "effects": ["read"]},
-            {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}
-        ],
-        "elsewhere": 0
-    })
+    statement_rules(if protocol == Protocol::Tds { "tsql" } else { "postgres" }, 900)
 }
 
 impl TestBed {
--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -142,7 +142,9 @@
         let unix = stands_still.duration_since(SystemTime::UNIX_EPOCH).ok()?.as_millis();
         let vitals = format!("x0={}.{:03},x1=0", unix / 1000, unix % 1000);
         let value = if is_long { "stale".into() } else { vitals };
-        stream.write_all(&[row(value.as_bytes()), parameter("rank", "copy"), ready()].concat()).ok()?;
+        stream
+            .write_all(&[row(value.as_bytes()), parameter_status("rank", "copy"), ready()].concat())
+            .ok()?;
     }
 }
 
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -8,19 +8,10 @@
 use std::sync::mpsc::channel;
 use support::*;
 
-fn answer(value: &str) -> HostAction {
-    HostAction::Answer(row(value.as_bytes()))
-}
-
-/// A router before one primary.
-fn alone(primary: &Host) -> Router {
-    Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 1024))
-}
-
 #[test]
 fn statements_pass_unchanged_and_answers_come_in_order() {
     let primary = host(true, |nth, _| answer(&format!("value {nth}")));
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::raw(router.address);
     // An encryption request is declined; the first query comes straight behind the startup message.
     client.0.write_all(&[8u32.to_be_bytes(), 80_877_103u32.to_be_bytes()].concat()).expect("sent");
@@ -60,7 +51,7 @@
     let large = vec![0x9f; 64 * 1024];
     let value = large.clone();
     let primary = host(true, move |_, _| HostAction::Answer(row(&value)));
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     let text = write(1, 3_000).replace("9f", &"9f".repeat(64 * 1024));
     assert!(client.ask(&text) == ClientReply::Value(large), "the value as it was");
@@ -71,7 +62,7 @@
 #[test]
 fn a_write_that_may_have_run_is_failed_and_never_sent_again() {
     let primary = host(true, |nth, _| if nth == 0 { HostAction::Close } else { answer("again") });
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask(&write(1, 1_000)), ClientReply::Error("40003".into()));
     assert!(matches!(primary.next(), HostEvent::Query(_)), "one attempt");
@@ -106,7 +97,7 @@
             0 => HostAction::Answer(bytes.clone()),
             _ => answer("value"),
         });
-        let router = alone(&primary);
+        let router = router_with_one_host(&primary);
         let mut client = Client::connect(router.address);
         assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Error("40003".into()));
         assert!(matches!(primary.next(), HostEvent::Query(_)));
@@ -127,7 +118,7 @@
             0 => HostAction::Answer([row(b"value"), ready(), surplus.clone()].concat()),
             _ => answer("own"),
         });
-        let router = alone(&primary);
+        let router = router_with_one_host(&primary);
         let mut client = Client::connect(router.address);
         assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"value".to_vec()), "it was good");
         assert_eq!(client.ask(&write(2, 2_000)), ClientReply::Value(b"own".to_vec()));
@@ -138,7 +129,7 @@
 #[test]
 fn commands_that_come_too_late_are_throttled_and_blame_no_host() {
     let primary = host(true, |_, _| answer("value"));
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     for id in 0..5 {
         assert_eq!(client.ask(&write(id, 0)), ClientReply::Error("53300".into()));
@@ -152,7 +143,7 @@
 fn not_primary_and_overloaded_errors_prove_that_nothing_ran() {
     for code in ["25006", "53300"] {
         let primary = host(true, move |_, _| HostAction::Answer(error(code)));
-        let router = alone(&primary);
+        let router = router_with_one_host(&primary);
         let got = Client::connect(router.address).ask(&write(1, 400));
         assert_eq!(got, ClientReply::Error("53300".into()), "after {code}");
         router.wait();
@@ -187,7 +178,7 @@
 #[test]
 fn a_read_is_retried_elsewhere_after_a_reset() {
     let primary = host(true, |nth, _| if nth == 0 { HostAction::Close } else { answer("second") });
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask(&read(1, 2_000)), ClientReply::Value(b"second".to_vec()));
     router.wait();
@@ -196,7 +187,7 @@
 #[test]
 fn an_attempt_at_a_silent_host_times_out_and_its_connection_is_closed() {
     let primary = host(true, |_, _| HostAction::Silence);
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     assert_eq!(client.ask(&write(1, 300)), ClientReply::Error("40003".into()));
     assert!(matches!(primary.next(), HostEvent::Query(_)));
@@ -207,7 +198,7 @@
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
     let primary = host(true, |_, _| HostAction::Silence);
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     client.0.write_all(&query(&write(1, 60_000))).expect("sent");
     assert!(matches!(primary.next(), HostEvent::Query(_)));
@@ -219,7 +210,7 @@
 #[test]
 fn an_idle_connection_is_reused() {
     let primary = host(true, |_, _| answer("value"));
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     for id in 0..3 {
         assert_eq!(client.ask(&write(id, 2_000)), ClientReply::Value(b"value".to_vec()));
@@ -231,7 +222,7 @@
 #[test]
 fn bad_input_is_answered_and_affects_no_others() {
     let primary = host(true, |_, _| answer("value"));
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let mut client = Client::connect(router.address);
     let cases = [
         ("SELECT 1".to_string(), "42601"),
@@ -266,7 +257,7 @@
         let _ = held.lock().expect("one command").recv_timeout(TEST_TIMEOUT);
         answer("value")
     });
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let (mut first, mut second) = (Client::connect(router.address), Client::connect(router.address));
     first.0.write_all(&query(&write(1, 5_000))).expect("sent");
     assert!(matches!(primary.next(), HostEvent::Query(_)));
@@ -285,7 +276,7 @@
 #[test]
 fn clients_that_never_send_a_command_get_an_error_in_time() {
     let primary = host(true, |_, _| answer("value"));
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let started = std::time::Instant::now();
     let mut usual = Client::connect(router.address);
     let silent: Vec<Client> = (0..100).map(|_| Client::raw(router.address)).collect();
@@ -458,7 +449,7 @@
         }
         answer("value")
     });
-    let router = alone(&primary);
+    let router = router_with_one_host(&primary);
     let (mut early, mut late) = (Client::connect(router.address), Client::connect(router.address));
     early.0.write_all(&query(&write(1, 3_000))).expect("sent");
     assert!(matches!(primary.next(), HostEvent::Query(_)));
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -11,16 +11,7 @@
 use support::*;
 
 fn rules() -> Value {
-    json!({
-        "dialect": "postgres",
-        "disagreement": "refuse",
-        "commentless": {"wait_ms": 1500},
-        "groups": [
-            {"group": "read", "effects": ["read"]},
-            {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}
-        ],
-        "elsewhere": 0
-    })
+    statement_rules("postgres", 1500)
 }
 
 struct Row {
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -6,7 +6,10 @@
 use async_io::Async;
 use comethitch_lab::system_calls::{FaultLibrary, SystemCallFaults};
 pub(crate) use comethitch_testkit::TEST_TIMEOUT;
-pub(crate) use comethitch_testkit::postgres::{error, message, query, row};
+use comethitch_testkit::postgres::{Message, TransactionStatus, read_message, ready_for_query};
+pub(crate) use comethitch_testkit::postgres::{
+    error, message, parameter_status, query, row, startup_message as startup,
+};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use comethitchd::service::protocol::Protocol;
 use comethitchd::service::server;
@@ -27,23 +30,9 @@
 /// The sample of a configuration.
 pub(crate) const SAMPLE: &str = include_str!("../../../../deploy/configuration.json");
 
-/// A parameter that the host reports.
-pub(crate) fn parameter(name: &str, value: &str) -> Vec<u8> {
-    message(b'S', format!("{name}\0{value}\0").as_bytes())
-}
-
 /// `ReadyForQuery`, outside of a transaction.
 pub(crate) fn ready() -> Vec<u8> {
-    message(b'Z', b"I")
-}
-
-fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
-    let mut head = [0; 5];
-    stream.read_exact(&mut head).ok()?;
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-    let mut body = vec![0; length - 4];
-    stream.read_exact(&mut body).ok()?;
-    Some((head[0], body))
+    ready_for_query(TransactionStatus::Idle)
 }
 
 /// What a host does with a query.
@@ -124,7 +113,7 @@
     let _ = stream.read_exact(&mut length);
     let _ = stream.read_exact(&mut vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4)]);
     let _ = stream.write_all(&[message(b'R', &[0; 4]), ready()].concat());
-    while let Some((b'Q', body)) = read_message(&mut stream) {
+    while let Ok(Message { message_type: b'Q', body }) = read_message(&mut stream) {
         let text = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
         let answer = if text == "SHOW vitals" {
             let unix = at().duration_since(SystemTime::UNIX_EPOCH).expect("a clock").as_millis();
@@ -136,7 +125,7 @@
         };
         match answer {
             HostAction::Answer(answer) => {
-                let rank = parameter("rank", if primary { "source" } else { "copy" });
+                let rank = parameter_status("rank", if primary { "source" } else { "copy" });
                 let _ = stream.write_all(&[answer, rank, ready()].concat());
             }
             HostAction::Raw(bytes) => {
@@ -422,8 +411,8 @@
     /// The next answer, up to `ReadyForQuery` or the end of the connection.
     pub(crate) fn receive(&mut self) -> ClientReply {
         let mut got = ClientReply::Closed;
-        while let Some((kind, body)) = read_message(&mut self.0) {
-            match kind {
+        while let Ok(Message { message_type, body }) = read_message(&mut self.0) {
+            match message_type {
                 b'Z' => return got,
                 b'R' => got = ClientReply::Done("welcome".into()),
                 b'D' => got = ClientReply::Value(body[6..].to_vec()),
@@ -444,10 +433,29 @@
     String::from_utf8_lossy(bytes).trim_end_matches('\0').to_string()
 }
 
-/// The startup message.
-pub(crate) fn startup() -> Vec<u8> {
-    let body = [&(3u32 << 16).to_be_bytes()[..], b"user\0portal\0database\0crm\0\0"].concat();
-    [&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat()
+/// Answers with one row that holds this value.
+pub(crate) fn answer(value: &str) -> HostAction {
+    HostAction::Answer(row(value.as_bytes()))
+}
+
+/// Starts a router with one host, a primary.
+pub(crate) fn router_with_one_host(primary: &Host) -> Router {
+    Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 1024))
+}
+
+/// Statement rules with one request class for reads and one for all other statements. Statements without a comment have
+/// this timeout.
+pub(crate) fn statement_rules(dialect: &str, timeout_ms: u32) -> Value {
+    json!({
+        "dialect": dialect,
+        "disagreement": "refuse",
+        "commentless": {"wait_ms": timeout_ms},
+        "groups": [
+            {"group": "read", "effects": ["read"]},
+            {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}
+        ],
+        "elsewhere": 0
+    })
 }
 
 /// A read with this id and timeout.
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -15,10 +15,6 @@
 /// The wait between two of these.
 const ASK_INTERVAL: Duration = Duration::from_millis(50);
 
-fn answer(value: &str) -> HostAction {
-    HostAction::Answer(row(value.as_bytes()))
-}
-
 fn wall_clock_wrong_by(ms: i64) -> String {
     format!("wall_ms={ms}")
 }
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -15,20 +15,11 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
-use support::{Router, configuration, discovery, entry, send_chunk};
+use support::{Router, configuration, discovery, entry, send_chunk, statement_rules};
 use tiberius::{AuthMethod, Config, EncryptionLevel};
 
 fn rules() -> Value {
-    json!({
-        "dialect": "tsql",
-        "disagreement": "refuse",
-        "commentless": {"wait_ms": 1200},
-        "groups": [
-            {"group": "read", "effects": ["read"]},
-            {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}
-        ],
-        "elsewhere": 0
-    })
+    statement_rules("tsql", 1200)
 }
 
 struct TestBed {
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn an_answer_is_the_same_at_every_split() {
-    let told = [parameter("rank", "source"), parameter("as_of", "1767225600123")].concat();
+    let told = [parameter_status("rank", "source"), parameter_status("as_of", "1767225600123")].concat();
     let bytes = [row(b"\x9f\x00\x03"), notice(), told, ready()].concat();
     for pieces in [1, 2, 3, 5, 7, bytes.len()] {
         let answer = response_in_pieces(pieces, &bytes).expect("an answer");
