--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -471,9 +471,9 @@
     assert_eq!(client.ask(""), ClientReply::Empty);
     assert_eq!(client.ask(&write(1, 2_000)), ClientReply::Value(b"value".to_vec()));
     std::fs::write(&program.file, "{\"settings\": {}}").expect("written");
-    for request in ["serve", "check"] {
+    for subcommand in ["serve", "check"] {
         let out = Command::new(env!("CARGO_BIN_EXE_comethitchd"))
-            .args([request, "--configuration"])
+            .args([subcommand, "--configuration"])
             .arg(&program.file)
             .output()
             .expect("an end");
@@ -506,7 +506,7 @@
     all["limits"]["sockets"] = 512.into();
     std::fs::write(&program.file, all.to_string()).expect("written");
     program.signal("HUP");
-    program.logs("limits.sockets has changed");
+    program.logs("setting changed, effective after restart key=limits.sockets");
     let _silent = new.accept().expect("a first try");
     let (mut stream, _) = new.accept().expect("a second try");
     assert_eq!(request(&stream), "GET /api/targets HTTP/1.1", "all of it, whatever the old one had sent");
