--- a/crates/comethitch-lab/src/fleet/mod.rs
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -220,9 +220,9 @@
 
     /// Schedules an event for the arrival of a message that is sent now.
     fn after_network_delay(&mut self, event: Event) {
-        let mean_micros = self.trial.network_delay_us as f64;
+        let mean_us = self.trial.network_delay_us as f64;
         let factor = self.rng.random_range(NETWORK_DELAY_FACTORS);
-        let delay = Duration::from_micros((mean_micros * factor) as u64);
+        let delay = Duration::from_micros((mean_us * factor) as u64);
         self.events.push(self.now + delay, event);
     }
 
