--- a/crates/comethitch-policy/src/policy/admission.rs
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -129,7 +129,7 @@
     fn retry_after(&self, request: &RequestState) -> Option<Duration> {
         let class = self.class_of(request);
         let shard = self.shards.get(request.shard_id);
-        let is_failing = shard.is_some_and(|shard| shard.state != ShardState::Healthy);
+        let is_failing = shard.is_some_and(|shard| shard.state() != ShardState::Healthy);
         let lacks_primary = is_failing && class.consistency.needs_primary();
         let delay =
             if lacks_primary { HEALTH_CHECK_INTERVAL } else { class.latency_objective / RETRY_AFTER_DIVISOR };
@@ -162,7 +162,7 @@
         let attempt = request.only_in_flight().filter(|_| !request.queued)?;
         let shard = &self.shards[request.shard_id];
         let health = &self.hosts[attempt.host].health;
-        let is_lost = shard.state == ShardState::Failover
+        let is_lost = shard.state() == ShardState::Failover
             && shard.is_primary(attempt.host)
             && self.class_of(request).idempotency == Idempotency::NonIdempotent
             && (health.is_unresponsive() || health.is_unreachable());
--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -79,8 +79,9 @@
     fn record_primary_fault(&mut self, attempt: &Attempt, now: Timestamp) {
         if attempt.was_lost() || self.hosts[attempt.host].health.is_unresponsive() {
             self.mark_unhealthy(attempt.host, now);
-            let shard = self.shard_of_mut(attempt.host);
-            shard.lost_since_fault += u32::from(attempt.in_flight_at_fault);
+            if attempt.in_flight_at_fault {
+                self.shard_of_mut(attempt.host).record_lost_attempt();
+            }
         }
     }
 
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -68,7 +68,7 @@
     fn members_changed(&mut self, shard_id: ShardId, now: Timestamp) {
         let Some(shard) = self.shards.get_mut(shard_id) else { return };
         shard.ranking.invalidate();
-        shard.next_check_review = now;
+        shard.schedule_review(now);
         self.limit_unused_hosts(shard_id, now);
     }
 
@@ -82,11 +82,11 @@
         let newly_named = endpoint.is_primary && shard.listed_primary != Some(index);
         if newly_named {
             self.hosts[index].checks.schedule(now);
-            shard.next_check_review = now;
+            shard.schedule_review(now);
         }
         if endpoint.is_primary {
             shard.listed_primary = Some(index);
-            shard.primary = shard.primary.or(shard.listed_primary.filter(|_| shard.serial == 0));
+            shard.primary = shard.primary.or(shard.listed_primary.filter(|_| shard.serial() == 0));
         }
         let primary_lost = shard.primary.is_some_and(|primary| {
             if primary == index {
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -21,7 +21,7 @@
     /// Moves a shard from Healthy to Unhealthy after a fault of a host, if that is its believed primary.
     pub(super) fn mark_unhealthy(&mut self, index: HostIndex, now: Timestamp) {
         let shard = self.shard_of(index);
-        if !shard.is_primary(index) || shard.state != ShardState::Healthy {
+        if !shard.is_primary(index) || shard.state() != ShardState::Healthy {
             return;
         }
         let in_flight = self.requests.mark_in_flight_at_fault(index);
@@ -34,7 +34,7 @@
     pub(super) fn fail_over(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
         let now = out.now();
         let shard = self.shards.get_mut(shard_id);
-        let Some(shard) = shard.filter(|shard| shard.state != ShardState::Failover) else { return };
+        let Some(shard) = shard.filter(|shard| shard.state() != ShardState::Failover) else { return };
         shard.enter_failover(now);
         for &member in &shard.members {
             self.hosts[member].checks.bring_forward(now);
@@ -52,7 +52,7 @@
         let shard = &self.shards[shard_id];
         let Some(primary) = shard.primary else { return };
         let is_silent = self.hosts[primary].health.silent_for(now) > SILENCE_TIMEOUT;
-        match shard.state {
+        match shard.state() {
             ShardState::Healthy if self.is_past_drain_grace(primary, now) => self.fail_over(shard_id, out),
             ShardState::Healthy if is_silent => self.mark_unhealthy(primary, now),
             ShardState::Unhealthy if self.is_failover_due(primary, shard, now) => {
@@ -64,10 +64,9 @@
 
     fn is_failover_due(&self, primary: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let health = &self.hosts[primary].health;
-        let required = FAILOVER_LOST_FRACTION * f64::from(shard.in_flight_at_fault);
-        let attempts_lost = f64::from(shard.lost_since_fault) >= required;
+        let attempts_lost = shard.has_lost(FAILOVER_LOST_FRACTION);
         (health.is_unresponsive() || health.is_unreachable() && attempts_lost)
-            && now - shard.state_since > FAILOVER_DELAY
+            && now - shard.state_since() > FAILOVER_DELAY
             && !self.keeps_primary(shard, now)
     }
 
@@ -75,7 +74,7 @@
     pub(super) fn primary_serves(&self, primary: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
         let is_reachable = !host.health.is_ejected(now) && !host.health.is_unreachable();
-        match shard.state {
+        match shard.state() {
             _ if self.is_past_drain_grace(primary, now) => false,
             ShardState::Healthy => host.replication.role() != Some(Role::Replica),
             // Beyond the design: an unresponsive host is tried with a request occasionally.
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -71,7 +71,7 @@
         shard.health_check_budget.deposit(checks, max);
         if !is_in_use(shard, now) {
             // The state of an unused shard may be outdated.
-            shard.next_check_review = now;
+            shard.schedule_review(now);
         }
         shard.recent_requests.add(1.0, now, RECENT_REQUESTS_WINDOW);
     }
--- a/crates/comethitch-policy/src/policy/periodic_checks.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -30,7 +30,8 @@
             }
             self.health_checks.record_visited(shard_id);
             self.run_due_health_checks_of(shard_id, out);
-            self.shards[shard_id].next_check_review = self.next_check_review(shard_id, now);
+            let next_review = self.next_review(shard_id, now);
+            self.shards[shard_id].schedule_review(next_review);
         }
     }
 
@@ -44,7 +45,7 @@
     ///
     /// The time is bounded by a review interval, as requests may need a check, or pay for one, without any other event.
     /// A shard that is not in use is reviewed less often; its next request brings the review forward.
-    fn next_check_review(&self, shard_id: ShardId, now: Timestamp) -> Timestamp {
+    fn next_review(&self, shard_id: ShardId, now: Timestamp) -> Timestamp {
         if self.health_checks.is_exhausted() {
             return now;
         }
@@ -64,7 +65,7 @@
         let refreshes_on_demand = self.settings.refreshes_on_demand();
         match &shard.primary {
             _ if refreshes_on_demand && !is_in_use(shard, now) => &[],
-            Some(primary) if refreshes_on_demand && shard.state != ShardState::Failover => {
+            Some(primary) if refreshes_on_demand && shard.state() != ShardState::Failover => {
                 std::slice::from_ref(primary)
             }
             _ => &shard.members,
@@ -119,7 +120,7 @@
     fn is_check_urgent(&self, index: HostIndex) -> bool {
         let shard = self.shard_of(index);
         let is_draining = |primary: HostIndex| self.hosts[primary].listing.is_draining();
-        let lacks_primary = shard.state == ShardState::Failover || shard.primary.is_none_or(is_draining);
+        let lacks_primary = shard.state() == ShardState::Failover || shard.primary.is_none_or(is_draining);
         lacks_primary || self.hosts[index].health.is_unresponsive() || self.is_doubtful_primary(index)
     }
 
@@ -127,7 +128,7 @@
     fn is_doubtful_primary(&self, index: HostIndex) -> bool {
         let shard = self.shard_of(index);
         let was_replica = self.hosts[index].replication.role() == Some(Role::Replica);
-        shard.is_primary(index) && (shard.state == ShardState::Unhealthy || was_replica)
+        shard.is_primary(index) && (shard.state() == ShardState::Unhealthy || was_replica)
     }
 
     /// Returns whether a health check would show what nothing else does.
@@ -137,7 +138,7 @@
     fn is_check_needed(&self, index: HostIndex, now: Timestamp) -> bool {
         let shard = self.shard_of(index);
         let is_silent = self.hosts[index].health.silent_for(now) >= PRIMARY_CHECK_AFTER_SILENCE;
-        let is_needed = (shard.state == ShardState::Failover || shard.primary.is_none())
+        let is_needed = (shard.state() == ShardState::Failover || shard.primary.is_none())
             || self.is_doubtful_primary(index)
             || shard.is_primary(index) && is_silent;
         !self.settings.refreshes_on_demand() || is_needed && is_in_use(shard, now)
--- a/crates/comethitch-policy/src/policy/position_refresh.rs
+++ b/crates/comethitch-policy/src/policy/position_refresh.rs
@@ -80,7 +80,7 @@
             Consistency::Eventual => None,
             // Whether an Unhealthy shard keeps its primary shows in whether its other members advance.
             Consistency::Write | Consistency::Strong => {
-                (shard.state == ShardState::Unhealthy).then(|| host_time - fresh_for(SILENCE_TIMEOUT))
+                (shard.state() == ShardState::Unhealthy).then(|| host_time - fresh_for(SILENCE_TIMEOUT))
             }
         }
     }
--- a/crates/comethitch-policy/src/policy/reports.rs
+++ b/crates/comethitch-policy/src/policy/reports.rs
@@ -50,9 +50,8 @@
         }
         self.hosts[index].replication.confirm_primary(now);
         let shard = &mut self.shards[shard_id];
-        if shard.state != ShardState::Healthy || !shard.is_primary(index) {
-            shard.primary = Some(index);
-            shard.enter(ShardState::Healthy, now);
+        if shard.state() != ShardState::Healthy || !shard.is_primary(index) {
+            shard.enter_healthy(index, now);
             self.drain_queues(shard_id, out);
         }
     }
@@ -67,12 +66,12 @@
             let is_newer = |primary: HostIndex| position > self.hosts[primary].replication.position();
             return by_answer || shard.primary.is_none_or(is_newer);
         }
-        match shard.state {
+        match shard.state() {
             ShardState::Healthy => true,
             ShardState::Unhealthy => by_answer || !host.health.is_unresponsive(),
             // A report from before the Failover is no evidence that it has ended.
             ShardState::Failover => {
-                let since = self.host_clock.estimated(shard.state_since);
+                let since = self.host_clock.estimated(shard.state_since());
                 by_answer || (host.replication.position() > since && !host.health.is_unresponsive())
             }
         }
--- a/crates/comethitch-policy/src/policy/router.rs
+++ b/crates/comethitch-policy/src/policy/router.rs
@@ -132,7 +132,7 @@
 
     /// Returns each shard's state and its number of failovers, for the log.
     pub fn shard_states(&self) -> impl Iterator<Item = (ShardId, ShardState, u32)> {
-        self.shards.iter().map(|(shard_id, shard)| (shard_id, shard.state, shard.serial))
+        self.shards.iter().map(|(shard_id, shard)| (shard_id, shard.state(), shard.serial()))
     }
 
     /// Returns the number of allocated host entries; those of removed hosts are reused.
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -63,7 +63,7 @@
         let may_repeat = self.class_of(request).idempotency != Idempotency::NonIdempotent;
         match shard.primary {
             // A router that has just started checks all hosts before it gives up on a primary.
-            None if shard.serial == 0 => Selection::Wait,
+            None if shard.serial() == 0 => Selection::Wait,
             Some(primary) if self.primary_serves(primary, shard, now) => {
                 let member = Member::of_all_routers(primary);
                 let has_capacity = self.has_capacity(&member, request.request_class, now);
@@ -144,7 +144,7 @@
         if is_session_read && host.load.in_flight() == Duration::ZERO {
             work = work.scaled(self.admission_sample(primary, now));
         }
-        self.shard_of(primary).state != ShardState::Failover
+        self.shard_of(primary).state() != ShardState::Failover
             && host.replication.role() != Some(Role::Replica)
             && self.is_open(request, &Member::of_all_routers(primary), now)
             && host.load.in_flight() + work <= host.load.limit().scaled(PRIMARY_READ_FRACTION)
--- a/crates/comethitch-policy/src/shard.rs
+++ b/crates/comethitch-policy/src/shard.rs
@@ -26,15 +26,6 @@
     pub primary: Option<HostIndex>,
     /// The primary according to the endpoint list.
     pub listed_primary: Option<HostIndex>,
-    /// Number of failovers seen.
-    pub serial: u32,
-    pub state: ShardState,
-    /// When the shard entered its state.
-    pub state_since: Timestamp,
-    /// Number of attempts that were in flight to the primary when the shard became Unhealthy.
-    pub in_flight_at_fault: u32,
-    /// Number of these that were lost.
-    pub lost_since_fault: u32,
     pub health_check_budget: HealthCheckBudget,
     pub recent_requests: DecayingCounter,
     /// Limits on the work in flight to all members together, by request class.
@@ -45,8 +36,15 @@
     pub ranking: Ranking,
     /// Number of members that have answered a request of this router.
     pub answered_members: usize,
-    /// When health checks and state are reviewed next for what time alone changes.
-    pub next_check_review: Timestamp,
+    state: ShardState,
+    state_since: Timestamp,
+    /// Number of failovers.
+    serial: u32,
+    /// Number of attempts that were in flight to the primary when the shard became Unhealthy.
+    in_flight_at_fault: u32,
+    /// Number of these that were lost.
+    lost_since_fault: u32,
+    next_review: Timestamp,
 }
 
 impl Shard {
@@ -69,10 +67,25 @@
         self.ranking.invalidate();
     }
 
-    /// Enters a state.
-    pub(crate) fn enter(&mut self, state: ShardState, now: Timestamp) {
-        self.state = state;
-        self.state_since = now;
+    /// Returns the state of the believed primary.
+    pub(crate) fn state(&self) -> ShardState {
+        self.state
+    }
+
+    /// Returns when the shard entered its state.
+    pub(crate) fn state_since(&self) -> Timestamp {
+        self.state_since
+    }
+
+    /// Returns the number of failovers seen.
+    pub(crate) fn serial(&self) -> u32 {
+        self.serial
+    }
+
+    /// Enters Healthy, with this host as the believed primary.
+    pub(crate) fn enter_healthy(&mut self, primary: HostIndex, now: Timestamp) {
+        self.primary = Some(primary);
+        self.enter(ShardState::Healthy, now);
     }
 
     /// Enters Unhealthy, with this number of attempts in flight to the primary.
@@ -82,15 +95,40 @@
         self.lost_since_fault = 0;
     }
 
-    /// Enters Failover, and has the members reviewed at once.
+    /// Enters Failover, and schedules a review at once.
     pub(crate) fn enter_failover(&mut self, now: Timestamp) {
         self.enter(ShardState::Failover, now);
         self.serial += 1;
-        self.next_check_review = now;
+        self.next_review = now;
+    }
+
+    fn enter(&mut self, state: ShardState, now: Timestamp) {
+        self.state = state;
+        self.state_since = now;
+    }
+
+    /// Records that an attempt was lost which was in flight when the shard became Unhealthy.
+    pub(crate) fn record_lost_attempt(&mut self) {
+        self.lost_since_fault += 1;
+    }
+
+    /// Returns whether at least this fraction of the attempts in flight at the fault were lost.
+    pub(crate) fn has_lost(&self, fraction: f64) -> bool {
+        f64::from(self.lost_since_fault) >= fraction * f64::from(self.in_flight_at_fault)
+    }
+
+    /// Returns when health checks and state are reviewed next for what time alone changes.
+    pub(crate) fn next_review(&self) -> Timestamp {
+        self.next_review
+    }
+
+    /// Sets the time of the next review.
+    pub(crate) fn schedule_review(&mut self, at: Timestamp) {
+        self.next_review = at;
     }
 
     /// Moves the next review forward, unless it is due earlier.
     pub(crate) fn review_by(&mut self, at: Timestamp) {
-        self.next_check_review = self.next_check_review.min(at);
+        self.next_review = self.next_review.min(at);
     }
 }
--- a/crates/comethitch-policy/src/shard_table.rs
+++ b/crates/comethitch-policy/src/shard_table.rs
@@ -39,7 +39,7 @@
 
     /// Returns the shards whose health checks and state are to be reviewed by now.
     pub(crate) fn due_for_review(&self, now: Timestamp) -> Vec<ShardId> {
-        let due = self.iter().filter(|(_, shard)| shard.next_check_review <= now);
+        let due = self.iter().filter(|(_, shard)| shard.next_review() <= now);
         due.map(|(shard_id, _)| shard_id).collect()
     }
 }
