--- a/crates/comethitchd/src/state/stall_detector.rs
+++ b/crates/comethitchd/src/state/stall_detector.rs
@@ -19,8 +19,8 @@
     until: Timestamp,
 }
 
-/// Observes readings of the clock. As the policy is called at every tick, a longer gap between two readings than
-/// [`MAX_QUIET_TICKS`] is a stall.
+/// Observes readings of the clock. As the policy is called at every tick, a gap of more than two ticks between two
+/// readings is a stall.
 pub struct StallDetector {
     last_observation: Cell<Timestamp>,
     last_stall: Cell<Stall>,
