--- a/crates/comethitch-lab/src/live/exchange.rs
+++ b/crates/comethitch-lab/src/live/exchange.rs
@@ -67,7 +67,6 @@
     /// Sends the request on the idle connection or a new one, and waits for the answer. Sends it again on a new
     /// connection if the router has closed the idle one before it read the request.
     pub(super) async fn run(&self, idle: Option<Async<TcpStream>>) -> Option<Answer> {
-        let query = message(message_type::QUERY, self.query().as_bytes());
         let started = now();
         let reused = idle.is_some();
         let stream = match idle {
@@ -75,29 +74,25 @@
             None => self.connect().await?,
         };
         self.record_received();
-        let reply = self.execute(stream, &query).await;
+        let first_sent = now();
+        let reply = self.execute(stream, &self.query(self.timeout())).await;
         let must_answer = self.fleet.processes.borrow().must_answer(self.router);
         if !reused || !must_answer || reply.started || now() - started > CLOSE_RACE_LIMIT {
             return reply.answer;
         }
-        match self.connect().await {
+        let connection = self.connect().await;
+        // The client's deadline is that of the first query.
+        let query = self.query(self.timeout() - (now() - first_sent));
+        match connection {
             Some(stream) => self.execute(stream, &query).await.answer,
             // The router has shut down meanwhile.
             None => self.execute_at_other_router(&query).await,
         }
     }
 
-    fn query(&self) -> String {
-        let number = self.number;
-        let statement = if self.request.write {
-            format!(r"INSERT INTO facts (code, data) VALUES ('{number:016x}', '\x9f03') RETURNING data")
-        } else {
-            format!("SELECT data FROM facts WHERE code = '{number:016x}'")
-        };
-        let class = if self.request.write { "write" } else { "read" };
-        let timeout_ms = self.fleet.trial.timeout_ms;
-        let shard = self.request.shard;
-        format!("/* id={number:016x},c={class},d={timeout_ms},cluster={shard} */ {statement}\0")
+    fn query(&self, remaining_timeout: Duration) -> Vec<u8> {
+        let text = query_text(self.number, self.request, remaining_timeout);
+        message(message_type::QUERY, text.as_bytes())
     }
 
     async fn connect(&self) -> Option<Async<TcpStream>> {
@@ -184,7 +179,23 @@
     }
 }
 
+/// Returns the query of a request whose client waits for the remaining timeout, at least one millisecond.
+fn query_text(number: u64, request: ClientRequest, remaining_timeout: Duration) -> String {
+    let statement = if request.write {
+        format!(r"INSERT INTO facts (code, data) VALUES ('{number:016x}', '\x9f03') RETURNING data")
+    } else {
+        format!("SELECT data FROM facts WHERE code = '{number:016x}'")
+    };
+    let class = if request.write { "write" } else { "read" };
+    let timeout_ms = (remaining_timeout.as_micros() / 1_000).max(1);
+    let shard = request.shard;
+    format!("/* id={number:016x},c={class},d={timeout_ms},cluster={shard} */ {statement}\0")
+}
+
 fn error_answer(body: &[u8]) -> Answer {
     let has_code = |code: &&[u8]| body.windows(code.len()).any(|bytes| bytes == *code);
     if THROTTLE_CODES.iter().any(has_code) { Answer::Throttled } else { Answer::Failed }
 }
+
+#[cfg(test)]
+mod tests;
