--- a/crates/comethitch-policy/src/admission_queue.rs
+++ b/crates/comethitch-policy/src/admission_queue.rs
@@ -91,3 +91,6 @@
         round
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/comethitch-policy/src/host_table.rs
+++ b/crates/comethitch-policy/src/host_table.rs
@@ -93,3 +93,6 @@
         &mut self.entries[index]
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -8,7 +8,8 @@
 //! - [`deployment`]: the settings, and the parser of a start message,
 //! - [`request_class`], [`host`], [`outcome`], [`send`]: what requests require, what hosts report, how attempts end,
 //! - `request_table`, `host_table`, `shard_table` and `admission_queue`: the state that decisions are based on. A host is a
-//!   `listing`, a `replication_status`, a `host_health`, a `health_check_state` and a `host_load`,
+//!   `listing`, a `replication_status`, a `host_health`, a `health_check_state` and a `host_load`; a shard has a
+//!   `health_check_budget`,
 //! - [`histogram`], [`random`], `random_source`, [`session_commits`]: general data structures.
 //!
 //! Nothing outside [`policy`] depends on it.
--- a/crates/comethitch-policy/src/policy/event_loop_lag.rs
+++ b/crates/comethitch-policy/src/policy/event_loop_lag.rs
@@ -31,3 +31,6 @@
         self.recent_max
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/comethitch-policy/src/policy/health_check_scheduler.rs
+++ b/crates/comethitch-policy/src/policy/health_check_scheduler.rs
@@ -60,3 +60,6 @@
         admitted
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -18,8 +18,8 @@
 const MAX_OFFSETS: usize = 16;
 /// How long to wait for a primary's report before falling back to replicas' reports.
 const PRIMARY_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Number of consecutive unanswered polls before the poll interval starts to double.
-const POLLS_BEFORE_BACKOFF: u32 = 4;
+/// Maximum number of unanswered polls after which the next one still comes at the shortest interval.
+const MAX_UNANSWERED_BEFORE_BACKOFF: u32 = 4;
 /// Maximum number of times that the poll interval doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Minimum number of primaries' reports for correcting a wrong clock.
@@ -81,7 +81,8 @@
 
 impl PollSchedule {
     fn record_poll(&mut self, now: Timestamp) {
-        let doublings = self.unanswered.saturating_sub(POLLS_BEFORE_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
+        let doublings =
+            self.unanswered.saturating_sub(MAX_UNANSWERED_BEFORE_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
         self.next_at = now + HEALTH_CHECK_RETRY_INTERVAL * (1 << doublings);
         self.sent += 1;
         self.unanswered += 1;
@@ -186,3 +187,6 @@
         ClockState::Corrected { offset, uncertainty: newest - sorted[sorted.len() / 2 - 1] }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/comethitch-policy/src/policy/retry_budget.rs
+++ b/crates/comethitch-policy/src/policy/retry_budget.rs
@@ -39,3 +39,6 @@
         self.available > MIN_FOR_HEDGING
     }
 }
+
+#[cfg(test)]
+mod tests;
