--- a/crates/comethitch-tds/src/request/mod.rs
+++ b/crates/comethitch-tds/src/request/mod.rs
@@ -9,7 +9,7 @@
 mod procedure;
 
 pub use batch::Batch;
-pub use call::{Argument, Call, Parameter};
+pub use call::{Call, CallArgument, Parameter};
 pub use call_writer::CallWriter;
 pub use declarations::declared_names;
 pub use headers::Headers;
--- a/crates/comethitchd/src/protocols/tds/client/operation.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -4,12 +4,13 @@
 use super::reply::{ReplyFraming, put_handle};
 use crate::protocols::client_connection::Disconnect;
 use crate::protocols::tds::prepared::PreparedStatements;
+use comethitch_statement::assign::Argument;
 use comethitch_statement::classify::only_settings;
 use comethitch_statement::{Dialect, Lexer};
 use comethitch_tds::MalformedMessage;
 use comethitch_tds::packet::MessageKind;
 use comethitch_tds::request::{
-    Argument, Batch, Call, CallWriter, Procedure, SystemProcedure, declared_names,
+    Batch, Call, CallArgument, CallWriter, Procedure, SystemProcedure, declared_names,
 };
 use comethitch_tds::token::code;
 use comethitch_tds::types::Value;
@@ -44,7 +45,7 @@
     /// The text, by which the statement is admitted.
     pub text: String,
     /// The values of the parameters by name; `None` for a value of a type that is not decoded.
-    pub arguments: Vec<(String, Option<Vec<u8>>)>,
+    pub arguments: Vec<Argument>,
     /// The kind of the message to the host.
     pub kind: MessageKind,
     /// The payload of the message to the host.
@@ -227,14 +228,14 @@
 }
 
 /// Returns the values of a statement's parameters by name. Unnamed ones get the declared names, by position.
-fn argument_values(call: &Call, declarations: &str) -> Vec<(String, Option<Vec<u8>>)> {
+fn argument_values(call: &Call, declarations: &str) -> Vec<Argument> {
     let declared = declared_names(declarations);
-    let named_value = |(position, Argument { name, value }): (usize, Argument<'_>)| {
+    let named_value = |(position, CallArgument { name, value }): (usize, CallArgument<'_>)| {
         let name = match name {
             "" => declared.get(position).cloned().unwrap_or_default(),
             name => name.to_lowercase(),
         };
-        (name, text_value(value))
+        Argument { name, value: text_value(value) }
     };
     call.arguments().enumerate().map(named_value).collect()
 }
--- a/crates/comethitchd/tests/endings.rs
+++ b/crates/comethitchd/tests/endings.rs
@@ -17,14 +17,6 @@
 /// How much later than it should something may happen on a busy machine.
 const BUSY_MACHINE_SLACK: Duration = Duration::from_millis(400);
 
-fn answer(value: &str) -> HostAction {
-    HostAction::Answer(row(value.as_bytes()))
-}
-
-fn router_with_one_host(primary: &Host) -> Router {
-    Router::start(configuration(&[entry("p", primary.address, true, "ready")], None, 1024))
-}
-
 fn queries(host: &Host) -> usize {
     host.met.try_iter().filter(|met| matches!(met, HostEvent::Query(_))).count()
 }
@@ -287,7 +279,7 @@
     }
     std::fs::write(&program.file, all.to_string()).expect("written");
     program.signal("HUP");
-    program.logs("settings.classes has changed");
+    program.logs("setting changed, effective after restart key=settings.classes");
     (0..2).for_each(|_| tell.send(()).expect("told"));
     assert_eq!(writer.receive(), ClientReply::Error("40003".into()), "it may have run: it is no read now");
     assert_eq!(
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -11,16 +11,7 @@
 use support::*;
 
 fn rules() -> Value {
-    json!({
-        "dialect": "postgres",
-        "disagreement": "refuse",
-        "commentless": {"wait_ms": 1500},
-        "groups": [
-            {"group": "read", "effects": ["read"]},
-            {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}
-        ],
-        "elsewhere": 0
-    })
+    statement_rules("postgres", 1500)
 }
 
 struct Row {
@@ -318,14 +309,14 @@
         put(&fixed);
         program.signal("HUP");
         // Whichever comes first, so that a fault is told and not waited out.
-        let outcomes = ["configuration reload failed", "statements are judged by"];
+        let outcomes = ["configuration reload failed", "statement rules replaced"];
         let told = program.log.find(|line| outcomes.iter().any(|outcome| line.contains(outcome)));
         assert!(told.is_some_and(|line| line.contains(&format!("error={key}"))), "{key} is fixed");
     }
     rules["commentless"] = json!({"wait_ms": 900});
     put(&rules);
     program.signal("HUP");
-    program.logs("statements are judged by other rules");
+    program.logs("statement rules replaced");
     assert_eq!(client.ask("SELECT 1"), ClientReply::Value(b"value".to_vec()));
     program.signal("TERM");
     program.ends();
