--- a/crates/comethitch-fleet/src/quota.rs
+++ b/crates/comethitch-fleet/src/quota.rs
@@ -50,7 +50,7 @@
     /// Returns the minimum fraction of its capacity that a host has now, from `initial_capacity` to 1.
     ///
     /// Returns 1 if the time of its start is unknown.
-    pub fn warm_part(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
+    pub fn warm_fraction(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
         let passed = (now - started).ratio(self.warmup).min(1.0);
         self.initial_capacity + (1.0 - self.initial_capacity) * passed
@@ -101,15 +101,15 @@
     /// ```
     /// use comethitch_fleet::quota::Window;
     /// use comethitch_time::{Duration, Timestamp};
-    /// let draw = |hash_seed, now, length| Window { hash_seed, host_key: 77, now, length }.draw();
+    /// let sample = |hash_seed, now, length| Window { hash_seed, host_key: 77, now, length }.sample();
     /// let (now, length) = (Timestamp::from_millis(1_000), Duration::from_millis(250));
-    /// let below = (0..1000).filter(|router| draw(*router * 7_919, now, length) < 0.25).count();
+    /// let below = (0..1000).filter(|router| sample(*router * 7_919, now, length) < 0.25).count();
     /// assert!((200..300).contains(&below), "a quarter of all routers are below 0.25");
     /// let length = Duration::from_micros(100);
-    /// let later = draw(5, Timestamp::from_micros(90), length);
-    /// assert_eq!(draw(5, Timestamp::ZERO, length), later, "the number is constant within a window");
+    /// let later = sample(5, Timestamp::from_micros(90), length);
+    /// assert_eq!(sample(5, Timestamp::ZERO, length), later, "the number is constant within a window");
     /// ```
-    pub fn draw(&self) -> f64 {
+    pub fn sample(&self) -> f64 {
         hash::uniform([self.hash_seed, self.host_key, self.number()])
     }
 }
@@ -137,7 +137,7 @@
     /// The budget is rounded up or down to a multiple of `cost`, at random and once per router, host and window. On
     /// average over many windows the budget is spent, even if it is only a fraction of one request.
     pub fn admits(&self, cost: f64, budget: f64, window: &Window) -> bool {
-        self.spent_in(window.number()) + cost * (1.0 - window.draw()) < budget
+        self.spent_in(window.number()) + cost * (1.0 - window.sample()) < budget
     }
 }
 
--- a/crates/comethitch-fleet/src/quota/tests.rs
+++ b/crates/comethitch-fleet/src/quota/tests.rs
@@ -51,9 +51,9 @@
         let most = 2.5 * 0.2 * 0.4 * 300.0 * peer_load;
         assert!(all <= most * 1.0001 && all > most * 0.8, "{router_share}: {all} for {most}");
     }
-    let half_warm = slow_start.warm_part(Some(Timestamp::ZERO), Timestamp::from_millis(9_000));
+    let half_warm = slow_start.warm_fraction(Some(Timestamp::ZERO), Timestamp::from_millis(9_000));
     assert!((half_warm - 0.6).abs() < 1e-9);
-    assert_eq!(slow_start.warm_part(None, Timestamp::ZERO), 1.0);
+    assert_eq!(slow_start.warm_fraction(None, Timestamp::ZERO), 1.0);
     // The budget follows the answered work: half of the overload multiple of it.
     assert_eq!(slow_start.budget(0.2, 1.0, 0.0, 400_000.0), 500_000.0);
 }
--- a/crates/comethitch-policy/src/policy/capacity.rs
+++ b/crates/comethitch-policy/src/policy/capacity.rs
@@ -100,7 +100,7 @@
     /// occasionally.
     pub(super) fn admission_sample(&self, index: HostIndex, now: Timestamp) -> f64 {
         let length = self.settings.shortest_objective() / SAMPLE_WINDOW_DIVISOR;
-        self.window(index, now, length).draw()
+        self.window(index, now, length).sample()
     }
 
     /// Returns the estimated work of a request of this class.
--- a/crates/comethitch-policy/src/policy/lookups.rs
+++ b/crates/comethitch-policy/src/policy/lookups.rs
@@ -38,7 +38,7 @@
             return 1.0;
         }
         let host_time = self.earliest_host_time(now).or(started).unwrap_or(now);
-        self.settings.slow_start().warm_part(started, host_time)
+        self.settings.slow_start().warm_fraction(started, host_time)
     }
 
     /// Returns how many routers use a host, if their subsets have this size; all routers use a primary.
