--- a/crates/comethitch-policy/src/actions.rs
+++ b/crates/comethitch-policy/src/actions.rs
@@ -68,7 +68,7 @@
     Fail {
         /// The request.
         request: RequestId,
-        /// Why the request is given up.
+        /// Why the request is rejected.
         reason: RejectionReason,
     },
     /// Sends a health check.
--- a/crates/comethitch-policy/src/send.rs
+++ b/crates/comethitch-policy/src/send.rs
@@ -4,13 +4,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRefusal {
     /// The request has its final answer, or its client has disconnected.
-    #[error("the command is finished")]
+    #[error("the request is finished")]
     RequestFinished,
     /// The attempt was cancelled, or has ended.
     #[error("the attempt has ended")]
     AttemptEnded,
     /// The client no longer waits.
-    #[error("the command's deadline has passed")]
+    #[error("the request's deadline has passed")]
     DeadlinePassed,
     /// The host's data may be older than the read allows.
     #[error("the host's data may be too old")]
