--- a/crates/comethitchd/tests/client_disconnects.rs
+++ b/crates/comethitchd/tests/client_disconnects.rs
@@ -10,7 +10,7 @@
 use support::{
     BUSY_MACHINE_SLACK, ClientReply, DISCONNECT_GRACE, Daemon, HostAction, HostEvent, LateHost,
     PostgresClient, Router, ScriptedHost, answer, message, pipelined_writes, query,
-    single_primary_configuration, startup, write_request,
+    single_primary_configuration, startup_message, write_request,
 };
 
 /// How a client disconnects.
@@ -77,7 +77,7 @@
         // The kernel buffers what arrives while the router is stopped.
         daemon.signal("STOP");
         let mut new = PostgresClient::connect_without_startup(daemon.address);
-        new.stream.write_all(&[startup(), query(&write_request(2, 5_000))].concat()).expect("sent");
+        new.stream.write_all(&[startup_message(), query(&write_request(2, 5_000))].concat()).expect("sent");
         open.send(&write_request(3, 5_000));
         let _half_open = [exit.apply(new), exit.apply(open)];
         sleep(DISCONNECT_GRACE);
@@ -128,7 +128,7 @@
 
 /// Logs in, and returns the process id and the secret key that the router sends.
 fn cancel_key(client: &mut PostgresClient) -> [u8; 8] {
-    client.stream.write_all(&startup()).expect("sent");
+    client.stream.write_all(&startup_message()).expect("sent");
     let mut received = Vec::new();
     let mut byte = [0];
     while !received.ends_with(&message(b'Z', b"I")) {
--- a/crates/comethitchd/tests/limits.rs
+++ b/crates/comethitchd/tests/limits.rs
@@ -10,7 +10,7 @@
 use support::{
     ClientReply, DISCONNECT_GRACE, Daemon, HostEvent, PostgresClient, Router, ScriptedHost, TEST_TIMEOUT,
     answer, configuration_with_sockets, gate, pipelined_writes, query, read_http_request, read_request,
-    ready_primary, single_primary_configuration, startup, write_request,
+    ready_primary, single_primary_configuration, startup_message, write_request,
 };
 
 /// Descriptor limit that a test can reach.
@@ -102,8 +102,9 @@
         .map(|nth| {
             let mut client = PostgresClient::connect_without_startup(daemon.address);
             if nth % 2 == 0 {
-                let _ =
-                    client.stream.write_all(&[startup(), query(&write_request(1_000 + nth, 9_000))].concat());
+                let _ = client
+                    .stream
+                    .write_all(&[startup_message(), query(&write_request(1_000 + nth, 9_000))].concat());
             }
             client
         })
@@ -151,7 +152,7 @@
     // Incomplete messages of falling size, until the memory budget has no room for the smallest read.
     let mut others: Vec<PostgresClient> = Vec::new();
     for (number, bytes) in [(100, 120_000), (6, 30_000), (8, 7_000), (10, 1_500), (10, 600)] {
-        let incomplete = [startup(), query(&"x".repeat(130_000))[..bytes].to_vec()].concat();
+        let incomplete = [startup_message(), query(&"x".repeat(130_000))[..bytes].to_vec()].concat();
         for _ in 0..number {
             let mut other = PostgresClient::connect_without_startup(router.address);
             let _ = other.stream.write_all(&incomplete);
--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime};
 use support::{
     ClientReply, DISCONNECT_GRACE, Daemon, LateHost, PostgresClient, Router, ScriptedHost, answer,
-    configuration, message, parameter, read_request, ready, ready_primary, ready_replica, row,
+    configuration, message, parameter_status, read_request, ready, ready_primary, ready_replica, row,
     single_primary_configuration, write_request,
 };
 
@@ -101,7 +101,9 @@
         let unix = position.duration_since(SystemTime::UNIX_EPOCH).ok()?.as_millis();
         let vitals = format!("x0={}.{:03},x1=0", unix / 1000, unix % 1000);
         let value = if is_long { "stale".into() } else { vitals };
-        stream.write_all(&[row(value.as_bytes()), parameter("rank", "copy"), ready()].concat()).ok()?;
+        stream
+            .write_all(&[row(value.as_bytes()), parameter_status("rank", "copy"), ready()].concat())
+            .ok()?;
     }
 }
 
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -10,7 +10,7 @@
 use support::{
     ClientReply, HostAction, HostEvent, PostgresClient, Router, ScriptedHost, TEST_TIMEOUT, answer,
     configuration, error, message, query, read_request, ready, ready_primary, ready_replica, row,
-    single_primary_configuration, startup, unreachable_address, write_request,
+    single_primary_configuration, startup_message, unreachable_address, write_request,
 };
 
 #[test]
@@ -24,7 +24,7 @@
     client.stream.read_exact(&mut declined).expect("an answer");
     assert_eq!(&declined, b"N");
     let (first, second) = (write_request(1, 2_000), write_request(2, 2_000));
-    let bytes = [startup(), query(""), query(&first), query(&second), query("SET a = 1")].concat();
+    let bytes = [startup_message(), query(""), query(&first), query(&second), query("SET a = 1")].concat();
     for byte in bytes {
         client.stream.write_all(&[byte]).expect("sent");
     }
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -24,7 +24,9 @@
 pub(crate) mod scripted_host;
 
 pub(crate) use comethitch_testkit::TEST_TIMEOUT;
-pub(crate) use comethitch_testkit::postgres::{error, message, query, row};
+pub(crate) use comethitch_testkit::postgres::{
+    error, message, parameter_status, query, row, startup_message,
+};
 pub(crate) use configuration::{
     SAMPLE_CONFIGURATION, configuration, configuration_with_discovery, configuration_with_sockets, endpoint,
     ready_primary, ready_replica, single_primary_configuration, statement_rules, unreachable_address,
@@ -34,7 +36,7 @@
 pub(crate) use discovery_agent::{AgentBehavior, DiscoveryAgent};
 pub(crate) use gate::gate;
 pub(crate) use late_host::LateHost;
-pub(crate) use messages::{parameter, pipelined_writes, read_request, ready, startup, write_request};
+pub(crate) use messages::{pipelined_writes, read_request, ready, write_request};
 pub(crate) use postgres_client::{ClientReply, PostgresClient};
 pub(crate) use primary_and_replica::PrimaryAndReplica;
 pub(crate) use router::Router;
--- a/crates/comethitchd/tests/support/postgres_client.rs
+++ b/crates/comethitchd/tests/support/postgres_client.rs
@@ -3,8 +3,8 @@
 //! `comethitch_testkit::Client` speaks both protocols and classifies errors. This one returns SQLSTATEs as they are, and
 //! can connect without a startup message.
 
-use super::messages::{read_message, startup};
-use super::{TEST_TIMEOUT, query};
+use super::{TEST_TIMEOUT, query, startup_message};
+use comethitch_testkit::postgres::{Message, read_message};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 
@@ -45,7 +45,7 @@
     /// Connects and logs in.
     pub(crate) fn connect(address: SocketAddr) -> PostgresClient {
         let mut client = PostgresClient::connect_without_startup(address);
-        client.stream.write_all(&startup()).expect("the startup message is sent");
+        client.stream.write_all(&startup_message()).expect("the startup message is sent");
         assert_eq!(client.receive(), ClientReply::Done("welcome".into()));
         client
     }
@@ -71,7 +71,7 @@
     /// Reads the next reply, up to `ReadyForQuery` or the end of the connection.
     pub(crate) fn receive(&mut self) -> ClientReply {
         let mut reply = ClientReply::Closed;
-        while let Some((message_type, body)) = read_message(&mut self.stream) {
+        while let Ok(Message { message_type, body }) = read_message(&mut self.stream) {
             match message_type {
                 b'Z' => return reply,
                 b'R' => reply = ClientReply::Done("welcome".into()),
--- a/crates/comethitchd/tests/support/scripted_host.rs
+++ b/crates/comethitchd/tests/support/scripted_host.rs
@@ -3,8 +3,9 @@
 //! `comethitch_testkit::Host` speaks both protocols and records executions in a ledger. This one speaks PostgreSQL only:
 //! it can send arbitrary bytes, and reports when the router closes one of its connections.
 
-use super::messages::{greeting, parameter, read_message, ready};
-use super::{TEST_TIMEOUT, row};
+use super::messages::{greeting, ready};
+use super::{TEST_TIMEOUT, parameter_status, row};
+use comethitch_testkit::postgres::{Message, read_message};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -139,11 +140,11 @@
         let _ = stream.read_exact(&mut length);
         let _ = stream.read_exact(&mut vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4)]);
         let _ = stream.write_all(&greeting());
-        while let Some((b'Q', body)) = read_message(&mut stream) {
+        while let Ok(Message { message_type: b'Q', body }) = read_message(&mut stream) {
             let text = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
             match self.act(&text, observer) {
                 HostAction::Answer(answer) => {
-                    let rank = parameter("rank", if self.is_primary { "source" } else { "copy" });
+                    let rank = parameter_status("rank", if self.is_primary { "source" } else { "copy" });
                     let _ = stream.write_all(&[answer, rank, ready()].concat());
                 }
                 HostAction::Raw(bytes) => {
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -17,7 +17,9 @@
 use comethitchd::wire::{MalformedMessage, discovery, host_report, statement};
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
-use support::{SAMPLE_CONFIGURATION, endpoint, error, parameter, ready, ready_replica, row, startup};
+use support::{
+    SAMPLE_CONFIGURATION, endpoint, error, parameter_status, ready, ready_replica, row, startup_message,
+};
 
 /// Parses a response in pieces of this size. Returns an error if it is malformed.
 fn response_in_pieces(pieces: usize, bytes: &[u8]) -> Result<HostResponse, ResponseError> {
@@ -35,7 +37,7 @@
 
 #[test]
 fn response_is_parsed_the_same_at_every_split() {
-    let report = [parameter("rank", "source"), parameter("as_of", "1767225600123")].concat();
+    let report = [parameter_status("rank", "source"), parameter_status("as_of", "1767225600123")].concat();
     let bytes = [row(b"\x9f\x00\x03"), notice(), report, ready()].concat();
     for pieces in [1, 2, 3, 5, 7, bytes.len()] {
         let answer = response_in_pieces(pieces, &bytes).expect("an answer");
@@ -125,7 +127,7 @@
         Ok(Some(StartupMessage { request: StartupRequest::Cancel, length: 8 }))
     );
     assert!(postgres::startup_message(&code(2 << 16)).is_err());
-    let whole = startup();
+    let whole = startup_message();
     let opened = Some(StartupMessage { request: StartupRequest::Session { minor: 0 }, length: whole.len() });
     for end in 0..whole.len() {
         assert_eq!(postgres::startup_message(&whole[..end]), Ok(None));
