--- a/crates/comethitchd/tests/faults/main.rs
+++ b/crates/comethitchd/tests/faults/main.rs
@@ -173,11 +173,11 @@
 fn ledger_reports_violations_of_a_faulty_history() {
     let ledger = Ledger::default();
     let text = "INSERT INTO t VALUES ('k')".to_string();
-    let ran = |primary| Entry::Executed { host: "h".into(), text: text.clone(), primary };
-    ledger.record(ran(true));
-    ledger.record(ran(false));
-    let asked = |got: Vec<Reply>| vec![Exchange { text: text.clone(), answers: got }];
-    for (got, wanted) in [
+    let execution = |primary| Entry::Executed { host: "h".into(), text: text.clone(), primary };
+    ledger.record(execution(true));
+    ledger.record(execution(false));
+    let exchange = |answers: Vec<Reply>| vec![Exchange { text: text.clone(), answers }];
+    for (answers, expected) in [
         (vec![Reply::Failed("x".into())], vec!["write executed at replica", "write executed 2 times"]),
         (
             vec![Reply::Throttled],
@@ -189,9 +189,9 @@
             vec!["write executed at replica", "write executed 2 times", "of another request"],
         ),
     ] {
-        let violations = ledger.violations(&asked(got));
-        let broken: Vec<String> = violations.iter().map(ToString::to_string).collect();
-        assert_eq!(broken.len(), wanted.len(), "{broken:?}");
-        assert!(broken.iter().zip(wanted).all(|(broken, wanted)| broken.contains(wanted)), "{broken:?}");
+        let violations = ledger.violations(&exchange(answers));
+        let messages: Vec<String> = violations.iter().map(ToString::to_string).collect();
+        assert_eq!(messages.len(), expected.len(), "{messages:?}");
+        assert!(messages.iter().zip(expected).all(|(message, part)| message.contains(part)), "{messages:?}");
     }
 }
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -51,14 +51,14 @@
     }
     drop(client);
     router.shut_down();
-    let arrived_at = |wanted: &str, effect: &str| {
-        let of = |row: &&Value| row["effect"] == effect;
-        let came = |row: &&Value| {
+    let arrived_at = |name: &str, effect: &str| {
+        let has_effect = |row: &&Value| row["effect"] == effect;
+        let arrived = |row: &&Value| {
             let sql = row["sql"].as_str().expect("sql");
-            let at = |e: &Entry| matches!(e, Entry::Arrived { host, text } if host == wanted && text.ends_with(sql));
-            ledger.entries().iter().any(at)
+            let is_arrival = |entry: &Entry| matches!(entry, Entry::Arrived { host, text } if host == name && text.ends_with(sql));
+            ledger.entries().iter().any(is_arrival)
         };
-        rows.iter().filter(of).filter(came).count()
+        rows.iter().filter(has_effect).filter(arrived).count()
     };
     for effect in ["write", "unknown", "locking_read", "session"] {
         assert_eq!(arrived_at("r", effect), 0, "{effect} at the replica");
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Parsers of wire formats and of the configuration: complete input, input cut anywhere, and arbitrary bytes.
+//! Parsers of wire formats and of the configuration, with complete, truncated and arbitrary input.
 
 mod support;
 
@@ -61,12 +61,12 @@
     assert!(response_in_pieces(1, &cut).is_err(), "ready without CommandComplete");
     let twice = [row(b"x"), row(b"x"), ready()].concat();
     assert!(response_in_pieces(1, &twice).is_err(), "two values for one query");
-    let none = [support::message(b'C', b"INSERT 0 1\0"), ready()].concat();
-    assert!(!response_in_pieces(1, &none).expect("an answer").is_complete(), "a query without its row");
-    let late = [row(b"x"), error("XX000"), ready()].concat();
-    let late = response_in_pieces(1, &late).expect("an answer");
+    let no_row = [support::message(b'C', b"INSERT 0 1\0"), ready()].concat();
+    assert!(!response_in_pieces(1, &no_row).expect("an answer").is_complete(), "a query without its row");
+    let late_error = [row(b"x"), error("XX000"), ready()].concat();
+    let late_error = response_in_pieces(1, &late_error).expect("an answer");
     assert!(
-        !late.is_complete() && late.error_code.as_deref() == Some("XX000"),
+        !late_error.is_complete() && late_error.error_code.as_deref() == Some("XX000"),
         "an error after the value discards it"
     );
     assert!(
