--- a/crates/comethitch-statement/src/admission/known_shape.rs
+++ b/crates/comethitch-statement/src/admission/known_shape.rs
@@ -1,15 +1,15 @@
-//! What the cache holds for each shape.
+//! The cache's value for each shape.
 
 use crate::Verdict;
 use crate::cost::Cost;
-use crate::verdict::allocated;
+use crate::verdict::allocated_bytes;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What is known of a shape: its verdict, and what its statements have cost.
+/// A shape's verdict and learned cost.
 #[derive(Debug)]
 pub struct KnownShape {
-    /// What its statements may do, touch and cost.
+    /// The verdict on all statements of the shape.
     pub verdict: Verdict,
     pub(super) cost: RefCell<Cost>,
 }
@@ -19,9 +19,11 @@
         Rc::new(KnownShape { verdict, cost: RefCell::default() })
     }
 
-    /// The bytes that it takes, the reference counts and what the allocator adds included.
+    /// Returns the bytes that the shape occupies, including reference counts and allocator overhead.
     pub(super) fn memory_bytes(&self) -> usize {
-        allocated(size_of::<KnownShape>() + 2 * size_of::<usize>()) - size_of::<Verdict>()
-            + self.verdict.bytes()
+        let reference_counts = 2 * size_of::<usize>();
+        // The verdict counts its own size.
+        allocated_bytes(size_of::<KnownShape>() + reference_counts) - size_of::<Verdict>()
+            + self.verdict.memory_bytes()
     }
 }
--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Admission of a statement before it becomes a command: its text is read, its verdict looked up in the cache or
-//! worked out as far as the parsing budget goes, and the statement is assigned or rejected.
+//! Admits statements: classifies each by its text, and assigns it to a request class and shard or rejects it.
 //!
-//! This module puts the others together: [`Lexer`], [`Classifier`], [`Cache`], [`Budget`] and [`Assigner`].
+//! Combines the [`Lexer`], the [`Cache`] of verdicts, the [`Classifier`] within the parsing [`Budget`], and the
+//! [`Assigner`].
 //!
 //! ```
 //! use comethitch_policy::time::Timestamp;
@@ -23,7 +23,7 @@
 //! let clock = || Timestamp::ZERO;
 //! let mut class = |text: &str| {
 //!     let admitted = admission.admit(text.as_bytes(), StatementHints::default(), 1, &clock);
-//!     admitted.unwrap().assigned.class
+//!     admitted.unwrap().assignment.class
 //! };
 //! assert_eq!(class("SELECT data FROM facts"), 0);
 //! assert_eq!(class("SELECT cobrar(3)"), 1);
@@ -36,7 +36,7 @@
 pub use crate::hints::StatementHints;
 pub use counts::AdmissionCounts;
 pub use known_shape::KnownShape;
-pub use outcome::{AdmittedStatement, JudgedStatement, StatementRejection, VerdictSource};
+pub use outcome::{AdmittedStatement, ClassifiedStatement, StatementRejection, VerdictSource};
 
 use crate::assign::{Argument, Assigner, AssignmentError, PlaceholderValues, StatementValues};
 use crate::budget::{Budget, BudgetShares, Reservation};
@@ -50,7 +50,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The largest cache that rules may ask for.
+/// Maximum size of the cache.
 const MAX_CACHE_KIB: usize = 1 << 20;
 
 /// Admits statements by the operator's rules.
@@ -66,15 +66,15 @@
 }
 
 impl StatementAdmission {
-    /// All effects, in the order of [`AdmissionCounts::effects`].
+    /// The effects in the order of [`AdmissionCounts::effects`].
     pub const EFFECTS: [Effect; 5] =
         [Effect::Read, Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write];
 
-    /// Checks the rules against the deployment's request classes and their names.
+    /// Creates an admission after checking the rules against the deployment's request classes and their names.
     ///
     /// # Errors
     ///
-    /// The first fault in the rules.
+    /// Returns the first error in the rules.
     pub fn new(
         rules: Rules, classes: &[RequestClass], names: &[String], secret: Secret, now: Timestamp,
     ) -> Result<StatementAdmission, RulesError> {
@@ -92,165 +92,173 @@
         })
     }
 
-    /// The same without a parsing budget, for tools: whatever comes is parsed.
+    /// Creates an admission without a parsing budget, for tools.
     ///
     /// # Errors
     ///
-    /// The first fault in the rules.
+    /// Returns the first error in the rules.
     pub fn unlimited(
         rules: Rules, classes: &[RequestClass], names: &[String], secret: Secret,
     ) -> Result<StatementAdmission, RulesError> {
         let mut admission = StatementAdmission::new(rules, classes, names, secret, Timestamp::ZERO)?;
-        // Far more than any parse takes, and small enough to be multiplied.
+        // More than any parse takes, and small enough not to overflow when multiplied.
         let shares = BudgetShares { total: f64::MAX.sqrt(), client: 1.0 };
         admission.budget = Budget::new(shares, Timestamp::ZERO);
         Ok(admission)
     }
 
-    /// The rules that it follows.
+    /// Returns the rules in force.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// The bytes that the cache of shapes takes.
+    /// Returns the bytes that the cache occupies.
     pub fn memory_bytes(&self) -> usize {
         self.cache.memory_bytes()
     }
 
-    /// The cache's counts since the start.
+    /// Returns the cache's counts since the start.
     pub fn cache_counts(&self) -> CacheCounts {
         self.cache.counts()
     }
 
-    /// The counts since the last call.
+    /// Returns the counts since the last call, and resets them.
     pub fn take_counts(&mut self) -> AdmissionCounts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Looks a statement's verdict up, or parses it as far as the client's budget goes; none where that is exceeded
-    /// and the rules throttle. `clock` is read only where something is parsed.
-    pub fn judge(
+    /// Classifies a statement, from the cache or by parsing it within the client's budget.
+    ///
+    /// Returns `None` if the budget is exhausted and the rules throttle such statements. `clock` is read only when the
+    /// shape is not cached.
+    pub fn classify(
         &mut self, text: &[u8], client: u64, clock: &dyn Fn() -> Timestamp,
-    ) -> Option<JudgedStatement> {
+    ) -> Option<ClassifiedStatement> {
         self.lexer.read(text);
         let key = self.secret.key(self.lexer.shape());
-        let (known, source) = self.known_shape(key, client, clock)?;
-        self.counts.effects[known.verdict.effect as usize] += 1;
-        Some(JudgedStatement { known, key, source })
+        let classified = self.classify_shape(key, client, clock)?;
+        self.counts.effects[classified.shape.verdict.effect as usize] += 1;
+        Some(classified)
     }
 
-    fn known_shape(
+    fn classify_shape(
         &mut self, key: ShapeKey, client: u64, clock: &dyn Fn() -> Timestamp,
-    ) -> Option<(Rc<KnownShape>, VerdictSource)> {
+    ) -> Option<ClassifiedStatement> {
         if self.lexer.ambiguity().is_some() {
             self.counts.ambiguous += 1;
-            return Some((KnownShape::new(self.classify()), VerdictSource::Ambiguous));
+            let shape = KnownShape::new(self.compute_verdict());
+            return Some(ClassifiedStatement { shape, key, source: VerdictSource::Ambiguous });
         }
-        if let Some(known) = self.cache.get(key, client) {
+        if let Some(cached) = self.cache.get(key, client) {
             self.counts.hits += 1;
-            return Some((known.clone(), VerdictSource::CacheHit));
+            let shape = cached.clone();
+            return Some(ClassifiedStatement { shape, key, source: VerdictSource::CacheHit });
         }
         let began = clock();
         match self.budget.reserve(client, self.lexer.tokens().len(), began) {
             Reservation::Reserved(reserved) => {
-                let known = self.parse(client, reserved, began, clock);
-                self.cache.insert(key, known.clone(), known.memory_bytes(), client);
+                let shape = self.parse(client, reserved, began, clock);
+                self.cache.insert(key, shape.clone(), shape.memory_bytes(), client);
                 self.counts.parsed += 1;
-                return Some((known, VerdictSource::Parsed));
+                return Some(ClassifiedStatement { shape, key, source: VerdictSource::Parsed });
             }
             Reservation::TotalExceeded => self.counts.total_budget_exhausted += 1,
             Reservation::ClientExceeded => self.counts.client_budget_exhausted += 1,
         }
-        if self.rules.parsing.beyond == BudgetExceeded::Throttle {
+        self.classify_beyond_budget(key)
+    }
+
+    fn classify_beyond_budget(&self, key: ShapeKey) -> Option<ClassifiedStatement> {
+        if self.rules.parsing.when_exhausted == BudgetExceeded::Throttle {
             return None;
         }
         let verdict = self.classifier().classify_unparsed(&self.lexer, "the budget for parsing is spent");
-        Some((KnownShape::new(verdict), VerdictSource::BudgetExceeded))
+        let shape = KnownShape::new(verdict);
+        Some(ClassifiedStatement { shape, key, source: VerdictSource::BudgetExceeded })
     }
 
     fn parse(
         &mut self, client: u64, reserved: Duration, began: Timestamp, clock: &dyn Fn() -> Timestamp,
     ) -> Rc<KnownShape> {
-        // A copy, once all memory of the parser is free: what is kept long must not stand scattered among what is
-        // not.
-        let known = KnownShape::new(self.classify().clone());
+        // Cloned after the parser has freed its memory, so that long-lived verdicts do not fragment the heap.
+        let shape = KnownShape::new(self.compute_verdict().clone());
         let took = clock() - began;
         self.budget.correct(client, self.lexer.tokens().len(), reserved, took);
-        known
+        shape
     }
 
     fn classifier(&self) -> Classifier<'_> {
         Classifier::new(self.rules.dialect, &self.rules.catalogue)
     }
 
-    fn classify(&self) -> Verdict {
+    fn compute_verdict(&self) -> Verdict {
         self.classifier().classify(&self.lexer)
     }
 
-    /// Judges a statement, and decides where it goes.
+    /// Classifies a statement without separate arguments, and assigns it.
     ///
     /// # Errors
     ///
-    /// Why it is not admitted.
+    /// Returns the reason why the statement is not admitted.
     pub fn admit(
         &mut self, text: &[u8], hints: StatementHints, client: u64, clock: &dyn Fn() -> Timestamp,
     ) -> Result<AdmittedStatement, StatementRejection> {
-        self.admit_with(text, &[], hints, client, clock)
+        self.admit_with_arguments(text, &[], hints, client, clock)
     }
 
-    /// The same for a statement whose parameters' values came beside it.
+    /// Classifies a statement with the arguments of its parameters, and assigns it.
     ///
     /// # Errors
     ///
-    /// Why it is not admitted.
-    pub fn admit_with(
+    /// Returns the reason why the statement is not admitted.
+    pub fn admit_with_arguments(
         &mut self, text: &[u8], arguments: &[Argument], hints: StatementHints, client: u64,
         clock: &dyn Fn() -> Timestamp,
     ) -> Result<AdmittedStatement, StatementRejection> {
-        let judged = self.judge(text, client, clock).ok_or(StatementRejection::Throttled)?;
-        let source = judged.source;
-        let admitted = self.assign(judged, hints, text, arguments);
+        let classified = self.classify(text, client, clock).ok_or(StatementRejection::Throttled)?;
+        let source = classified.source;
+        let admitted = self.assign(classified, hints, text, arguments);
         match &admitted {
-            Ok(admitted) => self.counts.raised += u64::from(admitted.assigned.raised),
+            Ok(admitted) => self.counts.raised += u64::from(admitted.assignment.raised),
             Err(_) => self.counts.rejected += 1,
         }
         admitted.map_err(|error| match error {
-            // A retry may find the budget refilled.
+            // A retry may succeed once the budget has refilled.
             AssignmentError::NotParsed { .. } if source == VerdictSource::BudgetExceeded => {
                 StatementRejection::Throttled
             }
-            error => StatementRejection::Refused(error),
+            error => StatementRejection::Rejected(error),
         })
     }
 
-    /// Decides where the statement goes that was judged last.
+    /// Assigns the statement that was classified last.
     ///
     /// # Errors
     ///
-    /// Why it can't become a command.
+    /// Returns the reason why the statement cannot be assigned.
     pub fn assign(
-        &self, judged: JudgedStatement, hints: StatementHints, text: &[u8], arguments: &[Argument],
+        &self, classified: ClassifiedStatement, hints: StatementHints, text: &[u8], arguments: &[Argument],
     ) -> Result<AdmittedStatement, AssignmentError> {
-        let JudgedStatement { known, key, source } = judged;
+        let ClassifiedStatement { shape, key, source } = classified;
         let values: &dyn PlaceholderValues = &StatementValues { lexer: &self.lexer, text, arguments };
-        let lookups = known.verdict.features.guess();
+        let lookups = shape.verdict.features.estimated_lookups();
         let bounds = self.assigner.cost_bounds();
-        let band = known.cost.borrow_mut().band(bounds, self.lookup_time.get(), lookups);
-        let assigned = self.assigner.assign(&known.verdict, band, hints, values)?;
-        Ok(AdmittedStatement { assigned, known, key, source })
+        let cost_band = shape.cost.borrow_mut().band(bounds, self.lookup_time.get(), lookups);
+        let assignment = self.assigner.assign(&shape.verdict, cost_band, hints, values)?;
+        Ok(AdmittedStatement { assignment, shape, key, source })
     }
 
-    /// Records how long a host took to answer a statement of this shape.
-    pub fn learn(&self, known: &KnownShape, took: Duration) {
-        known.cost.borrow_mut().record(took);
+    /// Records the latency of a host's response to a statement of this shape.
+    pub fn record_latency(&self, shape: &KnownShape, latency: Duration) {
+        shape.cost.borrow_mut().record(latency);
         let mut lookup_time = self.lookup_time.get();
-        lookup_time.record(known.verdict.features.guess(), took);
+        lookup_time.record(shape.verdict.features.estimated_lookups(), latency);
         self.lookup_time.set(lookup_time);
     }
 }
 
 fn checked_shares(rules: &Rules) -> Result<BudgetShares, RulesError> {
-    let shares = BudgetShares { total: rules.parsing.core_part, client: rules.parsing.client_part };
+    let shares = BudgetShares { total: rules.parsing.core_share, client: rules.parsing.client_share };
     for (key, share) in [("core_part", shares.total), ("client_part", shares.client)] {
         if !(share > 0.0 && share <= 1.0) {
             return Err(RulesError::Share { key, share });
@@ -261,9 +269,9 @@
 
 fn checked_cache_bytes(rules: &Rules) -> Result<usize, RulesError> {
     let kib = rules.cache.kib;
-    let least = Cache::<Rc<KnownShape>>::MIN_BYTES >> 10;
-    if kib < least || kib > MAX_CACHE_KIB {
-        return Err(RulesError::CacheSize { least, most: MAX_CACHE_KIB, kib });
+    let min_kib = Cache::<Rc<KnownShape>>::MIN_BYTES >> 10;
+    if kib < min_kib || kib > MAX_CACHE_KIB {
+        return Err(RulesError::CacheSize { min_kib, max_kib: MAX_CACHE_KIB, kib });
     }
     Ok(kib << 10)
 }
--- a/crates/comethitch-statement/src/admission/outcome.rs
+++ b/crates/comethitch-statement/src/admission/outcome.rs
@@ -1,4 +1,4 @@
-//! What becomes of a statement: judged, admitted or rejected.
+//! The results of classifying and admitting a statement.
 
 use super::known_shape::KnownShape;
 use crate::ShapeKey;
@@ -12,43 +12,43 @@
     CacheHit,
     /// The parser.
     Parsed,
-    /// Its text is ambiguous: it was not parsed.
+    /// The first words only, since the text is ambiguous.
     Ambiguous,
-    /// The parsing budget was exceeded: it was not parsed.
+    /// The first words only, since the parsing budget was exhausted.
     BudgetExceeded,
 }
 
-/// A statement whose verdict is known.
+/// A statement with its verdict.
 #[derive(Clone, Debug)]
-pub struct JudgedStatement {
-    /// What is known of its shape.
-    pub known: Rc<KnownShape>,
-    /// The key of its shape.
+pub struct ClassifiedStatement {
+    /// The verdict and learned cost of its shape.
+    pub shape: Rc<KnownShape>,
+    /// The key of its shape in the cache.
     pub key: ShapeKey,
-    /// Where the verdict came from.
+    /// The source of the verdict.
     pub source: VerdictSource,
 }
 
-/// A statement that may become a command.
+/// A statement with its verdict, request class and shard.
 #[derive(Clone, Debug)]
 pub struct AdmittedStatement {
-    /// Where it goes.
-    pub assigned: Assignment,
-    /// What is known of its shape.
-    pub known: Rc<KnownShape>,
-    /// The key of its shape.
+    /// The request class, shard and session.
+    pub assignment: Assignment,
+    /// The verdict and learned cost of its shape.
+    pub shape: Rc<KnownShape>,
+    /// The key of its shape in the cache.
     pub key: ShapeKey,
-    /// Where the verdict came from.
+    /// The source of the verdict.
     pub source: VerdictSource,
 }
 
 /// Why a statement was not admitted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementRejection {
-    /// It can't become a command, now or later.
+    /// The statement cannot be assigned; a retry fails in the same way.
     #[error(transparent)]
-    Refused(AssignmentError),
-    /// The parsing budget was exceeded: nothing has run, and a retry is harmless.
+    Rejected(AssignmentError),
+    /// The parsing budget is exhausted. The statement was not executed, so that a retry is harmless.
     #[error("the budget for parsing is spent")]
     Throttled,
 }
--- a/crates/comethitch-statement/src/assign/allowed_effects.rs
+++ b/crates/comethitch-statement/src/assign/allowed_effects.rs
@@ -1,22 +1,24 @@
-//! Which effects the statements of a request class may have.
+//! The effects that a request class allows for its statements.
 
 use crate::Effect;
 use comethitch_policy::{Consistency, Idempotency, RequestClass};
 
-/// The effects that a request class may hold: one whose reads may go to replicas takes plain reads alone, and one
-/// that may be retried takes nothing that a second execution could harm.
+/// The effects that a request class allows.
+///
+/// A class whose requests may go to replicas allows plain reads only; a class whose requests may be retried allows
+/// only effects that are safe to repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AllowedEffects {
-    /// Its commands go to primaries alone.
+    /// Requests go to primaries only.
     primary_only: bool,
-    /// None of its commands is executed twice: it is not retried, or the host drops duplicates.
+    /// No request is executed twice: it is not retried, or hosts drop duplicates.
     executed_once: bool,
-    /// Duplicates are dropped by an idempotency key, which a statement of unknown effect may ignore.
+    /// Hosts drop duplicates by an idempotency key, which a statement of unknown effect may not honour.
     keyed: bool,
 }
 
 impl AllowedEffects {
-    /// The effects that a request class of a deployment allows.
+    /// Returns the effects that a request class allows, by its consistency and idempotency.
     pub fn of(class: &RequestClass) -> AllowedEffects {
         AllowedEffects {
             primary_only: class.consistency == Consistency::Write,
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Whether a statement of this effect may be in the request class.
+    /// Returns whether the request class allows statements with this effect.
     pub fn allows(self, effect: Effect) -> bool {
         match effect {
             Effect::Read => true,
--- a/crates/comethitch-statement/src/assign/class_rules.rs
+++ b/crates/comethitch-statement/src/assign/class_rules.rs
@@ -1,4 +1,4 @@
-//! From effects, tables and costs to request classes.
+//! Maps effects, tables and costs to request classes.
 
 use super::allowed_effects::AllowedEffects;
 use crate::rules::ClassRule;
@@ -6,21 +6,23 @@
 use crate::{Effect, Verdict};
 use comethitch_policy::time::Duration;
 
-/// The most bounds between bands of cost.
+/// Maximum number of bounds between cost bands.
 const MAX_COST_BOUNDS: usize = 64;
-/// A bound of cost is below this, in milliseconds.
+/// Cost bounds are below this.
 const MAX_COST_BOUND_MS: f64 = 1e9;
 
-/// The rules for request classes, checked against those of a deployment.
+/// The rules for request classes, checked against the classes of a deployment.
 #[derive(Clone, Debug)]
 pub(super) struct ClassRules {
     rules: Vec<CheckedRule>,
-    /// The bounds between bands of cost, in rising order.
+    /// The bounds between cost bands, in ascending order.
     cost_bounds: Vec<Duration>,
 }
 
+/// A rule whose class is resolved and whose bounds are durations.
 #[derive(Clone, Debug)]
 struct CheckedRule {
+    /// The request class, by its index in the deployment.
     class: usize,
     effects: Vec<Effect>,
     tables: Option<Vec<String>>,
@@ -29,12 +31,12 @@
 }
 
 impl ClassRules {
-    /// Checks rules; `names` and `allowed` are those of the deployment's request classes, in its order.
+    /// Checks rules; `names` and `allowed` describe the deployment's request classes, in its order.
     pub(super) fn new(
         rules: &[ClassRule], names: &[String], allowed: &[AllowedEffects],
     ) -> Result<ClassRules, RulesError> {
         let check = |(index, rule)| {
-            check_rule(rule, names, allowed).map_err(|source| RulesError::Group { index, source })
+            check_rule(rule, names, allowed).map_err(|source| RulesError::ClassRule { index, source })
         };
         let rules = rules.iter().enumerate().map(check).collect::<Result<Vec<_>, _>>()?;
         if rules.is_empty() {
@@ -45,37 +47,41 @@
         cost_bounds.sort_unstable();
         cost_bounds.dedup();
         if cost_bounds.len() > MAX_COST_BOUNDS {
-            return Err(RulesError::TooManyCostBounds { most: MAX_COST_BOUNDS });
+            return Err(RulesError::TooManyCostBounds { max: MAX_COST_BOUNDS });
         }
         Ok(ClassRules { rules, cost_bounds })
     }
 
-    /// The bounds between bands of cost, in rising order.
+    /// Returns the bounds between cost bands, in ascending order.
     pub(super) fn cost_bounds(&self) -> &[Duration] {
         &self.cost_bounds
     }
 
-    /// The request class of the first rule that fits a statement.
-    pub(super) fn class(&self, verdict: &Verdict, band: u8) -> Option<usize> {
-        self.rules.iter().find(|rule| self.fits(rule, verdict, band)).map(|rule| rule.class)
+    /// Returns the request class of the first rule that matches a statement.
+    pub(super) fn class(&self, verdict: &Verdict, cost_band: u8) -> Option<usize> {
+        self.rules.iter().find(|rule| self.matches(rule, verdict, cost_band)).map(|rule| rule.class)
     }
 
-    fn fits(&self, rule: &CheckedRule, verdict: &Verdict, band: u8) -> bool {
-        // A statement that was not parsed may use any table.
-        let uses = |table: &String| verdict.uses.iter().any(|table_use| *table_use.table == **table);
-        let tables = rule.tables.as_ref();
+    fn matches(&self, rule: &CheckedRule, verdict: &Verdict, cost_band: u8) -> bool {
         rule.effects.contains(&verdict.effect)
-            && tables.is_none_or(|tables| !verdict.parsed || tables.iter().any(uses))
-            && rule.from.is_none_or(|from| !self.is_below(band, from))
-            && rule.below.is_none_or(|below| self.is_below(band, below))
+            && matches_tables(rule, verdict)
+            && rule.from.is_none_or(|from| !self.is_below(cost_band, from))
+            && rule.below.is_none_or(|below| self.is_below(cost_band, below))
     }
 
-    fn is_below(&self, band: u8, bound: Duration) -> bool {
-        let at = self.cost_bounds.iter().position(|known| *known == bound);
-        at.is_some_and(|at| usize::from(band) <= at)
+    fn is_below(&self, cost_band: u8, bound: Duration) -> bool {
+        let index = self.cost_bounds.iter().position(|known| *known == bound);
+        index.is_some_and(|index| usize::from(cost_band) <= index)
     }
 }
 
+fn matches_tables(rule: &CheckedRule, verdict: &Verdict) -> bool {
+    let Some(tables) = &rule.tables else { return true };
+    // A statement that was not parsed may use any table.
+    !verdict.parsed
+        || tables.iter().any(|table| verdict.table_uses.iter().any(|table_use| *table_use.table == **table))
+}
+
 fn check_rule(
     rule: &ClassRule, names: &[String], allowed: &[AllowedEffects],
 ) -> Result<CheckedRule, ClassRuleError> {
--- a/crates/comethitch-statement/src/assign/error.rs
+++ b/crates/comethitch-statement/src/assign/error.rs
@@ -1,82 +1,82 @@
-//! Reasons for which a statement can't become a command, as they are reported to its client.
+//! Reasons why a statement cannot be assigned, as reported to the client.
 
 use crate::Effect;
 use comethitch_policy::ShardId;
 
-/// Why a statement becomes no command. None has run, and none becomes possible by a retry.
+/// Why a statement cannot be assigned. It has not been executed, and a retry fails in the same way.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentError {
-    /// Its comment's request class may do less than its text does.
-    #[error("the comment says {class:?}, and the statement is of the effect {}: {why}", .effect.name())]
-    Disagrees {
+    /// The request class named by the comment does not allow the statement's effect.
+    #[error("the comment says {class:?}, and the statement is of the effect {}: {reason}", .effect.name())]
+    EffectNotAllowed {
         /// The name of the request class.
         class: String,
-        /// The effect of the text.
+        /// The statement's effect.
         effect: Effect,
         /// Why it has this effect.
-        why: String,
+        reason: String,
     },
-    /// It concerns a transaction of several statements, which are not supported.
+    /// The statement controls a transaction of several statements, which are not supported.
     #[error("transactions of several statements are not carried: send them as one query")]
     Transaction,
-    /// No rule takes it.
-    #[error("no rule names a command group for the effect {}{}", .effect.name(), reason(.why))]
+    /// No rule for request classes matches.
+    #[error("no rule names a command group for the effect {}{}", .effect.name(), reason_suffix(.reason))]
     NoClass {
-        /// The effect of the text.
+        /// The statement's effect.
         effect: Effect,
         /// Why it has this effect; empty for a read.
-        why: String,
+        reason: String,
     },
-    /// A table's rows are placed by a key, and the statement names none.
+    /// A table's rows are placed by a key whose value the statement does not determine.
     #[error("{table} lies by {column}, and the statement compares it with no value")]
     NoKey {
         /// The table.
         table: String,
-        /// The column of its key.
+        /// The key's column.
         column: String,
     },
-    /// Its keys lie in several shards.
+    /// The statement's keys lie in several shards.
     #[error("the statement's keys lie in the groups of hosts {first} and {second}")]
     SeveralShards {
         /// The first shard found.
         first: ShardId,
-        /// Another one.
+        /// Another shard.
         second: ShardId,
     },
-    /// The comment names one shard, its keys lie in another.
+    /// The statement's keys lie in another shard than the one that the comment names.
     #[error("the comment says cluster={hinted}, and the statement's keys lie in {found}")]
-    OtherShard {
-        /// The one that the comment names.
+    ShardMismatch {
+        /// The shard that the comment names.
         hinted: ShardId,
-        /// The one of the keys.
+        /// The shard of the keys.
         found: ShardId,
     },
-    /// Neither comment, keys nor rules name a shard.
+    /// No shard is given by the comment, the keys or the rules.
     #[error("nothing says which group of hosts the statement is for")]
     NoShard,
-    /// Its tables are not known, since it could not be parsed, and tables are placed by keys.
-    #[error("the statement's tables are not known: {why}")]
+    /// The statement was not parsed, so that its tables and keys are unknown.
+    #[error("the statement's tables are not known: {reason}")]
     NotParsed {
-        /// Why it could not be parsed.
-        why: String,
+        /// Why it was not parsed.
+        reason: String,
     },
 }
 
 impl AssignmentError {
-    /// The SQLSTATE that the client gets.
+    /// Returns the SQLSTATE that is sent to the client.
     pub fn code(&self) -> &'static str {
         match self {
-            AssignmentError::Disagrees { .. } => "42809",
+            AssignmentError::EffectNotAllowed { .. } => "42809",
             AssignmentError::NoClass { .. }
             | AssignmentError::Transaction
             | AssignmentError::NoKey { .. }
             | AssignmentError::SeveralShards { .. }
             | AssignmentError::NotParsed { .. } => "0A000",
-            AssignmentError::OtherShard { .. } | AssignmentError::NoShard => "22023",
+            AssignmentError::ShardMismatch { .. } | AssignmentError::NoShard => "22023",
         }
     }
 }
 
-fn reason(why: &str) -> String {
-    if why.is_empty() { String::new() } else { format!(": {why}") }
+fn reason_suffix(reason: &str) -> String {
+    if reason.is_empty() { String::new() } else { format!(": {reason}") }
 }
--- a/crates/comethitch-statement/src/assign/keys.rs
+++ b/crates/comethitch-statement/src/assign/keys.rs
@@ -1,4 +1,4 @@
-//! From the values of a table's key to shards.
+//! Maps the values of a table's key to shards.
 
 use super::values::PlaceholderValues;
 use crate::rules::{Bound, KeyRange, KeyRule, Placement};
@@ -6,22 +6,22 @@
 use crate::verdict::{ColumnValues, TableUse};
 use comethitch_policy::ShardId;
 
-/// Where the values of one key lie.
+/// The shards that hold the values of one key.
 pub(super) struct KeyLocation {
-    /// The shards, each once, in order.
+    /// The shards, sorted and without duplicates.
     pub shards: Vec<ShardId>,
-    /// A hash of each value, never 0.
+    /// The hash of each value, never 0.
     pub hashes: Vec<u64>,
 }
 
-/// Checks that each table has one key, and that every value of a key has a shard.
+/// Checks that each table has one key only, and that every value of a key has a shard.
 pub(super) fn check(rules: &[KeyRule]) -> Result<(), RulesError> {
     for (index, rule) in rules.iter().enumerate() {
-        check_rule(rule).map_err(|source| RulesError::Key { index, source })?;
-        let mut tables_before = rules[..index].iter().flat_map(|rule| &rule.tables);
-        if let Some(table) = tables_before.find(|table| rule.tables.contains(table)) {
-            let source = KeyRuleError::TableTwice { table: table.clone() };
-            return Err(RulesError::Key { index, source });
+        check_rule(rule).map_err(|source| RulesError::KeyRule { index, source })?;
+        let mut earlier_tables = rules[..index].iter().flat_map(|rule| &rule.tables);
+        if let Some(table) = earlier_tables.find(|table| rule.tables.contains(table)) {
+            let source = KeyRuleError::DuplicateTable { table: table.clone() };
+            return Err(RulesError::KeyRule { index, source });
         }
     }
     Ok(())
@@ -31,7 +31,7 @@
     if rule.tables.is_empty() {
         return Err(KeyRuleError::NoTables);
     }
-    match &rule.spread {
+    match &rule.placement {
         Placement::Hash(shards) if shards.is_empty() => Err(KeyRuleError::NoShards),
         Placement::Hash(_) => Ok(()),
         Placement::Range(ranges) => check_ranges(ranges),
@@ -46,28 +46,28 @@
     if let Some(index) = others.iter().position(|range| range.below.is_none()) {
         return Err(KeyRuleError::BoundMissing { index });
     }
-    match others.windows(2).position(|pair| !is_rising(&pair[0], &pair[1])) {
-        Some(before) => Err(KeyRuleError::BoundNotRising { index: before + 1 }),
+    match others.windows(2).position(|pair| !is_ascending(&pair[0], &pair[1])) {
+        Some(first) => Err(KeyRuleError::BoundNotAscending { index: first + 1 }),
         None => Ok(()),
     }
 }
 
-fn is_rising(before: &KeyRange, after: &KeyRange) -> bool {
-    match (&before.below, &after.below) {
-        (Some(Bound::Number(before)), Some(Bound::Number(after))) => before < after,
-        (Some(Bound::Text(before)), Some(Bound::Text(after))) => before < after,
+fn is_ascending(first: &KeyRange, second: &KeyRange) -> bool {
+    match (&first.below, &second.below) {
+        (Some(Bound::Number(first)), Some(Bound::Number(second))) => first < second,
+        (Some(Bound::Text(first)), Some(Bound::Text(second))) => first < second,
         _ => false,
     }
 }
 
-/// Where a use's key lies; none if the use has no key, or one whose value is not known.
+/// Locates the key of a table use. Returns `None` if the use has no key, or if a value of the key is unknown.
 pub(super) fn locate(
     rule: &KeyRule, table_use: &TableUse, values: &dyn PlaceholderValues,
 ) -> Option<KeyLocation> {
     let mut narrowest: Option<KeyLocation> = None;
     for key in table_use.keys.iter().filter(|key| *key.column == *rule.column) {
-        let location = locate_values(&rule.spread, key, values)?;
-        // Of two conditions on one column, both hold: the narrower one says more.
+        let location = locate_values(&rule.placement, key, values)?;
+        // All conditions on the column hold, so the narrowest one determines the shards.
         if narrowest.as_ref().is_none_or(|narrowest| location.shards.len() < narrowest.shards.len()) {
             narrowest = Some(location);
         }
@@ -101,7 +101,7 @@
                     None => true,
                 };
                 if is_below {
-                    return Some(range.hosts);
+                    return Some(range.shard);
                 }
             }
             None
@@ -113,7 +113,7 @@
     std::str::from_utf8(key).ok()?.trim().parse().ok()
 }
 
-/// The FNV-1a hash of 64 bits: public, so that whoever places rows can compute the same.
+/// Returns the 64-bit FNV-1a hash of a key's text, by which [`Placement::Hash`] chooses the shard.
 pub fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
--- a/crates/comethitch-statement/src/assign/mod.rs
+++ b/crates/comethitch-statement/src/assign/mod.rs
@@ -1,8 +1,8 @@
-//! From a verdict to what the decision module needs: the request class, the shard (shard) and the session.
+//! Assigns classified statements to a request class, a shard and a session.
 //!
 //! [`Assigner`] holds the operator's rules, checked against the deployment. A request class allows only some
-//! effects ([`AllowedEffects`]): rules that would break this are rejected when they are read, and a comment that
-//! would is rejected, or raised to the group that the rules name.
+//! effects ([`AllowedEffects`]). Rules that violate this are rejected when they are read; a statement whose comment
+//! violates it is rejected, or raised to the request class that the rules name.
 
 mod allowed_effects;
 mod class_rules;
@@ -23,7 +23,7 @@
 use comethitch_policy::time::Duration;
 use comethitch_policy::{RequestClass, ShardId};
 
-/// Assigns statements by rules that were checked against a deployment.
+/// Assigns statements by the operator's rules.
 #[derive(Clone, Debug)]
 pub struct Assigner {
     class_rules: ClassRules,
@@ -31,31 +31,37 @@
     /// The shard of statements without a key.
     default_shard: Option<ShardId>,
     disagreement: Disagreement,
-    /// What each request class of the deployment allows, in its order.
+    /// The effects that each request class allows, in the deployment's order.
     allowed: Vec<AllowedEffects>,
     /// The names of the request classes, in the same order.
     names: Vec<String>,
 }
 
-/// Where a statement goes.
+/// The request class, shard and session of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The request class, by its place in the deployment.
+    /// The request class, by its index in the deployment.
     pub class: usize,
     /// The shard.
     pub shard: ShardId,
-    /// The session, as the hash of the one key that its tables lie by; none where there is no key, or several.
+    /// The session: the hash of the key's value if the statement has exactly one.
     pub session: Option<u64>,
-    /// Its comment named a request class that allows less.
+    /// Whether the rules replaced the request class of the comment, which does not allow the statement's effect.
     pub raised: bool,
 }
 
+/// The request class of a statement.
+struct ClassChoice {
+    class: usize,
+    raised: bool,
+}
+
 /// What a statement's keys determine.
 #[derive(Default)]
 struct KeyFindings {
-    /// The shard in which all keys lie.
+    /// The shard of all keys.
     shard: Option<ShardId>,
-    /// The hash of the one key's value.
+    /// The hash of the key's value if there is exactly one.
     session: Option<u64>,
 }
 
@@ -64,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// The first rule that is faulty, or that would let a statement run where its effect does harm.
+    /// Returns the first rule that is invalid, or whose request class does not allow one of its effects.
     pub fn new(rules: &Rules, classes: &[RequestClass], names: &[String]) -> Result<Assigner, RulesError> {
         let allowed: Vec<AllowedEffects> = classes.iter().map(AllowedEffects::of).collect();
         let class_rules = ClassRules::new(&rules.classes, names, &allowed)?;
@@ -72,68 +78,76 @@
         Ok(Assigner {
             class_rules,
             key_rules: rules.keys.clone(),
-            default_shard: rules.elsewhere,
+            default_shard: rules.default_shard,
             disagreement: rules.disagreement,
             allowed,
             names: names.to_vec(),
         })
     }
 
-    /// The bounds between bands of cost, in rising order.
+    /// Returns the bounds between cost bands, in ascending order.
     pub fn cost_bounds(&self) -> &[Duration] {
         self.class_rules.cost_bounds()
     }
 
-    /// Where a statement goes, by its verdict and band of cost, and by the hints of its comment. `values` gives the
-    /// values of a placeholder.
+    /// Assigns a statement by its verdict, its cost band and the hints of its comment.
     ///
     /// # Errors
     ///
-    /// Why the statement can't become a command.
+    /// Returns the reason why the statement cannot be assigned.
     pub fn assign(
-        &self, verdict: &Verdict, band: u8, hints: StatementHints, values: &dyn PlaceholderValues,
+        &self, verdict: &Verdict, cost_band: u8, hints: StatementHints, values: &dyn PlaceholderValues,
     ) -> Result<Assignment, AssignmentError> {
-        if verdict.transaction {
+        if verdict.controls_transaction {
             return Err(AssignmentError::Transaction);
         }
-        let is_allowed = |class: usize| self.allowed[class].allows(verdict.effect);
-        let (class, raised) = match hints.class {
-            Some(class) if is_allowed(class) => (class, false),
-            Some(class) if self.disagreement == Disagreement::Refuse => {
-                return Err(self.disagrees(class, verdict));
-            }
-            hint => (self.class_by_rules(verdict, band)?, hint.is_some()),
-        };
+        let ClassChoice { class, raised } = self.choose_class(verdict, cost_band, hints.class)?;
         let keys = self.locate_keys(verdict, values, hints.shard.is_some())?;
-        let shard = self.shard(hints.shard, keys.shard)?;
+        let shard = self.choose_shard(hints.shard, keys.shard)?;
         Ok(Assignment { class, shard, session: keys.session, raised })
     }
 
-    fn disagrees(&self, class: usize, verdict: &Verdict) -> AssignmentError {
-        AssignmentError::Disagrees {
-            class: self.names[class].clone(),
-            effect: verdict.effect,
-            why: verdict.why.to_string(),
+    fn choose_class(
+        &self, verdict: &Verdict, cost_band: u8, hinted: Option<usize>,
+    ) -> Result<ClassChoice, AssignmentError> {
+        match hinted {
+            Some(class) if self.allowed[class].allows(verdict.effect) => {
+                Ok(ClassChoice { class, raised: false })
+            }
+            Some(class) if self.disagreement == Disagreement::Reject => {
+                Err(AssignmentError::EffectNotAllowed {
+                    class: self.names[class].clone(),
+                    effect: verdict.effect,
+                    reason: verdict.reason.to_string(),
+                })
+            }
+            hinted => {
+                let class = self.class_by_rules(verdict, cost_band)?;
+                Ok(ClassChoice { class, raised: hinted.is_some() })
+            }
         }
     }
 
-    fn class_by_rules(&self, verdict: &Verdict, band: u8) -> Result<usize, AssignmentError> {
-        let no_class = || AssignmentError::NoClass { effect: verdict.effect, why: verdict.why.to_string() };
-        self.class_rules.class(verdict, band).ok_or_else(no_class)
+    fn class_by_rules(&self, verdict: &Verdict, cost_band: u8) -> Result<usize, AssignmentError> {
+        self.class_rules.class(verdict, cost_band).ok_or_else(|| AssignmentError::NoClass {
+            effect: verdict.effect,
+            reason: verdict.reason.to_string(),
+        })
     }
 
-    fn shard(&self, hinted: Option<ShardId>, found: Option<ShardId>) -> Result<ShardId, AssignmentError> {
+    fn choose_shard(
+        &self, hinted: Option<ShardId>, found: Option<ShardId>,
+    ) -> Result<ShardId, AssignmentError> {
         match (hinted, found) {
             (Some(hinted), Some(found)) if hinted != found => {
-                Err(AssignmentError::OtherShard { hinted, found })
+                Err(AssignmentError::ShardMismatch { hinted, found })
             }
             (Some(shard), _) | (None, Some(shard)) => Ok(shard),
             (None, None) => self.default_shard.ok_or(AssignmentError::NoShard),
         }
     }
 
-    /// Where the statement's keys lie. A comment that names the shard makes up for keys that are not
-    /// known, but not for those that lie elsewhere.
+    /// Locates the statement's keys. A shard named by the comment stands in for unknown keys.
     fn locate_keys(
         &self, verdict: &Verdict, values: &dyn PlaceholderValues, has_shard_hint: bool,
     ) -> Result<KeyFindings, AssignmentError> {
@@ -144,16 +158,16 @@
             if has_shard_hint {
                 return Ok(KeyFindings::default());
             }
-            return Err(AssignmentError::NotParsed { why: verdict.why.to_string() });
+            return Err(AssignmentError::NotParsed { reason: verdict.reason.to_string() });
         }
         let mut shard = None;
         let mut hashes = Vec::new();
-        for table_use in &verdict.uses {
+        for table_use in &verdict.table_uses {
             let Some(rule) = self.key_rule(&table_use.table) else { continue };
             match keys::locate(rule, table_use, values) {
                 Some(location) => {
                     hashes.extend(location.hashes);
-                    shard = only_shard(shard, &location.shards)?;
+                    shard = common_shard(shard, &location.shards)?;
                 }
                 None if has_shard_hint => {}
                 None => {
@@ -173,16 +187,16 @@
     }
 }
 
-/// The one shard among those found before and now.
-fn only_shard(found: Option<ShardId>, shards: &[ShardId]) -> Result<Option<ShardId>, AssignmentError> {
-    let mut only = found;
+/// Returns the one shard that both earlier and new keys lie in, or an error if there are several.
+fn common_shard(earlier: Option<ShardId>, shards: &[ShardId]) -> Result<Option<ShardId>, AssignmentError> {
+    let mut common = earlier;
     for shard in shards {
-        match only {
+        match common {
             Some(first) if first != *shard => {
                 return Err(AssignmentError::SeveralShards { first, second: *shard });
             }
-            _ => only = Some(*shard),
+            _ => common = Some(*shard),
         }
     }
-    Ok(only)
+    Ok(common)
 }
--- a/crates/comethitch-statement/src/assign/values.rs
+++ b/crates/comethitch-statement/src/assign/values.rs
@@ -1,29 +1,29 @@
-//! The values that stand for a shape's placeholders in one statement.
+//! The values of a shape's placeholders in one statement.
 
 use crate::lexer::{Lexer, Literal, LiteralForm};
 
-/// Gives the values that stand for a placeholder.
+/// Looks up the values of placeholders.
 pub trait PlaceholderValues {
-    /// The values as texts, or none if one of them is not known.
+    /// Returns the values of a placeholder as text, or `None` if one of them is unknown.
     fn values(&self, placeholder: u32) -> Option<Vec<Vec<u8>>>;
 }
 
-/// The argument of a parameter that was sent separately from the statement's text.
+/// The argument of a parameter, sent separately from the statement's text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Argument {
     /// The parameter's name in lower case, without its sign.
     pub name: String,
-    /// The value as text; none if it has no text form that is compared, as a null or a date.
+    /// The value as text; `None` for values that have no comparable text form, such as nulls and dates.
     pub value: Option<Vec<u8>>,
 }
 
-/// The values that stand in a statement's own text, and beside it.
+/// The literals in a statement's text, and the arguments sent with it.
 pub struct StatementValues<'a> {
     /// The lexer that has read the text.
     pub lexer: &'a Lexer,
     /// The statement's text.
     pub text: &'a [u8],
-    /// The values beside it.
+    /// The arguments of its parameters.
     pub arguments: &'a [Argument],
 }
 
@@ -37,16 +37,17 @@
 
 impl StatementValues<'_> {
     fn value(&self, literal: &Literal) -> Option<Vec<u8>> {
-        let text = self.text.get(literal.at.start as usize..literal.at.end as usize)?;
+        let start = literal.range.start as usize;
+        let text = self.text.get(start..literal.range.end as usize)?;
         match literal.form {
-            LiteralForm::Number => self.plain_number(text, literal.at.start as usize),
+            LiteralForm::Number => self.plain_number(text, start),
             LiteralForm::Text => unquoted(text),
             LiteralForm::Parameter => self.argument(text),
             LiteralForm::Special => None,
         }
     }
 
-    /// One number has many notations; only the plainest, without a sign, is taken for a key.
+    /// Accepts unsigned decimal digits only, since a number in another notation may equal several texts.
     fn plain_number(&self, text: &[u8], start: usize) -> Option<Vec<u8>> {
         let before = self.text[..start].trim_ascii_end().last();
         let is_signed = matches!(before, Some(b'-' | b'+'));
@@ -60,7 +61,7 @@
     }
 }
 
-/// The value of a string between single quotes, where a doubled quote stands for one.
+/// Returns the value of a single-quoted string, in which a doubled quote stands for one.
 fn unquoted(text: &[u8]) -> Option<Vec<u8>> {
     let opening = text.iter().position(|byte| *byte == b'\'')?;
     let inner = text[opening + 1..].strip_suffix(b"'")?;
--- a/crates/comethitch-statement/src/budget.rs
+++ b/crates/comethitch-statement/src/budget.rs
@@ -1,35 +1,33 @@
-//! How much CPU time may go into parsing statements whose shape is not known yet: token buckets, one for all clients
-//! and one for each.
+//! Limits the CPU time spent on parsing statements of unknown shapes, by token buckets.
 //!
-//! All clients together have a share of one core's time, and each of them a share of that. What a parse will take
-//! is estimated from the number of tokens, by what the last ones took, and corrected once it is known. What is not
-//! used is saved up for a second at most.
+//! All clients together have a share of one core's time, and each client a share of that. The time of a parse is
+//! estimated from the number of tokens and the average cost of a token, and corrected after the parse. Unused time
+//! accumulates for up to one second.
 
+use crate::hashing::bucket_of;
 use comethitch_policy::time::{Duration, Timestamp};
 
-/// A bucket holds what is allowed in this span at most.
+/// The time in which an unused bucket fills up.
 const BURST: Duration = Duration::from_secs(1);
-/// Clients are hashed into so many buckets; two that meet in one share it.
+/// Number of buckets that clients are hashed into; clients with the same bucket share it.
 const CLIENT_BUCKETS: usize = 256;
-/// The bits of a hash that choose among [`CLIENT_BUCKETS`].
-const CLIENT_HASH_SHIFT: u32 = u64::BITS - CLIENT_BUCKETS.ilog2();
-/// What a token is taken to cost before any was measured, in microseconds: on the safe side.
-const INITIAL_TOKEN_COST: f64 = 2.0;
-/// The weight of each measured parse in the moving average.
+/// Assumed cost of a token before the first parse; deliberately high.
+const INITIAL_TOKEN_COST_US: f64 = 2.0;
+/// The weight of each parse in the moving average of the token cost.
 const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
-/// A measured parse counts as at most this many times the average, and at least its reciprocal.
+/// Limits how far one parse's token cost counts above or below the average, as a factor.
 const OUTLIER_FACTOR: f64 = 4.0;
-/// The average never falls below this, in microseconds.
-const MIN_TOKEN_COST: f64 = 1e-3;
-/// A parse costs as much as this many tokens besides.
+/// Minimum of the average token cost.
+const MIN_TOKEN_COST_US: f64 = 1e-3;
+/// The fixed cost of a parse, in tokens.
 const BASE_TOKENS: usize = 8;
 
-/// Shares of one core's time.
+/// Shares of CPU time for parsing, each above 0 and at most 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetShares {
-    /// Of one core, for all parsing.
+    /// The share of one core's time for all parsing.
     pub total: f64,
-    /// Of that, for one client.
+    /// One client's share of that.
     pub client: f64,
 }
 
@@ -39,105 +37,102 @@
     }
 }
 
-/// Whether a statement may be parsed.
+/// The result of reserving CPU time for a parse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// It may, and this estimate was taken from the budget.
+    /// The statement may be parsed; the estimated time was taken from the budget.
     Reserved(Duration),
-    /// This client has exceeded its share.
+    /// The client has exhausted its share.
     ClientExceeded,
-    /// All clients together have exceeded the budget.
+    /// All clients together have exhausted the budget.
     TotalExceeded,
 }
 
 #[derive(Clone, Copy)]
 struct TokenBucket {
-    /// In microseconds; negative after a parse that took longer than estimated.
-    available: f64,
+    /// Negative after parses that took longer than estimated.
+    available_us: f64,
     refilled: Timestamp,
 }
 
 impl TokenBucket {
     fn full(share: f64, now: Timestamp) -> TokenBucket {
-        TokenBucket { available: capacity(share), refilled: now }
+        TokenBucket { available_us: capacity_us(share), refilled: now }
     }
 
     fn refill(&mut self, share: f64, now: Timestamp) {
-        let earned = share * (now - self.refilled).as_micros() as f64;
-        self.available = (self.available + earned).min(capacity(share));
+        let earned_us = share * (now - self.refilled).as_micros() as f64;
+        self.available_us = (self.available_us + earned_us).min(capacity_us(share));
         self.refilled = now;
     }
 }
 
-fn capacity(share: f64) -> f64 {
+fn capacity_us(share: f64) -> f64 {
     share * BURST.as_micros() as f64
 }
 
-/// The budget of all clients, and each client's part of it.
+/// The parsing budget of all clients, and each client's share of it.
 pub struct Budget {
     shares: BudgetShares,
     total: TokenBucket,
     clients: Box<[TokenBucket]>,
-    /// The average cost of a token, in microseconds.
-    token_cost: f64,
+    /// Moving average.
+    token_cost_us: f64,
 }
 
 impl Budget {
-    /// A budget with full buckets.
+    /// Creates a budget with full buckets.
     pub fn new(shares: BudgetShares, now: Timestamp) -> Budget {
         let client = TokenBucket::full(shares.total * shares.client, now);
         Budget {
             shares,
             total: TokenBucket::full(shares.total, now),
             clients: vec![client; CLIENT_BUCKETS].into_boxed_slice(),
-            token_cost: INITIAL_TOKEN_COST,
+            token_cost_us: INITIAL_TOKEN_COST_US,
         }
     }
 
-    /// The bucket of a client, by Fibonacci hashing.
-    fn bucket(client: u64) -> usize {
-        (client.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> CLIENT_HASH_SHIFT) as usize
-    }
-
-    /// Reserves what parsing a statement of so many tokens is estimated to take. It is granted as long as anything
-    /// is available, so that a long statement is not kept out for ever; what it takes beyond that is owed.
+    /// Reserves the estimated time for parsing a statement.
+    ///
+    /// A reservation succeeds while any time is left, even if less than the estimate, so that long statements are
+    /// not rejected for ever; the bucket then goes negative.
     ///
     /// ```
     /// use comethitch_policy::time::{Duration, Timestamp};
     /// use comethitch_statement::budget::{Budget, BudgetShares, Reservation};
     /// let mut budget = Budget::new(BudgetShares { total: 0.01, client: 0.5 }, Timestamp::ZERO);
-    /// // 10 ms a second for all, 5 ms for one client.
+    /// // 10 ms per second for all clients, 5 ms for each.
     /// let mut is_reserved = |client| matches!(budget.reserve(client, 42, Timestamp::ZERO), Reservation::Reserved(_));
     /// assert_eq!((0..1_000).filter(|_| is_reserved(7)).count(), 50, "of 100 µs each");
     /// assert!(is_reserved(8), "another client has its own share");
     /// ```
     pub fn reserve(&mut self, client: u64, tokens: usize, now: Timestamp) -> Reservation {
-        let BudgetShares { total, client: share } = self.shares;
-        let own = &mut self.clients[Self::bucket(client)];
-        self.total.refill(total, now);
-        own.refill(total * share, now);
-        if self.total.available <= 0.0 {
+        let shares = self.shares;
+        let client_bucket = &mut self.clients[bucket_of(client, CLIENT_BUCKETS)];
+        self.total.refill(shares.total, now);
+        client_bucket.refill(shares.total * shares.client, now);
+        if self.total.available_us <= 0.0 {
             return Reservation::TotalExceeded;
         }
-        if own.available <= 0.0 {
+        if client_bucket.available_us <= 0.0 {
             return Reservation::ClientExceeded;
         }
-        let cost = self.token_cost * (tokens + BASE_TOKENS) as f64;
-        self.total.available -= cost;
-        own.available -= cost;
-        Reservation::Reserved(Duration::from_micros(cost as u64))
+        let cost_us = self.token_cost_us * (tokens + BASE_TOKENS) as f64;
+        self.total.available_us -= cost_us;
+        client_bucket.available_us -= cost_us;
+        Reservation::Reserved(Duration::from_micros(cost_us as u64))
     }
 
-    /// Replaces what was reserved for a parse by what it took.
+    /// Replaces the time reserved for a parse by the time that it took, and updates the average token cost.
     pub fn correct(&mut self, client: u64, tokens: usize, reserved: Duration, took: Duration) {
-        let more = took.as_micros() as f64 - reserved.as_micros() as f64;
-        self.total.available -= more;
-        self.clients[Self::bucket(client)].available -= more;
-        let measured = took.as_micros() as f64 / (tokens + BASE_TOKENS) as f64;
-        // No single parse, as one that was interrupted, moves the average far.
-        let measured = measured
-            .clamp(self.token_cost / OUTLIER_FACTOR, self.token_cost * OUTLIER_FACTOR)
-            .max(MIN_TOKEN_COST);
-        self.token_cost += (measured - self.token_cost) * AVERAGE_WEIGHT;
+        let excess_us = took.as_micros() as f64 - reserved.as_micros() as f64;
+        self.total.available_us -= excess_us;
+        self.clients[bucket_of(client, CLIENT_BUCKETS)].available_us -= excess_us;
+        let measured_us = took.as_micros() as f64 / (tokens + BASE_TOKENS) as f64;
+        // A parse that was preempted must not distort the average.
+        let clamped_us = measured_us
+            .clamp(self.token_cost_us / OUTLIER_FACTOR, self.token_cost_us * OUTLIER_FACTOR)
+            .max(MIN_TOKEN_COST_US);
+        self.token_cost_us += (clamped_us - self.token_cost_us) * AVERAGE_WEIGHT;
     }
 }
--- a/crates/comethitch-statement/src/cache/entries.rs
+++ b/crates/comethitch-statement/src/cache/entries.rs
@@ -1,18 +1,18 @@
 //! The entries of a cache: slots in one array, linked into lists by their indices.
 //!
-//! Each entry is in the list of its segment, and outside of the window also in that of its owner. Lists are ordered
-//! by last use, newest first.
+//! Each entry is in the list of its segment, and outside the window also in the list of its owner. Lists are in
+//! order of last use, newest first.
 
 use crate::ShapeKey;
 
-/// No slot: the end of a list.
-pub(super) const NONE: u32 = u32::MAX;
-/// Clients are hashed to so many owners; two that meet share one's part.
+/// The slot index that marks the end of a list.
+pub(super) const NO_SLOT: u32 = u32::MAX;
+/// Number of owners that clients are hashed to; clients with the same owner share its quota.
 pub(super) const OWNERS: usize = 64;
-/// The owner of entries that several clients use.
+/// The owner of entries used by several clients.
 pub(super) const SHARED: u8 = OWNERS as u8;
 
-/// The parts of a segmented LRU, with the window before them.
+/// The window and the two segments of a segmented LRU.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Segment {
     /// New entries.
@@ -23,7 +23,7 @@
     Protected,
 }
 
-/// Which of an entry's two lists is meant.
+/// The kinds of lists that an entry belongs to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListKind {
     Segment,
@@ -36,27 +36,27 @@
     older: u32,
 }
 
-const UNLINKED: Link = Link { newer: NONE, older: NONE };
+const UNLINKED: Link = Link { newer: NO_SLOT, older: NO_SLOT };
 
 pub(super) struct Entry<V> {
     pub key: ShapeKey,
-    /// None in a free slot.
+    /// `None` in a free slot.
     pub value: Option<V>,
     pub bytes: u32,
     pub segment: Segment,
     pub owner: u8,
-    /// Its neighbours, by [`ListKind`]. Free slots are linked by `older` of the first.
+    /// The neighbours by [`ListKind`]. Free slots are linked by `older` of [`ListKind::Segment`].
     links: [Link; 2],
 }
 
 impl<V> Entry<V> {
-    /// An entry of the window that is in no list yet.
+    /// Creates an entry for the window, which is not in any list yet.
     pub(super) fn new(key: ShapeKey, value: V, bytes: u32, owner: u8) -> Entry<V> {
         Entry { key, value: Some(value), bytes, segment: Segment::Window, owner, links: [UNLINKED; 2] }
     }
 }
 
-/// The ends of a list, and the bytes of its entries.
+/// The ends of a list, and the total bytes of its entries.
 #[derive(Clone, Copy)]
 pub(super) struct List {
     newest: u32,
@@ -64,31 +64,30 @@
     pub bytes: usize,
 }
 
-const EMPTY: List = List { newest: NONE, oldest: NONE, bytes: 0 };
+const EMPTY_LIST: List = List { newest: NO_SLOT, oldest: NO_SLOT, bytes: 0 };
 
-/// A bounded number of slots, and the lists that link them.
+/// A bounded number of slots, linked into lists by segment and by owner.
 pub(super) struct Entries<V> {
     slots: Vec<Entry<V>>,
     capacity: usize,
-    /// The first free slot.
-    free: u32,
+    first_free: u32,
     segments: [List; 3],
     owners: [List; OWNERS + 1],
 }
 
 impl<V> Entries<V> {
-    /// No entries, with memory for so many.
+    /// Allocates memory for `capacity` entries.
     pub(super) fn with_capacity(capacity: usize) -> Entries<V> {
         Entries {
             slots: Vec::with_capacity(capacity),
             capacity,
-            free: NONE,
-            segments: [EMPTY; 3],
-            owners: [EMPTY; OWNERS + 1],
+            first_free: NO_SLOT,
+            segments: [EMPTY_LIST; 3],
+            owners: [EMPTY_LIST; OWNERS + 1],
         }
     }
 
-    /// How many entries there may be.
+    /// Returns the maximum number of entries.
     pub(super) fn capacity(&self) -> usize {
         self.capacity
     }
@@ -96,69 +95,69 @@
     /// Removes all entries.
     pub(super) fn clear(&mut self) {
         self.slots.clear();
-        self.free = NONE;
-        self.segments = [EMPTY; 3];
-        self.owners = [EMPTY; OWNERS + 1];
+        self.first_free = NO_SLOT;
+        self.segments = [EMPTY_LIST; 3];
+        self.owners = [EMPTY_LIST; OWNERS + 1];
     }
 
-    /// The entry in a slot.
+    /// Returns the entry in a slot.
     pub(super) fn get(&self, slot: u32) -> &Entry<V> {
         &self.slots[slot as usize]
     }
 
-    /// The entries of a segment, as a list.
+    /// Returns the list of a segment's entries.
     pub(super) fn segment(&self, segment: Segment) -> &List {
         &self.segments[segment as usize]
     }
 
-    /// The entries of an owner, as a list.
+    /// Returns the list of an owner's entries outside the window.
     pub(super) fn owner(&self, owner: u8) -> &List {
         &self.owners[owner as usize]
     }
 
-    /// The bytes of all entries.
+    /// Returns the total bytes of all entries.
     pub(super) fn bytes(&self) -> usize {
         self.segments.iter().map(|list| list.bytes).sum()
     }
 
-    /// The number of owners with entries outside of the window, this one counted in any case.
-    pub(super) fn owners_with(&self, owner: u8) -> usize {
-        let holds = |(nth, list): &(usize, &List)| list.bytes > 0 || *nth == owner as usize;
-        self.owners.iter().enumerate().filter(holds).count()
+    /// Returns the number of owners with entries outside the window, counting `owner` in any case.
+    pub(super) fn active_owners_with(&self, owner: u8) -> usize {
+        let is_active = |(index, list): &(usize, &List)| list.bytes > 0 || *index == owner as usize;
+        self.owners.iter().enumerate().filter(is_active).count()
     }
 
-    /// Whether every slot is taken.
+    /// Returns whether no slot is free.
     pub(super) fn is_full(&self) -> bool {
-        self.free == NONE && self.slots.len() == self.capacity
+        self.first_free == NO_SLOT && self.slots.len() == self.capacity
     }
 
-    /// Puts an entry into a free slot, in no list; none if all are taken.
+    /// Stores an entry in a free slot, without linking it. Returns `None` if no slot is free.
     pub(super) fn allocate(&mut self, entry: Entry<V>) -> Option<u32> {
         if self.is_full() {
             return None;
         }
-        if self.free == NONE {
+        if self.first_free == NO_SLOT {
             self.slots.push(entry);
             return Some(self.slots.len() as u32 - 1);
         }
-        let slot = self.free;
-        self.free = self.slots[slot as usize].links[ListKind::Segment as usize].older;
+        let slot = self.first_free;
+        self.first_free = self.slots[slot as usize].links[ListKind::Segment as usize].older;
         self.slots[slot as usize] = entry;
         Some(slot)
     }
 
-    /// Takes an entry out of its lists and frees its slot; returns its key.
+    /// Unlinks an entry and frees its slot. Returns the entry's key.
     pub(super) fn release(&mut self, slot: u32) -> ShapeKey {
         self.unlink(slot, ListKind::Segment);
         if self.get(slot).segment != Segment::Window {
             self.unlink(slot, ListKind::Owner);
         }
-        let free = self.free;
+        let first_free = self.first_free;
         let entry = &mut self.slots[slot as usize];
         entry.value = None;
-        entry.links[ListKind::Segment as usize].older = free;
+        entry.links[ListKind::Segment as usize].older = first_free;
         let key = entry.key;
-        self.free = slot;
+        self.first_free = slot;
         key
     }
 
@@ -169,13 +168,13 @@
         self.link_first(slot, ListKind::Segment);
     }
 
-    /// Moves an entry outside of the window to the front of its owner's list.
+    /// Moves an entry outside the window to the front of its owner's list.
     pub(super) fn move_to_front_of_owner(&mut self, slot: u32) {
         self.unlink(slot, ListKind::Owner);
         self.link_first(slot, ListKind::Owner);
     }
 
-    /// Gives an entry to another owner.
+    /// Assigns an entry to another owner.
     pub(super) fn set_owner(&mut self, slot: u32, owner: u8) {
         let is_listed = self.get(slot).segment != Segment::Window;
         if is_listed {
@@ -187,7 +186,7 @@
         }
     }
 
-    /// The list of a kind that an entry belongs to.
+    /// Returns the list of a kind that an entry belongs to.
     fn list(&mut self, slot: u32, kind: ListKind) -> &mut List {
         let entry = &self.slots[slot as usize];
         match kind {
@@ -196,19 +195,19 @@
         }
     }
 
-    /// Makes an entry the newest of a list.
+    /// Links an unlinked entry at the front of a list.
     pub(super) fn link_first(&mut self, slot: u32, kind: ListKind) {
         let bytes = self.get(slot).bytes as usize;
         let list = self.list(slot, kind);
         let next = list.newest;
         list.newest = slot;
         list.bytes += bytes;
-        if next == NONE {
+        if next == NO_SLOT {
             list.oldest = slot;
         } else {
             self.slots[next as usize].links[kind as usize].newer = slot;
         }
-        self.slots[slot as usize].links[kind as usize] = Link { newer: NONE, older: next };
+        self.slots[slot as usize].links[kind as usize] = Link { newer: NO_SLOT, older: next };
     }
 
     fn unlink(&mut self, slot: u32, kind: ListKind) {
@@ -216,16 +215,16 @@
         let Link { newer, older } = self.slots[slot as usize].links[kind as usize];
         let list = self.list(slot, kind);
         list.bytes -= bytes;
-        if newer == NONE {
+        if newer == NO_SLOT {
             list.newest = older;
         }
-        if older == NONE {
+        if older == NO_SLOT {
             list.oldest = newer;
         }
-        if newer != NONE {
+        if newer != NO_SLOT {
             self.slots[newer as usize].links[kind as usize].older = older;
         }
-        if older != NONE {
+        if older != NO_SLOT {
             self.slots[older as usize].links[kind as usize].newer = newer;
         }
     }
--- a/crates/comethitch-statement/src/cache/mod.rs
+++ b/crates/comethitch-statement/src/cache/mod.rs
@@ -1,52 +1,50 @@
-//! A cache of values by shape, bounded in bytes: W-TinyLFU over a segmented LRU, with a share for each client.
+//! A cache of values by shape, bounded in bytes: W-TinyLFU over a segmented LRU, with a quota for each client.
 //!
-//! A new entry stands in a small window first. As it leaves the window it must have been looked up more often
-//! lately than the entry whose place it would take ([`crate::frequency_sketch`]), so that shapes that come once
-//! evict nothing that is in use. Entries used again are protected from those that were not.
+//! New entries enter a small window. An entry that leaves the window is accepted only if it was looked up more often
+//! recently ([`crate::frequency_sketch`]) than the entry that it would evict, so that shapes that occur once evict
+//! none in use. Entries used again are protected from those used once.
 //!
-//! While the cache is full, a client that holds more than its even share takes the place of its own entries alone,
-//! however often it looks them up; an entry that a second client uses belongs to no one.
+//! While the cache is full, a client above its quota evicts only its own entries, however often it looks them up. An
+//! entry used by a second client is shared, and counts towards no quota.
 
 mod entries;
 
 use crate::ShapeKey;
 use crate::frequency_sketch::FrequencySketch;
-use entries::{Entries, Entry, ListKind, NONE, OWNERS, SHARED, Segment};
+use crate::hashing::bucket_of;
+use entries::{Entries, Entry, ListKind, NO_SLOT, OWNERS, SHARED, Segment};
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// The part of the bytes that new entries have before they compete: one in so many.
-const WINDOW_PART: usize = 8;
-/// The part of the rest that is reserved for entries used again.
-const PROTECTED_PART: Fraction = Fraction { numerator: 4, denominator: 5 };
-/// Slots are allocated for so many entries as the bound holds of this many bytes.
+/// The window's share of the value budget is 1 / this.
+const WINDOW_DIVISOR: usize = 8;
+/// The share of the budget outside the window that the protected segment may use.
+const PROTECTED_SHARE: Fraction = Fraction { numerator: 4, denominator: 5 };
+/// Slots are allocated for entries of this size; larger entries leave slots unused.
 const MIN_ENTRY_BYTES: usize = 384;
-/// The part of the bytes beside the bookkeeping that values may count: small pieces that come and go among what a
-/// parser takes and gives back leave gaps, which were measured at half of what the pieces hold.
-const COUNTED_PART: Fraction = Fraction { numerator: 2, denominator: 3 };
-/// An entry of more than one in so many parts of the cache is not cached.
-const LARGEST_PART: usize = 64;
-/// The bits of a hash that choose among [`OWNERS`].
-const OWNER_HASH_SHIFT: u32 = u64::BITS - OWNERS.ilog2();
-
+/// The share of the memory beside the bookkeeping that values may use; the rest allows for heap fragmentation by
+/// the parser's allocations.
+const VALUE_SHARE: Fraction = Fraction { numerator: 2, denominator: 3 };
+/// Values above 1 / this of the value budget are not cached.
+const MAX_VALUE_DIVISOR: usize = 64;
 struct Fraction {
     numerator: usize,
     denominator: usize,
 }
 
 impl Fraction {
-    /// This part of so many bytes, rounded down twice.
+    /// Returns this fraction of a number of bytes, rounded down.
     const fn of(&self, bytes: usize) -> usize {
         bytes / self.denominator * self.numerator
     }
 
-    /// The bytes of which so many are this part.
-    const fn whole(&self, bytes: usize) -> usize {
+    /// Returns the number of bytes of which `bytes` are this fraction, rounded down.
+    const fn total_for(&self, bytes: usize) -> usize {
         bytes / self.numerator * self.denominator
     }
 }
 
-/// Keys are keyed hashes already, and need no second hash.
+/// Passes keys through, which are keyed hashes already.
 #[derive(Default)]
 struct IdentityHasher(u64);
 
@@ -64,16 +62,16 @@
     }
 }
 
-/// Counts since the start.
+/// Counts of a cache since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheCounts {
-    /// Look-ups that found an entry.
+    /// Lookups that found an entry.
     pub hits: u64,
-    /// Look-ups that found none.
+    /// Lookups that did not find an entry.
     pub misses: u64,
-    /// Entries that did not get past the window.
+    /// Entries that were not accepted, or not beyond the window.
     pub rejections: u64,
-    /// Entries evicted for others.
+    /// Entries evicted in favour of others.
     pub evictions: u64,
 }
 
@@ -87,9 +85,9 @@
 /// assert_eq!(cache.get(ShapeKey(2), 7), None);
 /// ```
 pub struct Cache<V> {
-    bound: usize,
-    /// What values may count together: a part of the bound less the bookkeeping.
-    value_budget: usize,
+    max_bytes: usize,
+    /// Maximum total size of the values, as counted by `insert`.
+    value_budget_bytes: usize,
     entries: Entries<V>,
     index: HashMap<ShapeKey, u32, BuildHasherDefault<IdentityHasher>>,
     sketch: FrequencySketch,
@@ -97,16 +95,17 @@
 }
 
 impl<V> Cache<V> {
-    /// The least bound that makes sense, in bytes: a cache is never smaller.
+    /// Minimum size of a cache.
     pub const MIN_BYTES: usize = 64 << 10;
 
-    /// A cache that takes so many bytes at most, its own bookkeeping included.
-    pub fn new(bound: usize) -> Cache<V> {
-        let bound = bound.max(Self::MIN_BYTES);
-        let slots = bound / MIN_ENTRY_BYTES;
+    /// Creates a cache that occupies at most `max_bytes`, including its bookkeeping, but at least
+    /// [`MIN_BYTES`](Self::MIN_BYTES).
+    pub fn new(max_bytes: usize) -> Cache<V> {
+        let max_bytes = max_bytes.max(Self::MIN_BYTES);
+        let slots = max_bytes / MIN_ENTRY_BYTES;
         Cache {
-            bound,
-            value_budget: COUNTED_PART.of(bound.saturating_sub(Self::bookkeeping_bytes(slots))),
+            max_bytes,
+            value_budget_bytes: VALUE_SHARE.of(max_bytes.saturating_sub(Self::bookkeeping_bytes(slots))),
             entries: Entries::with_capacity(slots),
             index: HashMap::with_capacity_and_hasher(slots, BuildHasherDefault::default()),
             sketch: FrequencySketch::new(slots),
@@ -114,51 +113,51 @@
         }
     }
 
-    /// What so many slots take, used or not. The table of keys is kept an eighth free, in a power of two.
+    /// Returns the bytes that the slots, the index and the sketch occupy, whether in use or not.
     fn bookkeeping_bytes(slots: usize) -> usize {
+        // A `HashMap` has a power of two of buckets, at most 7/8 of them in use, each with a control byte.
         let buckets = (slots * 8 / 7).next_power_of_two();
         slots * size_of::<Entry<V>>()
             + buckets * (size_of::<(ShapeKey, u32)>() + 1)
-            + FrequencySketch::bytes(slots)
+            + FrequencySketch::memory_bytes(slots)
     }
 
-    /// The bytes that it takes now.
+    /// Returns the bytes that the cache occupies.
     pub fn memory_bytes(&self) -> usize {
-        Self::bookkeeping_bytes(self.entries.capacity()) + COUNTED_PART.whole(self.entries.bytes())
+        Self::bookkeeping_bytes(self.entries.capacity()) + VALUE_SHARE.total_for(self.entries.bytes())
     }
 
-    /// The bytes that it may take.
-    pub fn bound(&self) -> usize {
-        self.bound
+    /// Returns the maximum number of bytes that the cache may occupy.
+    pub fn max_bytes(&self) -> usize {
+        self.max_bytes
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.index.len()
     }
 
-    /// Whether it has no entries.
+    /// Returns whether the cache has no entries.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
 
-    /// Its counts since the start.
+    /// Returns the counts since the start.
     pub fn counts(&self) -> CacheCounts {
         self.counts
     }
 
-    /// Forgets all entries, but not how often they were looked up.
+    /// Removes all entries, but keeps the frequencies of lookups.
     pub fn clear(&mut self) {
         self.index.clear();
         self.entries.clear();
     }
 
-    /// The owner that a client is hashed to, by Fibonacci hashing.
     fn owner(client: u64) -> u8 {
-        (client.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> OWNER_HASH_SHIFT) as u8
+        bucket_of(client, OWNERS) as u8
     }
 
-    /// Looks the value of a shape up for a client.
+    /// Looks up the value of a shape for a client.
     pub fn get(&mut self, key: ShapeKey, client: u64) -> Option<&V> {
         self.sketch.increment(key);
         let Some(slot) = self.index.get(&key).copied() else {
@@ -174,7 +173,7 @@
         self.entries.get(slot).value.as_ref()
     }
 
-    /// Moves an entry that is used to the front of its lists, out of probation into the protected segment.
+    /// Moves an entry to the front of its lists, and from probation to the protected segment.
     fn promote(&mut self, slot: u32) {
         if self.entries.get(slot).segment == Segment::Window {
             self.entries.move_to_segment(slot, Segment::Window);
@@ -182,24 +181,23 @@
             self.entries.move_to_segment(slot, Segment::Protected);
             self.entries.move_to_front_of_owner(slot);
         }
-        let most = PROTECTED_PART.of(self.main_budget());
-        while self.entries.segment(Segment::Protected).bytes > most {
+        let max_protected = PROTECTED_SHARE.of(self.main_budget_bytes());
+        while self.entries.segment(Segment::Protected).bytes > max_protected {
             let oldest = self.entries.segment(Segment::Protected).oldest;
             self.entries.move_to_segment(oldest, Segment::Probation);
         }
     }
 
-    /// Adds the value of a shape that was not found; `bytes` is what the value takes, what its allocations take
-    /// besides included.
+    /// Adds the value of a shape that was not found. `bytes` is the size of the value, including allocator overhead.
     pub fn insert(&mut self, key: ShapeKey, value: V, bytes: usize, client: u64) {
         if let Some(slot) = self.index.get(&key).copied() {
             self.remove(slot);
         }
-        if bytes > self.value_budget / LARGEST_PART {
+        if bytes > self.value_budget_bytes / MAX_VALUE_DIVISOR {
             self.counts.rejections += 1;
             return;
         }
-        // A slot is always free here: what leaves the window below makes room for the next entry.
+        // A slot is always free here, since the loop below leaves one free.
         let entry = Entry::new(key, value, bytes as u32, Self::owner(client));
         let Some(slot) = self.entries.allocate(entry) else {
             self.counts.rejections += 1;
@@ -207,32 +205,32 @@
         };
         self.index.insert(key, slot);
         self.entries.link_first(slot, ListKind::Segment);
-        let window_budget = (self.value_budget / WINDOW_PART).max(bytes);
-        while self.entries.segment(Segment::Window).bytes > window_budget || self.entries.is_full() {
+        let max_window = (self.value_budget_bytes / WINDOW_DIVISOR).max(bytes);
+        while self.entries.segment(Segment::Window).bytes > max_window || self.entries.is_full() {
             self.leave_window(self.entries.segment(Segment::Window).oldest);
         }
     }
 
-    /// The bytes of values outside of the window, at most.
-    fn main_budget(&self) -> usize {
-        self.value_budget - self.value_budget / WINDOW_PART
+    /// Returns the maximum total size of the values outside the window.
+    fn main_budget_bytes(&self) -> usize {
+        self.value_budget_bytes - self.value_budget_bytes / WINDOW_DIVISOR
     }
 
     fn main_bytes(&self) -> usize {
         self.entries.segment(Segment::Probation).bytes + self.entries.segment(Segment::Protected).bytes
     }
 
-    /// Moves an entry out of the window: into the rest of the cache if it was looked up more often than those it
-    /// evicts, or out of the cache.
+    /// Moves an entry from the window to probation if it was looked up more often than those that it evicts;
+    /// otherwise removes it.
     fn leave_window(&mut self, slot: u32) {
         let candidate = self.entries.get(slot);
         let bytes = candidate.bytes as usize;
         let owner = candidate.owner;
         let frequency = self.sketch.estimate(candidate.key);
         // A slot must stay free for the next entry, too.
-        while self.main_bytes() + bytes > self.main_budget() || self.entries.is_full() {
-            let victim = self.victim(owner, bytes);
-            if victim == NONE || frequency <= self.sketch.estimate(self.entries.get(victim).key) {
+        while self.main_bytes() + bytes > self.main_budget_bytes() || self.entries.is_full() {
+            let victim = self.choose_victim(owner, bytes);
+            if victim == NO_SLOT || frequency <= self.sketch.estimate(self.entries.get(victim).key) {
                 self.counts.rejections += 1;
                 return self.remove(slot);
             }
@@ -243,24 +241,25 @@
         self.entries.link_first(slot, ListKind::Owner);
     }
 
-    /// The entry whose place an owner's entry of so many bytes would take: its owner's oldest if that one is over
-    /// its share, or else the oldest of all.
-    fn victim(&self, owner: u8, bytes: usize) -> u32 {
-        let share = self.even_share(owner);
-        let is_over_share =
-            owner != SHARED && share < self.main_budget() && self.entries.owner(owner).bytes + bytes > share;
-        if is_over_share {
+    /// Chooses the entry to evict for an owner's entry of this size: the owner's oldest if the owner would exceed
+    /// its quota, otherwise the oldest of all.
+    fn choose_victim(&self, owner: u8, bytes: usize) -> u32 {
+        let quota = self.quota_bytes(owner);
+        let exceeds_quota = owner != SHARED
+            && quota < self.main_budget_bytes()
+            && self.entries.owner(owner).bytes + bytes > quota;
+        if exceeds_quota {
             return self.entries.owner(owner).oldest;
         }
         match self.entries.segment(Segment::Probation).oldest {
-            NONE => self.entries.segment(Segment::Protected).oldest,
+            NO_SLOT => self.entries.segment(Segment::Protected).oldest,
             oldest => oldest,
         }
     }
 
-    /// An even share of the cache for each owner with entries, and for this one.
-    fn even_share(&self, owner: u8) -> usize {
-        self.main_budget() / self.entries.owners_with(owner).max(1)
+    /// Returns an owner's even share of the budget outside the window.
+    fn quota_bytes(&self, owner: u8) -> usize {
+        self.main_budget_bytes() / self.entries.active_owners_with(owner).max(1)
     }
 
     fn remove(&mut self, slot: u32) {
--- a/crates/comethitch-statement/src/catalogue.rs
+++ b/crates/comethitch-statement/src/catalogue.rs
@@ -1,8 +1,8 @@
-//! What is known about names: the built-in functions, types and operators of each dialect, kept as data in
-//! `data/`, and the catalogue that the operator adds.
+//! Known names: the built-in functions, types and operators of each dialect, listed in `data/`, and the operator's
+//! catalogue.
 //!
-//! A function that is on no list is taken to write. Names are compared as a server does: an unquoted one in
-//! lower case, a quoted one as it stands.
+//! Unlisted functions are assumed to write. Names are compared as servers do: unquoted ones in lower case, quoted
+//! ones as written.
 
 use crate::{Dialect, Effect};
 use schemars::JsonSchema;
@@ -10,20 +10,20 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::LazyLock;
 
-/// What a function, table or view does when it is used in a read.
+/// The side effect of using a function, table or view in a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Does", rename_all = "snake_case")]
 pub enum SideEffect {
-    /// It changes nothing.
+    /// Changes nothing.
     Read,
-    /// It changes data.
+    /// Changes data.
     Write,
-    /// It changes or reads what belongs to one session.
+    /// Changes or reads the state of a session.
     Session,
 }
 
 impl SideEffect {
-    /// The effect of a statement that uses it.
+    /// Returns the effect of a statement with this side effect.
     pub fn effect(self) -> Effect {
         match self {
             SideEffect::Read => Effect::Read,
@@ -33,21 +33,21 @@
     }
 }
 
-/// What the operator says about names of their own.
+/// The operator's names that are not built in.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Catalogue {
-    /// Functions, by name as statements call them: `"tienda.precio": "read"`. What is said here
-    /// comes before the list of functions known of the dialect.
+    /// Functions, named as in statements: `"tienda.precio": "read"`. Entries take precedence over the built-in
+    /// functions of the dialect.
     pub functions: BTreeMap<String, SideEffect>,
-    /// Tables and views, by name as statements call them; a view that calls a writing function is "write".
+    /// Tables and views, named as in statements; a view that calls a writing function is "write".
     pub tables: BTreeMap<String, SideEffect>,
-    /// Types of the operator's own whose casts change nothing.
+    /// User-defined types whose casts change nothing.
     pub types: Vec<String>,
-    /// Operators of the operator's own, such as "<~>", that change nothing.
+    /// User-defined operators that change nothing, such as "<~>".
     pub operators: Vec<String>,
-    /// Whether a table that is not listed may be read at a replica. Set to false, a statement that names one
-    /// is unknown.
+    /// Whether unlisted tables may be read from replicas. If false, a statement that uses an unlisted table is
+    /// unknown.
     pub unlisted_tables: Option<bool>,
 }
 
@@ -57,20 +57,20 @@
     functions: BTreeMap<String, String>,
     types: String,
     operators: String,
-    /// Words behind which a bracket opens that is no call.
+    /// Words before a bracket that is not a function's argument list.
     before_brackets: String,
-    /// What is called like a function, and is none: quoted, the name is another's.
+    /// Constructs of the grammar that look like function calls; a quoted name refers to a function instead.
     constructs: String,
-    /// Words that may begin or continue a writing or unknown statement wherever they stand.
+    /// Words that show a statement to be a write or unknown, wherever they appear.
     never_in_reads: String,
     leading_write: String,
     leading_session: String,
-    /// Words that begin a statement about a transaction.
+    /// Words that begin a statement that controls a transaction.
     transaction: String,
 }
 
-/// The lists of one dialect, made ready for look-ups.
-pub(crate) struct KnownNames {
+/// The names of one dialect, indexed for lookups.
+pub(crate) struct BuiltInNames {
     pub functions: HashMap<&'static str, SideEffect>,
     pub types: HashSet<&'static str>,
     pub operators: HashSet<&'static str>,
@@ -82,10 +82,10 @@
     pub transaction: HashSet<&'static str>,
 }
 
-impl KnownNames {
-    fn read(json: &'static str) -> KnownNames {
+impl BuiltInNames {
+    fn read(json: &'static str) -> BuiltInNames {
         let lists: NameLists =
-            serde_json::from_str(json).expect("the lists are part of the program, and tests read both");
+            serde_json::from_str(json).expect("the lists are compiled in, and tests read both");
         let mut functions = HashMap::new();
         for (side_effect, names) in lists.functions {
             let side_effect = match side_effect.as_str() {
@@ -93,32 +93,33 @@
                 "session" => SideEffect::Session,
                 _ => SideEffect::Read,
             };
-            functions.extend(names_of(names).into_iter().map(|name| (name, side_effect)));
+            functions.extend(split_names(names).into_iter().map(|name| (name, side_effect)));
         }
-        KnownNames {
+        BuiltInNames {
             functions,
-            types: names_of(lists.types),
-            operators: names_of(lists.operators),
-            before_brackets: names_of(lists.before_brackets),
-            constructs: names_of(lists.constructs),
-            never_in_reads: names_of(lists.never_in_reads),
-            leading_write: names_of(lists.leading_write),
-            leading_session: names_of(lists.leading_session),
-            transaction: names_of(lists.transaction),
+            types: split_names(lists.types),
+            operators: split_names(lists.operators),
+            before_brackets: split_names(lists.before_brackets),
+            constructs: split_names(lists.constructs),
+            never_in_reads: split_names(lists.never_in_reads),
+            leading_write: split_names(lists.leading_write),
+            leading_session: split_names(lists.leading_session),
+            transaction: split_names(lists.transaction),
         }
     }
 }
 
-/// The names of a list. They are kept as long as the program runs.
-fn names_of(list: String) -> HashSet<&'static str> {
+/// Splits a list into names. Leaks the text, which is needed until the program ends.
+fn split_names(list: String) -> HashSet<&'static str> {
     list.leak().split_whitespace().collect()
 }
 
-/// The lists of a dialect, read at their first use.
-pub(crate) fn known(dialect: Dialect) -> &'static KnownNames {
-    static POSTGRES: LazyLock<KnownNames> =
-        LazyLock::new(|| KnownNames::read(include_str!("../data/postgres.json")));
-    static TSQL: LazyLock<KnownNames> = LazyLock::new(|| KnownNames::read(include_str!("../data/tsql.json")));
+/// Returns the built-in names of a dialect, which are read on first use.
+pub(crate) fn built_in_names(dialect: Dialect) -> &'static BuiltInNames {
+    static POSTGRES: LazyLock<BuiltInNames> =
+        LazyLock::new(|| BuiltInNames::read(include_str!("../data/postgres.json")));
+    static TSQL: LazyLock<BuiltInNames> =
+        LazyLock::new(|| BuiltInNames::read(include_str!("../data/tsql.json")));
     match dialect {
         Dialect::Postgres => &POSTGRES,
         Dialect::Tsql => &TSQL,
@@ -126,33 +127,35 @@
 }
 
 impl Catalogue {
-    /// What a function does, by its name as it is called; none if it is on no list.
+    /// Returns the side effect of a function, named as in the statement, or `None` if it is not listed.
     pub fn function(&self, dialect: Dialect, name: &str) -> Option<SideEffect> {
         if let Some(side_effect) = self.functions.get(name) {
             return Some(*side_effect);
         }
         let built_in = if dialect == Dialect::Postgres { without_system_schema(name) } else { name };
-        known(dialect).functions.get(built_in).copied()
+        built_in_names(dialect).functions.get(built_in).copied()
     }
 
-    /// What reading a table or view does; none if only listed ones are known.
+    /// Returns the side effect of reading a table or view, or `None` if it is unlisted and must be listed.
     pub fn table(&self, name: &str) -> Option<SideEffect> {
         let listed = self.tables.get(name).copied();
         listed.or_else(|| self.unlisted_tables.unwrap_or(true).then_some(SideEffect::Read))
     }
 
-    /// Whether casts to a type change nothing.
+    /// Returns whether a type is listed: its casts change nothing.
     pub(crate) fn is_type(&self, dialect: Dialect, name: &str) -> bool {
-        known(dialect).types.contains(without_system_schema(name)) || self.types.iter().any(|own| own == name)
+        let is_built_in = built_in_names(dialect).types.contains(without_system_schema(name));
+        is_built_in || self.types.iter().any(|listed| listed == name)
     }
 
-    /// Whether an operator changes nothing.
+    /// Returns whether an operator is listed: it changes nothing.
     pub(crate) fn is_operator(&self, dialect: Dialect, name: &str) -> bool {
-        known(dialect).operators.contains(name) || self.operators.iter().any(|own| own == name)
+        let is_built_in = built_in_names(dialect).operators.contains(name);
+        is_built_in || self.operators.iter().any(|listed| listed == name)
     }
 }
 
-/// A built-in name of PostgreSQL without its schema.
+/// Strips the schema of PostgreSQL's built-in names.
 fn without_system_schema(name: &str) -> &str {
     name.strip_prefix("pg_catalog.").unwrap_or(name)
 }
--- a/crates/comethitch-statement/src/classify/findings.rs
+++ b/crates/comethitch-statement/src/classify/findings.rs
@@ -1,5 +1,5 @@
-//! What is found out about one statement: the strictest effect and the reason for it, and which of its functions,
-//! types, operators and tables the lists and the catalogue know.
+//! Collects the findings on one statement: the most restricted effect with its reason, and the functions, types,
+//! operators and tables that it uses.
 
 use super::names::{identifier, qualified_name};
 use super::table_uses::TableUseCollector;
@@ -7,11 +7,11 @@
 use crate::{Dialect, Effect, Features, Verdict};
 use sqlparser::ast::{ArrayElemTypeDef, BinaryOperator, DataType, Expr, ObjectName};
 
-/// The longest list of functions that a verdict keeps; more are counted, and all are judged.
+/// Maximum number of functions listed in a verdict; further ones are checked and counted only.
 const MAX_LISTED_FUNCTIONS: usize = 32;
-/// A name of more parts than this names a table of another server.
+/// Maximum number of parts of a table's name; a longer name refers to another server.
 const MAX_TABLE_NAME_PARTS: usize = 3;
-/// The reason given for clauses that neither dialect has.
+/// The reason for clauses that neither dialect has.
 pub(super) const FOREIGN_CLAUSE: &str = "it has a clause of another dialect";
 
 const AGGREGATES: [&str; 12] = [
@@ -29,7 +29,7 @@
     "count_big",
 ];
 
-/// T-SQL's table hints that take no locks beyond those of a plain read.
+/// T-SQL's table hints that take no more locks than a plain read.
 const LOCK_FREE_HINTS: [&str; 10] = [
     "nolock",
     "readuncommitted",
@@ -48,62 +48,63 @@
     pub dialect: Dialect,
     pub catalogue: &'a Catalogue,
     pub effect: Effect,
-    pub why: String,
+    /// Why the effect is not a plain read; empty for a read.
+    pub reason: String,
     pub table_uses: TableUseCollector,
     functions: Vec<Box<str>>,
-    /// All names called, judged already.
+    /// Names called that have been checked already.
     pub called_names: Vec<String>,
-    /// Names that stand before a list of columns, or before hints.
+    /// Names of CTEs, aliases and tables, which may precede a bracket without being a call.
     pub declared_names: Vec<String>,
     pub features: Features,
-    pub transaction: bool,
+    pub controls_transaction: bool,
 }
 
 impl<'a> Findings<'a> {
-    /// Nothing is found yet.
+    /// Creates empty findings: a plain read.
     pub(super) fn new(dialect: Dialect, catalogue: &'a Catalogue) -> Findings<'a> {
         Findings {
             dialect,
             catalogue,
             effect: Effect::Read,
-            why: String::new(),
+            reason: String::new(),
             table_uses: TableUseCollector::default(),
             functions: Vec::new(),
             called_names: Vec::new(),
             declared_names: Vec::new(),
             features: Features::default(),
-            transaction: false,
+            controls_transaction: false,
         }
     }
 
-    /// The verdict on a statement that was parsed.
+    /// Returns the verdict on a statement that was parsed.
     pub(super) fn into_verdict(mut self) -> Verdict {
-        if self.table_uses.overflow {
+        if self.table_uses.has_overflowed() {
             let effect = self.effect.max(Effect::Unknown);
             let unparsed = Verdict::unparsed(effect, "it uses too many tables");
-            return Verdict { transaction: self.transaction, ..unparsed };
+            return Verdict { controls_transaction: self.controls_transaction, ..unparsed };
         }
         Verdict {
             effect: self.effect,
-            why: self.why.into(),
-            uses: self.table_uses.finish(&mut self.features),
+            reason: self.reason.into(),
+            table_uses: self.table_uses.finish(&mut self.features),
             functions: self.functions,
             features: self.features,
             parsed: true,
-            transaction: self.transaction,
+            controls_transaction: self.controls_transaction,
         }
     }
 
-    /// Keeps the strictest effect found, with the first reason for it.
-    pub(super) fn raise(&mut self, effect: Effect, why: &str) {
+    /// Raises the effect if `effect` is more restricted. The first reason for an effect is kept.
+    pub(super) fn raise(&mut self, effect: Effect, reason: &str) {
         if effect > self.effect {
             self.effect = effect;
-            self.why = why.into();
+            self.reason = reason.into();
         }
     }
 
-    /// Judges a function's call; one without brackets is a name such as `CURRENT_DATE`.
-    pub(super) fn call(&mut self, function: &ObjectName, has_brackets: bool) {
+    /// Checks a function call; a call without brackets is a name such as `CURRENT_DATE`.
+    pub(super) fn check_call(&mut self, function: &ObjectName, has_brackets: bool) {
         let Some(name) = qualified_name(function) else {
             return self.raise(Effect::Unknown, "it calls a function whose name is made up");
         };
@@ -121,20 +122,19 @@
         }
     }
 
-    /// A construct of the grammar, once quoted, is the name of a function that the operator made.
+    /// Checks for the quoted name of a grammatical construct, which refers to a user-defined function.
     fn check_quoted_construct(&mut self, function: &ObjectName, name: &str) {
         let mut parts = function.0.iter().filter_map(|part| part.as_ident());
         let is_quoted = parts.any(|part| part.quote_style.is_some());
-        if is_quoted && catalogue::known(self.dialect).constructs.contains(name) {
+        if is_quoted && catalogue::built_in_names(self.dialect).constructs.contains(name) {
             self.raise(Effect::Write, &format!("it calls \"{name}\", which is on no list"));
         }
     }
 
     fn check_function(&mut self, name: &str, has_brackets: bool) {
-        // T-SQL compares names without regard to case; a quoted built-in is no built-in there.
         match self.catalogue.function(self.dialect, name) {
             Some(SideEffect::Read) => {}
-            Some(does) => self.raise(does.effect(), &format!("it calls {name}")),
+            Some(side_effect) => self.raise(side_effect.effect(), &format!("it calls {name}")),
             None if !has_brackets => {
                 self.raise(Effect::Unknown, &format!("it names {name}, which is on no list"));
             }
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Judges a cast, which may call a function of the type's.
-    pub(super) fn cast(&mut self, to: &DataType) {
+    /// Checks a cast, which may call a function of the type.
+    pub(super) fn check_cast(&mut self, to: &DataType) {
         match to {
             DataType::Custom(name, _) => {
                 let name = qualified_name(name).unwrap_or_default();
@@ -155,16 +155,16 @@
                 ArrayElemTypeDef::AngleBracket(inner)
                 | ArrayElemTypeDef::SquareBracket(inner, _)
                 | ArrayElemTypeDef::Parenthesis(inner),
-            ) => self.cast(inner),
+            ) => self.check_cast(inner),
             DataType::Array(ArrayElemTypeDef::None) => {}
             DataType::Array(_) => self.raise(Effect::Unknown, "it has a type of another dialect"),
-            DataType::Collate(inner, _) => self.cast(inner),
+            DataType::Collate(inner, _) => self.check_cast(inner),
             _ => {}
         }
     }
 
-    /// Judges an operator, which may call a function of the operator's own.
-    pub(super) fn operator(&mut self, operator: &BinaryOperator) {
+    /// Checks an operator, which may call a user-defined function.
+    pub(super) fn check_operator(&mut self, operator: &BinaryOperator) {
         let name = match operator {
             BinaryOperator::Custom(name) => name.clone(),
             BinaryOperator::PGCustomBinaryOperator(parts) => match &parts[..] {
@@ -180,9 +180,10 @@
         }
     }
 
-    /// Judges a table hint of T-SQL: some take locks.
-    pub(super) fn table_hint(&mut self, hint: &Expr) {
+    /// Checks a table hint of T-SQL, which may take locks.
+    pub(super) fn check_table_hint(&mut self, hint: &Expr) {
         let name = hint_name(hint);
+        // INDEX and FORCESEEK precede a bracket without being a call.
         if name == "index" || name == "forceseek" {
             self.called_names.push(name);
         } else if !LOCK_FREE_HINTS.contains(&name.as_str()) {
@@ -190,8 +191,8 @@
         }
     }
 
-    /// Judges the use of a table or view.
-    pub(super) fn table(&mut self, table: &ObjectName) {
+    /// Checks the use of a table or view.
+    pub(super) fn check_table(&mut self, table: &ObjectName) {
         let Some(name) = qualified_name(table) else {
             return self.raise(Effect::Unknown, "it names a table by an expression");
         };
@@ -200,7 +201,9 @@
         }
         match self.catalogue.table(&name) {
             Some(SideEffect::Read) => {}
-            Some(does) => self.raise(does.effect(), &format!("{name} is told to be no plain read")),
+            Some(side_effect) => {
+                self.raise(side_effect.effect(), &format!("{name} is told to be no plain read"));
+            }
             None => self.raise(Effect::Unknown, &format!("{name} is in no catalogue")),
         }
     }
--- a/crates/comethitch-statement/src/classify/from_clause.rs
+++ b/crates/comethitch-statement/src/classify/from_clause.rs
@@ -1,13 +1,13 @@
-//! The tables of one FROM clause, and the values that its conditions give their columns.
+//! The tables of one FROM clause, and the column values determined by its conditions.
 
 use super::names::identifier;
 use sqlparser::ast::{BinaryOperator, Expr, InTarget, Value};
 
 /// A table of a FROM clause.
 pub(super) struct Source {
-    /// What it is called in the clause.
+    /// The alias, or the table's name.
     alias: String,
-    /// The index of the table's use; none for a derived table or a CTE.
+    /// The index of the table's use; `None` for a derived table or a CTE.
     pub table_use: Option<usize>,
 }
 
@@ -19,38 +19,44 @@
     pub name: String,
 }
 
-/// Two columns of which the second has the value of the first.
+/// A column whose values are known.
+pub(super) struct KnownColumn {
+    pub column: Column,
+    /// The numbers of the placeholders of its values.
+    pub placeholders: Vec<u32>,
+}
+
+/// An equality by which the values of `from` also hold for `to`.
 struct Equality {
     from: Column,
     to: Column,
 }
 
-/// The sources, and what conditions say of their columns.
+/// The sources of a FROM clause, and what its conditions determine about their columns.
 #[derive(Default)]
 pub(super) struct FromClause {
     sources: Vec<Source>,
     equalities: Vec<Equality>,
-    /// Columns with the placeholders of their values.
-    known_values: Vec<(Column, Vec<u32>)>,
+    known_columns: Vec<KnownColumn>,
 }
 
 impl FromClause {
-    /// What the clause reads from, in order.
+    /// Returns the sources in order.
     pub(super) fn sources(&self) -> &[Source] {
         &self.sources
     }
 
-    /// The columns whose values are known, with the placeholders of these values.
-    pub(super) fn known_values(&self) -> &[(Column, Vec<u32>)] {
-        &self.known_values
+    /// Returns the columns whose values are known.
+    pub(super) fn known_columns(&self) -> &[KnownColumn] {
+        &self.known_columns
     }
 
-    /// Adds a source under its alias, with the table use that it stands for.
+    /// Adds a source under its alias.
     pub(super) fn add_source(&mut self, alias: String, table_use: Option<usize>) {
         self.sources.push(Source { alias, table_use });
     }
 
-    /// Adds a condition that holds for every row, part by part where AND joins them.
+    /// Adds a condition that holds for every row.
     pub(super) fn add_condition(&mut self, condition: &Expr) {
         match condition {
             Expr::Nested(inner) => self.add_condition(inner),
@@ -61,7 +67,7 @@
             Expr::BinaryOp { left, op: BinaryOperator::Eq, right } => self.add_equality(left, right),
             Expr::In { expr, target: InTarget::List(list), negated: false, .. } => {
                 if let Some(column) = self.column(expr) {
-                    self.add_value(column, list.iter().map(placeholder_number).collect());
+                    self.add_known_column(column, list.iter().map(placeholder_number).collect());
                 }
             }
             _ => {}
@@ -75,31 +81,30 @@
                 self.equalities.push(Equality { from: right, to: left });
             }
             (Some(column), None) => {
-                self.add_value(column, placeholder_number(right).map(|number| vec![number]));
+                self.add_known_column(column, placeholder_number(right).map(|number| vec![number]));
             }
             (None, Some(column)) => {
-                self.add_value(column, placeholder_number(left).map(|number| vec![number]));
+                self.add_known_column(column, placeholder_number(left).map(|number| vec![number]));
             }
             (None, None) => {}
         }
     }
 
-    fn add_value(&mut self, column: Column, placeholders: Option<Vec<u32>>) {
+    fn add_known_column(&mut self, column: Column, placeholders: Option<Vec<u32>>) {
         if let Some(placeholders) = placeholders.filter(|numbers| !numbers.is_empty()) {
-            self.known_values.push((column, placeholders));
+            self.known_columns.push(KnownColumn { column, placeholders });
         }
     }
 
-    /// Adds the condition of a left join with the source added last: only rows that meet it come from there, but
-    /// any row may come from the left side.
+    /// Adds the condition of a left join with the last source, which does not restrict the rows of the left side.
     pub(super) fn add_left_join_condition(&mut self, condition: &Expr) {
         let right = self.sources.len().saturating_sub(1);
         let mut joined = FromClause { sources: std::mem::take(&mut self.sources), ..FromClause::default() };
         joined.add_condition(condition);
         self.sources = joined.sources;
-        self.known_values
-            .extend(joined.known_values.into_iter().filter(|(column, _)| column.source == right));
-        // A value goes from the left to the right, and not back.
+        let known_on_right = joined.known_columns.into_iter().filter(|known| known.column.source == right);
+        self.known_columns.extend(known_on_right);
+        // Values of the left side hold on the right, but not the reverse.
         let to_right = joined
             .equalities
             .into_iter()
@@ -107,41 +112,42 @@
         self.equalities.extend(to_right);
     }
 
-    /// Forgets the values of columns, whatever table they are in.
-    pub(super) fn forget_columns(&mut self, names: &[String]) {
-        self.known_values.retain(|(column, _)| !names.contains(&column.name));
+    /// Discards the values of columns with these names in any table.
+    pub(super) fn discard_columns(&mut self, names: &[String]) {
+        self.known_columns.retain(|known| !names.contains(&known.column.name));
     }
 
-    /// Passes values along equal columns until nothing new is known, or too much.
+    /// Propagates values along equalities until no further column becomes known, or more than `limit` are known.
     pub(super) fn propagate_values(&mut self, limit: usize) {
-        // Each round makes one more column known at least.
+        // Each round makes at least one more column known.
         for _ in 0..self.equalities.len().min(limit) {
-            let found = self.implied_values();
-            if found.is_empty() || self.known_values.len() > limit {
+            let implied = self.implied_columns();
+            if implied.is_empty() || self.known_columns.len() > limit {
                 break;
             }
-            self.known_values.extend(found);
+            self.known_columns.extend(implied);
         }
     }
 
-    /// The values that equalities give to columns without any.
-    fn implied_values(&self) -> Vec<(Column, Vec<u32>)> {
-        let mut found = Vec::new();
+    /// Returns the columns without known values that an equality gives values to.
+    fn implied_columns(&self) -> Vec<KnownColumn> {
+        let mut implied = Vec::new();
         for equality in &self.equalities {
-            if let Some(values) = self.values_of(&equality.from)
-                && self.values_of(&equality.to).is_none()
+            if let Some(placeholders) = self.placeholders_of(&equality.from)
+                && self.placeholders_of(&equality.to).is_none()
             {
-                found.push((equality.to.clone(), values.clone()));
+                let placeholders = placeholders.clone();
+                implied.push(KnownColumn { column: equality.to.clone(), placeholders });
             }
         }
-        found
+        implied
     }
 
-    fn values_of(&self, column: &Column) -> Option<&Vec<u32>> {
-        self.known_values.iter().find(|(known, _)| known == column).map(|(_, values)| values)
+    fn placeholders_of(&self, column: &Column) -> Option<&Vec<u32>> {
+        self.known_columns.iter().find(|known| known.column == *column).map(|known| &known.placeholders)
     }
 
-    /// A column by its source; one without a table's name belongs to the only source.
+    /// Resolves a column. A column without a table's name is resolved only if there is a single source.
     fn column(&self, expression: &Expr) -> Option<Column> {
         match expression {
             Expr::Nested(inner) => self.column(inner),
@@ -161,7 +167,7 @@
     }
 }
 
-/// The number of the placeholder that an expression is, from 0.
+/// Returns the number of the placeholder, from 0, if an expression is one.
 pub(super) fn placeholder_number(expression: &Expr) -> Option<u32> {
     match expression {
         Expr::Nested(inner) => placeholder_number(inner),
--- a/crates/comethitch-statement/src/classify/mod.rs
+++ b/crates/comethitch-statement/src/classify/mod.rs
@@ -1,7 +1,7 @@
-//! From a shape to its verdict.
+//! Computes the verdict on a shape.
 //!
-//! [`Classifier`] parses the shape (`parse`), walks its syntax tree (`visitor`) and looks through its tokens
-//! besides (`token_scan`); `findings` gathers what both find. Whatever is uncertain is never a read.
+//! [`Classifier`] parses the shape (`parse`), walks its syntax tree (`visitor`), and scans its tokens as a second check
+//! (`token_scan`); `findings` collects the results of both. A statement in doubt is never classified as a read.
 
 mod findings;
 mod from_clause;
@@ -14,7 +14,7 @@
 mod visitor;
 
 pub use parse::{MAX_PARSED_DEPTH, MAX_PARSED_TOKENS};
-pub use session_settings::only_settings;
+pub use session_settings::sets_only_session_options;
 
 use crate::catalogue::{self, Catalogue};
 use crate::lexer::Lexer;
@@ -25,7 +25,7 @@
 use tokens::word;
 use visitor::StatementVisitor;
 
-/// Judges shapes of one dialect by the lists of known names and a catalogue.
+/// Classifies shapes of one dialect by the built-in names and a catalogue.
 #[derive(Clone, Copy)]
 pub struct Classifier<'a> {
     dialect: Dialect,
@@ -33,12 +33,12 @@
 }
 
 impl<'a> Classifier<'a> {
-    /// A classifier that takes the catalogue's word on names before the lists'.
+    /// Creates a classifier. Functions in the catalogue take precedence over built-in ones.
     pub fn new(dialect: Dialect, catalogue: &'a Catalogue) -> Classifier<'a> {
         Classifier { dialect, catalogue }
     }
 
-    /// The verdict on the statement that was read last.
+    /// Returns the verdict on the statement that the lexer read last.
     pub fn classify(&self, lexer: &Lexer) -> Verdict {
         if let Some(ambiguity) = lexer.ambiguity() {
             return self.classify_unparsed(lexer, ambiguity.reason());
@@ -46,8 +46,8 @@
         if lexer.tokens().is_empty() {
             return Verdict::unparsed(Effect::Session, "it is empty");
         }
-        if let Some(why) = parse::too_large(lexer) {
-            return self.classify_unparsed(lexer, why);
+        if let Some(reason) = parse::too_large(lexer) {
+            return self.classify_unparsed(lexer, reason);
         }
         let Ok(statements) = parse::parse(lexer) else {
             return self.classify_unparsable(lexer);
@@ -59,46 +59,47 @@
         findings.into_verdict()
     }
 
-    /// The verdict where the parser fails: the tokens may still show that it writes.
+    /// Returns the verdict on a statement that cannot be parsed: its tokens may still show that it writes.
     fn classify_unparsable(&self, lexer: &Lexer) -> Verdict {
         let unparsed = self.classify_unparsed(lexer, "it can't be parsed");
         let mut findings = Findings::new(self.dialect, self.catalogue);
-        findings.raise(unparsed.effect, &unparsed.why);
+        findings.raise(unparsed.effect, &unparsed.reason);
         scan_tokens(lexer, &mut findings);
-        let transaction = unparsed.transaction;
-        Verdict { transaction, ..Verdict::unparsed(findings.effect, &findings.why) }
+        let controls_transaction = unparsed.controls_transaction;
+        Verdict { controls_transaction, ..Verdict::unparsed(findings.effect, &findings.reason) }
     }
 
-    /// The verdict on the statement that was read last by its first words alone: never that it is a read. `why`
-    /// says why it is not parsed.
-    pub fn classify_unparsed(&self, lexer: &Lexer, why: &str) -> Verdict {
-        let known = catalogue::known(self.dialect);
+    /// Returns the verdict on the statement that the lexer read last, by its first words only.
+    ///
+    /// The effect is never a read. `reason` is the reason why the statement is not parsed.
+    pub fn classify_unparsed(&self, lexer: &Lexer, reason: &str) -> Verdict {
+        let built_in = catalogue::built_in_names(self.dialect);
         let words = lexer.tokens().iter().map(|token| word(lexer, *token));
         let mut words = words.filter(|word| !word.is_empty());
         let first = words.next().unwrap_or_default();
         let second = words.next().unwrap_or_default();
-        let effect = if known.leading_write.contains(first) {
+        let effect = if built_in.leading_write.contains(first) {
             Effect::Write
-        } else if known.leading_session.contains(first) && self.is_single_statement(lexer) {
+        } else if built_in.leading_session.contains(first) && self.is_single_statement(lexer) {
             Effect::Session
         } else {
             Effect::Unknown
         };
-        let transaction = known.transaction.contains(first) && self.begins_transaction(first, second);
-        Verdict { transaction, ..Verdict::unparsed(effect, why) }
+        let controls_transaction =
+            built_in.transaction.contains(first) && self.is_transaction_control(first, second);
+        Verdict { controls_transaction, ..Verdict::unparsed(effect, reason) }
     }
 
-    /// Whether nothing comes behind the first statement for certain. A batch in T-SQL may go on without a
-    /// semicolon.
+    /// Returns whether the text is certainly a single statement. In T-SQL statements need no semicolon in between.
     fn is_single_statement(&self, lexer: &Lexer) -> bool {
         self.dialect == Dialect::Postgres
             && lexer.ambiguity().is_none()
             && !lexer.tokens().iter().any(|token| lexer.bytes(*token) == b";")
     }
 
-    /// Whether the words that may begin a statement about a transaction do so here: BEGIN opens a block in T-SQL,
-    /// and PREPARE an ordinary statement.
-    fn begins_transaction(&self, first: &str, second: &str) -> bool {
+    /// Returns whether a first word that may control a transaction does so: BEGIN may also open a block in T-SQL, and
+    /// PREPARE an ordinary statement.
+    fn is_transaction_control(&self, first: &str, second: &str) -> bool {
         match first {
             "begin" => self.dialect == Dialect::Postgres || second.starts_with("tran"),
             "prepare" => second == "transaction",
--- a/crates/comethitch-statement/src/classify/parse.rs
+++ b/crates/comethitch-statement/src/classify/parse.rs
@@ -1,7 +1,7 @@
-//! Writes a shape as text for the parser, and parses it.
+//! Converts a shape to text for the parser, and parses it.
 //!
-//! Each placeholder is written as its own number, counted from 1, so that the literals of the syntax tree tell
-//! which placeholder they are. Clauses that the parser lacks are written as equivalent ones.
+//! Each placeholder is written as its number, counted from 1, so that literals in the syntax tree identify their
+//! placeholders. Clauses that the parser does not support are replaced by equivalent ones.
 
 use super::tokens::token_bytes;
 use crate::Dialect;
@@ -11,14 +11,15 @@
 use sqlparser::parser::{Parser, ParserError};
 use std::ops::Range;
 
-/// A shape of more tokens is not parsed: the parser's trees are as deep as a chain of operators is long.
+/// Maximum number of tokens of a parsed shape. The syntax tree of a chain of operators is as deep as the chain is
+/// long, which bounds the stack.
 pub const MAX_PARSED_TOKENS: usize = 2_000;
-/// Nor is one with brackets nested deeper than this: the parser tries brackets in several ways, each anew.
+/// Maximum nesting of brackets in a parsed shape. The parser backtracks at brackets, in time exponential in the depth.
 pub const MAX_PARSED_DEPTH: usize = 20;
-/// The parser's limit on its own recursion.
+/// The parser's recursion limit.
 const MAX_PARSER_RECURSION: usize = 128;
 
-/// Words behind which the parser wants a string where a placeholder stands.
+/// Words after which the parser expects a string instead of a number.
 const WORDS_BEFORE_STRINGS: [&[u8]; 15] = [
     b"as",
     b"date",
@@ -37,7 +38,7 @@
     b"uescape",
 ];
 
-/// Why a shape is too large for the parser, if it is.
+/// Returns the reason why a shape is too large to be parsed, if it is.
 pub(super) fn too_large(lexer: &Lexer) -> Option<&'static str> {
     if lexer.tokens().len() > MAX_PARSED_TOKENS {
         return Some("it is too long to be parsed");
@@ -48,7 +49,7 @@
     None
 }
 
-/// How deep brackets and CASE expressions are nested.
+/// Returns the maximum nesting of brackets and CASE expressions.
 fn nesting_depth(lexer: &Lexer) -> usize {
     let mut depth = 0_usize;
     let mut deepest = 0;
@@ -65,7 +66,7 @@
     deepest
 }
 
-/// The syntax trees of a shape.
+/// Parses a shape into the syntax trees of its statements.
 pub(super) fn parse(lexer: &Lexer) -> Result<Vec<Statement>, ParserError> {
     let text = parser_text(lexer);
     let parser = match lexer.dialect() {
@@ -84,24 +85,24 @@
         query_hints: 0..0,
     };
     (0..lexer.tokens().len()).for_each(|at| writer.write(at));
-    // `a . b` is one name to the parser only without blanks.
+    // The parser reads `a . b` as one name only without blanks.
     String::from_utf8_lossy(&writer.text).replace(" .", ".")
 }
 
-/// The parser's text as far as it is written.
+/// Writes the text for the parser.
 struct ParserText<'a> {
     lexer: &'a Lexer,
     text: Vec<u8>,
-    /// How many placeholders have come.
+    /// Number of placeholders so far.
     placeholders: u32,
-    /// The token before, as the grammar needs it.
+    /// The previous token, as far as the next one depends on it.
     before: &'a [u8],
-    /// The tokens of query hints, which are left out.
+    /// The indices of the tokens of query hints, which are omitted.
     query_hints: Range<usize>,
 }
 
 impl<'a> ParserText<'a> {
-    /// Writes the token at a place.
+    /// Writes the token with an index.
     fn write(&mut self, at: usize) {
         let token = self.lexer.tokens()[at];
         let bytes = self.lexer.bytes(token);
@@ -132,7 +133,7 @@
         self.query_hints.contains(&at)
     }
 
-    /// Writes a word of a clause that the parser lacks as an equivalent one; false if it is no such word.
+    /// Writes the equivalent of a word in a clause that the parser does not support. Returns false for other words.
     fn write_equivalent(&mut self, at: usize, bytes: &'a [u8]) -> bool {
         let next = token_bytes(self.lexer, at + 1);
         // FOR NO KEY UPDATE becomes FOR UPDATE, and FOR KEY SHARE becomes FOR SHARE.
@@ -150,7 +151,7 @@
         false
     }
 
-    /// Writes a placeholder's number, as a string where the grammar allows nothing else.
+    /// Writes a placeholder's number, as a string where the grammar requires one.
     fn write_placeholder(&mut self, at: usize) {
         self.placeholders += 1;
         let number = self.placeholders;
@@ -165,7 +166,7 @@
     }
 }
 
-/// Two comparisons of T-SQL that the parser lacks, as equivalent ones; any other token as it is.
+/// Returns the equivalent of T-SQL's comparisons that the parser does not support; other tokens are unchanged.
 fn equivalent_operator(dialect: Dialect, bytes: &[u8]) -> &[u8] {
     match (dialect, bytes) {
         (Dialect::Tsql, b"!<") => b">=",
@@ -174,8 +175,8 @@
     }
 }
 
-/// The tokens of hints to a whole query, which say how it is to be executed and nothing else: `OPTION (MAXDOP 1)`
-/// at its end. Those that name tables may ask for locks, and are not left out.
+/// Returns the token range of query hints, such as `OPTION (MAXDOP 1)` at the end of a query, which only affect its
+/// execution. The range is empty for hints that name tables, since these may take locks.
 fn query_hints(lexer: &Lexer, at: usize) -> Range<usize> {
     let none = at..at;
     if token_bytes(lexer, at + 1) != b"(" {
@@ -195,7 +196,7 @@
             break;
         }
     }
-    // Behind them the query is over: a bracket, a semicolon, or nothing.
+    // Query hints are followed by a closing bracket, a semicolon or the end of the text.
     match token_bytes(lexer, end) {
         b"" | b";" | b")" => at..end,
         _ => none,
--- a/crates/comethitch-statement/src/classify/session_settings.rs
+++ b/crates/comethitch-statement/src/classify/session_settings.rs
@@ -2,7 +2,7 @@
 
 use crate::lexer::{Lexer, TokenKind};
 
-/// The isolation levels, word by word.
+/// The words of each isolation level.
 const ISOLATION_LEVELS: [&[&str]; 5] = [
     &["read", "committed"],
     &["read", "uncommitted"],
@@ -10,38 +10,38 @@
     &["serializable"],
     &["snapshot"],
 ];
-/// What stands between SET and an isolation level.
+/// The words between SET and an isolation level.
 const ISOLATION_LEVEL: [&str; 3] = ["transaction", "isolation", "level"];
-/// Options that decide which rows a statement touches, or when it commits, belong to one connection's work.
+/// Options that change which rows later statements write, or when they commit, and so must not be ignored.
 const CONNECTION_BOUND_OPTIONS: [&str; 2] = ["identity_insert", "implicit_transactions"];
 
-/// Whether a batch in T-SQL only sets options of the session, as drivers do when they begin: `SET NOCOUNT ON`, one
-/// or several, with semicolons or without.
+/// Returns whether a T-SQL batch only sets session options, such as `SET NOCOUNT ON`. Drivers send such batches when
+/// they connect.
 ///
 /// ```
-/// use comethitch_statement::{Dialect, Lexer, classify::only_settings};
+/// use comethitch_statement::{Dialect, Lexer, classify::sets_only_session_options};
 /// let mut lexer = Lexer::new(Dialect::Tsql);
 /// lexer.read(b"SET NOCOUNT ON set textsize 2147483647; SET TRANSACTION ISOLATION LEVEL READ COMMITTED");
-/// assert!(only_settings(&lexer));
+/// assert!(sets_only_session_options(&lexer));
 /// lexer.read(b"SET NOCOUNT ON DELETE FROM t");
-/// assert!(!only_settings(&lexer));
+/// assert!(!sets_only_session_options(&lexer));
 /// ```
-pub fn only_settings(lexer: &Lexer) -> bool {
+pub fn sets_only_session_options(lexer: &Lexer) -> bool {
     if lexer.ambiguity().is_some() || lexer.tokens().is_empty() {
         return false;
     }
     let words = words(lexer);
     let mut rest = &words[..];
     while !rest.is_empty() {
-        match behind_setting(rest) {
-            Some(behind) => rest = behind,
+        match skip_setting(rest) {
+            Some(following) => rest = following,
             None => return false,
         }
     }
     true
 }
 
-/// The tokens as text, with `?` for a placeholder.
+/// Returns the tokens as text, with `?` for a placeholder.
 fn words(lexer: &Lexer) -> Vec<&str> {
     let word = |token: &crate::lexer::Token| match token.kind {
         TokenKind::Placeholder => "?",
@@ -50,16 +50,17 @@
     lexer.tokens().iter().map(word).collect()
 }
 
-/// What follows one semicolon or SET statement at the start of a batch; none if it begins with something else.
-fn behind_setting<'w, 't>(words: &'w [&'t str]) -> Option<&'w [&'t str]> {
+/// Skips one semicolon or SET statement. Returns the following words, or `None` if the words begin with anything
+/// else.
+fn skip_setting<'w, 't>(words: &'w [&'t str]) -> Option<&'w [&'t str]> {
     match words {
-        [";", behind @ ..] => Some(behind),
-        ["set", behind @ ..] if behind.starts_with(&ISOLATION_LEVEL) => {
-            let level = &behind[ISOLATION_LEVEL.len()..];
+        [";", following @ ..] => Some(following),
+        ["set", following @ ..] if following.starts_with(&ISOLATION_LEVEL) => {
+            let level = &following[ISOLATION_LEVEL.len()..];
             let known = ISOLATION_LEVELS.iter().find(|known| level.starts_with(known))?;
             Some(&level[known.len()..])
         }
-        ["set", option, "on" | "off" | "?", behind @ ..] if is_session_option(option) => Some(behind),
+        ["set", option, "on" | "off" | "?", following @ ..] if is_session_option(option) => Some(following),
         _ => None,
     }
 }
--- a/crates/comethitch-statement/src/classify/visitor.rs
+++ b/crates/comethitch-statement/src/classify/visitor.rs
@@ -1,4 +1,4 @@
-//! Walks the syntax tree of a statement and hands what matters to [`Findings`].
+//! Walks the syntax tree of a statement, and passes what affects the verdict to [`Findings`].
 
 use super::findings::{FOREIGN_CLAUSE, Findings};
 use super::names::{identifier, qualified_name};
@@ -9,7 +9,7 @@
 };
 use std::ops::ControlFlow;
 
-/// Visits every statement, query, table and expression of a tree.
+/// Visits every statement, query, table and expression of a syntax tree.
 pub(super) struct StatementVisitor<'a> {
     pub findings: Findings<'a>,
 }
@@ -43,7 +43,7 @@
     }
 
     fn pre_visit_relation(&mut self, relation: &ObjectName) -> ControlFlow<()> {
-        self.findings.table(relation);
+        self.findings.check_table(relation);
         ControlFlow::Continue(())
     }
 
@@ -54,8 +54,8 @@
 }
 
 impl StatementVisitor<'_> {
-    fn raise(&mut self, effect: Effect, why: &str) {
-        self.findings.raise(effect, why);
+    fn raise(&mut self, effect: Effect, reason: &str) {
+        self.findings.raise(effect, reason);
     }
 
     fn statement(&mut self, statement: &Statement) {
@@ -63,16 +63,16 @@
             Statement::Query(_) => {}
             Statement::Insert(_) | Statement::Update(_) | Statement::Delete(_) | Statement::Merge(_) => {
                 self.raise(Effect::Write, "it changes rows");
-                self.findings.table_uses.changing_statement(statement);
+                self.findings.table_uses.add_changing_statement(statement);
             }
-            // EXPLAIN is as its statement, which is visited next: with ANALYZE it runs.
+            // EXPLAIN ANALYZE executes its statement, which is visited next.
             Statement::Explain { .. } if self.findings.dialect == Dialect::Postgres => {}
             Statement::StartTransaction { .. }
             | Statement::Commit { .. }
             | Statement::Rollback { .. }
             | Statement::Savepoint { .. }
             | Statement::ReleaseSavepoint { .. } => {
-                self.findings.transaction = true;
+                self.findings.controls_transaction = true;
                 self.raise(Effect::Session, "it concerns a transaction");
             }
             Statement::Set(_)
@@ -118,7 +118,7 @@
         self.findings.table_uses.enter_query(query);
     }
 
-    /// Finds what changes rows, at any depth of a query's set operations.
+    /// Finds changes of rows at any depth of a query's set operations.
     fn query_body(&mut self, body: &SetExpr) {
         match body {
             SetExpr::SetOperation { left, right, .. } => {
@@ -133,7 +133,7 @@
             SetExpr::Table(table) => {
                 let schema = table.schema_name.iter().map(|name| format!("{}.", identifier(name)));
                 let name: String = schema.chain(table.table_name.iter().map(identifier)).collect();
-                self.findings.table_uses.full_scan(&name);
+                self.findings.table_uses.add_full_scan(&name);
             }
             SetExpr::Select(_) | SetExpr::Query(_) | SetExpr::Values(_) => {}
         }
@@ -153,7 +153,7 @@
         let explicit_joins: usize = select.from.iter().map(|table| table.joins.len()).sum();
         let joins = explicit_joins + select.from.len().saturating_sub(1);
         features.joins = features.joins.saturating_add(joins.min(usize::from(u8::MAX)) as u8);
-        self.findings.table_uses.select(select);
+        self.findings.table_uses.add_select(select);
     }
 
     fn table_factor(&mut self, factor: &TableFactor) {
@@ -162,11 +162,11 @@
                 if let Some(arguments) = args {
                     self.table_arguments(name, arguments);
                 }
-                with_hints.iter().for_each(|hint| self.findings.table_hint(hint));
+                with_hints.iter().for_each(|hint| self.findings.check_table_hint(hint));
                 alias
             }
             TableFactor::Function { name, alias, .. } => {
-                self.findings.call(name, true);
+                self.findings.check_call(name, true);
                 alias
             }
             TableFactor::Derived { alias, .. } => {
@@ -186,7 +186,7 @@
         self.declare_alias(alias.as_ref());
     }
 
-    /// A table with arguments is a function's call, or in T-SQL a table with hints as they were written formerly:
+    /// Checks a table with arguments: a function call, or in T-SQL a table with hints in the legacy notation
     /// `FROM t (NOLOCK)`.
     fn table_arguments(&mut self, name: &ObjectName, arguments: &TableFunctionArgs) {
         let table = qualified_name(name).filter(|_| self.findings.dialect == Dialect::Tsql);
@@ -194,7 +194,7 @@
             Some(table) if self.is_unknown_function(&table) && are_dirty_read_hints(arguments) => {
                 self.findings.declared_names.push(table);
             }
-            _ => self.findings.call(name, true),
+            _ => self.findings.check_call(name, true),
         }
     }
 
@@ -202,7 +202,7 @@
         self.findings.catalogue.function(self.findings.dialect, name).is_none()
     }
 
-    /// A table's alias with columns looks like a call to the token scan.
+    /// Declares an alias with columns, which the token scan would read as a call.
     fn declare_alias(&mut self, alias: Option<&TableAlias>) {
         let with_columns = alias.filter(|alias| !alias.columns.is_empty());
         self.findings.declared_names.extend(with_columns.map(|alias| identifier(&alias.name)));
@@ -216,18 +216,18 @@
     fn expression(&mut self, expression: &Expr) {
         match expression {
             Expr::Function(function) => {
-                self.findings.call(&function.name, !matches!(function.args, FunctionArguments::None));
+                self.findings.check_call(&function.name, !matches!(function.args, FunctionArguments::None));
                 if function.over.is_some() {
                     let features = &mut self.findings.features;
                     features.windows = features.windows.saturating_add(1);
                 }
             }
-            Expr::Cast { data_type, .. } => self.findings.cast(data_type),
-            Expr::Convert { data_type: Some(data_type), .. } => self.findings.cast(data_type),
-            Expr::TypedString(typed) => self.findings.cast(&typed.data_type),
-            Expr::BinaryOp { op, .. } => self.findings.operator(op),
+            Expr::Cast { data_type, .. } => self.findings.check_cast(data_type),
+            Expr::Convert { data_type: Some(data_type), .. } => self.findings.check_cast(data_type),
+            Expr::TypedString(typed) => self.findings.check_cast(&typed.data_type),
+            Expr::BinaryOp { op, .. } => self.findings.check_operator(op),
             Expr::AnyOp { compare_op, .. } | Expr::AllOp { compare_op, .. } => {
-                self.findings.operator(compare_op);
+                self.findings.check_operator(compare_op);
             }
             Expr::Subquery(_) | Expr::Exists { .. } => self.count_subquery(),
             Expr::In { target: InTarget::List(_), .. } => {}
@@ -246,7 +246,7 @@
     }
 }
 
-/// Whether a SELECT has a clause that the parser knows and neither dialect has.
+/// Returns whether a SELECT has a clause that the parser supports but neither dialect has.
 fn has_foreign_clause(select: &Select) -> bool {
     !select.lateral_views.is_empty()
         || select.prewhere.is_some()
--- a/crates/comethitch-statement/src/cost.rs
+++ b/crates/comethitch-statement/src/cost.rs
@@ -1,93 +1,97 @@
-//! What the statements of a shape cost, learned from how long hosts took to answer them.
+//! The cost of a shape's statements, learned from the latencies of hosts.
 //!
-//! Answer times are kept in a coarse histogram, halved when it is full, so that old ones fade. The cost is the 75th
-//! percentile. Until enough are in, it is estimated from the shape's features, by the lookup time that all shapes
-//! have shown.
+//! The cost is the 75th percentile of a coarse histogram of latencies, which decays by halving. Until enough
+//! latencies are recorded, the cost is estimated from the shape's features and the average lookup time of all shapes.
 
 use comethitch_policy::time::Duration;
 
-/// Bins by powers of two, from 64 µs on: the last holds all above two seconds.
+/// Number of bins, each twice as wide as the one before; the last holds latencies above about one second.
 const BINS: usize = 16;
-/// The upper bound of the first bin, in microseconds.
-const FIRST_BIN_MICROS: u64 = 64;
-/// A histogram of so many answers is halved.
-const FULL: u16 = 256;
-/// With fewer answers the estimate counts.
-const MIN_ANSWERS: u16 = 8;
-/// Hysteresis: a shape moves to a band only once its cost is past the bound by this factor.
+/// The upper bound of the first bin.
+const FIRST_BIN_US: u64 = 64;
+/// Number of latencies at which the histogram is halved.
+const MAX_RECORDED: u16 = 256;
+/// Minimum number of latencies for a percentile; with fewer the estimate is used.
+const MIN_RECORDED: u16 = 8;
+/// How far past a bound the cost must be to change the band, as a factor.
 const HYSTERESIS: f64 = 1.25;
-/// The weight of each answer in the moving average of the lookup time.
+/// The weight of each latency in the moving average of the lookup time.
 const AVERAGE_WEIGHT: f64 = 1.0 / 64.0;
-/// An answer counts as at most this many times the average, and at least its reciprocal.
+/// Limits how far one latency counts above or below the average, as a factor.
 const OUTLIER_FACTOR: f64 = 8.0;
-/// What a lookup by key is taken to cost before any answer has come.
+/// Assumed time of a lookup by key before the first response.
 const INITIAL_LOOKUP_TIME: Duration = Duration::from_millis(1);
 
-/// How long a lookup by key takes, as all answers have shown: a moving average in microseconds.
+/// The time of a lookup by key: a moving average over the statements of all shapes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LookupTime(f64);
+pub struct LookupTime {
+    average_us: f64,
+}
 
 impl Default for LookupTime {
     fn default() -> LookupTime {
-        LookupTime(INITIAL_LOOKUP_TIME.as_micros() as f64)
+        LookupTime { average_us: INITIAL_LOOKUP_TIME.as_micros() as f64 }
     }
 }
 
 impl LookupTime {
-    /// Records an answer to a statement that was estimated to cost so many lookups.
-    pub fn record(&mut self, lookups: f64, took: Duration) {
-        let shown = took.as_micros() as f64 / lookups.max(1.0);
-        let shown = shown.clamp(self.0 / OUTLIER_FACTOR, self.0 * OUTLIER_FACTOR).max(1.0);
-        self.0 += (shown - self.0) * AVERAGE_WEIGHT;
+    /// Records the latency of a statement with an estimated cost of `lookups` lookups.
+    pub fn record(&mut self, lookups: f64, latency: Duration) {
+        let measured_us = latency.as_micros() as f64 / lookups.max(1.0);
+        let clamped_us =
+            measured_us.clamp(self.average_us / OUTLIER_FACTOR, self.average_us * OUTLIER_FACTOR).max(1.0);
+        self.average_us += (clamped_us - self.average_us) * AVERAGE_WEIGHT;
     }
 
-    /// How long so many lookups take.
+    /// Returns the estimated time of `lookups` lookups.
     pub fn estimate(&self, lookups: f64) -> Duration {
-        Duration::from_micros((self.0 * lookups) as u64)
+        Duration::from_micros((self.average_us * lookups) as u64)
     }
 }
 
-/// What is known of one shape's cost.
+/// The cost of one shape.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
+    /// Number of latencies by bin.
     bins: [u16; BINS],
     total: u16,
-    /// The band that it is in, once it has been put in one.
+    /// The last band that was determined from recorded latencies.
     band: Option<u8>,
 }
 
 impl Cost {
-    /// Records how long an answer took.
-    pub fn record(&mut self, took: Duration) {
-        let above = (took.as_micros() / FIRST_BIN_MICROS).checked_ilog2();
-        let bin = above.map_or(0, |log| log as usize + 1).min(BINS - 1);
+    /// Records the latency of one response.
+    pub fn record(&mut self, latency: Duration) {
+        let log = (latency.as_micros() / FIRST_BIN_US).checked_ilog2();
+        let bin = log.map_or(0, |log| log as usize + 1).min(BINS - 1);
         self.bins[bin] += 1;
         self.total += 1;
-        if self.total >= FULL {
+        if self.total >= MAX_RECORDED {
             self.bins.iter_mut().for_each(|bin| *bin /= 2);
             self.total = self.bins.iter().sum();
         }
     }
 
-    /// The 75th percentile of the answer times: the middle of its bin. None until enough answers have come.
+    /// Returns the 75th percentile of the latencies, as the middle of its bin, or `None` with too few latencies.
     pub fn learned(&self) -> Option<Duration> {
-        if self.total < MIN_ANSWERS {
+        if self.total < MIN_RECORDED {
             return None;
         }
-        let wanted = u32::from(self.total) * 3;
+        let threshold = u32::from(self.total) * 3;
         let mut sum = 0;
         let bin = self.bins.iter().position(|bin| {
             sum += u32::from(*bin) * 4;
-            sum >= wanted
+            sum >= threshold
         })?;
-        let lower = if bin == 0 { 0 } else { FIRST_BIN_MICROS << (bin - 1) };
-        let upper = FIRST_BIN_MICROS << bin;
-        Some(Duration::from_micros((lower + upper) / 2))
+        let lower_us = if bin == 0 { 0 } else { FIRST_BIN_US << (bin - 1) };
+        let upper_us = FIRST_BIN_US << bin;
+        Some(Duration::from_micros((lower_us + upper_us) / 2))
     }
 
-    /// The band among these bounds, in rising order, that it belongs to: 0 below the first. It stays in the band
-    /// that it is in until its cost is past the bound by a quarter. `lookups` is the estimate that counts until
-    /// enough answers have come.
+    /// Returns the cost band: the number of `bounds`, in ascending order, that the cost reaches.
+    ///
+    /// The band changes only when the cost passes a bound by a quarter. With too few latencies the cost is estimated
+    /// from `lookups`.
     ///
     /// ```
     /// use comethitch_policy::time::Duration;
@@ -99,22 +103,21 @@
     /// ```
     pub fn band(&mut self, bounds: &[Duration], lookup_time: LookupTime, lookups: f64) -> u8 {
         let learned = self.learned();
-        let cost = learned.unwrap_or_else(|| lookup_time.estimate(lookups)).as_micros() as f64;
+        let cost_us = learned.unwrap_or_else(|| lookup_time.estimate(lookups)).as_micros() as f64;
         let band = match self.band {
             Some(band) if band <= bounds.len() as u8 => {
-                let up = band_of(bounds, cost / HYSTERESIS);
-                let down = band_of(bounds, cost * HYSTERESIS);
+                let up = band_of(bounds, cost_us / HYSTERESIS);
+                let down = band_of(bounds, cost_us * HYSTERESIS);
                 band.clamp(up.min(down), up.max(down))
             }
-            _ => band_of(bounds, cost),
+            _ => band_of(bounds, cost_us),
         };
-        // An estimate is not held to: the first answers may place the shape anew.
+        // Hysteresis applies to learned bands only: the first latencies may correct an estimate.
         self.band = learned.map(|_| band);
         band
     }
 }
 
-/// The number of bounds that a cost in microseconds reaches.
-fn band_of(bounds: &[Duration], cost: f64) -> u8 {
-    bounds.iter().take_while(|bound| cost >= bound.as_micros() as f64).count() as u8
+fn band_of(bounds: &[Duration], cost_us: f64) -> u8 {
+    bounds.iter().take_while(|bound| cost_us >= bound.as_micros() as f64).count() as u8
 }
--- a/crates/comethitch-statement/src/dialect.rs
+++ b/crates/comethitch-statement/src/dialect.rs
@@ -1,14 +1,14 @@
-//! The SQL dialects that statements are read in.
+//! The supported SQL dialects.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The language that statements are written in.
+/// The SQL dialect of statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Dialect {
-    /// PostgreSQL's, with `standard_conforming_strings` on.
+    /// PostgreSQL, with `standard_conforming_strings` on.
     Postgres,
-    /// T-SQL, with quoted identifiers on.
+    /// T-SQL, with `QUOTED_IDENTIFIER` on.
     Tsql,
 }
--- a/crates/comethitch-statement/src/frequency_sketch.rs
+++ b/crates/comethitch-statement/src/frequency_sketch.rs
@@ -1,53 +1,54 @@
-//! How often keys were seen lately: a count-min sketch of four-bit counters with conservative update, in a fixed
-//! number of bytes.
+//! Estimates the recent frequency of keys in constant memory: a count-min sketch of four-bit counters with
+//! conservative update.
 //!
-//! Counts may be too high where keys share counters, never too low but for ageing: once several times as many
-//! keys were counted as the sketch is made for, all counts are halved, so that old ones fade.
+//! Estimates may be too high where keys share counters, and are too low only through ageing: all counts are halved
+//! periodically.
 
 use crate::ShapeKey;
 
-/// Each key has one counter in each row.
+/// Number of rows; each key has one counter in each row.
 const ROWS: usize = 4;
-/// The largest count of a counter.
+/// Maximum value of a counter.
 const MAX_COUNT: u8 = 15;
-/// Clears what halving both counters of a byte carries from one into the other.
+/// Clears the bit that shifting a byte moves from its upper counter into its lower one.
 const HALVED_MASK: u8 = 0x77;
-/// Counters in each row, for each key that the sketch is made for: nearly as many as keys that come between two
-/// halvings, so that a flood of keys that come once seldom looks like keys that come again.
+/// Counters per row and expected key. More than [`SAMPLES_PER_KEY`], so that keys that occur once rarely share
+/// all counters with others.
 const COUNTERS_PER_KEY: usize = 8;
-/// So many keys are counted, for each that it is made for, before counts are halved.
+/// Increments per expected key after which all counts are halved.
 const SAMPLES_PER_KEY: usize = 6;
-/// A sketch is made for this many keys at least.
+/// Minimum number of expected keys.
 const MIN_KEYS: usize = 16;
 
-/// Estimates how often each key was counted.
+/// Estimates the recent frequency of each key.
 pub struct FrequencySketch {
-    /// Two counters in each byte; row after row.
+    /// Two counters per byte, row by row.
     counters: Box<[u8]>,
-    /// The number of counters in a row less one; a power of two less one.
+    /// The number of counters per row, a power of two, less one.
     mask: usize,
-    counted: usize,
-    /// Counts are halved once so many keys were counted.
+    /// Increments since the last halving.
+    increments: usize,
+    /// Increments at which all counts are halved.
     sample_size: usize,
 }
 
 impl FrequencySketch {
-    /// A sketch for so many keys in use.
+    /// Creates a sketch for an expected number of keys.
     pub fn new(keys: usize) -> FrequencySketch {
         FrequencySketch {
-            counters: vec![0; Self::bytes(keys)].into_boxed_slice(),
+            counters: vec![0; Self::memory_bytes(keys)].into_boxed_slice(),
             mask: row_width(keys) - 1,
-            counted: 0,
+            increments: 0,
             sample_size: keys.max(MIN_KEYS) * SAMPLES_PER_KEY,
         }
     }
 
-    /// The bytes that a sketch for so many keys takes.
-    pub fn bytes(keys: usize) -> usize {
+    /// Returns the bytes that a sketch for an expected number of keys occupies.
+    pub fn memory_bytes(keys: usize) -> usize {
         row_width(keys) * ROWS / 2
     }
 
-    /// The indices of a key's counters, by double hashing.
+    /// Returns the indices of a key's counters, by double hashing.
     fn counter_indices(&self, key: ShapeKey) -> [usize; ROWS] {
         let low = key.0 as u64 as usize;
         let high = (key.0 >> 64) as u64 as usize | 1;
@@ -61,25 +62,30 @@
         self.counters[index / 2] >> (index % 2 * 4) & MAX_COUNT
     }
 
-    /// Counts a key once more. Only the smallest of its counters are raised, as the others count other keys too.
+    /// Counts one occurrence of a key. Raises only the smallest of its counters (conservative update), as the
+    /// others are too high already.
     pub fn increment(&mut self, key: ShapeKey) {
         let indices = self.counter_indices(key);
-        let least = self.least(&indices);
-        if least < MAX_COUNT {
+        let min = self.min_count(&indices);
+        if min < MAX_COUNT {
             for index in indices {
-                if self.counter(index) == least {
+                if self.counter(index) == min {
                     self.counters[index / 2] += 1 << (index % 2 * 4);
                 }
             }
         }
-        self.counted += 1;
-        if self.counted >= self.sample_size {
-            self.counted /= 2;
-            self.counters.iter_mut().for_each(|two| *two = *two >> 1 & HALVED_MASK);
+        self.increments += 1;
+        if self.increments >= self.sample_size {
+            self.halve_counts();
         }
     }
 
-    /// About how often a key was counted lately, 15 at most.
+    fn halve_counts(&mut self) {
+        self.increments /= 2;
+        self.counters.iter_mut().for_each(|pair| *pair = *pair >> 1 & HALVED_MASK);
+    }
+
+    /// Returns the estimated number of recent occurrences of a key, at most 15.
     ///
     /// ```
     /// use comethitch_statement::{ShapeKey, frequency_sketch::FrequencySketch};
@@ -89,15 +95,14 @@
     /// assert_eq!(sketch.estimate(ShapeKey(8 << 64 | 9)), 0);
     /// ```
     pub fn estimate(&self, key: ShapeKey) -> u8 {
-        self.least(&self.counter_indices(key))
+        self.min_count(&self.counter_indices(key))
     }
 
-    fn least(&self, indices: &[usize; ROWS]) -> u8 {
+    fn min_count(&self, indices: &[usize; ROWS]) -> u8 {
         indices.iter().map(|index| self.counter(*index)).min().unwrap_or(0)
     }
 }
 
-/// The number of counters in a row.
 fn row_width(keys: usize) -> usize {
     (keys.max(MIN_KEYS) * COUNTERS_PER_KEY).next_power_of_two()
 }
--- a/crates/comethitch-statement/src/lexer/ambiguity.rs
+++ b/crates/comethitch-statement/src/lexer/ambiguity.rs
@@ -1,30 +1,30 @@
-//! Reasons for which servers of one dialect may read a text in different ways.
+//! Reasons why servers of one dialect may read a text in different ways.
 
-/// Why a text may mean something else to a server than to the lexer.
+/// Why a server may read a text differently from the lexer.
 ///
-/// The discriminant is part of an ambiguous statement's shape: new variants go to the end.
+/// The discriminant is part of an ambiguous statement's shape, so new variants must be added at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ambiguity {
     /// A string, quoted name or comment has no end.
     Unterminated,
-    /// More than [`MAX_STATEMENT_BYTES`](super::MAX_STATEMENT_BYTES).
+    /// The text is longer than [`MAX_STATEMENT_BYTES`](super::MAX_STATEMENT_BYTES).
     TooLong,
-    /// Brackets nested deeper than [`MAX_BRACKET_DEPTH`](super::MAX_BRACKET_DEPTH).
+    /// Brackets are nested deeper than [`MAX_BRACKET_DEPTH`](super::MAX_BRACKET_DEPTH).
     TooDeep,
-    /// Bytes that are not UTF-8.
+    /// The text is not UTF-8.
     NotUtf8,
-    /// A character that servers take for white space, for part of a name, or for an error.
+    /// A character that a server may read as white space, as part of a name, or reject.
     Character,
-    /// Digits that run into a word.
+    /// Digits are directly followed by a word.
     Number,
-    /// A backslash before a quote: the string ends elsewhere where backslashes escape.
+    /// A backslash precedes a quote: the string ends elsewhere if backslashes escape.
     Backslash,
-    /// A closing bracket of another kind, or one too many.
+    /// Brackets do not match.
     Bracket,
 }
 
 impl Ambiguity {
-    /// The reason as a verdict gives it.
+    /// Returns the reason as given in verdicts.
     pub fn reason(self) -> &'static str {
         match self {
             Ambiguity::Unterminated => "a text, name or comment has no end",
--- a/crates/comethitch-statement/src/lexer/mod.rs
+++ b/crates/comethitch-statement/src/lexer/mod.rs
@@ -1,13 +1,13 @@
-//! One pass over a statement's text: its tokens, its *shape*, and its literals.
+//! Splits a statement's text into tokens and literals, and computes its *shape*, in one pass.
 //!
-//! The shape is the normalised statement, also known as its fingerprint or digest: every literal and parameter
-//! is replaced by a placeholder, lists of values are folded, unquoted words are in lower case, and comments and
-//! white space are gone. It can be read back without ambiguity: tokens are separated by one blank, a placeholder
-//! is the byte 1, quoted names stay as they were. Whatever is later decided about a statement depends on its
-//! shape alone, so that two statements of one shape can't be judged differently.
+//! The shape is the normalised statement, also known as fingerprint or digest: literals and parameters are replaced
+//! by placeholders, lists of values are folded, unquoted words are in lower case, and comments and white space are
+//! removed. It can be tokenised again: tokens are separated by one blank, a placeholder is the byte 1, and quoted
+//! names are unchanged. The verdict on a statement depends on its shape only, so that two statements with the same
+//! shape always get the same verdict.
 //!
-//! What servers of one dialect may read in two ways (a backslash before a quote, a control character, a number
-//! that runs into a word) is an [`Ambiguity`]: such a statement is never judged to be harmless.
+//! Text that servers of one dialect may read in different ways (a backslash before a quote, a control character, a
+//! number directly followed by a word) is an [`Ambiguity`]: such a statement is never classified as a read.
 
 mod ambiguity;
 mod characters;
@@ -27,18 +27,18 @@
 use quoted::StringStart;
 use words::POSTGRES_OPERATOR;
 
-/// A statement is read up to this length; a longer one is ambiguous.
+/// Maximum length of a statement; longer statements are ambiguous.
 pub const MAX_STATEMENT_BYTES: usize = 1 << 20;
-/// Brackets nested deeper than this make a statement ambiguous.
+/// Maximum nesting of brackets; statements with deeper nesting are ambiguous.
 pub const MAX_BRACKET_DEPTH: usize = 256;
-/// Stands for a literal or a parameter in a shape.
+/// The byte for a literal or a parameter in a shape.
 pub const PLACEHOLDER: u8 = 1;
-/// Buffers are kept from one statement to the next up to so many bytes.
+/// Maximum size of the buffers that are reused for the next statement.
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
-/// In the shape of an ambiguous statement, stands before the reason.
+/// The byte before the reason in the shape of an ambiguous statement.
 const AMBIGUITY_MARK: u8 = 2;
 
-/// Reads statements one after the other, and keeps its memory for the next.
+/// Tokenises statements, reusing its buffers.
 ///
 /// ```
 /// use comethitch_statement::{Dialect, lexer::Lexer};
@@ -56,20 +56,21 @@
     tokens: Vec<Token>,
     literals: Vec<Literal>,
     brackets: Vec<OpenBracket>,
-    /// The row of VALUES that ended last outside of all brackets.
+    /// The last complete row of VALUES outside all brackets, if the next row may be folded into it.
     last_row: Option<Row>,
+    /// Number of placeholders in the shape.
     placeholders: u32,
-    /// The first reason found.
+    /// The first ambiguity found.
     ambiguity: Option<Ambiguity>,
     /// Whether backslashes escape in every string, as with `standard_conforming_strings` off.
     backslash_escapes: bool,
-    /// Whether a backslash stood before a quote where the standard gives it no meaning.
+    /// Whether a backslash without a meaning in the SQL standard precedes a quote.
     backslash_before_quote: bool,
     unterminated: bool,
 }
 
 impl Lexer {
-    /// A lexer with empty buffers.
+    /// Creates a lexer with empty buffers.
     pub fn new(dialect: Dialect) -> Lexer {
         Lexer {
             dialect,
@@ -86,37 +87,37 @@
         }
     }
 
-    /// The dialect that it reads.
+    /// Returns the dialect of the statements.
     pub fn dialect(&self) -> Dialect {
         self.dialect
     }
 
-    /// The shape of the statement read last.
+    /// Returns the shape of the statement read last.
     pub fn shape(&self) -> &[u8] {
         &self.shape
     }
 
-    /// The tokens of the shape, in order.
+    /// Returns the tokens of the shape, in order.
     pub fn tokens(&self) -> &[Token] {
         &self.tokens
     }
 
-    /// The bytes of a token as they stand in the shape.
+    /// Returns the bytes of a token in the shape.
     pub fn bytes(&self, token: Token) -> &[u8] {
         &self.shape[token.start as usize..token.end as usize]
     }
 
-    /// The literals and parameters of the text, in order.
+    /// Returns the literals and parameters of the text, in order.
     pub fn literals(&self) -> &[Literal] {
         &self.literals
     }
 
-    /// Why the statement read last may mean something else to a server, if it may.
+    /// Returns why a server may read the last statement differently, if it may.
     pub fn ambiguity(&self) -> Option<Ambiguity> {
         self.ambiguity
     }
 
-    /// The bytes that its buffers take, whatever is read next.
+    /// Returns the allocated size of the buffers in bytes.
     pub fn buffer_bytes(&self) -> usize {
         self.shape.capacity()
             + self.tokens.capacity() * size_of::<Token>()
@@ -124,7 +125,7 @@
             + self.brackets.capacity() * size_of::<OpenBracket>()
     }
 
-    /// Reads a statement; what was read before is forgotten.
+    /// Reads a statement, which replaces the previous one.
     pub fn read(&mut self, text: &[u8]) {
         self.reset();
         let text = self.readable(text);
@@ -145,7 +146,7 @@
     }
 
     fn reset(&mut self) {
-        // The buffers of one long statement are not kept for all that follow.
+        // A single long statement must not leave large buffers behind.
         if self.buffer_bytes() > MAX_RETAINED_BYTES {
             self.shape = Vec::new();
             self.tokens = Vec::new();
@@ -162,7 +163,7 @@
         self.unterminated = false;
     }
 
-    /// The part of a text that is read.
+    /// Cuts a text to the maximum length, and checks its encoding.
     fn readable<'t>(&mut self, text: &'t [u8]) -> &'t [u8] {
         let readable = &text[..text.len().min(MAX_STATEMENT_BYTES)];
         if readable.len() < text.len() {
@@ -174,8 +175,8 @@
         readable
     }
 
-    /// Reads the text a second time as a server does whose backslashes escape, where strings end elsewhere.
-    /// That is harmless only if that reading comes to no end, as for `ESCAPE '\'`: the server would reject it.
+    /// Reads the text again with backslashes as escapes, by which strings end elsewhere. The text is unambiguous only
+    /// if it is then unterminated, as with `ESCAPE '\'`, since a server that escapes would reject it.
     fn check_escaped_reading(&mut self, text: &[u8]) {
         let mut escaping = Lexer { backslash_escapes: true, ..Lexer::new(self.dialect) };
         escaping.read(text);
@@ -184,7 +185,7 @@
         }
     }
 
-    /// A last semicolon ends the statement, and changes nothing else.
+    /// Drops trailing semicolons, which do not change the statement.
     fn drop_final_semicolons(&mut self) {
         while self.tokens.last().is_some_and(|token| self.bytes(*token) == b";") {
             self.pop_token();
@@ -196,7 +197,7 @@
         self.ambiguity.get_or_insert(ambiguity);
     }
 
-    /// Reads a token, comment or run of white space from `at` on; returns where it ends.
+    /// Reads the token, comment or white space at `at`. Returns its end.
     fn read_token(&mut self, text: &[u8], at: usize) -> usize {
         let byte = text[at];
         let next = text.get(at + 1).copied().unwrap_or(0);
@@ -209,7 +210,7 @@
                 self.read_string(text, StringStart { start: at, quote: at, form, escapes: false })
             }
             b'0'..=b'9' => self.read_number(text, at),
-            b'.' if next.is_ascii_digit() && !self.is_behind_name() => self.read_number(text, at),
+            b'.' if next.is_ascii_digit() && !self.follows_name() => self.read_number(text, at),
             b'"' => self.read_quoted_name(text, at, at, b'"'),
             b'[' if self.dialect == Dialect::Tsql => self.read_quoted_name(text, at, at, b']'),
             b'(' | b'[' => self.open_bracket(byte, at),
@@ -226,7 +227,7 @@
                 self.push_symbol(two.unwrap_or(&[byte]), at)
             }
             byte if POSTGRES_OPERATOR.contains(&byte) => self.read_operator(text, at),
-            // Servers of T-SQL take control characters for white space.
+            // T-SQL servers read control characters as white space.
             0x01..0x20 if self.dialect == Dialect::Tsql => at + 1,
             _ => {
                 self.mark_ambiguous(Ambiguity::Character);
@@ -235,11 +236,11 @@
         }
     }
 
-    fn is_behind_name(&self) -> bool {
+    fn follows_name(&self) -> bool {
         self.tokens.last().is_some_and(|token| matches!(token.kind, TokenKind::Word | TokenKind::Quoted))
     }
 
-    /// Adds an operator or punctuation; returns where it ends.
+    /// Adds an operator or punctuation. Returns its end.
     fn push_symbol(&mut self, symbol: &[u8], at: usize) -> usize {
         self.push_token(TokenKind::Symbol, symbol);
         at + symbol.len()
@@ -254,7 +255,7 @@
         self.tokens.push(Token { kind, start, end: self.shape.len() as u32 });
     }
 
-    /// Takes back the token added last.
+    /// Removes the last token.
     fn pop_token(&mut self) {
         self.tokens.pop();
         self.shape.truncate(self.tokens.last().map_or(0, |token| token.end as usize));
--- a/crates/comethitch-statement/src/lexer/numbers.rs
+++ b/crates/comethitch-statement/src/lexer/numbers.rs
@@ -1,11 +1,11 @@
-//! Numbers: decimal, with a fraction and exponent, and in other bases.
+//! Numeric literals: decimal with fraction and exponent, hexadecimal, octal and binary.
 
 use super::characters::{run_end, word_byte_test};
 use super::{Ambiguity, Lexer, LiteralForm, TokenKind};
 use crate::Dialect;
 
 impl Lexer {
-    /// Reads a number; returns where it ends.
+    /// Reads a number. Returns its end.
     pub(super) fn read_number(&mut self, text: &[u8], at: usize) -> usize {
         let end = self.number_end(text, at).min(text.len());
         let is_word_byte = word_byte_test(self.dialect);
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Drops a sign that can only be the coming number's own: `b = -1` has the shape of `b = 1`.
+    /// Drops a sign that belongs to the following number, so that `b = -1` has the shape of `b = 1`.
     fn drop_sign(&mut self) {
         let [.., before, sign] = self.tokens[..] else { return };
         let is_sign = sign.kind == TokenKind::Symbol && matches!(self.bytes(sign), b"-" | b"+");
-        let is_operand_before =
+        let is_binary_operator =
             before.kind != TokenKind::Symbol || matches!(self.bytes(before), b")" | b"]" | b"*");
-        if is_sign && !is_operand_before {
+        if is_sign && !is_binary_operator {
             self.pop_token();
         }
     }
@@ -44,7 +44,7 @@
 
 fn decimal_end(text: &[u8], at: usize) -> usize {
     let mut end = run_end(text, at, is_digit);
-    // Two points are a range's, as in a PL/pgSQL loop.
+    // Two dots are a range, as in a PL/pgSQL loop.
     if text.get(end) == Some(&b'.') && text.get(end + 1) != Some(&b'.') {
         end = run_end(text, end + 1, is_digit);
     }
--- a/crates/comethitch-statement/src/lexer/quoted.rs
+++ b/crates/comethitch-statement/src/lexer/quoted.rs
@@ -1,24 +1,24 @@
-//! Everything between quotes: strings, quoted names and PostgreSQL's dollar quotes.
+//! Strings, quoted names and PostgreSQL's dollar-quoted strings.
 
 use super::characters::{is_word_byte, run_end};
 use super::comments::line_end;
 use super::{Ambiguity, Lexer, LiteralForm, TokenKind};
 use crate::Dialect;
 
-/// A string literal about to be read.
+/// The start of a string literal.
 pub(super) struct StringStart {
-    /// Where it begins, prefix included.
+    /// The offset of the literal, including its prefix.
     pub start: usize,
-    /// Where its opening quote stands.
+    /// The offset of the opening quote.
     pub quote: usize,
-    /// Its notation, by its prefix.
+    /// The notation, given by the prefix.
     pub form: LiteralForm,
-    /// Whether backslashes escape in it whatever the server's settings are.
+    /// Whether backslashes escape regardless of the server's settings.
     pub escapes: bool,
 }
 
 impl Lexer {
-    /// Reads a string, and those that continue it; returns where it ends.
+    /// Reads a string and its continuations on further lines. Returns its end.
     pub(super) fn read_string(&mut self, text: &[u8], string: StringStart) -> usize {
         let mut form = string.form;
         let mut at = string.quote + 1;
@@ -44,16 +44,16 @@
         end
     }
 
-    /// Skips backslashes that the standard gives no meaning, and notes whether one would escape a quote.
+    /// Skips backslashes that do not escape, and records whether one would escape a quote under other settings.
     fn skip_plain_backslashes(&mut self, text: &[u8], at: usize) -> usize {
         let end = run_end(text, at, |byte| byte == b'\\');
-        let odd_before_quote = (end - at) % 2 == 1 && text.get(end) == Some(&b'\'');
-        self.backslash_before_quote |= self.dialect == Dialect::Postgres && odd_before_quote;
+        let would_escape_quote = (end - at) % 2 == 1 && text.get(end) == Some(&b'\'');
+        self.backslash_before_quote |= self.dialect == Dialect::Postgres && would_escape_quote;
         end
     }
 
-    /// Where a string goes on that has ended before `at`: behind the next quote, if only white space and
-    /// comments with a line end come between.
+    /// Returns where a string that ended before `at` continues: after the next quote, if only white space and comments
+    /// with at least one line end are in between.
     fn continuation(&self, text: &[u8], mut at: usize) -> Option<usize> {
         if self.dialect != Dialect::Postgres {
             return None;
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Reads a quoted name that begins at `start`, with its opening quote at `quote`; a doubled closing one
-    /// belongs to it. Returns where it ends.
+    /// Reads a quoted name that begins at `start` with its opening quote at `quote`, in which a doubled closing quote
+    /// stands for one. Returns its end.
     pub(super) fn read_quoted_name(&mut self, text: &[u8], start: usize, quote: usize, close: u8) -> usize {
         let mut at = quote + 1;
         let end = loop {
@@ -90,7 +90,7 @@
         end
     }
 
-    /// Reads `$tag$ … $tag$`; returns where it ends.
+    /// Reads `$tag$ … $tag$`. Returns its end.
     pub(super) fn read_dollar_quoted(&mut self, text: &[u8], at: usize) -> usize {
         let tag_end = run_end(text, at + 1, |byte| is_word_byte(byte) && byte != b'$');
         if text.get(tag_end) != Some(&b'$') {
@@ -99,7 +99,7 @@
         }
         let body = tag_end + 1;
         let delimiter = &text[at..body];
-        // Looked for by its last byte: a tag that comes again and again is compared once for each byte.
+        // Compares at each `$` only, so that the search stays linear in the text with repeated partial matches.
         let mut end = body;
         while let Some(next) = text[end..].iter().position(|byte| *byte == b'$') {
             end += next + 1;
@@ -114,7 +114,7 @@
         end
     }
 
-    /// Marks the statement as one without an end; returns the end of the text, where reading stops.
+    /// Marks the statement as unterminated. Returns the end of the text.
     pub(super) fn unterminated(&mut self, text: &[u8]) -> usize {
         self.mark_ambiguous(Ambiguity::Unterminated);
         text.len()
--- a/crates/comethitch-statement/src/lexer/token.rs
+++ b/crates/comethitch-statement/src/lexer/token.rs
@@ -1,49 +1,49 @@
-//! The lexer's output: tokens of a statement's shape, and the literals that the shape leaves out.
+//! The lexer's output: the tokens of a statement's shape, and the literals that placeholders replace.
 
 use std::ops::Range;
 
-/// What a token is to the grammar.
+/// The kind of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenKind {
     /// An unquoted name or keyword, in lower case.
     Word,
-    /// A quoted name, with its quotes.
+    /// A quoted name, including its quotes.
     Quoted,
-    /// Stands for a literal or a parameter.
+    /// A placeholder for a literal or a parameter.
     Placeholder,
     /// An operator or punctuation.
     Symbol,
 }
 
-/// A token, and the bytes of the shape that it covers.
+/// A token, and its range in the shape.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// What it is to the grammar.
+    /// The kind of the token.
     pub kind: TokenKind,
     pub(super) start: u32,
     pub(super) end: u32,
 }
 
-/// A literal or parameter of the text.
+/// A literal or parameter in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Literal {
-    /// The number of its placeholder in the shape, from 0; the members of a folded list share one.
+    /// The number of its placeholder in the shape, from 0; the literals of a folded list share one.
     pub placeholder: u32,
-    /// How it is written.
+    /// The notation.
     pub form: LiteralForm,
-    /// The bytes of the text that it covers, quotes included.
-    pub at: Range<u32>,
+    /// The range in the text, including quotes.
+    pub range: Range<u32>,
 }
 
-/// How a literal is written.
+/// The notation of a literal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LiteralForm {
     /// A number in any notation.
     Number,
-    /// `'it''s'`, with a leading `N` or none.
+    /// `'it''s'`, with or without a leading `N`.
     Text,
-    /// A string in another notation: `E''`, `U&''`, `B''`, `X''`, `$$…$$`, or one in several parts.
+    /// A string in another notation: `E''`, `U&''`, `B''`, `X''`, `$$…$$`, or one continued on several lines.
     Special,
-    /// `$1`, `@p` or `?`: the text does not hold its value.
+    /// `$1`, `@p` or `?`, whose value is not in the text.
     Parameter,
 }
--- a/crates/comethitch-statement/src/lexer/words.rs
+++ b/crates/comethitch-statement/src/lexer/words.rs
@@ -5,13 +5,13 @@
 use super::{Ambiguity, Lexer, LiteralForm, TokenKind};
 use crate::Dialect;
 
-/// The characters that PostgreSQL's operators are made of.
+/// The characters of PostgreSQL's operators.
 pub(super) const POSTGRES_OPERATOR: &[u8] = b"+-*/<>=~!@#%^&|`?";
-/// A PostgreSQL operator of several characters ends in a sign only if it holds one of these.
+/// A PostgreSQL operator of several characters may end in `+` or `-` only if it contains one of these.
 const POSTGRES_ALLOWS_FINAL_SIGN: &[u8] = b"~!@#%^&|`?";
 
 impl Lexer {
-    /// Reads an unquoted name, or a string or quoted name with a prefix; returns where it ends.
+    /// Reads an unquoted name, or a string or quoted name with a prefix. Returns its end.
     pub(super) fn read_word(&mut self, text: &[u8], at: usize) -> usize {
         let end = run_end(text, at, word_byte_test(self.dialect));
         let string = |quote, form, escapes| StringStart { start: at, quote, form, escapes };
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Reads what begins with `$`, `@`, `#` or `?`; returns where it ends.
+    /// Reads a token that begins with `$`, `@`, `#` or `?`. Returns its end.
     pub(super) fn read_sigil(&mut self, text: &[u8], at: usize) -> usize {
         match self.dialect {
             Dialect::Postgres => self.read_postgres_sigil(text, at),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// `$1`, a dollar quote, or an operator.
+    /// Reads `$1`, a dollar-quoted string, or an operator.
     fn read_postgres_sigil(&mut self, text: &[u8], at: usize) -> usize {
         if text[at] != b'$' {
             return self.read_operator(text, at);
@@ -56,7 +56,7 @@
         end
     }
 
-    /// `?`, an amount of money, `$action`, `@@name`, `@parameter` or `#table`.
+    /// Reads `?`, an amount of money, `$action`, `@@name`, `@parameter` or `#table`.
     fn read_tsql_sigil(&mut self, text: &[u8], at: usize) -> usize {
         let next = text.get(at + 1).copied().unwrap_or(0);
         match text[at] {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Adds an unquoted name, or what stands for one, in lower case; returns its end.
+    /// Adds an unquoted name or variable in lower case. Returns its end.
     fn push_word(&mut self, text: &[u8], start: usize, end: usize) -> usize {
         self.check_name(&text[start..end]);
         self.push_token(TokenKind::Word, &text[start..end]);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Reads an operator; returns where it ends.
+    /// Reads an operator. Returns its end.
     pub(super) fn read_operator(&mut self, text: &[u8], at: usize) -> usize {
         let rest = &text[at..];
         let length = match self.dialect {
@@ -111,7 +111,8 @@
     }
 }
 
-/// The longest run of operator characters that neither begins a comment nor takes a sign that it may not end in.
+/// Returns the length of the longest run of operator characters that does not contain the start of a comment, and
+/// does not end in a sign that PostgreSQL reads separately.
 fn postgres_operator_length(rest: &[u8]) -> usize {
     let mut length = run_end(rest, 0, |byte| POSTGRES_OPERATOR.contains(&byte));
     let comment = rest[..length].windows(2).position(|two| matches!(two, b"--" | b"/*"));
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -1,13 +1,12 @@
-//! Classifies SQL statements by their text: what a statement may do, its shape, its cost, and the request class and
-//! shard that it belongs to.
+//! Classifies SQL statements by their text, and assigns them to request classes and shards.
 //!
-//! [`lexer`] reduces a statement to its *shape* in one pass; the shape's [`Verdict`] is looked up in a [`cache`] or
-//! worked out by [`classify`]: its effect, the tables and functions that it names, and what makes it costly.
-//! [`assign`] turns a verdict into what the decision module needs, by the operator's [`rules`]. [`admission`] puts
-//! these together. Nothing here reads a file, a socket or a clock, and nothing chooses a host.
+//! [`lexer`] normalises a statement to its *shape* in one pass. The shape's [`Verdict`] (its effect, the tables and
+//! functions that it uses, and the features that affect its cost) is looked up in a [`cache`] or computed by
+//! [`classify`]. [`assign`] determines the request class and the shard by the verdict and the operator's [`rules`].
+//! [`admission`] combines these steps. The crate does no I/O, reads no clock, and chooses no hosts.
 //!
-//! What stands behind a name, as a view that calls a writing function, or a trigger, must be listed in a
-//! [`catalogue`]. What is uncertain is never a read.
+//! Side effects that the text does not show, such as a view that calls a writing function, must be listed in a
+//! [`catalogue`]. A statement in doubt is never classified as a read.
 //!
 //! ```
 //! use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer};
@@ -32,6 +31,7 @@
 pub mod cost;
 mod dialect;
 pub mod frequency_sketch;
+mod hashing;
 mod hints;
 pub mod lexer;
 pub mod rules;
--- a/crates/comethitch-statement/src/rules.rs
+++ b/crates/comethitch-statement/src/rules.rs
@@ -1,7 +1,7 @@
-//! The operator's rules: how statements become commands. Read from JSON; the schema is
-//! `deploy/statements.schema.json`, whose descriptions are the comments here.
+//! The operator's statement rules, read from JSON. The schema is `deploy/statements.schema.json`; its descriptions
+//! are the doc comments here.
 //!
-//! Some types keep a former name for serde (`rename`, `expecting`): the schema and error messages use it.
+//! Fields and types keep the names of the JSON keys and of the schema through serde's `rename` and `expecting`.
 
 use crate::budget::BudgetShares;
 use crate::{Catalogue, Dialect, Effect};
@@ -12,64 +12,68 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// The language that clients and hosts speak.
+    /// The SQL dialect of clients and hosts.
     pub dialect: Dialect,
-    /// What becomes of a statement whose comment names a request class that may do less than its text does.
+    /// What happens to a statement that may do more than the request class named by its comment allows.
     pub disagreement: Disagreement,
-    /// How statements without a comment, or whose comment leaves something out, are admitted. Without this they
-    /// are rejected.
-    pub commentless: Option<Commentless>,
-    /// From effects, tables and costs to request classes; the first rule that fits counts.
+    /// Defaults for statements without a comment, or with an incomplete one. Without them such statements are
+    /// rejected.
+    #[serde(rename = "commentless")]
+    pub comment_defaults: Option<CommentDefaults>,
+    /// Maps effects, tables and costs to request classes; the first matching rule applies.
     #[serde(rename = "groups")]
     pub classes: Vec<ClassRule>,
-    /// From keys to shards. Without any, a comment must name the shard, or `elsewhere` does.
+    /// Maps keys to shards. Without any, the comment or `elsewhere` must name the shard.
     #[serde(default)]
     pub keys: Vec<KeyRule>,
-    /// The shard of statements that name no table with a key.
-    pub elsewhere: Option<u16>,
-    /// Names that the router can't know: functions, tables, types and operators.
+    /// The shard of statements that use no table with a key.
+    #[serde(rename = "elsewhere")]
+    pub default_shard: Option<u16>,
+    /// Functions, tables, types and operators that are not built in.
     #[serde(default)]
     pub catalogue: Catalogue,
-    /// The size of the cache of verdicts.
+    /// The size of the verdict cache.
     #[serde(default)]
     pub cache: CacheSize,
-    /// The budget for parsing.
+    /// The CPU time budget for parsing.
     #[serde(default)]
-    pub parsing: Parsing,
+    pub parsing: ParsingBudget,
 }
 
-/// What becomes of a statement whose comment names a request class that may do less than its text does.
+/// What happens to a statement that may do more than the request class named by its comment allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Disagreement {
-    /// The statement is rejected, with an error that says why.
-    Refuse,
-    /// It goes by the request class that the rules name.
+    /// The statement is rejected with an error that names the reason.
+    #[serde(rename = "refuse")]
+    Reject,
+    /// The statement is assigned to the request class that the rules name.
     Raise,
 }
 
-/// Defaults for what a statement's comment leaves out.
+/// Defaults for fields that a statement's comment omits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Commentless {
-    /// How many milliseconds a client waits that does not say so.
-    pub wait_ms: u64,
+#[serde(rename = "Commentless", expecting = "struct Commentless", deny_unknown_fields)]
+pub struct CommentDefaults {
+    /// The client's timeout in milliseconds.
+    #[serde(rename = "wait_ms")]
+    pub timeout_ms: u64,
 }
 
-/// Statements that fit all conditions belong to the request class.
+/// Assigns statements that meet all conditions to a request class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "GroupRule", expecting = "struct GroupRule", deny_unknown_fields)]
 pub struct ClassRule {
-    /// The request class, by its name in `settings.classes`.
+    /// The name of the request class in `settings.classes`.
     #[serde(rename = "group")]
     pub class: String,
     /// The statement has one of these effects.
     pub effects: Vec<Effect>,
-    /// It uses one of these tables; without this, any tables.
+    /// The statement uses at least one of these tables; if absent, any tables match.
     pub tables: Option<Vec<String>>,
-    /// It costs so many milliseconds at least.
+    /// The statement costs at least this many milliseconds.
     pub from_ms: Option<f64>,
-    /// It costs less than so many milliseconds.
+    /// The statement costs less than this many milliseconds.
     pub below_ms: Option<f64>,
 }
 
@@ -77,34 +81,35 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KeyRule {
-    /// The tables, by name as statements call them.
+    /// The tables, named as in statements.
     pub tables: Vec<String>,
     /// The column that holds the key.
     pub column: String,
     /// How keys are placed.
-    pub spread: Placement,
+    #[serde(rename = "spread")]
+    pub placement: Placement,
 }
 
 /// How keys are placed in shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Spread", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Placement {
-    /// By the 64-bit FNV-1a hash of the key's text, modulo the number of shards: that many of them, in
-    /// this order.
+    /// By the 64-bit FNV-1a hash of the key's text, modulo the number of shards, which are listed in this order.
     Hash(Vec<u16>),
-    /// By ranges of keys, in rising order.
+    /// By ranges of keys, in ascending order.
     Range(Vec<KeyRange>),
 }
 
-/// Keys below a bound, and not below the one before.
+/// Keys below a bound, and not below the bound of the previous range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Stretch", expecting = "struct Stretch", deny_unknown_fields)]
 pub struct KeyRange {
-    /// Keys below this; the last range has none, and takes all others. A number compares as a number, a text
-    /// byte by byte.
+    /// The exclusive upper bound; absent in the last range, which holds all remaining keys. Numbers are compared
+    /// as numbers, texts byte by byte.
     pub below: Option<Bound>,
     /// The shard.
-    pub hosts: u16,
+    #[serde(rename = "hosts")]
+    pub shard: u16,
 }
 
 /// The bound of a range of keys.
@@ -117,11 +122,11 @@
     Text(String),
 }
 
-/// The size of the cache of verdicts.
+/// The size of the verdict cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CacheSize {
-    /// The cache takes no more memory than this, in KiB.
+    /// Maximum memory of the cache, in KiB.
     pub kib: usize,
 }
 
@@ -131,31 +136,38 @@
     }
 }
 
-/// The budget for parsing statements of shapes that are not known yet.
+/// The CPU time budget for parsing statements of unknown shapes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields, default)]
-pub struct Parsing {
-    /// The part of one core's time that all parsing may take.
-    pub core_part: f64,
-    /// The part of that for one client.
-    pub client_part: f64,
-    /// What becomes of statements past the budget.
-    pub beyond: BudgetExceeded,
+#[serde(rename = "Parsing", expecting = "struct Parsing", deny_unknown_fields, default)]
+pub struct ParsingBudget {
+    /// The share of one core's time for all parsing.
+    #[serde(rename = "core_part")]
+    pub core_share: f64,
+    /// One client's share of that budget.
+    #[serde(rename = "client_part")]
+    pub client_share: f64,
+    /// What happens to statements when the budget is exhausted.
+    #[serde(rename = "beyond")]
+    pub when_exhausted: BudgetExceeded,
 }
 
-/// What becomes of statements past the budget for parsing.
+/// What happens to statements when the parsing budget is exhausted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Beyond", rename_all = "snake_case")]
 pub enum BudgetExceeded {
-    /// They count as unknown: to the primary, and never retried.
+    /// They count as unknown: sent to the primary only, and never retried.
     Cautious,
-    /// They are throttled: nothing has run, and a retry is harmless.
+    /// They are throttled: not executed, so that a retry is harmless.
     Throttle,
 }
 
-impl Default for Parsing {
-    fn default() -> Parsing {
+impl Default for ParsingBudget {
+    fn default() -> ParsingBudget {
         let shares = BudgetShares::default();
-        Parsing { core_part: shares.total, client_part: shares.client, beyond: BudgetExceeded::Cautious }
+        ParsingBudget {
+            core_share: shares.total,
+            client_share: shares.client,
+            when_exhausted: BudgetExceeded::Cautious,
+        }
     }
 }
--- a/crates/comethitch-statement/src/rules_error.rs
+++ b/crates/comethitch-statement/src/rules_error.rs
@@ -1,65 +1,65 @@
-//! Faults in the operator's rules. Each text begins with the key that is at fault.
+//! Errors in the operator's rules. Each message begins with the JSON key at fault.
 
 use crate::Effect;
 
-/// Why rules can't be used.
+/// An error in the rules.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RulesError {
-    /// A share of the parsing budget is no fraction.
+    /// A share of the parsing budget is not above 0 and at most 1.
     #[error("parsing.{key} must be above 0 and at most 1, not {share}")]
     Share {
         /// The key within `parsing`.
         key: &'static str,
-        /// The share given.
+        /// The configured share.
         share: f64,
     },
     /// The cache is too small or too large.
-    #[error("cache.kib must be {least} to {most}, not {kib}")]
+    #[error("cache.kib must be {min_kib} to {max_kib}, not {kib}")]
     CacheSize {
-        /// The least size in KiB.
-        least: usize,
-        /// The largest size in KiB.
-        most: usize,
-        /// The size given, in KiB.
+        /// Minimum size, in KiB.
+        min_kib: usize,
+        /// Maximum size, in KiB.
+        max_kib: usize,
+        /// The configured size, in KiB.
         kib: usize,
     },
-    /// There is no rule for any request class.
+    /// The list of rules for request classes is empty.
     #[error("groups must hold a rule")]
     NoClasses,
-    /// The rules name more different bounds of cost than there may be.
-    #[error("groups must not hold more than {most} bounds of cost")]
+    /// The rules name too many different cost bounds.
+    #[error("groups must not hold more than {max} bounds of cost")]
     TooManyCostBounds {
-        /// The most that there may be.
-        most: usize,
+        /// Maximum number of bounds.
+        max: usize,
     },
-    /// A rule for a request class is faulty.
+    /// A rule for a request class is invalid.
     #[error("groups.{index}.{source}")]
-    Group {
-        /// The rule's place, from 0.
+    ClassRule {
+        /// The rule's index, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the rule.
         source: ClassRuleError,
     },
-    /// A rule for keys is faulty.
+    /// A rule for keys is invalid.
     #[error("keys.{index}.{source}")]
-    Key {
-        /// The rule's place, from 0.
+    KeyRule {
+        /// The rule's index, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// The error in the rule.
         source: KeyRuleError,
     },
 }
 
-/// What is wrong with one rule for a request class.
+/// An error in one rule for a request class.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ClassRuleError {
     /// The deployment has no request class of this name.
     #[error("group is no command group: {name:?}")]
     UnknownClass {
-        /// The name given.
+        /// The configured name.
         name: String,
     },
-    /// It lists no effect.
+    /// The list of effects is empty.
     #[error("effects must name an effect")]
     NoEffects,
     /// The request class's idempotency or consistency does not allow an effect.
@@ -70,50 +70,50 @@
         /// The request class's name.
         class: String,
     },
-    /// A bound is no duration.
+    /// A cost bound is not a duration above 0.
     #[error("{key} must be a time above 0, not {milliseconds}")]
     CostBound {
         /// The key within the rule.
         key: &'static str,
-        /// The duration given, in milliseconds.
+        /// The configured duration, in milliseconds.
         milliseconds: f64,
     },
-    /// The bounds leave no cost between them.
+    /// The lower cost bound is not below the upper one.
     #[error("below_ms must be above from_ms")]
     NoCostBetweenBounds,
 }
 
-/// What is wrong with one rule for keys.
+/// An error in one rule for keys.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyRuleError {
-    /// It lists no table.
+    /// The list of tables is empty.
     #[error("tables must name a table")]
     NoTables,
-    /// Another rule has one of its tables.
+    /// An earlier rule already names one of the tables.
     #[error("tables names {table:?}, which has a key already")]
-    TableTwice {
+    DuplicateTable {
         /// The table.
         table: String,
     },
-    /// It hashes keys to no shard.
+    /// The list of shards for hashed keys is empty.
     #[error("spread.hash must name a group of hosts")]
     NoShards,
-    /// It has no ranges of keys.
+    /// The list of key ranges is empty.
     #[error("spread.range must hold a stretch")]
     NoRanges,
-    /// The last range leaves keys out.
+    /// The last range has a bound, which leaves some keys without a shard.
     #[error("spread.range must end in a stretch without a bound")]
     LastRangeBounded,
     /// A range other than the last has no bound.
     #[error("spread.range.{index}.below is missing")]
     BoundMissing {
-        /// The range's place, from 0.
+        /// The range's index, from 0.
         index: usize,
     },
-    /// A bound is not above the one before it, or of another kind.
+    /// A bound is not above the previous one, or is not of the same kind.
     #[error("spread.range.{index}.below must be above the one before, and of its kind")]
-    BoundNotRising {
-        /// The range's place, from 0.
+    BoundNotAscending {
+        /// The range's index, from 0.
         index: usize,
     },
 }
--- a/crates/comethitch-statement/src/shape.rs
+++ b/crates/comethitch-statement/src/shape.rs
@@ -1,19 +1,19 @@
-//! A shape's key: a keyed hash of 128 bits, so that nobody who does not know the secret can make two shapes meet.
+//! Keys of shapes: 128-bit keyed hashes, so that a client cannot construct two shapes with the same key.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::fmt;
 use std::hash::Hasher;
 
-/// Drawn anew at each start; it never leaves the process.
+/// The secret key of the hash: random at each start, and never leaves the process.
 #[derive(Clone, Copy)]
 pub struct Secret(pub [u8; 16]);
 
-/// Names a shape within one run.
+/// Identifies a shape while the process runs.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ShapeKey(pub u128);
 
 impl Secret {
-    /// The key of a shape.
+    /// Returns the key of a shape.
     ///
     /// ```
     /// use comethitch_statement::Secret;
