--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -1,37 +1,37 @@
-//! The verdict on a shape: its effect, the tables and functions that it uses, and the features that make it costly.
+//! The verdict on a shape: its effect, the tables and functions that it uses, and the features that affect its cost.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What a statement may do, from the least restricted effect to the most restricted.
+/// What a statement may do, ordered from the least restricted effect to the most restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// It changes nothing: any host with data new enough may take it, and it may run again.
+    /// Changes nothing: any host with fresh enough data may execute it, more than once.
     Read,
-    /// It changes nothing, but takes locks, which only the primary gives.
+    /// Changes nothing but takes row locks, which only the primary grants.
     LockingRead,
-    /// It changes the session, or asks about it.
+    /// Changes or reads the state of a session.
     Session,
-    /// Its text does not tell.
+    /// Cannot be determined from the text.
     Unknown,
-    // It changes data, or may.
+    // Changes data, or may change data.
     #[expect(missing_docs, reason = "a description would change the form of the rules' schema")]
     Write,
 }
 
 impl Effect {
-    /// Whether a replica may take it.
-    pub fn on_replica(self) -> bool {
+    /// Returns whether a replica may execute the statement.
+    pub fn may_run_on_replica(self) -> bool {
         self == Effect::Read
     }
 
-    /// Whether executing it a second time does no harm.
-    pub fn may_repeat(self) -> bool {
+    /// Returns whether the statement may be executed more than once.
+    pub fn is_idempotent(self) -> bool {
         matches!(self, Effect::Read | Effect::LockingRead)
     }
 
-    /// Its name in rules, logs and verdicts.
+    /// Returns the name used in rules, logs and verdicts.
     pub fn name(self) -> &'static str {
         match self {
             Effect::Read => "read",
@@ -43,145 +43,185 @@
     }
 }
 
-/// What makes a statement costly, as far as its text shows; counts stop at 255.
+/// The features of a statement's text that affect its cost. Counts saturate at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Features {
     /// Uses of tables.
     pub tables: u8,
-    /// Joins, those by a comma included.
+    /// Joins, including those written with a comma.
     pub joins: u8,
-    /// Queries within others.
+    /// Nested queries.
     pub subqueries: u8,
     /// UNION, INTERSECT and EXCEPT.
     pub set_operations: u8,
-    /// Different functions called.
+    /// Distinct functions called.
     pub functions: u8,
     /// Calls of aggregates.
     pub aggregates: u8,
     /// Calls with an OVER clause.
     pub windows: u8,
-    /// Tables whose rows are all looked at: no column is compared with a value.
+    /// Full scans: uses of tables with no column compared with a value.
     pub scans: u8,
-    /// It has a GROUP BY clause.
+    /// Whether there is a GROUP BY clause.
     pub grouped: bool,
-    /// It has an ORDER BY clause.
+    /// Whether there is an ORDER BY clause.
     pub ordered: bool,
-    /// It has DISTINCT.
+    /// Whether there is a DISTINCT clause.
     pub distinct: bool,
-    /// It has LIMIT, FETCH or TOP.
+    /// Whether there is a LIMIT, FETCH or TOP clause.
     pub limited: bool,
-    /// It has a recursive CTE.
+    /// Whether there is a recursive CTE.
     pub recursive: bool,
 }
 
+/// Factors by which features multiply the estimated cost.
+mod cost_factor {
+    pub(super) const SCAN: f64 = 4.0;
+    /// A limited scan may end early, unless all rows are needed for sorting or grouping.
+    pub(super) const LIMITED_SCAN: f64 = 2.0;
+    /// A join, subquery, set operation or window.
+    pub(super) const OPERATION: f64 = 1.5;
+    pub(super) const AGGREGATION: f64 = 1.5;
+    pub(super) const GROUP_BY: f64 = 1.5;
+    pub(super) const ORDER_BY: f64 = 1.25;
+    pub(super) const DISTINCT: f64 = 1.5;
+    pub(super) const RECURSION: f64 = 4.0;
+}
+
+/// Maximum number of occurrences of one feature that count towards the estimated cost.
+const MAX_COUNTED_OCCURRENCES: u8 = 8;
+/// Maximum estimated cost, in lookups.
+const MAX_ESTIMATED_LOOKUPS: f64 = 1e6;
+
 impl Features {
-    /// The first guess at the cost, in lookups of one row by its key; what is learned from answers replaces it.
-    /// Each feature multiplies: a sort of a join costs more than both apart.
+    /// Returns the cost estimated before any latency is known, in lookups of one row by its key.
+    ///
+    /// Each feature multiplies the cost, since sorting a join costs more than a sort and a join alone.
     ///
     /// ```
     /// use comethitch_statement::Features;
     /// let lookup = Features { tables: 1, ..Features::default() };
-    /// assert_eq!(lookup.guess(), 1.0);
-    /// assert!(Features { scans: 1, ..lookup }.guess() > 3.0);
+    /// assert_eq!(lookup.estimated_lookups(), 1.0);
+    /// assert!(Features { scans: 1, ..lookup }.estimated_lookups() > 3.0);
     /// ```
-    pub fn guess(&self) -> f64 {
-        let many = |number: u8, factor: f64| factor.powi(i32::from(number.min(8)));
-        let if_so = |is: bool, factor: f64| if is { factor } else { 1.0 };
-        let scans = many(self.scans, if self.limited && !self.ordered && !self.grouped { 2.0 } else { 4.0 });
-        let cost = many(self.joins, 1.5)
-            * many(self.subqueries, 1.5)
-            * many(self.set_operations, 1.5)
-            * many(self.aggregates.min(1), 1.5)
-            * many(self.windows, 1.5)
-            * if_so(self.grouped, 1.5)
-            * if_so(self.ordered, 1.25)
-            * if_so(self.distinct, 1.5)
-            * if_so(self.recursive, 4.0)
-            * scans;
-        cost.min(1e6)
+    pub fn estimated_lookups(&self) -> f64 {
+        let repeated = |count: u8, factor: f64| factor.powi(i32::from(count.min(MAX_COUNTED_OCCURRENCES)));
+        let once = |is_present: bool, factor: f64| if is_present { factor } else { 1.0 };
+        let may_end_early = self.limited && !self.ordered && !self.grouped;
+        let scan_factor = if may_end_early { cost_factor::LIMITED_SCAN } else { cost_factor::SCAN };
+        let lookups = repeated(self.joins, cost_factor::OPERATION)
+            * repeated(self.subqueries, cost_factor::OPERATION)
+            * repeated(self.set_operations, cost_factor::OPERATION)
+            * once(self.aggregates > 0, cost_factor::AGGREGATION)
+            * repeated(self.windows, cost_factor::OPERATION)
+            * once(self.grouped, cost_factor::GROUP_BY)
+            * once(self.ordered, cost_factor::ORDER_BY)
+            * once(self.distinct, cost_factor::DISTINCT)
+            * once(self.recursive, cost_factor::RECURSION)
+            * repeated(self.scans, scan_factor);
+        lookups.min(MAX_ESTIMATED_LOOKUPS)
     }
 }
 
-/// One use of a table, and the columns that it compares with values.
+/// One use of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TableUse {
     /// The table, with its schema as written.
     pub table: Box<str>,
-    /// The columns.
+    /// The columns whose values are known.
     pub keys: Vec<ColumnValues>,
 }
 
-/// A column whose value is known: `column = ?`, `column IN (?)`, or a value inserted.
+/// A column whose values are known, by `column = ?`, `column IN (?)` or an insertion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ColumnValues {
     /// The column's name, without its table.
     pub column: Box<str>,
-    /// The numbers of the placeholders, from 0: the value is one of theirs.
+    /// The numbers of the placeholders whose values the column may have, from 0.
     pub placeholders: Vec<u32>,
 }
 
-/// What a shape's statements may do, touch and cost.
+/// The classification of a shape, which holds for all its statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// What its statements may do.
+    /// What the statements may do.
     pub effect: Effect,
-    /// Why it is no plain read; empty for one.
-    pub why: Box<str>,
-    /// Each use of a table, in order of appearance; a CTE is none.
-    pub uses: Vec<TableUse>,
-    /// The functions that it calls, with their schemas as written.
+    /// Why the effect is not a plain read; empty for a read.
+    pub reason: Box<str>,
+    /// The uses of tables in order of appearance, without CTEs.
+    pub table_uses: Vec<TableUse>,
+    /// The functions called, with their schemas as written.
     pub functions: Vec<Box<str>>,
-    /// What makes it costly.
+    /// The features that affect the cost.
     pub features: Features,
-    /// Whether it was parsed whole: without that no table is known for certain.
+    /// Whether the shape was parsed completely; if not, its tables and functions are unknown.
     pub parsed: bool,
-    /// It begins, ends or divides a transaction, and so concerns statements that come after it.
-    pub transaction: bool,
+    /// Whether it begins, ends or subdivides a transaction, and so affects later statements.
+    pub controls_transaction: bool,
 }
 
 impl Verdict {
-    /// The verdict on a statement that was not parsed: no part of it is known.
-    pub(crate) fn unparsed(effect: Effect, why: &str) -> Verdict {
+    /// Creates the verdict on a statement that was not parsed: its tables and functions are unknown.
+    pub(crate) fn unparsed(effect: Effect, reason: &str) -> Verdict {
         Verdict {
             effect,
-            why: why.into(),
-            uses: Vec::new(),
+            reason: reason.into(),
+            table_uses: Vec::new(),
             functions: Vec::new(),
             features: Features::default(),
             parsed: false,
-            transaction: false,
+            controls_transaction: false,
         }
     }
 
-    /// The names of the tables, each once, in order.
+    /// Returns the names of the tables, sorted and without duplicates.
     pub fn tables(&self) -> Vec<&str> {
-        let mut tables: Vec<&str> = self.uses.iter().map(|table_use| &*table_use.table).collect();
+        let mut tables: Vec<&str> = self.table_uses.iter().map(|table_use| &*table_use.table).collect();
         tables.sort_unstable();
         tables.dedup();
         tables
     }
 
-    /// The bytes that it holds, its own place and what the allocator adds to each piece included.
-    pub fn bytes(&self) -> usize {
-        let text = |text: &str| allocated(text.len());
-        let key = |key: &ColumnValues| {
-            text(&key.column) + allocated(key.placeholders.capacity() * size_of::<u32>())
-        };
-        let table_use = |table_use: &TableUse| {
-            text(&table_use.table)
-                + allocated(table_use.keys.capacity() * size_of::<ColumnValues>())
-                + table_use.keys.iter().map(key).sum::<usize>()
-        };
+    /// Returns the bytes that the verdict occupies, including itself and allocator overhead.
+    pub fn memory_bytes(&self) -> usize {
+        let text_bytes = |text: &str| allocated_bytes(text.len());
         size_of::<Verdict>()
-            + text(&self.why)
-            + allocated(self.uses.capacity() * size_of::<TableUse>())
-            + self.uses.iter().map(table_use).sum::<usize>()
-            + allocated(self.functions.capacity() * size_of::<Box<str>>())
-            + self.functions.iter().map(|name| text(name)).sum::<usize>()
+            + text_bytes(&self.reason)
+            + vec_bytes(&self.table_uses)
+            + self.table_uses.iter().map(TableUse::heap_bytes).sum::<usize>()
+            + vec_bytes(&self.functions)
+            + self.functions.iter().map(|name| text_bytes(name)).sum::<usize>()
+    }
+}
+
+impl TableUse {
+    fn heap_bytes(&self) -> usize {
+        allocated_bytes(self.table.len())
+            + vec_bytes(&self.keys)
+            + self.keys.iter().map(ColumnValues::heap_bytes).sum::<usize>()
     }
 }
 
-/// What an allocation of so many bytes takes: a header of eight, in steps of sixteen, 32 at the least.
-pub(crate) fn allocated(bytes: usize) -> usize {
-    if bytes == 0 { 0 } else { (bytes + 8).next_multiple_of(16).max(32) }
+impl ColumnValues {
+    fn heap_bytes(&self) -> usize {
+        allocated_bytes(self.column.len()) + vec_bytes(&self.placeholders)
+    }
+}
+
+fn vec_bytes<T>(elements: &Vec<T>) -> usize {
+    allocated_bytes(elements.capacity() * size_of::<T>())
+}
+
+/// Header that the allocator adds to each allocation.
+const ALLOCATION_HEADER_BYTES: usize = 8;
+/// Allocations are rounded up to a multiple of this.
+const ALLOCATION_STEP_BYTES: usize = 16;
+const MIN_ALLOCATION_BYTES: usize = 32;
+
+/// Returns the memory that an allocation of `bytes` occupies.
+pub(crate) fn allocated_bytes(bytes: usize) -> usize {
+    if bytes == 0 {
+        return 0;
+    }
+    (bytes + ALLOCATION_HEADER_BYTES).next_multiple_of(ALLOCATION_STEP_BYTES).max(MIN_ALLOCATION_BYTES)
 }
--- a/crates/comethitch-statement/tests/corpus.rs
+++ b/crates/comethitch-statement/tests/corpus.rs
@@ -29,10 +29,10 @@
             rows += 1;
             reads += usize::from(row.effect == Effect::Read);
             if found.effect != row.effect {
-                wrong.push(format!("{dialect:?}: {:?} is {:?}: {}", row.sql, found.effect, found.why));
+                wrong.push(format!("{dialect:?}: {:?} is {:?}: {}", row.sql, found.effect, found.reason));
             }
-            if (found.effect == Effect::Read) != found.why.is_empty() {
-                wrong.push(format!("{:?}: {:?} with the reason {:?}", row.sql, found.effect, found.why));
+            if (found.effect == Effect::Read) != found.reason.is_empty() {
+                wrong.push(format!("{:?}: {:?} with the reason {:?}", row.sql, found.effect, found.reason));
             }
         }
     }
@@ -66,7 +66,7 @@
             assert_ne!(found.effect, Effect::Read, "{}", &text[..text.len().min(60)]);
         }
         for bytes in [&b"SELECT '\xff'"[..], b"SELECT a\xc3 FROM t", b"SELECT 1\0DELETE"] {
-            assert!(!verdict(dialect, bytes).effect.on_replica());
+            assert!(!verdict(dialect, bytes).effect.may_run_on_replica());
         }
     }
 }
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -81,7 +81,7 @@
     ] {
         let passed = admit(&mut admission, text, None).expect(text);
         assert_eq!(
-            (classes().1[passed.assigned.class].as_str(), passed.assigned.shard),
+            (classes().1[passed.assignment.class].as_str(), passed.assignment.shard),
             (class, hosts),
             "{text}"
         );
@@ -91,7 +91,7 @@
 #[test]
 fn the_key_names_the_session_whatever_literal_comes_first() {
     let mut admission = admission(&rules()).expect("rules");
-    let mut session = |text: &str| admit(&mut admission, text, None).expect(text).assigned.session;
+    let mut session = |text: &str| admit(&mut admission, text, None).expect(text).assignment.session;
     let ana = Some(fnv1a(b"ana"));
     assert_eq!(session("UPDATE saldos SET nota = 'x' WHERE lector = 'ana'"), ana);
     assert_eq!(session("SELECT n FROM saldos WHERE nota <> 'y' AND lector = 'ana'"), ana);
@@ -119,7 +119,7 @@
         ("BEGIN".into(), "transactions"),
         ("SHOW work_mem".into(), "no rule"),
     ] {
-        let Err(StatementRejection::Refused(refusal)) = admit(&mut admission, &text, None) else {
+        let Err(StatementRejection::Rejected(refusal)) = admit(&mut admission, &text, None) else {
             panic!("{text} has passed")
         };
         assert!(refusal.to_string().contains(wanted), "{text}: {refusal}");
@@ -142,8 +142,8 @@
     ] {
         let passed = admit(&mut admission, text, Some(class));
         match passed {
-            Ok(passed) => assert!(passes && !passed.assigned.raised, "{text} as {class}"),
-            Err(StatementRejection::Refused(AssignmentError::Disagrees { .. })) => {
+            Ok(passed) => assert!(passes && !passed.assignment.raised, "{text} as {class}"),
+            Err(StatementRejection::Rejected(AssignmentError::EffectNotAllowed { .. })) => {
                 assert!(!passes, "{text} as {class}");
             }
             Err(other) => panic!("{text} as {class}: {other:?}"),
@@ -156,12 +156,12 @@
     let mut admission = admission(&rules()).expect("rules");
     let text = "SELECT * FROM series WHERE titulo LIKE 'x%'";
     let passed = admit(&mut admission, text, None).expect("it passes");
-    assert_eq!(classes().1[passed.assigned.class], "read");
-    (0..30).for_each(|_| admission.learn(&passed.known, Duration::from_millis(400)));
+    assert_eq!(classes().1[passed.assignment.class], "read");
+    (0..30).for_each(|_| admission.record_latency(&passed.shape, Duration::from_millis(400)));
     let other =
         admit(&mut admission, "select * from SERIES where titulo like 'another%'", None).expect("it passes");
     assert_eq!(
-        (classes().1[other.assigned.class].as_str(), other.source),
+        (classes().1[other.assignment.class].as_str(), other.source),
         ("heavy", VerdictSource::CacheHit)
     );
 }
@@ -186,7 +186,7 @@
         }
         match (beyond, admission.admit(b"SELECT last FROM series", hints(Some(9)), 1, &clock)) {
             ("cautious", Ok(passed)) => {
-                let class = &classes().1[passed.assigned.class];
+                let class = &classes().1[passed.assignment.class];
                 assert_eq!((class.as_str(), passed.source), ("write", VerdictSource::BudgetExceeded));
                 // Without a parse its key is not known, and a retry may be parsed.
                 let retried = admission.admit(b"SELECT last FROM series", hints(None), 1, &clock);
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -62,7 +62,11 @@
         .literals()
         .iter()
         .map(|literal| {
-            (literal.placeholder, literal.form, &text[literal.at.start as usize..literal.at.end as usize])
+            (
+                literal.placeholder,
+                literal.form,
+                &text[literal.range.start as usize..literal.range.end as usize],
+            )
         })
         .collect();
     let wanted = [
@@ -81,9 +85,9 @@
 fn tables_and_the_values_that_their_columns_are_compared_with() {
     let uses_of = |text: &str| -> Vec<String> {
         let found = verdict(Dialect::Postgres, text.as_bytes());
-        assert!(found.parsed, "{text}: {}", found.why);
+        assert!(found.parsed, "{text}: {}", found.reason);
         let mut uses: Vec<String> = found
-            .uses
+            .table_uses
             .iter()
             .map(|table_use| {
                 let keys = table_use.keys.iter().map(|key| format!("{}={:?}", key.column, key.placeholders));
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -203,7 +203,7 @@
         let state = self.connection.state.clone();
         let framing = statement.framing;
         let shape = request.shape.as_ref();
-        let is_idempotent = shape.is_some_and(|shape| shape.verdict.effect.may_repeat());
+        let is_idempotent = shape.is_some_and(|shape| shape.verdict.effect.is_idempotent());
         let SubmittedRequest { id, reply } =
             self.connection.submit(request, statement.payload, statement.kind.code());
         let is_attention = |unread: &[u8]| unread.first() == Some(&MessageKind::Attention.code());
--- a/crates/comethitchd/src/protocols/tds/client/operation.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -5,7 +5,7 @@
 use crate::protocols::client_connection::Disconnect;
 use crate::protocols::tds::prepared::PreparedStatements;
 use comethitch_statement::assign::Argument;
-use comethitch_statement::classify::only_settings;
+use comethitch_statement::classify::sets_only_session_options;
 use comethitch_statement::{Dialect, Lexer};
 use comethitch_tds::MalformedMessage;
 use comethitch_tds::packet::MessageKind;
@@ -263,5 +263,5 @@
     let mut lexer = Lexer::new(Dialect::Tsql);
     lexer.read(text.as_bytes());
     let is_empty = lexer.tokens().is_empty() && lexer.ambiguity().is_none();
-    is_empty || only_settings(&lexer)
+    is_empty || sets_only_session_options(&lexer)
 }
--- a/crates/comethitchd/src/service/classify/default_rules.rs
+++ b/crates/comethitchd/src/service/classify/default_rules.rs
@@ -2,24 +2,24 @@
 
 use comethitch_policy::time::Duration;
 use comethitch_policy::{Consistency, DeduplicationScope, Idempotency, RequestClass};
-use comethitch_statement::rules::{CacheSize, ClassRule, Disagreement, Parsing};
+use comethitch_statement::rules::{CacheSize, ClassRule, Disagreement, ParsingBudget};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
 
 /// Returns rules that only tell reads from writes.
 pub(super) fn default_rules(dialect: Dialect) -> Rules {
     Rules {
         dialect,
-        disagreement: Disagreement::Refuse,
-        commentless: None,
+        disagreement: Disagreement::Reject,
+        comment_defaults: None,
         classes: vec![
             class_rule("read", &[Effect::Read]),
             class_rule("write", &[Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write]),
         ],
         keys: Vec::new(),
-        elsewhere: Some(0),
+        default_shard: Some(0),
         catalogue: Catalogue::default(),
         cache: CacheSize::default(),
-        parsing: Parsing::default(),
+        parsing: ParsingBudget::default(),
     }
 }
 
--- a/crates/comethitchd/src/service/classify/line_classifier.rs
+++ b/crates/comethitchd/src/service/classify/line_classifier.rs
@@ -55,28 +55,28 @@
             Err(error) => return OutputLine::Error { error: format!("no statement: {error}") },
         };
         let text = input.sql.as_bytes();
-        let Some(judged) = self.admission.judge(text, CLIENT, &|| Timestamp::ZERO) else {
+        let Some(classified) = self.admission.classify(text, CLIENT, &|| Timestamp::ZERO) else {
             return OutputLine::Error { error: "the budget for parsing is spent".into() };
         };
-        let known = judged.known.clone();
-        let key = judged.key;
-        let admitted = self.admission.assign(judged, StatementHints::default(), text, &[]);
-        let verdict = &known.verdict;
+        let shape = classified.shape.clone();
+        let key = classified.key;
+        let admitted = self.admission.assign(classified, StatementHints::default(), text, &[]);
+        let verdict = &shape.verdict;
         let (class, shard, why) = match admitted {
             Ok(admitted) if self.has_rules => {
-                let class = self.class_names[admitted.assigned.class].clone();
-                (Some(class), Some(admitted.assigned.shard), verdict.why.to_string())
+                let class = self.class_names[admitted.assignment.class].clone();
+                (Some(class), Some(admitted.assignment.shard), verdict.reason.to_string())
             }
             Err(error) if self.has_rules => (None, None, error.to_string()),
-            _ => (None, None, verdict.why.to_string()),
+            _ => (None, None, verdict.reason.to_string()),
         };
         OutputLine::Verdict {
             effect: verdict.effect.name(),
-            replica: verdict.effect.on_replica(),
+            replica: verdict.effect.may_run_on_replica(),
             shape: key.to_string(),
             class,
             shard,
-            cost: (verdict.features.guess() * 100.0).round() / 100.0,
+            cost: (verdict.features.estimated_lookups() * 100.0).round() / 100.0,
             why,
         }
     }
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -105,7 +105,7 @@
 impl From<StatementRejection> for AdmissionError {
     fn from(rejection: StatementRejection) -> AdmissionError {
         match rejection {
-            StatementRejection::Refused(error) => StatementError::Rejected(error).into(),
+            StatementRejection::Rejected(error) => StatementError::Rejected(error).into(),
             StatementRejection::Throttled => AdmissionError::Throttled,
         }
     }
@@ -154,16 +154,16 @@
     check_id_and_timeout(state, &client_id, timeout_ms)?;
     let hints = StatementHints { class, shard: fields.shard };
     let clock = || state.clock.now();
-    let passed = admission.admit_with(text, arguments, hints, request.origin, &clock)?;
+    let passed = admission.admit_with_arguments(text, arguments, hints, request.origin, &clock)?;
     Ok(AdmittedRequest {
-        class: passed.assigned.class,
-        shard: passed.assigned.shard,
-        session: passed.assigned.session.unwrap_or_else(|| statement::session_key(text)),
+        class: passed.assignment.class,
+        shard: passed.assignment.shard,
+        session: passed.assignment.session.unwrap_or_else(|| statement::session_key(text)),
         after: fields.after_ms.map(Timestamp::from_millis),
         deadline: request.arrived + Duration::from_millis(timeout_ms),
         client_id,
         timeout_range: fields.timeout.map(|timeout| timeout.range),
-        shape: Some(passed.known),
+        shape: Some(passed.shape),
     })
 }
 
@@ -180,9 +180,9 @@
 fn timeout_ms(admission: &StatementAdmission, fields: &CommentFields<'_>) -> Result<u64, StatementError> {
     let comment_timeout_ms = fields.timeout.as_ref().map(|timeout| timeout.ms);
     let complete = fields.id.is_some() && fields.class.is_some() && fields.shard.is_some();
-    match (comment_timeout_ms, &admission.rules().commentless) {
+    match (comment_timeout_ms, &admission.rules().comment_defaults) {
         (Some(timeout_ms), _) if complete => Ok(timeout_ms),
-        (_, Some(commentless)) => Ok(comment_timeout_ms.unwrap_or(commentless.wait_ms)),
+        (_, Some(defaults)) => Ok(comment_timeout_ms.unwrap_or(defaults.timeout_ms)),
         (_, None) => Err(StatementError::CommentIncomplete),
     }
 }
--- a/crates/comethitchd/src/state/statement_rules.rs
+++ b/crates/comethitchd/src/state/statement_rules.rs
@@ -37,7 +37,7 @@
     /// Records how long a host took to answer a statement of a known shape.
     pub fn record_latency(&self, shape: &KnownShape, latency: Duration) {
         if let Some(admission) = &*self.0.borrow() {
-            admission.learn(shape, latency);
+            admission.record_latency(shape, latency);
         }
     }
 }
