--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -1,5 +1,5 @@
-//! Measures the cache of shapes against a plain LRU and a library's cache, and a flood of a million distinct
-//! shapes against memory and another client's waits. Prints the tables of docs/measured/statements.md:
+//! Compares the cache of shapes with a plain LRU and a library's cache, and measures the effect of a flood of a million
+//! distinct shapes on memory and on another client's latency. Prints the tables of docs/measured/statements.md:
 //!
 //!     cargo run --release -p comethitch-statement --example shapes
 
@@ -15,13 +15,17 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
 
-/// What a verdict holds, on the average of the corpus.
-const VALUE: usize = 400;
-const BOUND: usize = 1 << 20;
+/// The average size of a verdict in the corpus.
+const VALUE_BYTES: usize = 400;
+const CACHE_BYTES: usize = 1 << 20;
 const LOOKUPS: usize = 400_000;
 
-/// One look-up: a shape, and the client that asks for it.
-type Lookup = (u64, u64);
+/// One lookup of a shape by a client.
+#[derive(Clone, Copy)]
+struct Lookup {
+    shape: u64,
+    client: u64,
+}
 
 fn key(number: u64) -> ShapeKey {
     Secret([5; 16]).key(&number.to_le_bytes())
@@ -29,25 +33,25 @@
 
 /// A cache under test.
 trait ShapeCache {
-    /// Looks a shape up, and inserts it on a miss; true on a hit.
+    /// Looks up a shape, and inserts it on a miss. Returns whether it was a hit.
     fn look_up(&mut self, key: ShapeKey, client: u64) -> bool;
 }
 
-struct Ours(Cache<()>);
+struct OwnCache(Cache<()>);
 
-impl ShapeCache for Ours {
+impl ShapeCache for OwnCache {
     fn look_up(&mut self, key: ShapeKey, client: u64) -> bool {
         let hit = self.0.get(key, client).is_some();
         if !hit {
-            self.0.insert(key, (), VALUE, client);
+            self.0.insert(key, (), VALUE_BYTES, client);
         }
         hit
     }
 }
 
-/// The entry used longest ago goes first; its own bookkeeping is not counted against it.
+/// Evicts the least recently used entry. Its limit does not include its bookkeeping.
 struct PlainLru {
-    most: usize,
+    max_entries: usize,
     used: HashMap<ShapeKey, u64>,
     order: BTreeMap<u64, ShapeKey>,
     tick: u64,
@@ -59,7 +63,7 @@
         let before = self.used.insert(key, self.tick);
         before.map(|tick| self.order.remove(&tick));
         self.order.insert(self.tick, key);
-        if self.used.len() > self.most
+        if self.used.len() > self.max_entries
             && let Some((_, oldest)) = self.order.pop_first()
         {
             self.used.remove(&oldest);
@@ -80,68 +84,72 @@
     }
 }
 
-/// The hit rate of one client, once a quarter of all look-ups is through.
-fn hits(cache: &mut dyn ShapeCache, lookups: &[Lookup], of: u64) -> f64 {
+/// Returns the hit rate of one client in the last three quarters of the lookups.
+fn hit_rate(cache: &mut dyn ShapeCache, lookups: &[Lookup], client: u64) -> f64 {
     let mut hits = 0;
-    let mut all = 0;
-    for (nth, (shape, client)) in lookups.iter().enumerate() {
-        let hit = cache.look_up(key(*shape), *client);
-        if nth > lookups.len() / 4 && *client == of {
+    let mut total = 0;
+    for (index, lookup) in lookups.iter().enumerate() {
+        let hit = cache.look_up(key(lookup.shape), lookup.client);
+        if index > lookups.len() / 4 && lookup.client == client {
             hits += usize::from(hit);
-            all += 1;
+            total += 1;
         }
     }
-    hits as f64 / all as f64
+    hits as f64 / total as f64
 }
 
 fn traffic() -> Vec<(&'static str, Vec<Lookup>)> {
     let mut random = SmallRng::seed_from_u64(11);
     let zipf = Zipf::new(20_000.0, 0.9).expect("a distribution");
     let draw = |random: &mut SmallRng| zipf.sample(random) as u64;
-    let steady = (0..LOOKUPS).map(|_| (draw(&mut random), 1)).collect();
-    let shifting = (0..LOOKUPS as u64).map(|nth| (draw(&mut random) + nth / 40_000 * 500_000, 1)).collect();
-    let looping = (0..LOOKUPS as u64).map(|nth| (nth % 4_000, 1)).collect();
+    let by_first = |shape| Lookup { shape, client: 1 };
+    let by_second = |shape| Lookup { shape, client: 2 };
+    let steady = (0..LOOKUPS).map(|_| by_first(draw(&mut random))).collect();
+    let shifting =
+        (0..LOOKUPS as u64).map(|index| by_first(draw(&mut random) + index / 40_000 * 500_000)).collect();
+    let looping = (0..LOOKUPS as u64).map(|index| by_first(index % 4_000)).collect();
     let unique = (0..LOOKUPS as u64)
-        .map(|nth| if nth % 2 == 0 { (draw(&mut random), 1) } else { (10_000_000 + nth, 1) })
+        .map(|index| by_first(if index % 2 == 0 { draw(&mut random) } else { 10_000_000 + index }))
         .collect();
     let mut repeated = Vec::new();
     while repeated.len() < LOOKUPS {
-        repeated.push((draw(&mut random), 1));
-        // The other client asks for each of its shapes five times in a row, and for none of them again.
+        repeated.push(by_first(draw(&mut random)));
+        // The second client looks up each of its shapes five times in a row, and never again.
         let shape = 20_000_000 + repeated.len() as u64;
-        repeated.extend([(shape, 2); 5]);
+        repeated.extend([by_second(shape); 5]);
     }
     let mut both = Vec::new();
     while both.len() < LOOKUPS {
-        both.push((draw(&mut random) % 1_000, 1));
-        both.extend((0..4).map(|_| (30_000_000 + random.random_range(0..3_000), 2)));
+        both.push(by_first(draw(&mut random) % 1_000));
+        both.extend((0..4).map(|_| by_second(30_000_000 + random.random_range(0..3_000))));
     }
     vec![
         ("steady: Zipf 0.9 over 20,000 shapes", steady),
-        ("shifting: other shapes every 40,000 asks", shifting),
+        ("shifting: other shapes every 40,000 lookups", shifting),
         ("looping: 4,000 shapes in turn", looping),
-        ("flood of unique shapes, every second ask", unique),
+        ("flood of unique shapes, every second lookup", unique),
         ("another client's flood, each shape five times", repeated),
-        ("another client in use of 3,000 shapes, 4 asks of 5", both),
+        ("another client with 3,000 shapes, 4 lookups of 5", both),
     ]
 }
 
-fn caches() {
-    println!("| traffic, hits of client 1 | ours | plain LRU | quick_cache |\n| --- | --- | --- | --- |");
+fn compare_caches() {
+    println!("| traffic, hit rate of client 1 | own | plain LRU | quick_cache |\n| --- | --- | --- | --- |");
     for (name, lookups) in traffic() {
-        let mut own = Ours(Cache::new(BOUND));
-        let ours = hits(&mut own, &lookups, 1);
-        // The others get as many entries as ours has in its bytes, whatever their own bookkeeping takes.
-        let most = own.0.len();
-        let mut plain_lru = PlainLru { most, used: HashMap::new(), order: BTreeMap::new(), tick: 0 };
-        let plain = hits(&mut plain_lru, &lookups, 1);
-        let library = hits(&mut Library(quick_cache::unsync::Cache::new(most)), &lookups, 1);
-        println!("| {name} | {ours:.3} | {plain:.3} | {library:.3} |");
+        let mut own = OwnCache(Cache::new(CACHE_BYTES));
+        let own_rate = hit_rate(&mut own, &lookups, 1);
+        // The others get as many entries as this cache holds, without counting their bookkeeping.
+        let max_entries = own.0.len();
+        let mut plain_lru = PlainLru { max_entries, used: HashMap::new(), order: BTreeMap::new(), tick: 0 };
+        let plain_rate = hit_rate(&mut plain_lru, &lookups, 1);
+        let mut library = Library(quick_cache::unsync::Cache::new(max_entries));
+        let library_rate = hit_rate(&mut library, &lookups, 1);
+        println!("| {name} | {own_rate:.3} | {plain_rate:.3} | {library_rate:.3} |");
     }
 }
 
-/// The resident bytes of this process.
-fn resident() -> usize {
+/// Returns the resident set size of this process.
+fn resident_bytes() -> usize {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     pages.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
@@ -153,14 +161,14 @@
             {"group": "write", "effects": ["locking_read", "session", "unknown", "write"]}]}"#,
     )
     .expect("rules");
-    let class = |effect, need| RequestClass {
+    let class = |idempotency, consistency| RequestClass {
         latency_objective: Duration::from_micros(1),
         timeout: Duration::from_micros(1),
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         deduplication_scope: DeduplicationScope::Everywhere,
         deduplication_window: Duration::ZERO,
-        consistency: need,
+        consistency,
     };
     let classes = [
         class(Idempotency::Idempotent, Consistency::Eventual),
@@ -176,99 +184,101 @@
     admission.expect("rules")
 }
 
-/// Measures one admission under look-ups of two clients.
+/// Measures admission under the lookups of two clients, of which one floods it with distinct shapes.
 struct FloodRun<'a> {
     admission: StatementAdmission,
     began: Instant,
-    /// The statements of the second client.
-    usual: &'a [String],
-    /// The second client's times before the flood, and beside it; and those of the flood, in nanoseconds.
-    alone: Histogram<u64>,
-    beside: Histogram<u64>,
-    flooding: Histogram<u64>,
+    /// The statements of the steady client.
+    steady_statements: &'a [String],
+    /// The steady client's admission times before the flood.
+    steady_before_ns: Histogram<u64>,
+    /// The steady client's admission times during the flood.
+    steady_during_ns: Histogram<u64>,
+    flood_ns: Histogram<u64>,
+    /// Lookups of the flood beyond the parsing budget.
     beyond_budget: usize,
-    hits: usize,
-    lookups: usize,
+    /// The steady client's hits and lookups during the flood.
+    steady_hits: usize,
+    steady_lookups: usize,
 }
 
 const FLOODING_CLIENT: u64 = 1;
 const STEADY_CLIENT: u64 = 2;
 const STEADY_LOOKUPS: usize = 200_000;
 const FLOOD_LOOKUPS: usize = 1_000_000;
-/// One look-up of the steady client comes with so many of the flood.
+/// Lookups of the flood per lookup of the steady client.
 const FLOOD_PER_STEADY: usize = 5;
 
 impl<'a> FloodRun<'a> {
-    fn new(limited: bool, usual: &'a [String]) -> FloodRun<'a> {
+    fn new(limited: bool, steady_statements: &'a [String]) -> FloodRun<'a> {
         let histogram = || Histogram::new(3).expect("a histogram");
         FloodRun {
             admission: admission(limited),
             began: Instant::now(),
-            usual,
-            alone: histogram(),
-            beside: histogram(),
-            flooding: histogram(),
+            steady_statements,
+            steady_before_ns: histogram(),
+            steady_during_ns: histogram(),
+            flood_ns: histogram(),
             beyond_budget: 0,
-            hits: 0,
-            lookups: 0,
+            steady_hits: 0,
+            steady_lookups: 0,
         }
     }
 
-    /// Admits a statement; returns how long it took, in nanoseconds, and where its verdict came from.
-    fn admit(&mut self, text: &str, client: u64) -> (u64, Option<VerdictSource>) {
+    fn admit(&mut self, text: &str, client: u64) -> MeasuredAdmission {
         let began = self.began;
         let clock = || Timestamp::from_micros(began.elapsed().as_micros() as u64);
         let before = Instant::now();
         let admitted = self.admission.admit(text.as_bytes(), StatementHints::default(), client, &clock);
-        (before.elapsed().as_nanos() as u64, admitted.ok().map(|admitted| admitted.source))
+        let elapsed_ns = before.elapsed().as_nanos() as u64;
+        MeasuredAdmission { elapsed_ns, source: admitted.ok().map(|admitted| admitted.source) }
     }
 
-    fn admit_usual(&mut self, nth: usize) -> (u64, Option<VerdictSource>) {
-        let usual = self.usual;
-        self.admit(&usual[nth % usual.len()], STEADY_CLIENT)
+    fn admit_steady(&mut self, index: usize) -> MeasuredAdmission {
+        let statements = self.steady_statements;
+        self.admit(&statements[index % statements.len()], STEADY_CLIENT)
     }
 
     fn warm_up(&mut self, rounds: usize) {
-        for nth in 0..rounds * self.usual.len() {
-            assert!(self.admit_usual(nth).1.is_some());
+        for index in 0..rounds * self.steady_statements.len() {
+            assert!(self.admit_steady(index).source.is_some());
         }
     }
 
-    fn steady(&mut self) {
-        for nth in 0..STEADY_LOOKUPS {
-            let (nanos, _) = self.admit_usual(nth);
-            self.alone.record(nanos).expect("in range");
+    fn run_steady_client(&mut self) {
+        for index in 0..STEADY_LOOKUPS {
+            let admission = self.admit_steady(index);
+            self.steady_before_ns.record(admission.elapsed_ns).expect("in range");
         }
     }
 
-    fn flood(&mut self) {
-        for nth in 0..FLOOD_LOOKUPS {
-            let text =
-                format!("SELECT c{nth}, d{} FROM t{} WHERE e{nth} = {nth} ORDER BY f", nth / 3, nth % 977);
-            let (nanos, source) = self.admit(&text, FLOODING_CLIENT);
-            self.flooding.record(nanos).expect("in range");
-            self.beyond_budget += usize::from(source == Some(VerdictSource::BudgetExceeded));
-            if nth % FLOOD_PER_STEADY == 0 {
-                let (nanos, source) = self.admit_usual(nth / FLOOD_PER_STEADY);
-                self.beside.record(nanos).expect("in range");
-                self.hits += usize::from(source == Some(VerdictSource::CacheHit));
-                self.lookups += 1;
+    fn run_flood(&mut self) {
+        for n in 0..FLOOD_LOOKUPS {
+            let text = format!("SELECT c{n}, d{} FROM t{} WHERE e{n} = {n} ORDER BY f", n / 3, n % 977);
+            let admission = self.admit(&text, FLOODING_CLIENT);
+            self.flood_ns.record(admission.elapsed_ns).expect("in range");
+            self.beyond_budget += usize::from(admission.source == Some(VerdictSource::BudgetExceeded));
+            if n % FLOOD_PER_STEADY == 0 {
+                let admission = self.admit_steady(n / FLOOD_PER_STEADY);
+                self.steady_during_ns.record(admission.elapsed_ns).expect("in range");
+                self.steady_hits += usize::from(admission.source == Some(VerdictSource::CacheHit));
+                self.steady_lookups += 1;
             }
         }
     }
 
-    fn print(&self, budget: &str, grown: usize) {
+    fn print(&self, budget: &str, resident_growth_bytes: usize) {
         println!("\n| a million distinct shapes, {budget} | |\n| --- | --- |");
-        println!("| the cache's bound | {} KiB |", self.admission.rules().cache.kib);
-        println!("| held by its own count | {} KiB |", self.admission.memory_bytes() >> 10);
-        println!("| resident, grown from before the cache was made | {} KiB |", grown >> 10);
+        println!("| cache limit | {} KiB |", self.admission.rules().cache.kib);
+        println!("| cache size by its own count | {} KiB |", self.admission.memory_bytes() >> 10);
+        println!("| growth of resident memory with the cache | {} KiB |", resident_growth_bytes >> 10);
         let parsed = FLOOD_LOOKUPS - self.beyond_budget;
         println!("| parsed, and beyond the budget | {parsed}, {} |", self.beyond_budget);
-        println!("| the second client's hits | {} of {} |", self.hits, self.lookups);
+        println!("| steady client's hits | {} of {} |", self.steady_hits, self.steady_lookups);
         for (name, histogram) in [
-            ("second client alone", &self.alone),
-            ("second client beside the flood", &self.beside),
-            ("the flood itself", &self.flooding),
+            ("steady client before the flood", &self.steady_before_ns),
+            ("steady client during the flood", &self.steady_during_ns),
+            ("flooding client", &self.flood_ns),
         ] {
             let micros = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
             let (median, high) = (micros(0.5), micros(0.999));
@@ -277,31 +287,39 @@
     }
 }
 
-fn flood(limited: bool) {
-    let usual: Vec<String> =
-        (0..200).map(|nth| format!("SELECT a{nth} FROM facts WHERE code = 'k'")).collect();
-    // All that is built once, as the lists of functions, is there before memory is measured.
-    FloodRun::new(false, &usual).warm_up(1);
-    let before = resident();
-    let mut run = FloodRun::new(limited, &usual);
+/// One admission with its duration.
+struct MeasuredAdmission {
+    elapsed_ns: u64,
+    /// `None` if the statement was rejected.
+    source: Option<VerdictSource>,
+}
+
+fn measure_flood(limited: bool) {
+    let statements: Vec<String> =
+        (0..200).map(|n| format!("SELECT a{n} FROM facts WHERE code = 'k'")).collect();
+    // Allocates what is built only once, such as the lists of functions, before memory is measured.
+    FloodRun::new(false, &statements).warm_up(1);
+    let before = resident_bytes();
+    let mut run = FloodRun::new(limited, &statements);
     run.warm_up(3);
-    run.steady();
-    run.flood();
-    let grown = resident().saturating_sub(before);
-    run.print(if limited { "by the budget" } else { "all parsed" }, grown);
+    run.run_steady_client();
+    run.run_flood();
+    let growth = resident_bytes().saturating_sub(before);
+    run.print(if limited { "by the budget" } else { "all parsed" }, growth);
 }
 
 fn main() {
     match std::env::args().nth(1).as_deref() {
-        Some("flood") => flood(true),
-        Some("unlimited") => flood(false),
-        // Each flood in a process of its own: what one leaves to the allocator would hide what the next takes.
+        Some("flood") => measure_flood(true),
+        Some("unlimited") => measure_flood(false),
+        // Each flood runs in a separate process, since memory that one leaves to the allocator would hide the
+        // growth of the next.
         _ => {
-            caches();
-            let own = std::env::current_exe().expect("this program");
+            compare_caches();
+            let program = std::env::current_exe().expect("the path of this program");
             for flood in ["flood", "unlimited"] {
-                let ended = std::process::Command::new(&own).arg(flood).status();
-                assert!(ended.expect("started").success());
+                let status = std::process::Command::new(&program).arg(flood).status();
+                assert!(status.expect("started").success());
             }
         }
     }
--- a/crates/comethitch-statement/fuzz/fuzz_targets/classify.rs
+++ b/crates/comethitch-statement/fuzz/fuzz_targets/classify.rs
@@ -1,5 +1,5 @@
-//! Any bytes get a verdict in both dialects, and what is no UTF-8 is never a read. A read with a write behind it
-//! is no read.
+//! Arbitrary bytes get a verdict in both dialects, and are a read only if they are UTF-8. A read followed by a write is
+//! not a read.
 #![no_main]
 
 use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer};
--- a/crates/comethitch-statement/src/rules.rs
+++ b/crates/comethitch-statement/src/rules.rs
@@ -19,7 +19,7 @@
     /// Defaults for statements without a comment, or with an incomplete one. Without them such statements are
     /// rejected.
     #[serde(rename = "commentless")]
-    pub comment_defaults: Option<CommentDefaults>,
+    pub comment_defaults: Option<Commentless>,
     /// Maps effects, tables and costs to request classes; the first matching rule applies.
     #[serde(rename = "groups")]
     pub classes: Vec<ClassRule>,
@@ -53,8 +53,8 @@
 
 /// Defaults for fields that a statement's comment omits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename = "Commentless", expecting = "struct Commentless", deny_unknown_fields)]
-pub struct CommentDefaults {
+#[serde(deny_unknown_fields)]
+pub struct Commentless {
     /// The client's timeout in milliseconds.
     #[serde(rename = "wait_ms")]
     pub timeout_ms: u64,
--- a/crates/comethitch-statement/tests/corpus.rs
+++ b/crates/comethitch-statement/tests/corpus.rs
@@ -1,10 +1,10 @@
-//! Statements with the verdict that each must get. A row's effect is what the router may make of it: for one
-//! that writes, `unknown` would be as safe, and is distinguished all the same.
+//! The effects of the statements in the corpus. For a write, `unknown` would be as safe, but the exact effect is
+//! required.
 
 mod support;
 
 use comethitch_statement::lexer::MAX_STATEMENT_BYTES;
-use comethitch_statement::{Dialect, Effect};
+use comethitch_statement::{Dialect, Effect, Verdict};
 use serde::Deserialize;
 use support::{corpus_lines, verdict};
 
@@ -19,31 +19,33 @@
 }
 
 #[test]
-fn each_statement_gets_its_verdict() {
-    let mut wrong = Vec::new();
+fn corpus_statements_get_the_expected_effect() {
+    let mut mismatches = Vec::new();
     let mut rows = 0;
     let mut reads = 0;
     for dialect in [Dialect::Postgres, Dialect::Tsql] {
         for row in corpus(dialect) {
-            let found = verdict(dialect, row.sql.as_bytes());
+            let Verdict { effect, reason, .. } = verdict(dialect, row.sql.as_bytes());
             rows += 1;
             reads += usize::from(row.effect == Effect::Read);
-            if found.effect != row.effect {
-                wrong.push(format!("{dialect:?}: {:?} is {:?}: {}", row.sql, found.effect, found.reason));
+            if effect != row.effect {
+                mismatches.push(format!("{dialect:?}: {:?} is {effect:?}: {reason}", row.sql));
             }
-            if (found.effect == Effect::Read) != found.reason.is_empty() {
-                wrong.push(format!("{:?}: {:?} with the reason {:?}", row.sql, found.effect, found.reason));
+            if (effect == Effect::Read) != reason.is_empty() {
+                mismatches.push(format!("{:?}: {effect:?} with the reason {reason:?}", row.sql));
             }
         }
     }
-    assert!(wrong.is_empty(), "{} of {rows}:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(mismatches.is_empty(), "{} of {rows}:\n{}", mismatches.len(), mismatches.join("\n"));
     assert!(rows >= 250 && reads * 3 >= rows, "{reads} reads of {rows} rows");
 }
 
 #[test]
-fn long_and_deep_statements_end_in_time_and_are_no_reads() {
+fn long_or_deeply_nested_statements_are_never_reads() {
     let many = |part: &str| part.repeat(MAX_STATEMENT_BYTES / part.len());
-    let deep = |open: &str, close: &str, n: usize| format!("SELECT {}1{}", open.repeat(n), close.repeat(n));
+    let nested = |open: &str, close: &str, depth: usize| {
+        format!("SELECT {}1{}", open.repeat(depth), close.repeat(depth))
+    };
     for dialect in [Dialect::Postgres, Dialect::Tsql] {
         let texts = [
             many("("),
@@ -57,13 +59,13 @@
             many("'\\'"),
             many("a."),
             many("(1),"),
-            deep("(", ")", 250),
-            deep("(SELECT ", ")", 100),
+            nested("(", ")", 250),
+            nested("(SELECT ", ")", 100),
             format!("SELECT * FROM {}t{}", "(".repeat(19), ")".repeat(18)),
         ];
         for text in texts {
-            let found = verdict(dialect, text.as_bytes());
-            assert_ne!(found.effect, Effect::Read, "{}", &text[..text.len().min(60)]);
+            let effect = verdict(dialect, text.as_bytes()).effect;
+            assert_ne!(effect, Effect::Read, "{}", &text[..text.len().min(60)]);
         }
         for bytes in [&b"SELECT '\xff'"[..], b"SELECT a\xc3 FROM t", b"SELECT 1\0DELETE"] {
             assert!(!verdict(dialect, bytes).effect.may_run_on_replica());
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn a_chain_as_long_as_is_parsed_fits_the_stack() {
+fn longest_parsed_operator_chain_does_not_overflow_the_stack() {
     let chain = |length: usize| format!("SELECT {}1", "1+".repeat(length));
     assert_eq!(verdict(Dialect::Postgres, chain(990).as_bytes()).effect, Effect::Read);
     assert_eq!(verdict(Dialect::Postgres, chain(1_010).as_bytes()).effect, Effect::Unknown);
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Where statements go by the operator's rules, and which rules are rejected.
+//! The assignment of statements by the operator's rules, and the rejection of invalid rules.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Consistency, DeduplicationScope, Idempotency, RequestClass};
@@ -10,14 +10,14 @@
 use serde_json::{Value, json};
 
 fn classes() -> (Vec<RequestClass>, Vec<String>) {
-    let class = |effect, need| RequestClass {
+    let class = |idempotency, consistency| RequestClass {
         latency_objective: Duration::from_millis(250),
         timeout: Duration::from_millis(600),
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         deduplication_scope: DeduplicationScope::Shard,
         deduplication_window: Duration::ZERO,
-        consistency: need,
+        consistency,
     };
     let all = [
         ("read", class(Idempotency::Idempotent, Consistency::BoundedStaleness(Duration::from_secs(3)))),
@@ -60,15 +60,16 @@
 fn admit(
     admission: &mut StatementAdmission, text: &str, class: Option<&str>,
 ) -> Result<AdmittedStatement, StatementRejection> {
-    let class = class.map(|class| classes().1.iter().position(|name| name == class).expect("a group"));
+    let class =
+        class.map(|class| classes().1.iter().position(|name| name == class).expect("a request class"));
     admission.admit(text.as_bytes(), StatementHints { class, shard: None }, 1, &|| Timestamp::ZERO)
 }
 
 #[test]
-fn statements_go_where_the_rules_say() {
+fn rules_assign_statements_to_class_and_shard() {
     let mut admission = admission(&rules()).expect("rules");
     let hashed = |key: &str| [4, 5, 6][(fnv1a(key.as_bytes()) % 3) as usize];
-    for (text, class, hosts) in [
+    for (text, class, shard) in [
         ("SELECT data FROM facts WHERE code = 'k1'", "read", hashed("k1")),
         ("SELECT data FROM facts WHERE code = 'it''s'", "read", hashed("it's")),
         ("SELECT data FROM facts WHERE code IN (17, '17')", "read", hashed("17")),
@@ -79,17 +80,17 @@
         ("UPDATE saldos SET n = 1 WHERE lector = 'ana'", "write", 1),
         ("SELECT CAST(a AS precio) FROM series", "write", 9),
     ] {
-        let passed = admit(&mut admission, text, None).expect(text);
+        let admitted = admit(&mut admission, text, None).expect(text);
         assert_eq!(
-            (classes().1[passed.assignment.class].as_str(), passed.assignment.shard),
-            (class, hosts),
+            (classes().1[admitted.assignment.class].as_str(), admitted.assignment.shard),
+            (class, shard),
             "{text}"
         );
     }
 }
 
 #[test]
-fn the_key_names_the_session_whatever_literal_comes_first() {
+fn session_is_the_hash_of_the_key_not_of_the_first_literal() {
     let mut admission = admission(&rules()).expect("rules");
     let mut session = |text: &str| admit(&mut admission, text, None).expect(text).assignment.session;
     let ana = Some(fnv1a(b"ana"));
@@ -100,36 +101,34 @@
 }
 
 #[test]
-fn a_statement_for_two_groups_of_hosts_or_none_is_rejected_with_its_reason() {
+fn statements_for_several_shards_or_none_are_rejected() {
     let mut admission = admission(&rules()).expect("rules");
-    let two =
-        ["a", "b", "c", "d", "e", "f"].iter().map(|key| format!("'{key}'")).collect::<Vec<_>>().join(", ");
-    for (text, wanted) in [
-        (format!("SELECT data FROM facts WHERE code IN ({two})"), "groups of hosts"),
+    for (text, message) in [
+        ("SELECT data FROM facts WHERE code IN ('a', 'b', 'c', 'd', 'e', 'f')", "groups of hosts"),
         (
-            "SELECT * FROM saldos a, saldos b WHERE a.lector = 'ana' AND b.lector = 'zoe'".into(),
+            "SELECT * FROM saldos a, saldos b WHERE a.lector = 'ana' AND b.lector = 'zoe'",
             "groups of hosts 1 and 2",
         ),
-        ("SELECT data FROM facts".into(), "facts lies by code"),
-        ("SELECT data FROM facts WHERE code = $1".into(), "facts lies by code"),
-        ("SELECT data FROM facts WHERE code = 007".into(), "facts lies by code"),
-        ("SELECT data FROM facts WHERE code = - 7".into(), "facts lies by code"),
-        ("SELECT 1 FROM saldos WHERE lector = 'ana' OR true".into(), "saldos lies by lector"),
-        ("SELECT 'unterminated".into(), "has no end"),
-        ("BEGIN".into(), "transactions"),
-        ("SHOW work_mem".into(), "no rule"),
+        ("SELECT data FROM facts", "facts lies by code"),
+        ("SELECT data FROM facts WHERE code = $1", "facts lies by code"),
+        ("SELECT data FROM facts WHERE code = 007", "facts lies by code"),
+        ("SELECT data FROM facts WHERE code = - 7", "facts lies by code"),
+        ("SELECT 1 FROM saldos WHERE lector = 'ana' OR true", "saldos lies by lector"),
+        ("SELECT 'unterminated", "has no end"),
+        ("BEGIN", "transactions"),
+        ("SHOW work_mem", "no rule"),
     ] {
-        let Err(StatementRejection::Rejected(refusal)) = admit(&mut admission, &text, None) else {
-            panic!("{text} has passed")
+        let Err(StatementRejection::Rejected(error)) = admit(&mut admission, text, None) else {
+            panic!("{text} was admitted")
         };
-        assert!(refusal.to_string().contains(wanted), "{text}: {refusal}");
+        assert!(error.to_string().contains(message), "{text}: {error}");
     }
 }
 
 #[test]
-fn a_comment_may_be_stricter_than_the_text_and_never_milder() {
+fn comment_may_name_a_stricter_class_but_not_a_laxer_one() {
     let mut admission = admission(&rules()).expect("rules");
-    for (text, class, passes) in [
+    for (text, class, is_allowed) in [
         ("SELECT 1", "read", true),
         ("SELECT 1", "write", true),
         ("SELECT 1 FROM series FOR SHARE", "read", false),
@@ -140,11 +139,10 @@
         ("SELECT CAST(a AS precio) FROM series", "write", true),
         ("DELETE FROM series", "fresh", false),
     ] {
-        let passed = admit(&mut admission, text, Some(class));
-        match passed {
-            Ok(passed) => assert!(passes && !passed.assignment.raised, "{text} as {class}"),
+        match admit(&mut admission, text, Some(class)) {
+            Ok(admitted) => assert!(is_allowed && !admitted.assignment.raised, "{text} as {class}"),
             Err(StatementRejection::Rejected(AssignmentError::EffectNotAllowed { .. })) => {
-                assert!(!passes, "{text} as {class}");
+                assert!(!is_allowed, "{text} as {class}");
             }
             Err(other) => panic!("{text} as {class}: {other:?}"),
         }
@@ -152,14 +150,14 @@
 }
 
 #[test]
-fn a_shape_that_proves_costly_moves_to_the_heavy_group() {
+fn costly_shape_moves_to_the_class_for_expensive_reads() {
     let mut admission = admission(&rules()).expect("rules");
     let text = "SELECT * FROM series WHERE titulo LIKE 'x%'";
-    let passed = admit(&mut admission, text, None).expect("it passes");
-    assert_eq!(classes().1[passed.assignment.class], "read");
-    (0..30).for_each(|_| admission.record_latency(&passed.shape, Duration::from_millis(400)));
-    let other =
-        admit(&mut admission, "select * from SERIES where titulo like 'another%'", None).expect("it passes");
+    let admitted = admit(&mut admission, text, None).expect("an admitted statement");
+    assert_eq!(classes().1[admitted.assignment.class], "read");
+    (0..30).for_each(|_| admission.record_latency(&admitted.shape, Duration::from_millis(400)));
+    let other = admit(&mut admission, "select * from SERIES where titulo like 'another%'", None)
+        .expect("an admitted statement");
     assert_eq!(
         (classes().1[other.assignment.class].as_str(), other.source),
         ("heavy", VerdictSource::CacheHit)
@@ -167,41 +165,41 @@
 }
 
 #[test]
-fn past_the_budget_a_statement_is_unknown_or_throttled() {
+fn statement_beyond_the_budget_is_unknown_or_throttled() {
     for beyond in ["cautious", "throttle"] {
         let mut with_budget = rules();
         with_budget["parsing"] = json!({"core_part": 0.001, "client_part": 0.5, "beyond": beyond});
         let mut admission = admission(&with_budget).expect("rules");
         let known = "SELECT 1 FROM series WHERE a = 1";
-        admit(&mut admission, known, None).expect("it passes");
-        // Each look at the clock is 50 µs after the one before.
-        let ticks = std::cell::Cell::new(0);
+        admit(&mut admission, known, None).expect("an admitted statement");
+        // Each reading of the clock is 50 µs after the previous one.
+        let now_us = std::cell::Cell::new(0);
         let clock = || {
-            ticks.set(ticks.get() + 50);
-            Timestamp::from_micros(ticks.get())
+            now_us.set(now_us.get() + 50);
+            Timestamp::from_micros(now_us.get())
         };
         let hints = |shard| StatementHints { class: None, shard };
         for nth in 0..500 {
             let _ = admission.admit(format!("SELECT c{nth} FROM series").as_bytes(), hints(None), 1, &clock);
         }
         match (beyond, admission.admit(b"SELECT last FROM series", hints(Some(9)), 1, &clock)) {
-            ("cautious", Ok(passed)) => {
-                let class = &classes().1[passed.assignment.class];
-                assert_eq!((class.as_str(), passed.source), ("write", VerdictSource::BudgetExceeded));
-                // Without a parse its key is not known, and a retry may be parsed.
+            ("cautious", Ok(admitted)) => {
+                let class = &classes().1[admitted.assignment.class];
+                assert_eq!((class.as_str(), admitted.source), ("write", VerdictSource::BudgetExceeded));
+                // Without a parse the key is unknown; a retry may be parsed.
                 let retried = admission.admit(b"SELECT last FROM series", hints(None), 1, &clock);
                 assert_eq!(retried.err(), Some(StatementRejection::Throttled));
             }
             ("throttle", Err(StatementRejection::Throttled)) => {}
             (beyond, other) => panic!("{beyond}: {other:?}"),
         }
-        let hit = admit(&mut admission, known, None).expect("what is known costs nothing");
+        let hit = admit(&mut admission, known, None).expect("cached shapes need no budget");
         assert_eq!(hit.source, VerdictSource::CacheHit);
     }
 }
 
 #[test]
-fn faulty_rules_are_rejected_with_the_key() {
+fn invalid_rules_are_rejected_with_their_json_key() {
     let with = |change: &dyn Fn(&mut Value)| {
         let mut rules = rules();
         change(&mut rules);
@@ -209,7 +207,7 @@
     };
     let class = |effects: Value, name: &str| json!({"group": name, "effects": effects});
     type Change<'a> = &'a dyn Fn(&mut Value);
-    let faults: [(&str, Change<'_>); 16] = [
+    let cases: [(&str, Change<'_>); 16] = [
         ("groups.2.group is no command group", &|r| r["groups"][2]["group"] = "x".into()),
         ("groups.2.effects holds write", &|r| r["groups"][2] = class(json!(["read", "write"]), "read")),
         ("groups.2.effects holds locking_read", &|r| {
@@ -234,8 +232,29 @@
         ("cache.kib", &|r| r["cache"] = json!({"kib": 1})),
         ("parsing.core_part", &|r| r["parsing"] = json!({"core_part": 0.0})),
     ];
-    for (fault, change) in faults {
+    for (message, change) in cases {
         let error = with(change);
-        assert!(error.contains(fault), "{fault}: {error:?}");
+        assert!(error.contains(message), "{message}: {error:?}");
+    }
+}
+
+#[test]
+fn malformed_rules_are_rejected_with_the_names_of_the_schema() {
+    for (key, value, message) in [
+        ("commentless", json!(5), "invalid type: integer `5`, expected struct Commentless"),
+        ("commentless", json!([]), "invalid length 0, expected struct Commentless with 1 element"),
+        ("commentless", json!({}), "missing field `wait_ms`"),
+        ("parsing", json!(5), "invalid type: integer `5`, expected struct Parsing"),
+        ("parsing", json!({"x": 1}), "expected one of `core_part`, `client_part`, `beyond`"),
+        ("disagreement", json!("reject"), "expected `refuse` or `raise`"),
+        ("groups", json!([5]), "expected struct GroupRule"),
+        ("groups", json!([{}]), "missing field `group`"),
+        ("keys", json!([{"tables": [], "column": "a"}]), "missing field `spread`"),
+        ("default_shard", json!(1), "unknown field `default_shard`"),
+    ] {
+        let mut rules = rules();
+        rules[key] = value;
+        let error = serde_json::from_value::<Rules>(rules).expect_err(message).to_string();
+        assert!(error.contains(message), "{key}: {error}");
     }
 }
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -1,4 +1,5 @@
-//! What makes two statements one shape, and that no text is too strange to be read.
+//! Which statements share a shape, which tables and column values a verdict lists, and properties of verdicts on
+//! generated texts.
 
 mod support;
 
@@ -15,8 +16,8 @@
 }
 
 #[test]
-fn statements_that_differ_in_literals_case_and_space_alone_share_a_shape() {
-    let alike = [
+fn shape_ignores_literals_case_comments_and_white_space() {
+    let same_shape = [
         (
             Dialect::Postgres,
             vec!["b = 1", "B=2 -- x", "b = $1", "/* y */ b\n=\t'z'", "b = -3", "b=$$q$$", "b = E'\\'';"],
@@ -28,12 +29,12 @@
         (Dialect::Postgres, vec!["x = 'a'", "x = 'a'\n'b'", "x = 'a' -- c\n 'b'"]),
         (Dialect::Tsql, vec!["b = 1", "B=@p1 -- x", "b = ?", "b = N'it''s'", "b = $3.50", "b = 0xFF"]),
     ];
-    for (dialect, texts) in alike {
+    for (dialect, texts) in same_shape {
         for text in &texts {
             assert_eq!(shape(dialect, text), shape(dialect, texts[0]), "{text:?} as {:?}", texts[0]);
         }
     }
-    let apart = [
+    let different_shapes = [
         ("\"T\"", "t"),
         ("\"T\"", "\"t\""),
         ("a = b", "a = 'b'"),
@@ -46,19 +47,19 @@
         ("a ? 'b'", "a = 'b'"),
         ("a || 'b'", "a | 'b'"),
     ];
-    for (one, other) in apart {
+    for (one, other) in different_shapes {
         assert_ne!(shape(Dialect::Postgres, one), shape(Dialect::Postgres, other), "{one:?} and {other:?}");
     }
-    // A quoted name can't pass for what stands for a literal.
+    // A quoted name that contains the placeholder byte is not a placeholder.
     assert_ne!(shape(Dialect::Postgres, "a = \"\u{1}\""), shape(Dialect::Postgres, "a = 1"));
 }
 
 #[test]
-fn literals_keep_their_places_and_the_placeholders_that_they_fold_into() {
+fn literals_report_their_range_and_shared_placeholder() {
     let text = "INSERT INTO t (a, b) VALUES (1, 'x'), (2, 'y') ON CONFLICT (a) DO UPDATE SET b = 'z'";
     let mut lexer = Lexer::new(Dialect::Postgres);
     lexer.read(text.as_bytes());
-    let found: Vec<(u32, LiteralForm, &str)> = lexer
+    let literals: Vec<(u32, LiteralForm, &str)> = lexer
         .literals()
         .iter()
         .map(|literal| {
@@ -69,24 +70,24 @@
             )
         })
         .collect();
-    let wanted = [
+    let expected = [
         (0, LiteralForm::Number, "1"),
         (1, LiteralForm::Text, "'x'"),
         (0, LiteralForm::Number, "2"),
         (1, LiteralForm::Text, "'y'"),
         (2, LiteralForm::Text, "'z'"),
     ];
-    assert_eq!(found, wanted);
+    assert_eq!(literals, expected);
     let placeholders = lexer.tokens().iter().filter(|token| token.kind == TokenKind::Placeholder).count();
     assert_eq!(placeholders, 3);
 }
 
 #[test]
-fn tables_and_the_values_that_their_columns_are_compared_with() {
+fn table_uses_list_columns_compared_with_values() {
     let uses_of = |text: &str| -> Vec<String> {
-        let found = verdict(Dialect::Postgres, text.as_bytes());
-        assert!(found.parsed, "{text}: {}", found.reason);
-        let mut uses: Vec<String> = found
+        let verdict = verdict(Dialect::Postgres, text.as_bytes());
+        assert!(verdict.parsed, "{text}: {}", verdict.reason);
+        let mut uses: Vec<String> = verdict
             .table_uses
             .iter()
             .map(|table_use| {
@@ -106,12 +107,12 @@
         ("SELECT x FROM t x JOIN u y ON x.a = y.a WHERE x.a = 5", &["t(a=[0])", "u(a=[0])"]),
         ("SELECT x FROM t, u WHERE t.a = u.b AND u.b = 5", &["t(a=[0])", "u(b=[0])"]),
         ("SELECT x FROM t LEFT JOIN u ON t.a = u.a WHERE t.a = 5", &["t(a=[0])", "u(a=[0])"]),
-        // The condition of a left join keeps no row of the left side out.
+        // The condition of a left join does not restrict the rows of the left side.
         ("SELECT x FROM t LEFT JOIN u ON t.a = u.a AND u.a = 5", &["t()", "u(a=[0])"]),
         ("SELECT x FROM t FULL JOIN u ON t.a = u.a AND t.a = 5", &["t()", "u()"]),
         ("SELECT x FROM t, u WHERE a = 5", &["t()", "u()"]),
         ("WITH c AS (SELECT a FROM t WHERE a = 5) SELECT * FROM c", &["t(a=[0])"]),
-        // Within its own query the name is still the table's.
+        // Within the query of a CTE its name still refers to the table.
         ("WITH t AS (SELECT a FROM t) SELECT * FROM t", &["t()"]),
         ("WITH RECURSIVE t AS (SELECT a FROM u UNION SELECT a FROM t) SELECT * FROM t", &["u()"]),
         ("SELECT (SELECT max(b) FROM u WHERE u.a = 5) FROM t WHERE t.a = 6", &["t(a=[1])", "u(a=[0])"]),
@@ -120,101 +121,123 @@
         ("DELETE FROM s.t WHERE a = 5", &["s.t(a=[0])"]),
         ("INSERT INTO t (b, a) VALUES (1, 2), (3, 4)", &["t(b=[0] a=[1])"]),
     ];
-    for (text, wanted) in cases {
-        assert_eq!(uses_of(text), wanted, "{text}");
+    for (text, expected) in cases {
+        assert_eq!(uses_of(text), expected, "{text}");
     }
 }
 
-/// The texts of the corpus that can be written anew.
-fn plain_texts(dialect: Dialect) -> Vec<String> {
+/// Returns the texts of the corpus that can be rewritten without changing their shape: adjacent literals could merge,
+/// and a rewritten ambiguous text may be unambiguous.
+fn rewritable_texts(dialect: Dialect) -> Vec<String> {
     let rows = corpus_lines(dialect).map(|line| serde_json::from_str::<Value>(line).expect(line));
     let texts = rows.map(|row| row["sql"].as_str().expect("sql").to_string());
     let mut lexer = Lexer::new(dialect);
-    // Two literals in a row may become one, and what is ambiguous may become clear.
     texts
         .filter(|text| {
             lexer.read(text.as_bytes());
-            let pairs = lexer.tokens().windows(2);
-            let in_a_row =
-                pairs.filter(|two| two.iter().all(|token| token.kind == TokenKind::Placeholder)).count();
-            lexer.ambiguity().is_none() && in_a_row == 0
+            let mut pairs = lexer.tokens().windows(2);
+            let has_adjacent_literals =
+                pairs.any(|pair| pair.iter().all(|token| token.kind == TokenKind::Placeholder));
+            lexer.ambiguity().is_none() && !has_adjacent_literals
         })
         .collect()
 }
 
-/// What is drawn for each place: of space, case and literal.
-type Drawn = Vec<(u8, u64, u8)>;
+/// How one token is rewritten.
+#[derive(Clone, Copy, Debug)]
+struct TokenStyle {
+    /// Selects the white space or comment before the token.
+    space: u8,
+    /// The letters of a word that become upper case, one per bit.
+    uppercase: u64,
+    /// Selects the literal in place of a placeholder.
+    literal: u8,
+}
+
+fn token_styles() -> impl Strategy<Value = Vec<TokenStyle>> {
+    let style = any::<(u8, u64, u8)>().prop_map(|(space, uppercase, literal)| TokenStyle {
+        space,
+        uppercase,
+        literal,
+    });
+    prop::collection::vec(style, 1..40)
+}
 
-/// A statement written anew with other space, case, comments and literals.
-fn written_anew(dialect: Dialect, text: &str, drawn: &Drawn) -> String {
+/// Rewrites a statement with other white space, case, comments and literals.
+fn rewrite(dialect: Dialect, text: &str, styles: &[TokenStyle]) -> String {
     let mut lexer = Lexer::new(dialect);
     lexer.read(text.as_bytes());
-    let mut out = String::new();
-    for (nth, token) in lexer.tokens().iter().enumerate() {
-        let (space, case, literal) = drawn[nth % drawn.len()];
-        out += match space % 7 {
-            0 => "\n",
-            1 => "\t \r\n",
-            2 => " /* DELETE FROM t; ' */ ",
-            3 => " -- ; DROP TABLE t '\n",
-            4 => "/* a /* nested */ \" */",
-            _ => " ",
-        };
-        let bytes = String::from_utf8(lexer.bytes(*token).to_vec()).expect("UTF-8");
+    let mut rewritten = String::new();
+    for (token, style) in lexer.tokens().iter().zip(styles.iter().cycle()) {
+        rewritten += separator(style.space);
+        let bytes = std::str::from_utf8(lexer.bytes(*token)).expect("UTF-8");
         match token.kind {
-            TokenKind::Word => {
-                let letters = bytes.chars().enumerate();
-                out.extend(
-                    letters
-                        .map(|(at, c)| if case >> (at % 64) & 1 == 1 { c.to_ascii_uppercase() } else { c }),
-                );
-            }
-            TokenKind::Placeholder => {
-                out += match (dialect, literal % 8) {
-                    (_, 0) => "42",
-                    (_, 1) => "'x'",
-                    (_, 2) => "'it''s -- no comment /*'",
-                    (_, 3) => "1.5e-3",
-                    (Dialect::Postgres, 4) => "$q$ ; DELETE FROM t $q$",
-                    (Dialect::Postgres, 5) => "E'\\' ; DROP'",
-                    (Dialect::Postgres, 6) => "$17",
-                    (Dialect::Tsql, 4) => "N'; DELETE FROM t'",
-                    (Dialect::Tsql, 5) => "@p1",
-                    (Dialect::Tsql, 6) => "0xAB",
-                    _ => "''",
-                };
-            }
-            TokenKind::Quoted | TokenKind::Symbol => out += &bytes,
+            TokenKind::Word => rewritten.extend(change_case(bytes, style.uppercase)),
+            TokenKind::Placeholder => rewritten += literal(dialect, style.literal),
+            TokenKind::Quoted | TokenKind::Symbol => rewritten += bytes,
         }
     }
-    out
+    rewritten
+}
+
+fn separator(choice: u8) -> &'static str {
+    match choice % 7 {
+        0 => "\n",
+        1 => "\t \r\n",
+        2 => " /* DELETE FROM t; ' */ ",
+        3 => " -- ; DROP TABLE t '\n",
+        4 => "/* a /* nested */ \" */",
+        _ => " ",
+    }
+}
+
+fn change_case(word: &str, uppercase: u64) -> impl Iterator<Item = char> {
+    let is_uppercase = move |index: usize| uppercase >> (index % 64) & 1 == 1;
+    let letters = word.chars().enumerate();
+    letters.map(move |(index, c)| if is_uppercase(index) { c.to_ascii_uppercase() } else { c })
+}
+
+fn literal(dialect: Dialect, choice: u8) -> &'static str {
+    match (dialect, choice % 8) {
+        (_, 0) => "42",
+        (_, 1) => "'x'",
+        (_, 2) => "'it''s -- no comment /*'",
+        (_, 3) => "1.5e-3",
+        (Dialect::Postgres, 4) => "$q$ ; DELETE FROM t $q$",
+        (Dialect::Postgres, 5) => "E'\\' ; DROP'",
+        (Dialect::Postgres, 6) => "$17",
+        (Dialect::Tsql, 4) => "N'; DELETE FROM t'",
+        (Dialect::Tsql, 5) => "@p1",
+        (Dialect::Tsql, 6) => "0xAB",
+        _ => "''",
+    }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn space_case_comments_and_literals_change_neither_shape_nor_verdict(
+    fn rewritten_statement_keeps_its_shape_and_verdict(
         pick in any::<prop::sample::Index>(), tsql in any::<bool>(),
-        drawn in prop::collection::vec(any::<(u8, u64, u8)>(), 1..40),
+        styles in token_styles(),
     ) {
         let dialect = if tsql { Dialect::Tsql } else { Dialect::Postgres };
-        let texts = plain_texts(dialect);
+        let texts = rewritable_texts(dialect);
         let text = &texts[pick.index(texts.len())];
-        let anew = written_anew(dialect, text, &drawn);
-        prop_assert_eq!(shape(dialect, text), shape(dialect, &anew), "{} as {}", anew, text);
-        prop_assert_eq!(verdict(dialect, text.as_bytes()), verdict(dialect, anew.as_bytes()));
+        let rewritten = rewrite(dialect, text, &styles);
+        prop_assert_eq!(shape(dialect, text), shape(dialect, &rewritten), "{} as {}", rewritten, text);
+        prop_assert_eq!(verdict(dialect, text.as_bytes()), verdict(dialect, rewritten.as_bytes()));
     }
 
     #[test]
-    fn any_bytes_get_a_verdict(bytes in prop::collection::vec(any::<u8>(), 0..200), tsql in any::<bool>()) {
+    fn arbitrary_bytes_get_a_verdict_and_are_reads_only_if_utf8(bytes in prop::collection::vec(any::<u8>(), 0..200), tsql in any::<bool>()) {
         let dialect = if tsql { Dialect::Tsql } else { Dialect::Postgres };
-        let found = verdict(dialect, &bytes);
-        prop_assert!(std::str::from_utf8(&bytes).is_ok() || found.effect != Effect::Read);
+        let effect = verdict(dialect, &bytes).effect;
+        prop_assert!(std::str::from_utf8(&bytes).is_ok() || effect != Effect::Read);
     }
 
     #[test]
-    fn a_read_with_a_write_behind_it_is_no_read(
+    fn read_followed_by_a_write_is_not_a_read(
         parts in prop::collection::vec(prop::sample::select(vec![
             "SELECT", "1", "a", "FROM", "t", "WHERE", "(", ")", "'", "\"", "--", "/*", "*/", "$$", "$a$", "\\", ",", ";",
             "=", "IN", "AS", "E'", "[", "]", "\n", " ", "UNION", "CASE", "END", "b.c", "::int", "@x", "N'", "WITH", "*",
@@ -225,8 +248,8 @@
         let text: String = parts.iter().flat_map(|part| [*part, " "]).collect();
         if verdict(dialect, text.as_bytes()).effect == Effect::Read {
             for write in ["\n; DELETE FROM t", "\n;WITH d AS (DELETE FROM t RETURNING 1) SELECT 1", "\n; SELECT cobrar(1)"] {
-                let behind = format!("{text}{write}");
-                prop_assert_ne!(verdict(dialect, behind.as_bytes()).effect, Effect::Read, "{}", behind);
+                let followed = format!("{text}{write}");
+                prop_assert_ne!(verdict(dialect, followed.as_bytes()).effect, Effect::Read, "{}", followed);
             }
         }
     }
--- a/crates/comethitch-statement/tests/support/mod.rs
+++ b/crates/comethitch-statement/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Shared by the tests: the corpus, and a statement's verdict without a catalogue.
+//! Helpers shared by the tests: the corpus, and a statement's verdict without a catalogue.
 
 use comethitch_statement::{Catalogue, Classifier, Dialect, Lexer, Verdict};
 
-/// The rows of a dialect's corpus, each a JSON object with the statement and its effect.
+/// Returns the lines of a dialect's corpus, each a JSON object with the statement and its effect.
 pub(crate) fn corpus_lines(dialect: Dialect) -> impl Iterator<Item = &'static str> {
     let text = match dialect {
         Dialect::Postgres => include_str!("../corpus/postgres.jsonl"),
@@ -11,7 +11,7 @@
     text.lines()
 }
 
-/// The verdict without a catalogue.
+/// Classifies a statement without a catalogue.
 pub(crate) fn verdict(dialect: Dialect, text: &[u8]) -> Verdict {
     let mut lexer = Lexer::new(dialect);
     let catalogue = Catalogue::default();
