--- a/crates/comethitch-statement/src/lexer/mod.rs
+++ b/crates/comethitch-statement/src/lexer/mod.rs
@@ -12,31 +12,28 @@
 mod ambiguity;
 mod characters;
 mod comments;
-mod folding;
 mod numbers;
 mod quoted;
+mod scanned;
+mod shape_builder;
 mod token;
 mod words;
 
 pub use ambiguity::Ambiguity;
+pub use shape_builder::{MAX_BRACKET_DEPTH, PLACEHOLDER};
 pub use token::{Literal, LiteralForm, Token, TokenKind};
 
 use crate::Dialect;
-use characters::is_word_start;
-use folding::{OpenBracket, Row};
-use quoted::StringStart;
-use words::POSTGRES_OPERATOR;
+use characters::{is_name_text, is_tsql_word_byte, is_word_byte, is_word_start, run_end, word_byte_test};
+use comments::{scan_block_comment, scan_line_comment};
+use numbers::scan_number;
+use quoted::{StringRules, StringStart, scan_dollar_quoted, scan_quoted_name, scan_string};
+use scanned::Scanned;
+use shape_builder::ShapeBuilder;
+use words::{POSTGRES_OPERATOR, WordForm, operator_length, word_form};
 
 /// Maximum length of a statement; longer statements are ambiguous.
 pub const MAX_STATEMENT_BYTES: usize = 1 << 20;
-/// Maximum nesting of brackets; statements with deeper nesting are ambiguous.
-pub const MAX_BRACKET_DEPTH: usize = 256;
-/// The byte for a literal or a parameter in a shape.
-pub const PLACEHOLDER: u8 = 1;
-/// Maximum size of the buffers that are reused for the next statement.
-const MAX_RETAINED_BYTES: usize = 64 * 1024;
-/// The byte before the reason in the shape of an ambiguous statement.
-const AMBIGUITY_MARK: u8 = 2;
 
 /// Tokenises statements, reusing its buffers.
 ///
@@ -52,14 +49,7 @@
 /// ```
 pub struct Lexer {
     dialect: Dialect,
-    shape: Vec<u8>,
-    tokens: Vec<Token>,
-    literals: Vec<Literal>,
-    brackets: Vec<OpenBracket>,
-    /// The last complete row of VALUES outside all brackets, if the next row may be folded into it.
-    last_row: Option<Row>,
-    /// Number of placeholders in the shape.
-    placeholders: u32,
+    builder: ShapeBuilder,
     /// The first ambiguity found.
     ambiguity: Option<Ambiguity>,
     /// Whether backslashes escape in every string, as with `standard_conforming_strings` off.
@@ -74,12 +64,7 @@
     pub fn new(dialect: Dialect) -> Lexer {
         Lexer {
             dialect,
-            shape: Vec::new(),
-            tokens: Vec::new(),
-            literals: Vec::new(),
-            brackets: Vec::new(),
-            last_row: None,
-            placeholders: 0,
+            builder: ShapeBuilder::default(),
             ambiguity: None,
             backslash_escapes: false,
             backslash_before_quote: false,
@@ -94,22 +79,22 @@
 
     /// Returns the shape of the statement read last.
     pub fn shape(&self) -> &[u8] {
-        &self.shape
+        self.builder.shape()
     }
 
     /// Returns the tokens of the shape, in order.
     pub fn tokens(&self) -> &[Token] {
-        &self.tokens
+        self.builder.tokens()
     }
 
     /// Returns the bytes of a token in the shape.
     pub fn bytes(&self, token: Token) -> &[u8] {
-        &self.shape[token.start as usize..token.end as usize]
+        self.builder.bytes(token)
     }
 
     /// Returns the literals and parameters of the text, in order.
     pub fn literals(&self) -> &[Literal] {
-        &self.literals
+        self.builder.literals()
     }
 
     /// Returns why a server may read the last statement differently, if it may.
@@ -119,10 +104,7 @@
 
     /// Returns the allocated size of the buffers in bytes.
     pub fn buffer_bytes(&self) -> usize {
-        self.shape.capacity()
-            + self.tokens.capacity() * size_of::<Token>()
-            + self.literals.capacity() * size_of::<Literal>()
-            + self.brackets.capacity() * size_of::<OpenBracket>()
+        self.builder.buffer_bytes()
     }
 
     /// Reads a statement, which replaces the previous one.
@@ -133,31 +115,17 @@
         while at < text.len() {
             at = self.read_token(text, at);
         }
-        if !self.brackets.is_empty() {
+        if self.builder.has_open_brackets() {
             self.mark_ambiguous(Ambiguity::Bracket);
         }
         if self.backslash_before_quote && !self.backslash_escapes {
             self.check_escaped_reading(text);
         }
-        self.drop_final_semicolons();
-        if let Some(ambiguity) = self.ambiguity {
-            self.shape.extend([b' ', AMBIGUITY_MARK, ambiguity as u8]);
-        }
+        self.builder.finish(self.ambiguity);
     }
 
     fn reset(&mut self) {
-        // A single long statement must not leave large buffers behind.
-        if self.buffer_bytes() > MAX_RETAINED_BYTES {
-            self.shape = Vec::new();
-            self.tokens = Vec::new();
-            self.literals = Vec::new();
-        }
-        self.shape.clear();
-        self.tokens.clear();
-        self.literals.clear();
-        self.brackets.clear();
-        self.last_row = None;
-        self.placeholders = 0;
+        self.builder.clear();
         self.ambiguity = None;
         self.backslash_before_quote = false;
         self.unterminated = false;
@@ -185,41 +153,42 @@
         }
     }
 
-    /// Drops trailing semicolons, which do not change the statement.
-    fn drop_final_semicolons(&mut self) {
-        while self.tokens.last().is_some_and(|token| self.bytes(*token) == b";") {
-            self.pop_token();
-        }
-    }
-
     fn mark_ambiguous(&mut self, ambiguity: Ambiguity) {
         self.unterminated |= ambiguity == Ambiguity::Unterminated;
         self.ambiguity.get_or_insert(ambiguity);
     }
 
+    /// Records the ambiguity of a scanned token or comment. Returns its end.
+    fn accept(&mut self, scanned: Scanned) -> usize {
+        if let Some(ambiguity) = scanned.ambiguity {
+            self.mark_ambiguous(ambiguity);
+        }
+        scanned.end
+    }
+
     /// Reads the token, comment or white space at `at`. Returns its end.
     fn read_token(&mut self, text: &[u8], at: usize) -> usize {
         let byte = text[at];
         let next = text.get(at + 1).copied().unwrap_or(0);
         match byte {
             b' ' | b'\t' | b'\n' | b'\r' | 0x0c => at + 1,
-            b'-' if next == b'-' => self.skip_line_comment(text, at),
-            b'/' if next == b'*' => self.skip_block_comment(text, at),
+            b'-' if next == b'-' => self.accept(scan_line_comment(text, at, self.dialect)),
+            b'/' if next == b'*' => self.accept(scan_block_comment(text, at)),
             b'\'' => {
                 let form = LiteralForm::Text;
-                self.read_string(text, StringStart { start: at, quote: at, form, escapes: false })
+                self.read_string(text, &StringStart { start: at, quote: at, form, escapes: false })
             }
             b'0'..=b'9' => self.read_number(text, at),
-            b'.' if next.is_ascii_digit() && !self.follows_name() => self.read_number(text, at),
+            b'.' if next.is_ascii_digit() && !self.builder.follows_name() => self.read_number(text, at),
             b'"' => self.read_quoted_name(text, at, at, b'"'),
             b'[' if self.dialect == Dialect::Tsql => self.read_quoted_name(text, at, at, b']'),
-            b'(' | b'[' => self.open_bracket(byte, at),
-            b')' | b']' => self.close_bracket(byte, at),
+            b'(' | b'[' => self.read_opening_bracket(byte, at),
+            b')' | b']' => self.read_closing_bracket(byte, at),
             b'$' | b'@' | b'#' | b'?' => self.read_sigil(text, at),
             byte if is_word_start(byte) => self.read_word(text, at),
             b';' => {
-                self.last_row = None;
-                self.push_symbol(b";", at)
+                self.builder.push_semicolon();
+                at + 1
             }
             b',' => self.push_symbol(b",", at),
             b'.' | b':' => {
@@ -236,28 +205,129 @@
         }
     }
 
-    fn follows_name(&self) -> bool {
-        self.tokens.last().is_some_and(|token| matches!(token.kind, TokenKind::Word | TokenKind::Quoted))
-    }
-
     /// Adds an operator or punctuation. Returns its end.
     fn push_symbol(&mut self, symbol: &[u8], at: usize) -> usize {
-        self.push_token(TokenKind::Symbol, symbol);
+        self.builder.push_token(TokenKind::Symbol, symbol);
         at + symbol.len()
     }
 
-    fn push_token(&mut self, kind: TokenKind, bytes: &[u8]) {
-        if !self.tokens.is_empty() {
-            self.shape.push(b' ');
+    fn read_opening_bracket(&mut self, byte: u8, at: usize) -> usize {
+        if let Err(ambiguity) = self.builder.open_bracket(byte) {
+            self.mark_ambiguous(ambiguity);
+        }
+        at + 1
+    }
+
+    fn read_closing_bracket(&mut self, byte: u8, at: usize) -> usize {
+        if let Err(ambiguity) = self.builder.close_bracket(byte) {
+            self.mark_ambiguous(ambiguity);
+        }
+        at + 1
+    }
+
+    fn read_number(&mut self, text: &[u8], at: usize) -> usize {
+        let end = self.accept(scan_number(text, at, self.dialect));
+        self.builder.push_number(at..end);
+        end
+    }
+
+    /// Reads a string and its continuations on further lines. Returns its end.
+    fn read_string(&mut self, text: &[u8], string: &StringStart) -> usize {
+        let rules = StringRules { dialect: self.dialect, backslash_escapes: self.backslash_escapes };
+        let found = scan_string(text, string, rules);
+        self.backslash_before_quote |= found.backslash_before_quote;
+        let end = self.accept(found.scanned);
+        self.builder.push_literal(found.form, string.start..end);
+        end
+    }
+
+    /// Reads a quoted name that begins at `start` with its opening quote at `quote`. Returns its end.
+    fn read_quoted_name(&mut self, text: &[u8], start: usize, quote: usize, close: u8) -> usize {
+        let end = self.accept(scan_quoted_name(text, quote, close));
+        self.builder.push_token(TokenKind::Quoted, &text[start..end]);
+        end
+    }
+
+    /// Reads an unquoted name, or a string or quoted name with a prefix. Returns its end.
+    fn read_word(&mut self, text: &[u8], at: usize) -> usize {
+        let end = run_end(text, at, word_byte_test(self.dialect));
+        match word_form(text, at, end, self.dialect) {
+            WordForm::Plain => self.push_word(text, at, end),
+            WordForm::StringPrefix(string) => self.read_string(text, &string),
+            WordForm::QuotedNamePrefix(quote) => self.read_quoted_name(text, at, quote, b'"'),
         }
-        let start = self.shape.len() as u32;
-        self.shape.extend_from_slice(bytes);
-        self.tokens.push(Token { kind, start, end: self.shape.len() as u32 });
     }
 
-    /// Removes the last token.
-    fn pop_token(&mut self) {
-        self.tokens.pop();
-        self.shape.truncate(self.tokens.last().map_or(0, |token| token.end as usize));
+    /// Adds an unquoted name or variable. Returns its end.
+    fn push_word(&mut self, text: &[u8], start: usize, end: usize) -> usize {
+        self.check_name(&text[start..end]);
+        self.builder.push_word(&text[start..end]);
+        end
+    }
+
+    fn check_name(&mut self, name: &[u8]) {
+        if !is_name_text(name) {
+            self.mark_ambiguous(Ambiguity::Character);
+        }
+    }
+
+    fn read_operator(&mut self, text: &[u8], at: usize) -> usize {
+        let length = operator_length(&text[at..], self.dialect);
+        self.push_symbol(&text[at..at + length], at)
+    }
+
+    /// Reads a token that begins with `$`, `@`, `#` or `?`. Returns its end.
+    fn read_sigil(&mut self, text: &[u8], at: usize) -> usize {
+        match self.dialect {
+            Dialect::Postgres => self.read_postgres_sigil(text, at),
+            Dialect::Tsql => self.read_tsql_sigil(text, at),
+        }
+    }
+
+    /// Reads `$1`, a dollar-quoted string, or an operator.
+    fn read_postgres_sigil(&mut self, text: &[u8], at: usize) -> usize {
+        if text[at] != b'$' {
+            return self.read_operator(text, at);
+        }
+        if !text.get(at + 1).is_some_and(u8::is_ascii_digit) {
+            return self.read_dollar_quoted(text, at);
+        }
+        let end = run_end(text, at + 1, |byte| byte.is_ascii_digit());
+        if text.get(end).is_some_and(|byte| is_word_byte(*byte)) {
+            self.mark_ambiguous(Ambiguity::Number);
+        }
+        self.builder.push_literal(LiteralForm::Parameter, at..end);
+        end
+    }
+
+    fn read_dollar_quoted(&mut self, text: &[u8], at: usize) -> usize {
+        let Some(scanned) = scan_dollar_quoted(text, at) else {
+            self.mark_ambiguous(Ambiguity::Character);
+            return at + 1;
+        };
+        let end = self.accept(scanned);
+        self.builder.push_literal(LiteralForm::Special, at..end);
+        end
+    }
+
+    /// Reads `?`, an amount of money, `$action`, `@@name`, `@parameter` or `#table`.
+    fn read_tsql_sigil(&mut self, text: &[u8], at: usize) -> usize {
+        let next = text.get(at + 1).copied().unwrap_or(0);
+        match text[at] {
+            b'?' => {
+                self.builder.push_literal(LiteralForm::Parameter, at..at + 1);
+                at + 1
+            }
+            b'$' if next.is_ascii_digit() || next == b'.' => self.read_number(text, at + 1),
+            b'$' => self.push_word(text, at, run_end(text, at + 1, is_word_byte)),
+            b'@' if next == b'@' => self.push_word(text, at, run_end(text, at + 2, is_word_byte)),
+            b'@' => {
+                let end = run_end(text, at + 1, is_tsql_word_byte);
+                self.check_name(&text[at..end]);
+                self.builder.push_literal(LiteralForm::Parameter, at..end);
+                end
+            }
+            _ => self.push_word(text, at, run_end(text, at, is_tsql_word_byte)),
+        }
     }
 }
--- a/crates/comethitch-statement/src/lexer/numbers.rs
+++ b/crates/comethitch-statement/src/lexer/numbers.rs
@@ -1,40 +1,24 @@
 //! Numeric literals: decimal with fraction and exponent, hexadecimal, octal and binary.
 
+use super::ambiguity::Ambiguity;
 use super::characters::{run_end, word_byte_test};
-use super::{Ambiguity, Lexer, LiteralForm, TokenKind};
+use super::scanned::Scanned;
 use crate::Dialect;
 
-impl Lexer {
-    /// Reads a number. Returns its end.
-    pub(super) fn read_number(&mut self, text: &[u8], at: usize) -> usize {
-        let end = self.number_end(text, at).min(text.len());
-        let is_word_byte = word_byte_test(self.dialect);
-        if text.get(end).is_some_and(|byte| is_word_byte(*byte)) {
-            self.mark_ambiguous(Ambiguity::Number);
-        }
-        self.drop_sign();
-        self.push_literal(LiteralForm::Number, at..end);
-        end
-    }
-
-    fn number_end(&self, text: &[u8], at: usize) -> usize {
-        let base = text.get(at + 1).filter(|_| text[at] == b'0').map(u8::to_ascii_lowercase);
-        match base {
-            Some(b'x') => run_end(text, at + 2, |byte| byte.is_ascii_hexdigit() || byte == b'_'),
-            Some(b'o' | b'b') if self.dialect == Dialect::Postgres => run_end(text, at + 2, is_digit),
-            _ => decimal_end(text, at),
-        }
-    }
+/// Scans a number.
+pub(super) fn scan_number(text: &[u8], start: usize, dialect: Dialect) -> Scanned {
+    let end = number_end(text, start, dialect).min(text.len());
+    let is_word_byte = word_byte_test(dialect);
+    let is_followed_by_word = text.get(end).is_some_and(|byte| is_word_byte(*byte));
+    Scanned { end, ambiguity: is_followed_by_word.then_some(Ambiguity::Number) }
+}
 
-    /// Drops a sign that belongs to the following number, so that `b = -1` has the shape of `b = 1`.
-    fn drop_sign(&mut self) {
-        let [.., before, sign] = self.tokens[..] else { return };
-        let is_sign = sign.kind == TokenKind::Symbol && matches!(self.bytes(sign), b"-" | b"+");
-        let is_binary_operator =
-            before.kind != TokenKind::Symbol || matches!(self.bytes(before), b")" | b"]" | b"*");
-        if is_sign && !is_binary_operator {
-            self.pop_token();
-        }
+fn number_end(text: &[u8], start: usize, dialect: Dialect) -> usize {
+    let base = text.get(start + 1).filter(|_| text[start] == b'0').map(u8::to_ascii_lowercase);
+    match base {
+        Some(b'x') => run_end(text, start + 2, |byte| byte.is_ascii_hexdigit() || byte == b'_'),
+        Some(b'o' | b'b') if dialect == Dialect::Postgres => run_end(text, start + 2, is_digit),
+        _ => decimal_end(text, start),
     }
 }
 
@@ -42,8 +26,8 @@
     byte.is_ascii_digit() || byte == b'_'
 }
 
-fn decimal_end(text: &[u8], at: usize) -> usize {
-    let mut end = run_end(text, at, is_digit);
+fn decimal_end(text: &[u8], start: usize) -> usize {
+    let mut end = run_end(text, start, is_digit);
     // Two dots are a range, as in a PL/pgSQL loop.
     if text.get(end) == Some(&b'.') && text.get(end + 1) != Some(&b'.') {
         end = run_end(text, end + 1, is_digit);
