--- a/crates/comethitch-statement/src/lexer/mod.rs
+++ b/crates/comethitch-statement/src/lexer/mod.rs
@@ -1,44 +1,41 @@
-//! One pass over a statement's text: its tokens, its *shape*, and its literals.
+//! Splits a statement's text into tokens and literals, and computes its *shape*, in one pass.
 //!
-//! The shape is the normalised statement, also known as its fingerprint or digest: every literal and parameter
-//! is replaced by a placeholder, lists of values are folded, unquoted words are in lower case, and comments and
-//! white space are gone. It can be read back without ambiguity: tokens are separated by one blank, a placeholder
-//! is the byte 1, quoted names stay as they were. Whatever is later decided about a statement depends on its
-//! shape alone, so that two statements of one shape can't be judged differently.
+//! The shape is the normalised statement, also known as fingerprint or digest: literals and parameters are replaced
+//! by placeholders, lists of values are folded, unquoted words are in lower case, and comments and white space are
+//! removed. It can be tokenised again: tokens are separated by one blank, a placeholder is the byte 1, and quoted
+//! names are unchanged. The verdict on a statement depends on its shape only, so that two statements with the same
+//! shape always get the same verdict.
 //!
-//! What servers of one dialect may read in two ways (a backslash before a quote, a control character, a number
-//! that runs into a word) is an [`Ambiguity`]: such a statement is never judged to be harmless.
+//! Text that servers of one dialect may read in different ways (a backslash before a quote, a control character, a
+//! number directly followed by a word) is an [`Ambiguity`]: such a statement is never classified as a read.
 
 mod ambiguity;
 mod characters;
 mod comments;
-mod folding;
 mod numbers;
 mod quoted;
+mod scanned;
+mod shape_builder;
 mod token;
 mod words;
 
 pub use ambiguity::Ambiguity;
+pub use shape_builder::{MAX_BRACKET_DEPTH, PLACEHOLDER};
 pub use token::{Literal, LiteralForm, Token, TokenKind};
 
 use crate::Dialect;
-use characters::is_word_start;
-use folding::{OpenBracket, Row};
-use quoted::StringStart;
-use words::POSTGRES_OPERATOR;
+use characters::{is_name_text, is_tsql_word_byte, is_word_byte, is_word_start, run_end, word_byte_test};
+use comments::{scan_block_comment, scan_line_comment};
+use numbers::scan_number;
+use quoted::{StringRules, StringStart, scan_dollar_quoted, scan_quoted_name, scan_string};
+use scanned::Scanned;
+use shape_builder::ShapeBuilder;
+use words::{POSTGRES_OPERATOR, WordForm, operator_length, word_form};
 
-/// A statement is read up to this length; a longer one is ambiguous.
+/// Maximum length of a statement; longer statements are ambiguous.
 pub const MAX_STATEMENT_BYTES: usize = 1 << 20;
-/// Brackets nested deeper than this make a statement ambiguous.
-pub const MAX_BRACKET_DEPTH: usize = 256;
-/// Stands for a literal or a parameter in a shape.
-pub const PLACEHOLDER: u8 = 1;
-/// Buffers are kept from one statement to the next up to so many bytes.
-const MAX_RETAINED_BYTES: usize = 64 * 1024;
-/// In the shape of an ambiguous statement, stands before the reason.
-const AMBIGUITY_MARK: u8 = 2;
-
-/// Reads statements one after the other, and keeps its memory for the next.
+
+/// Tokenises statements, reusing its buffers.
 ///
 /// ```
 /// use comethitch_statement::{Dialect, lexer::Lexer};
@@ -52,33 +49,22 @@
 /// ```
 pub struct Lexer {
     dialect: Dialect,
-    shape: Vec<u8>,
-    tokens: Vec<Token>,
-    literals: Vec<Literal>,
-    brackets: Vec<OpenBracket>,
-    /// The row of VALUES that ended last outside of all brackets.
-    last_row: Option<Row>,
-    placeholders: u32,
-    /// The first reason found.
+    builder: ShapeBuilder,
+    /// The first ambiguity found.
     ambiguity: Option<Ambiguity>,
     /// Whether backslashes escape in every string, as with `standard_conforming_strings` off.
     backslash_escapes: bool,
-    /// Whether a backslash stood before a quote where the standard gives it no meaning.
+    /// Whether a backslash without a meaning in the SQL standard precedes a quote.
     backslash_before_quote: bool,
     unterminated: bool,
 }
 
 impl Lexer {
-    /// A lexer with empty buffers.
+    /// Creates a lexer with empty buffers.
     pub fn new(dialect: Dialect) -> Lexer {
         Lexer {
             dialect,
-            shape: Vec::new(),
-            tokens: Vec::new(),
-            literals: Vec::new(),
-            brackets: Vec::new(),
-            last_row: None,
-            placeholders: 0,
+            builder: ShapeBuilder::default(),
             ambiguity: None,
             backslash_escapes: false,
             backslash_before_quote: false,
@@ -86,45 +72,42 @@
         }
     }
 
-    /// The dialect that it reads.
+    /// Returns the dialect of the statements.
     pub fn dialect(&self) -> Dialect {
         self.dialect
     }
 
-    /// The shape of the statement read last.
+    /// Returns the shape of the statement read last.
     pub fn shape(&self) -> &[u8] {
-        &self.shape
+        self.builder.shape()
     }
 
-    /// The tokens of the shape, in order.
+    /// Returns the tokens of the shape, in order.
     pub fn tokens(&self) -> &[Token] {
-        &self.tokens
+        self.builder.tokens()
     }
 
-    /// The bytes of a token as they stand in the shape.
+    /// Returns the bytes of a token in the shape.
     pub fn bytes(&self, token: Token) -> &[u8] {
-        &self.shape[token.start as usize..token.end as usize]
+        self.builder.bytes(token)
     }
 
-    /// The literals and parameters of the text, in order.
+    /// Returns the literals and parameters of the text, in order.
     pub fn literals(&self) -> &[Literal] {
-        &self.literals
+        self.builder.literals()
     }
 
-    /// Why the statement read last may mean something else to a server, if it may.
+    /// Returns why a server may read the last statement differently, if it may.
     pub fn ambiguity(&self) -> Option<Ambiguity> {
         self.ambiguity
     }
 
-    /// The bytes that its buffers take, whatever is read next.
+    /// Returns the allocated size of the buffers in bytes.
     pub fn buffer_bytes(&self) -> usize {
-        self.shape.capacity()
-            + self.tokens.capacity() * size_of::<Token>()
-            + self.literals.capacity() * size_of::<Literal>()
-            + self.brackets.capacity() * size_of::<OpenBracket>()
+        self.builder.buffer_bytes()
     }
 
-    /// Reads a statement; what was read before is forgotten.
+    /// Reads a statement, which replaces the previous one.
     pub fn read(&mut self, text: &[u8]) {
         self.reset();
         let text = self.readable(text);
@@ -132,37 +115,23 @@
         while at < text.len() {
             at = self.read_token(text, at);
         }
-        if !self.brackets.is_empty() {
+        if self.builder.has_open_brackets() {
             self.mark_ambiguous(Ambiguity::Bracket);
         }
         if self.backslash_before_quote && !self.backslash_escapes {
             self.check_escaped_reading(text);
         }
-        self.drop_final_semicolons();
-        if let Some(ambiguity) = self.ambiguity {
-            self.shape.extend([b' ', AMBIGUITY_MARK, ambiguity as u8]);
-        }
+        self.builder.finish(self.ambiguity);
     }
 
     fn reset(&mut self) {
-        // The buffers of one long statement are not kept for all that follow.
-        if self.buffer_bytes() > MAX_RETAINED_BYTES {
-            self.shape = Vec::new();
-            self.tokens = Vec::new();
-            self.literals = Vec::new();
-        }
-        self.shape.clear();
-        self.tokens.clear();
-        self.literals.clear();
-        self.brackets.clear();
-        self.last_row = None;
-        self.placeholders = 0;
+        self.builder.clear();
         self.ambiguity = None;
         self.backslash_before_quote = false;
         self.unterminated = false;
     }
 
-    /// The part of a text that is read.
+    /// Cuts a text to the maximum length, and checks its encoding.
     fn readable<'t>(&mut self, text: &'t [u8]) -> &'t [u8] {
         let readable = &text[..text.len().min(MAX_STATEMENT_BYTES)];
         if readable.len() < text.len() {
@@ -174,8 +143,8 @@
         readable
     }
 
-    /// Reads the text a second time as a server does whose backslashes escape, where strings end elsewhere.
-    /// That is harmless only if that reading comes to no end, as for `ESCAPE '\'`: the server would reject it.
+    /// Reads the text again with backslashes as escapes, by which strings end elsewhere. The text is unambiguous only
+    /// if it is then unterminated, as with `ESCAPE '\'`, since a server that escapes would reject it.
     fn check_escaped_reading(&mut self, text: &[u8]) {
         let mut escaping = Lexer { backslash_escapes: true, ..Lexer::new(self.dialect) };
         escaping.read(text);
@@ -184,41 +153,42 @@
         }
     }
 
-    /// A last semicolon ends the statement, and changes nothing else.
-    fn drop_final_semicolons(&mut self) {
-        while self.tokens.last().is_some_and(|token| self.bytes(*token) == b";") {
-            self.pop_token();
-        }
-    }
-
     fn mark_ambiguous(&mut self, ambiguity: Ambiguity) {
         self.unterminated |= ambiguity == Ambiguity::Unterminated;
         self.ambiguity.get_or_insert(ambiguity);
     }
 
-    /// Reads a token, comment or run of white space from `at` on; returns where it ends.
+    /// Records the ambiguity of a scanned token or comment. Returns its end.
+    fn accept(&mut self, scanned: Scanned) -> usize {
+        if let Some(ambiguity) = scanned.ambiguity {
+            self.mark_ambiguous(ambiguity);
+        }
+        scanned.end
+    }
+
+    /// Reads the token, comment or white space at `at`. Returns its end.
     fn read_token(&mut self, text: &[u8], at: usize) -> usize {
         let byte = text[at];
         let next = text.get(at + 1).copied().unwrap_or(0);
         match byte {
             b' ' | b'\t' | b'\n' | b'\r' | 0x0c => at + 1,
-            b'-' if next == b'-' => self.skip_line_comment(text, at),
-            b'/' if next == b'*' => self.skip_block_comment(text, at),
+            b'-' if next == b'-' => self.accept(scan_line_comment(text, at, self.dialect)),
+            b'/' if next == b'*' => self.accept(scan_block_comment(text, at)),
             b'\'' => {
                 let form = LiteralForm::Text;
-                self.read_string(text, StringStart { start: at, quote: at, form, escapes: false })
+                self.read_string(text, &StringStart { start: at, quote: at, form, escapes: false })
             }
             b'0'..=b'9' => self.read_number(text, at),
-            b'.' if next.is_ascii_digit() && !self.is_behind_name() => self.read_number(text, at),
+            b'.' if next.is_ascii_digit() && !self.builder.follows_name() => self.read_number(text, at),
             b'"' => self.read_quoted_name(text, at, at, b'"'),
             b'[' if self.dialect == Dialect::Tsql => self.read_quoted_name(text, at, at, b']'),
-            b'(' | b'[' => self.open_bracket(byte, at),
-            b')' | b']' => self.close_bracket(byte, at),
+            b'(' | b'[' => self.read_opening_bracket(byte, at),
+            b')' | b']' => self.read_closing_bracket(byte, at),
             b'$' | b'@' | b'#' | b'?' => self.read_sigil(text, at),
             byte if is_word_start(byte) => self.read_word(text, at),
             b';' => {
-                self.last_row = None;
-                self.push_symbol(b";", at)
+                self.builder.push_semicolon();
+                at + 1
             }
             b',' => self.push_symbol(b",", at),
             b'.' | b':' => {
@@ -226,7 +196,7 @@
                 self.push_symbol(two.unwrap_or(&[byte]), at)
             }
             byte if POSTGRES_OPERATOR.contains(&byte) => self.read_operator(text, at),
-            // Servers of T-SQL take control characters for white space.
+            // T-SQL servers read control characters as white space.
             0x01..0x20 if self.dialect == Dialect::Tsql => at + 1,
             _ => {
                 self.mark_ambiguous(Ambiguity::Character);
@@ -235,28 +205,129 @@
         }
     }
 
-    fn is_behind_name(&self) -> bool {
-        self.tokens.last().is_some_and(|token| matches!(token.kind, TokenKind::Word | TokenKind::Quoted))
-    }
-
-    /// Adds an operator or punctuation; returns where it ends.
+    /// Adds an operator or punctuation. Returns its end.
     fn push_symbol(&mut self, symbol: &[u8], at: usize) -> usize {
-        self.push_token(TokenKind::Symbol, symbol);
+        self.builder.push_token(TokenKind::Symbol, symbol);
         at + symbol.len()
     }
 
-    fn push_token(&mut self, kind: TokenKind, bytes: &[u8]) {
-        if !self.tokens.is_empty() {
-            self.shape.push(b' ');
+    fn read_opening_bracket(&mut self, byte: u8, at: usize) -> usize {
+        if let Err(ambiguity) = self.builder.open_bracket(byte) {
+            self.mark_ambiguous(ambiguity);
+        }
+        at + 1
+    }
+
+    fn read_closing_bracket(&mut self, byte: u8, at: usize) -> usize {
+        if let Err(ambiguity) = self.builder.close_bracket(byte) {
+            self.mark_ambiguous(ambiguity);
+        }
+        at + 1
+    }
+
+    fn read_number(&mut self, text: &[u8], at: usize) -> usize {
+        let end = self.accept(scan_number(text, at, self.dialect));
+        self.builder.push_number(at..end);
+        end
+    }
+
+    /// Reads a string and its continuations on further lines. Returns its end.
+    fn read_string(&mut self, text: &[u8], string: &StringStart) -> usize {
+        let rules = StringRules { dialect: self.dialect, backslash_escapes: self.backslash_escapes };
+        let found = scan_string(text, string, rules);
+        self.backslash_before_quote |= found.backslash_before_quote;
+        let end = self.accept(found.scanned);
+        self.builder.push_literal(found.form, string.start..end);
+        end
+    }
+
+    /// Reads a quoted name that begins at `start` with its opening quote at `quote`. Returns its end.
+    fn read_quoted_name(&mut self, text: &[u8], start: usize, quote: usize, close: u8) -> usize {
+        let end = self.accept(scan_quoted_name(text, quote, close));
+        self.builder.push_token(TokenKind::Quoted, &text[start..end]);
+        end
+    }
+
+    /// Reads an unquoted name, or a string or quoted name with a prefix. Returns its end.
+    fn read_word(&mut self, text: &[u8], at: usize) -> usize {
+        let end = run_end(text, at, word_byte_test(self.dialect));
+        match word_form(text, at, end, self.dialect) {
+            WordForm::Plain => self.push_word(text, at, end),
+            WordForm::StringPrefix(string) => self.read_string(text, &string),
+            WordForm::QuotedNamePrefix(quote) => self.read_quoted_name(text, at, quote, b'"'),
+        }
+    }
+
+    /// Adds an unquoted name or variable. Returns its end.
+    fn push_word(&mut self, text: &[u8], start: usize, end: usize) -> usize {
+        self.check_name(&text[start..end]);
+        self.builder.push_word(&text[start..end]);
+        end
+    }
+
+    fn check_name(&mut self, name: &[u8]) {
+        if !is_name_text(name) {
+            self.mark_ambiguous(Ambiguity::Character);
         }
-        let start = self.shape.len() as u32;
-        self.shape.extend_from_slice(bytes);
-        self.tokens.push(Token { kind, start, end: self.shape.len() as u32 });
     }
 
-    /// Takes back the token added last.
-    fn pop_token(&mut self) {
-        self.tokens.pop();
-        self.shape.truncate(self.tokens.last().map_or(0, |token| token.end as usize));
+    fn read_operator(&mut self, text: &[u8], at: usize) -> usize {
+        let length = operator_length(&text[at..], self.dialect);
+        self.push_symbol(&text[at..at + length], at)
+    }
+
+    /// Reads a token that begins with `$`, `@`, `#` or `?`. Returns its end.
+    fn read_sigil(&mut self, text: &[u8], at: usize) -> usize {
+        match self.dialect {
+            Dialect::Postgres => self.read_postgres_sigil(text, at),
+            Dialect::Tsql => self.read_tsql_sigil(text, at),
+        }
+    }
+
+    /// Reads `$1`, a dollar-quoted string, or an operator.
+    fn read_postgres_sigil(&mut self, text: &[u8], at: usize) -> usize {
+        if text[at] != b'$' {
+            return self.read_operator(text, at);
+        }
+        if !text.get(at + 1).is_some_and(u8::is_ascii_digit) {
+            return self.read_dollar_quoted(text, at);
+        }
+        let end = run_end(text, at + 1, |byte| byte.is_ascii_digit());
+        if text.get(end).is_some_and(|byte| is_word_byte(*byte)) {
+            self.mark_ambiguous(Ambiguity::Number);
+        }
+        self.builder.push_literal(LiteralForm::Parameter, at..end);
+        end
+    }
+
+    fn read_dollar_quoted(&mut self, text: &[u8], at: usize) -> usize {
+        let Some(scanned) = scan_dollar_quoted(text, at) else {
+            self.mark_ambiguous(Ambiguity::Character);
+            return at + 1;
+        };
+        let end = self.accept(scanned);
+        self.builder.push_literal(LiteralForm::Special, at..end);
+        end
+    }
+
+    /// Reads `?`, an amount of money, `$action`, `@@name`, `@parameter` or `#table`.
+    fn read_tsql_sigil(&mut self, text: &[u8], at: usize) -> usize {
+        let next = text.get(at + 1).copied().unwrap_or(0);
+        match text[at] {
+            b'?' => {
+                self.builder.push_literal(LiteralForm::Parameter, at..at + 1);
+                at + 1
+            }
+            b'$' if next.is_ascii_digit() || next == b'.' => self.read_number(text, at + 1),
+            b'$' => self.push_word(text, at, run_end(text, at + 1, is_word_byte)),
+            b'@' if next == b'@' => self.push_word(text, at, run_end(text, at + 2, is_word_byte)),
+            b'@' => {
+                let end = run_end(text, at + 1, is_tsql_word_byte);
+                self.check_name(&text[at..end]);
+                self.builder.push_literal(LiteralForm::Parameter, at..end);
+                end
+            }
+            _ => self.push_word(text, at, run_end(text, at, is_tsql_word_byte)),
+        }
     }
 }
