--- a/crates/comethitch-statement/src/assign/keys.rs
+++ b/crates/comethitch-statement/src/assign/keys.rs
@@ -115,7 +115,7 @@
 
 /// Returns the 64-bit FNV-1a hash of a key's text, by which [`Placement::Hash`] chooses the shard.
 pub fn fnv1a(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
-    })
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0000_0100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -2,9 +2,9 @@
 //!
 //! [`super::json_stream`] splits a watch's stream into single objects.
 
-use crate::wire::statement::fnv1a;
 use comethitch_policy::time::Timestamp;
 use comethitch_policy::{Endpoint, Host, Lifecycle};
+use comethitch_statement::assign::fnv1a;
 use serde::Deserialize;
 use serde_json::Value;
 use std::borrow::Cow;
--- a/crates/comethitchd/src/wire/statement.rs
+++ b/crates/comethitchd/src/wire/statement.rs
@@ -3,6 +3,7 @@
 //! The comment's field names are mapped to the names that the rest of the code uses here and nowhere else; see
 //! `field`. Admission (`stages::admit`) turns a parsed comment into a request.
 
+use comethitch_statement::assign::fnv1a;
 use std::ops::Range;
 
 /// Maximum length of a request id in characters.
@@ -256,10 +257,3 @@
     let is_closed = parts.next().is_some();
     quoted.filter(|_| is_closed).map_or(0, |key| fnv1a(key).max(1))
 }
-
-/// Returns the 64-bit FNV-1a hash, <http://www.isthe.com/chongo/tech/comp/fnv/>.
-pub fn fnv1a(bytes: &[u8]) -> u64 {
-    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0000_0100_0000_01b3;
-    bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
-}
