--- a/crates/comethitch-fleet/src/subset.rs
+++ b/crates/comethitch-fleet/src/subset.rs
@@ -6,7 +6,7 @@
 //! weight (light hosts slightly more often, because no host is selected twice). The caller leaves out hosts that can't be
 //! used; the next host in rank takes the place until the host can be used again, and no other rank changes.
 //!
-//! Subsets change slowly: each pair of router and host is hashed anew once per drift period, at a different time for
+//! Subsets change slowly: each pair of router and host is rehashed once per drift period, at a different time for
 //! each pair. An uneven selection does not last, and changes do not coincide.
 
 use crate::hash;
--- a/crates/comethitch-lab/src/chart.rs
+++ b/crates/comethitch-lab/src/chart.rs
@@ -1,6 +1,11 @@
 //! Line charts of the results of trials, as SVG.
 
-use plotters::prelude::*;
+use plotters::chart::ChartBuilder;
+use plotters::drawing::IntoDrawingArea;
+use plotters::element::PathElement;
+use plotters::prelude::SVGBackend;
+use plotters::series::LineSeries;
+use plotters::style::{BLACK, Color, Palette, Palette99, WHITE};
 use std::error::Error as StdError;
 use std::ops::Range;
 use thiserror::Error;
--- a/crates/comethitch-lab/src/fleet/attempts.rs
+++ b/crates/comethitch-lab/src/fleet/attempts.rs
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, Exp};
 
 impl Fleet<'_> {
-    /// Sends an attempt on a connection of its own, and draws its service time.
+    /// Sends an attempt on a separate connection, and draws its service time.
     pub(super) fn send_attempt(&mut self, router: usize, id: RequestId, host: Host, timeout: Duration) {
         let host = self.host_index[&host];
         self.acquire_connection(router, host);
@@ -34,6 +34,7 @@
         Duration::from_micros(micros.max(1.0) as u64)
     }
 
+    /// Starts an attempt at its host, or rejects it there.
     pub(super) fn attempt_reaches_host(&mut self, host: usize, incarnation: u32, job: Job, write: bool) {
         let router = RouterId { index: job.router, incarnation };
         let attempt = AttemptId { router, request: job.request, attempt: job.attempt };
@@ -89,6 +90,7 @@
         self.after_network_delay(Event::AttemptReturns { attempt, host, result: HostResult::Answered });
     }
 
+    /// Delivers the result of an attempt to its router, and an answer to the client.
     pub(super) fn attempt_returns(&mut self, id: AttemptId, host: usize, result: HostResult) {
         let router = id.router.index;
         let Some(in_flight) = self.routers[router].requests.get(&id.request) else { return };
@@ -131,11 +133,13 @@
         }
     }
 
+    /// Reports to the router that an attempt has timed out.
     pub(super) fn attempt_times_out(&mut self, id: AttemptId) {
         let end = attempt_end(id.attempt, AttemptOutcome::TimedOut);
         self.attempt_ended(id.router.index, id.request, end);
     }
 
+    /// Sends back the load report of a host, or a failure if the host is unreachable.
     pub(super) fn health_check_reaches_host(&mut self, router: RouterId, host: usize) {
         let lag = Duration::from_millis(self.trial.replication_lag_ms);
         let interval = Duration::from_millis(self.trial.report_interval_ms);
@@ -144,6 +148,7 @@
         self.after_network_delay(Event::HealthCheckReturns { router, host, report });
     }
 
+    /// Reports the result of a health check to the router.
     pub(super) fn health_check_returns(&mut self, router: RouterId, host: usize, report: Option<LoadReport>) {
         let host = self.hosts[host].host;
         let outcome =
--- a/crates/comethitch-lab/src/fleet/clients.rs
+++ b/crates/comethitch-lab/src/fleet/clients.rs
@@ -20,6 +20,7 @@
         self.events.push(self.now + interval, Event::RequestArrives { router });
     }
 
+    /// Starts a new operation of a client, and schedules the next one.
     pub(super) fn request_arrives(&mut self, router: usize) {
         self.schedule_next_request(router);
         let shard = self.rng.random_range(0..self.trial.shards);
--- a/crates/comethitch-lab/src/fleet/faults.rs
+++ b/crates/comethitch-lab/src/fleet/faults.rs
@@ -9,6 +9,7 @@
 use rand::RngExt;
 
 impl Fleet<'_> {
+    /// Starts a fault or a planned change.
     pub(super) fn begin_fault(&mut self, fault: FaultKind) {
         match fault {
             FaultKind::ReplaceReplicas { fraction, over_ms } => self.replace_replicas(fraction, over_ms),
@@ -91,11 +92,13 @@
         self.events.push(self.now + delay, Event::HostIsRemoved { host });
     }
 
+    /// Removes a host from the endpoint list.
     pub(super) fn remove_host(&mut self, host: usize) {
         self.hosts[host].removed = true;
         self.notify_all_routers();
     }
 
+    /// Makes a usable replica the primary of its shard.
     pub(super) fn promote_replica(&mut self, shard: ShardId) {
         let mut hosts = self.hosts.iter_mut();
         if let Some(replica) = hosts.find(|host| host.shard == shard && !host.primary && host.usable()) {
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -128,6 +128,7 @@
 }
 
 impl Fleet<'_> {
+    /// Starts a router with a new policy, and passes it the endpoint list.
     pub(super) fn start_router(&mut self, router: usize) {
         let seed = self.rng.next_u64();
         let mut out = ActionQueue::at(self.now);
@@ -220,6 +221,7 @@
         self.after_network_delay(Event::HealthCheckReachesHost { router, host });
     }
 
+    /// Takes an idle connection of a router to a host, or opens and counts a new one.
     pub(super) fn acquire_connection(&mut self, router: usize, host: usize) {
         if self.routers[router].connections.entry(host).or_default().acquire() {
             self.ledger.connections += 1;
--- a/crates/comethitch-lab/src/ledger/answers.rs
+++ b/crates/comethitch-lab/src/ledger/answers.rs
@@ -4,7 +4,7 @@
 use comethitch_policy::time::Duration;
 use hdrhistogram::Histogram;
 
-/// Longest latency that is told apart from longer ones, in microseconds.
+/// Upper end of the latency histogram, in microseconds; longer latencies count as this.
 const MAX_LATENCY_US: u64 = 600_000_000;
 /// Significant digits of latencies.
 const LATENCY_DIGITS: u8 = 3;
--- a/crates/comethitch-lab/src/ledger/rule.rs
+++ b/crates/comethitch-lab/src/ledger/rule.rs
@@ -73,6 +73,7 @@
 }
 
 impl ViolationLog {
+    /// Records a violation.
     pub(super) fn record(&mut self, violation: Violation) {
         self.count += 1;
         if self.descriptions.len() < MAX_DESCRIBED_VIOLATIONS {
@@ -80,10 +81,12 @@
         }
     }
 
+    /// Returns the number of violations.
     pub(super) fn count(&self) -> u64 {
         self.count
     }
 
+    /// Returns the descriptions of the first violations.
     pub(super) fn into_descriptions(self) -> Vec<String> {
         self.descriptions
     }
--- a/crates/comethitch-lab/src/live/process_table.rs
+++ b/crates/comethitch-lab/src/live/process_table.rs
@@ -29,7 +29,7 @@
     pub interruptions: u32,
 }
 
-/// A router process that exited by itself.
+/// A router process that exited without being stopped.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Exit {
     pub router: usize,
@@ -69,7 +69,7 @@
     folder: PathBuf,
     /// Whether to keep the folder at the end.
     keeps_folder: bool,
-    /// Port that each router listens on for clients, at an address of its own.
+    /// Port that every router listens on for clients; the addresses differ.
     client_port: u16,
     /// Reserves the port, so that no host's listener gets it.
     _client_port_reservation: TcpListener,
--- a/crates/comethitch-lab/src/output.rs
+++ b/crates/comethitch-lab/src/output.rs
@@ -7,14 +7,17 @@
 /// Tolerance of the in-time fraction within which a fleet counts as recovered from a fault.
 const RECOVERY_TOLERANCE: f64 = 0.02;
 
+/// Prints the header of the CSV.
 pub(crate) fn print_header() {
     println!("routing,seed,routers,{}", Report::CSV_HEADER);
 }
 
+/// Prints the figures of a trial as a row of the CSV.
 pub(crate) fn print_row(routing: &str, trial: &Trial, report: &Report) {
     println!("{routing},{},{},{}", trial.seed, trial.routers, report.csv_row());
 }
 
+/// Prints the descriptions of the first violations.
 pub(crate) fn print_violations(report: &Report) {
     for violation in &report.violations {
         println!("BROKEN {violation}");
--- a/crates/comethitch-lab/src/trial/faults.rs
+++ b/crates/comethitch-lab/src/trial/faults.rs
@@ -221,6 +221,7 @@
 }
 
 impl Fault {
+    /// Checks the times and values of the fault; `index` is its place in the file.
     pub(super) fn check(&self, index: usize) -> Result<(), TrialError> {
         let duration_ms = self.kind.duration_ms();
         check_range(&format!("faults[{index}].at_ms"), self.at_ms as f64, 0.0, MAX_DURATION_MS)?;
--- a/crates/comethitch-policy/src/host_load.rs
+++ b/crates/comethitch-policy/src/host_load.rs
@@ -75,7 +75,7 @@
         self.connection_slots.connection_rejected(hash_seed, host_key, connect_timeout, now);
     }
 
-    /// Records an attempt that is sent in this slow-start window. `cost` is what it counts for in slow start.
+    /// Records an attempt that is sent in this slow-start window. `cost` is its cost in the slow-start budget.
     pub(crate) fn record_sent(&mut self, work: Duration, cost: f64, window: &Window) {
         self.concurrency.in_flight += work;
         self.work_sent.add(cost, window.now, window.length);
--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -46,7 +46,7 @@
         out.send_attempt(id, host.host, request.deadline - now);
     }
 
-    /// Counts an attempt as in flight; `cost` is what it counts for in slow start.
+    /// Counts an attempt as in flight; `cost` is its cost in the slow-start budget.
     fn record_sent(&mut self, attempt: &Attempt, cost: f64) {
         let window = self.window(attempt.host, attempt.sent_at, self.settings.slow_start().window);
         let shard = self.shard_of_mut(attempt.host);
--- a/crates/comethitch-policy/src/policy/capacity.rs
+++ b/crates/comethitch-policy/src/policy/capacity.rs
@@ -108,7 +108,7 @@
         self.statistics.service_times.work(request_class)
     }
 
-    /// Returns what a request counts for in the budget of a host in slow start, in microseconds.
+    /// Returns the cost of a request in the budget of a host in slow start, in microseconds.
     pub(super) fn cost(&self, work: Duration, request_class: usize) -> f64 {
         let min = self.settings.class(request_class).latency_objective / MIN_COST_DIVISOR;
         (work * COST_PER_WORK).max(min).as_micros() as f64
--- a/crates/comethitch-policy/src/policy/health_check_scheduler.rs
+++ b/crates/comethitch-policy/src/policy/health_check_scheduler.rs
@@ -20,6 +20,7 @@
 }
 
 impl HealthCheckScheduler {
+    /// Returns a scheduler with the full allowance of a tick.
     pub(super) fn new() -> HealthCheckScheduler {
         HealthCheckScheduler { remaining: MAX_CHECKS_PER_TICK, cursor: None, next_unpaid_at: Timestamp::ZERO }
     }
--- a/crates/comethitch-policy/src/policy/peer_load.rs
+++ b/crates/comethitch-policy/src/policy/peer_load.rs
@@ -19,7 +19,7 @@
 }
 
 impl PeerLoad {
-    /// Returns the cached load, or computes it anew when an eighth of the slow-start window has passed.
+    /// Returns the cached load, or recomputes it when an eighth of the slow-start window has passed.
     pub(super) fn get_or_compute(
         &self, now: Timestamp, window: Duration, compute: impl FnOnce() -> f64,
     ) -> f64 {
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -62,7 +62,7 @@
     fn select_primary(&self, request: &RequestState, shard: &Shard, now: Timestamp) -> Selection {
         let may_repeat = self.class_of(request).idempotency != Idempotency::NonIdempotent;
         match shard.primary {
-            // A router that has just started checks all hosts before it gives up on a primary.
+            // A router that has just started checks all hosts before it rejects requests for lack of a primary.
             None if shard.serial() == 0 => Selection::Wait,
             Some(primary) if self.primary_serves(primary, shard, now) => {
                 let member = Member::of_all_routers(primary);
--- a/crates/comethitch-policy/src/request_state.rs
+++ b/crates/comethitch-policy/src/request_state.rs
@@ -16,7 +16,7 @@
     pub outcome: Option<AttemptOutcome>,
     /// Whether it was in flight to the primary when the shard became Unhealthy.
     pub in_flight_at_fault: bool,
-    /// The work that it counts for in concurrency limits.
+    /// Its work in concurrency limits.
     pub work: Duration,
 }
 
--- a/crates/comethitch-statement/src/admission/known_shape.rs
+++ b/crates/comethitch-statement/src/admission/known_shape.rs
@@ -15,6 +15,7 @@
 }
 
 impl KnownShape {
+    /// Returns a shape with this verdict, whose cost is not known yet.
     pub(super) fn new(verdict: Verdict) -> Rc<KnownShape> {
         Rc::new(KnownShape { verdict, cost: RefCell::default() })
     }
--- a/crates/comethitch-statement/src/budget.rs
+++ b/crates/comethitch-statement/src/budget.rs
@@ -95,7 +95,7 @@
     /// Reserves the estimated time for parsing a statement.
     ///
     /// A reservation succeeds while any time is left, even if less than the estimate, so that long statements are
-    /// not rejected for ever; the bucket then goes negative.
+    /// not rejected forever; the bucket then goes negative.
     ///
     /// ```
     /// use comethitch_policy::time::{Duration, Timestamp};
--- a/crates/comethitch-statement/src/cache/entries.rs
+++ b/crates/comethitch-statement/src/cache/entries.rs
@@ -38,6 +38,7 @@
 
 const UNLINKED: Link = Link { newer: NO_SLOT, older: NO_SLOT };
 
+/// A slot of the cache with its links to the neighbours.
 pub(super) struct Entry<V> {
     pub key: ShapeKey,
     /// `None` in a free slot.
--- a/crates/comethitch-statement/src/lexer/shape_builder.rs
+++ b/crates/comethitch-statement/src/lexer/shape_builder.rs
@@ -50,14 +50,17 @@
 }
 
 impl ShapeBuilder {
+    /// Returns the text of the shape.
     pub(super) fn shape(&self) -> &[u8] {
         &self.shape
     }
 
+    /// Returns the tokens of the shape.
     pub(super) fn tokens(&self) -> &[Token] {
         &self.tokens
     }
 
+    /// Returns the literals that placeholders stand for.
     pub(super) fn literals(&self) -> &[Literal] {
         &self.literals
     }
@@ -112,6 +115,7 @@
         !self.brackets.is_empty()
     }
 
+    /// Appends a token to the shape.
     pub(super) fn push_token(&mut self, kind: TokenKind, bytes: &[u8]) {
         if !self.tokens.is_empty() {
             self.shape.push(b' ');
--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -76,6 +76,7 @@
 
 /// Factors by which features multiply the estimated cost.
 mod cost_factor {
+    /// A scan that reads all rows.
     pub(super) const SCAN: f64 = 4.0;
     /// A limited scan may end early, unless all rows are needed for sorting or grouping.
     pub(super) const LIMITED_SCAN: f64 = 2.0;
--- a/crates/comethitch-testkit/src/engine.rs
+++ b/crates/comethitch-testkit/src/engine.rs
@@ -60,26 +60,32 @@
         (now.as_millis() as u64).saturating_sub(self.replication_lag_ms.load(Ordering::SeqCst))
     }
 
+    /// Returns whether the host is a primary.
     pub(crate) fn is_primary(&self) -> bool {
         self.primary.load(Ordering::SeqCst)
     }
 
+    /// Returns whether the host closes every connection.
     pub(crate) fn is_down(&self) -> bool {
         self.down.load(Ordering::SeqCst)
     }
 
+    /// Sets the role of the host.
     pub(crate) fn set_primary(&self, primary: bool) {
         self.primary.store(primary, Ordering::SeqCst);
     }
 
+    /// Sets the replication lag of the host.
     pub(crate) fn set_lag(&self, lag: Duration) {
         self.replication_lag_ms.store(lag.as_millis() as u64, Ordering::SeqCst);
     }
 
+    /// Sets whether the host closes every connection.
     pub(crate) fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::SeqCst);
     }
 
+    /// Sets how the host treats each request, by its number and text.
     pub(crate) fn set_script(&self, script: impl Fn(usize, &str) -> HostBehavior + Send + Sync + 'static) {
         *self.script.lock().expect("scripts do not panic") = Box::new(script);
     }
--- a/crates/comethitch-testkit/src/ledger.rs
+++ b/crates/comethitch-testkit/src/ledger.rs
@@ -158,7 +158,7 @@
     }
 }
 
-/// Returns the violation that an entry shows by itself, whatever the client received.
+/// Returns the violation that an entry shows independently of what the client received.
 fn violation_at_host(entry: Entry) -> Option<Violation> {
     match entry {
         Entry::Interleaved { host, text } => Some(Violation::Interleaved { host, text }),
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -30,7 +30,7 @@
     used.tv_sec as f64 * 1e6 + used.tv_nsec as f64 / 1e3
 }
 
-/// A router or forwarder between the clients and the host, on a thread of its own.
+/// A router or forwarder between the clients and the host, on a separate thread.
 struct Intermediary {
     address: SocketAddr,
     stop: async_channel::Sender<()>,
--- a/crates/comethitchd/src/service/classify/line_classifier.rs
+++ b/crates/comethitchd/src/service/classify/line_classifier.rs
@@ -42,6 +42,7 @@
 }
 
 impl LineClassifier {
+    /// Returns a classifier of lines; `has_rules` tells whether the operator gave rules.
     pub(super) fn new(
         admission: StatementAdmission, class_names: Vec<String>, has_rules: bool,
     ) -> LineClassifier {
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -1,6 +1,6 @@
 //! Writes the log to standard error: one line per record, as text or JSON, with RFC 3339 timestamps in UTC.
 //!
-//! A line that can't be written, as when the disk is full or the reader is gone, is counted and dropped: requests must
+//! A line that can't be written, as when the disk is full or the reader has exited, is counted and dropped: requests must
 //! not fail because of the log.
 
 use crate::state::dropped_log_lines::record_dropped_line;
--- a/crates/comethitchd/src/state/client_registry.rs
+++ b/crates/comethitchd/src/state/client_registry.rs
@@ -35,7 +35,7 @@
     Reading,
     /// Its last request was answered, and no other has begun.
     Idle,
-    /// A request of its own is in progress.
+    /// A request of the client is in progress.
     Busy,
 }
 
--- a/crates/comethitchd/src/state/config/error.rs
+++ b/crates/comethitchd/src/state/config/error.rs
@@ -121,14 +121,17 @@
 }
 
 impl ConfigError {
+    /// Returns the error of a required key that is missing.
     pub(super) fn missing(key: &str) -> ConfigError {
         ConfigError::Missing { key: key.to_string() }
     }
 
+    /// Returns the error of a key with a value of the wrong kind.
     pub(super) fn unexpected(key: &str, expected: ExpectedValue, found: impl ToString) -> ConfigError {
         ConfigError::Unexpected { key: key.to_string(), expected, found: found.to_string() }
     }
 
+    /// Returns the error of a key that must have a value of a certain kind.
     pub(super) fn required(key: impl ToString, expected: ExpectedValue) -> ConfigError {
         ConfigError::Required { key: key.to_string(), expected }
     }
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -25,7 +25,7 @@
 /// Divisor of the remaining memory for buffers: their contents are copied once.
 const BUFFER_MEMORY_DIVISOR: usize = 2;
 
-/// The state of one running router: one owner for each concern, each with an interface of its own. No borrow from any
+/// The state of one running router: one owner with a narrow interface for each concern. No borrow from any
 /// of them may be kept across an await.
 pub struct RouterState {
     /// The configuration that the router was started with.
--- a/crates/comethitchd/src/wire/mod.rs
+++ b/crates/comethitchd/src/wire/mod.rs
@@ -1,7 +1,7 @@
 //! Wire formats: parsers and serializers as pure functions over bytes, without I/O, clock or access to the router's
 //! state.
 //!
-//! TDS has a package of its own, `comethitch-tds`.
+//! The codec of TDS is the package `comethitch-tds`.
 
 pub mod discovery;
 pub mod host_report;
--- a/crates/comethitchd/tests/support/daemon.rs
+++ b/crates/comethitchd/tests/support/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process of its own, with its configuration file, its log and signals.
+//! The daemon as a separate process, with its configuration file, log and signals.
 
 use comethitch_lab::system_calls::{FaultLibrary, SystemCallFaults};
 use serde_json::Value;
--- a/crates/comethitchd/tests/support/discovery_agent.rs
+++ b/crates/comethitchd/tests/support/discovery_agent.rs
@@ -1,4 +1,4 @@
-//! A discovery agent that serves one host by itself, and misbehaves as a test decides for each request.
+//! A discovery agent that serves one host, with faults that a test chooses for each request.
 
 use super::discovery::{CHUNKED_RESPONSE_HEAD, read_http_request, try_send_chunk};
 use super::{TEST_TIMEOUT, ready_primary};
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -4,7 +4,7 @@
 //! - [`scripted_host`] and [`postgres_client`] speak PostgreSQL byte by byte, for tests about single messages and
 //!   connections. Tests of both protocols, and of what was executed, use the hosts and clients of `comethitch_testkit`
 //!   instead; [`primary_and_replica`] starts those with a router.
-//! - [`discovery`] serves the endpoint list as a test writes it, [`discovery_agent`] by itself and with faults.
+//! - [`discovery`] serves the endpoint list as a test writes it; [`discovery_agent`] generates it and injects faults.
 //! - [`configuration`] builds settings, endpoints and statement rules, [`messages`] requests and protocol messages.
 //!
 //! Every wait is for an event; [`TEST_TIMEOUT`] only ends a test that has already failed.
