--- a/crates/comethitch-policy/tests/scenario_runner/mod.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/mod.rs
@@ -3,6 +3,7 @@
 mod base_settings;
 mod notation;
 mod recorded_actions;
+mod step_error;
 
 use base_settings::{CLASSES, base_settings};
 use comethitch_policy::time::{Duration, Timestamp};
@@ -12,12 +13,13 @@
 };
 use notation::{AttemptId, matches};
 use recorded_actions::RecordedActions;
+pub(crate) use step_error::StepError;
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
 const SEED: u64 = 7;
 
-/// The result of a step; the error says what was seen instead.
-pub(crate) type StepResult = Result<(), String>;
+/// The result of a step.
+pub(crate) type StepResult = Result<(), StepError>;
 
 /// The difference between the hosts' clock and the router's.
 #[derive(Clone, Copy, Default)]
@@ -106,9 +108,9 @@
         (router, &mut self.out)
     }
 
-    fn request(&mut self, id: RequestId) -> Result<(Handle, &mut Router, &mut RecordedActions), String> {
+    fn request(&mut self, id: RequestId) -> Result<(Handle, &mut Router, &mut RecordedActions), StepError> {
         let (router, out) = self.router();
-        let handle = router.handle(id).ok_or("no such request is in progress")?;
+        let handle = router.handle(id).ok_or(StepError::UnknownRequest)?;
         Ok((handle, router, out))
     }
 
@@ -194,13 +196,16 @@
     fn check_delayed(&mut self, attempt: &str, may_be_sent: bool) -> StepResult {
         let AttemptId { request, attempt } = AttemptId::parse(attempt);
         let (handle, router, out) = self.request(request)?;
-        let checked = handle.check_send(router, attempt, out.now);
-        if checked.is_ok() == may_be_sent { Ok(()) } else { Err(format!("may be sent: {checked:?}")) }
+        match handle.check_send(router, attempt, out.now) {
+            Ok(()) if !may_be_sent => Err(StepError::SendAllowed),
+            Err(refusal) if may_be_sent => Err(StepError::SendRefused(refusal)),
+            _ => Ok(()),
+        }
     }
 
     fn check_entries(&mut self, max: usize) -> StepResult {
         let allocated = self.router().0.host_entries();
-        if allocated <= max { Ok(()) } else { Err(format!("{allocated} entries are allocated")) }
+        if allocated <= max { Ok(()) } else { Err(StepError::TooManyEntries { allocated }) }
     }
 
     fn disconnect(&mut self, id: RequestId) -> StepResult {
@@ -212,20 +217,20 @@
     fn expect(&mut self, pattern: &[&str]) -> StepResult {
         let unread = &self.out.actions[self.actions_read..];
         let found = unread.iter().position(|action| matches(action, pattern));
-        self.actions_read += found.ok_or_else(|| format!("not seen: {unread:?}"))? + 1;
+        self.actions_read += found.ok_or_else(|| StepError::NotSeen { unread: unread.to_vec() })? + 1;
         Ok(())
     }
 
     fn expect_none(&self, pattern: &[&str]) -> StepResult {
         let mut actions = self.out.actions[self.actions_before..].iter();
         let seen = actions.find(|action| matches(action, pattern));
-        seen.map_or(Ok(()), |action| Err(format!("seen: {action}")))
+        seen.map_or(Ok(()), |action| Err(StepError::Seen { action: action.clone() }))
     }
 
     fn expect_at_most(&self, max: usize, pattern: &[&str]) -> StepResult {
         let actions = self.out.actions[self.actions_before..].iter();
-        let seen = actions.filter(|action| matches(action, pattern)).count();
-        if seen <= max { Ok(()) } else { Err(format!("seen {seen} times")) }
+        let count = actions.filter(|action| matches(action, pattern)).count();
+        if count <= max { Ok(()) } else { Err(StepError::SeenTooOften { count }) }
     }
 
     fn repeat(&mut self, times: u32, line: &str) -> StepResult {
--- a/crates/comethitch-policy/tests/scenarios.rs
+++ b/crates/comethitch-policy/tests/scenarios.rs
@@ -22,7 +22,7 @@
 
 mod scenario_runner;
 
-use scenario_runner::{Scenario, StepResult};
+use scenario_runner::{Scenario, StepError};
 use std::path::{Path, PathBuf};
 use std::{env, fs};
 
@@ -34,13 +34,27 @@
     files
 }
 
-/// Plays a scenario up to its end or its first failed step; the error names file and line.
-fn play(file: &Path, scenario: &mut Scenario) -> StepResult {
+/// A step that failed, and where it stands.
+#[derive(Debug, thiserror::Error)]
+#[error("{}:{line_number}: {line}: {source}", file.display())]
+struct FailedStep {
+    file: PathBuf,
+    line_number: usize,
+    line: String,
+    source: StepError,
+}
+
+/// Plays a scenario up to its end or its first failed step.
+fn play(file: &Path, scenario: &mut Scenario) -> Result<(), FailedStep> {
     let text = fs::read_to_string(file).expect("a readable scenario");
     for (index, line) in text.lines().enumerate() {
         let step = line.split('#').next().unwrap_or_default();
-        let in_file = |error| format!("{}:{}: {line}: {error}", file.display(), index + 1);
-        scenario.step(step).map_err(in_file)?;
+        scenario.step(step).map_err(|source| FailedStep {
+            file: file.to_path_buf(),
+            line_number: index + 1,
+            line: line.to_string(),
+            source,
+        })?;
     }
     Ok(())
 }
@@ -52,7 +66,7 @@
     let mut digest = 0_u64;
     for file in &files {
         let mut scenario = Scenario::new();
-        failures.extend(play(file, &mut scenario).err());
+        failures.extend(play(file, &mut scenario).err().map(|failed| failed.to_string()));
         digest = digest.rotate_left(7) ^ scenario.digest();
     }
     // Printed with --nocapture: two versions of the policy that decide alike have the same digest.
