--- a/crates/comethitchd/src/service/accept_loop.rs
+++ b/crates/comethitchd/src/service/accept_loop.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections and starts a task for each.
+//! Accepts client connections and starts a task for each.
 
 use crate::state::protocol::ClientProtocol;
 use crate::state::router_state::RouterState;
@@ -9,8 +9,8 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Delay before accepting again after a failure, or while no descriptor is free. It is short because clients' time
-/// counts from the moment they connect.
+/// Delay before accepting again after a failure, or while no descriptor is free. It is short because a
+/// client's timeout runs from the moment it connects.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Accepts connections on all listeners; never completes.
@@ -31,10 +31,11 @@
 async fn accept(
     state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol<RouterState>>, listener: &Async<TcpListener>,
 ) {
-    let mut failures_in_row = 0;
+    let mut consecutive_failures = 0;
     loop {
         let Some(permit) = state.clients.acquire_descriptor(state.clock.now()) else {
-            // An idle client may still send a request: it is closed only once another client waits for its place.
+            // An idle connection may still send a request, so it is closed only when another client waits to
+            // be accepted.
             if listener.readable().await.is_ok() {
                 state.clients.make_room_for_waiting_client(state.clock.now());
             }
@@ -43,15 +44,15 @@
         };
         match listener.accept().await {
             Ok((stream, _)) => {
-                failures_in_row = 0;
+                consecutive_failures = 0;
                 state.tasks.spawn(protocol.serve(state.clone(), stream, permit)).detach();
             }
             Err(error) => {
-                // A shortage may last for many attempts: only the first failure in a row is logged.
-                if failures_in_row == 0 {
+                // A shortage may last for many attempts: only the first of consecutive failures is logged.
+                if consecutive_failures == 0 {
                     log::warn!(error:%; "accept failed, retrying");
                 }
-                failures_in_row += 1;
+                consecutive_failures += 1;
                 state.metrics.accepts_failed.increment();
                 Timer::after(ACCEPT_RETRY_INTERVAL).await;
             }
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -1,5 +1,5 @@
-//! The command `classify`: reads statements as JSON lines, and writes the verdict of each as a JSON line, in the same
-//! order.
+//! The command `classify`: reads statements as JSON lines, and writes the verdict of each as a JSON line, in
+//! the same order.
 
 mod default_rules;
 mod json_lines;
@@ -20,7 +20,8 @@
 /// Size of the buffer for standard input.
 const INPUT_BUFFER_BYTES: usize = 64 << 10;
 
-/// Classify statements: reads one JSON object per line, {"sql": "…"}, and writes one per line in the same order.
+/// Classify statements: reads one JSON object per line, {"sql": "…"}, and writes one per line in the same
+/// order.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "classify")]
 pub struct Classify {
--- a/crates/comethitchd/src/service/command_line.rs
+++ b/crates/comethitchd/src/service/command_line.rs
@@ -1,5 +1,5 @@
-//! Shared by the command lines of the daemon and the operator's tool: loads the configuration files, and turns the
-//! result of a command into an exit code.
+//! Code shared by the command lines of the daemon and the operator's tool: loads the configuration files, and
+//! turns the result of a command into an exit code.
 
 use crate::state::config::{Config, ConfigError};
 use crate::state::socket::is_local_shortage;
@@ -10,33 +10,33 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Environment variable with the path of the configuration, used if the command line names none.
+/// Environment variable with the path of the configuration file, used if the command line does not set it.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Maximum number of retries for a configuration that can't be read while the program starts.
+/// Maximum number of retries at start if a configuration file can't be read.
 const MAX_START_RETRIES: u32 = 20;
-/// Delay between these retries.
+/// Delay between retries at start.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Returns whether a file that can't be read for this reason may be readable a moment later.
+/// Returns whether reading the file may succeed a moment after this error.
 fn is_transient(error: &io::Error) -> bool {
     is_local_shortage(error) || Errno::from_io_error(error) == Some(Errno::IO)
 }
 
 /// Paths of the configuration files, from the command line.
 pub struct ConfigFiles {
-    /// The configuration; `RELAY_CONFIG` names the file if this is not set.
+    /// The configuration file; if `None`, the environment variable `RELAY_CONFIG` sets its path.
     pub configuration: Option<PathBuf>,
-    /// The statement rules, if there are any.
+    /// The file of statement rules; `None` if there are none.
     pub statements: Option<PathBuf>,
 }
 
 impl ConfigFiles {
-    /// Loads the configuration while the program starts, and retries for a second if a file can't be read because of an
-    /// I/O error or a shortage of local resources.
+    /// Loads the configuration when the program starts, and retries for a second if a file can't be read
+    /// because of an I/O error or a shortage of local resources.
     ///
     /// # Errors
     ///
-    /// As [`ConfigFiles::load`].
+    /// See [`ConfigFiles::load`].
     pub fn load_at_start(&self) -> Result<Config, ConfigError> {
         for _ in 0..MAX_START_RETRIES {
             match self.load() {
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// If no configuration is named, or a file can't be read or is invalid.
+    /// If the path of the configuration is not set, or a file can't be read or is invalid.
     pub fn load(&self) -> Result<Config, ConfigError> {
         let from_environment = || std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from);
         let path = self.configuration.clone().or_else(from_environment).ok_or(ConfigError::NoFile)?;
@@ -65,7 +65,8 @@
     }
 }
 
-/// Loads a configuration; environment variables supply the name and the addresses that it does not contain.
+/// Loads a configuration file. Environment variables supply the name and the addresses if the file does not
+/// contain them.
 ///
 /// # Errors
 ///
@@ -74,7 +75,8 @@
     Config::load(path, |name| std::env::var(name).ok())
 }
 
-/// Returns the exit code of a command, and prints its error after the name of the program.
+/// Returns the exit code of a command. If the command failed, prints the program's name and the error to
+/// standard error.
 pub fn exit_code<E: Display>(program: &str, result: Result<(), E>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/comethitchd/src/service/discovery_client.rs
+++ b/crates/comethitchd/src/service/discovery_client.rs
@@ -1,4 +1,5 @@
-//! Client of the discovery service: sends one HTTP request, and reads the JSON objects and empty lines of its response.
+//! Client of the discovery service: sends an HTTP request, and reads the JSON objects and empty lines of the
+//! response.
 
 use crate::state::buffer::Buffer;
 use crate::state::clock::after;
@@ -24,7 +25,7 @@
 /// Why a request to the discovery service failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DiscoveryError {
-    /// A reload changed to another discovery service.
+    /// A reload of the configuration has replaced the discovery service by another one.
     #[error("replaced by another discovery service")]
     Replaced,
     /// No connection was established in time.
@@ -51,10 +52,10 @@
     /// The response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] MalformedMessage),
-    /// The response is no stream of JSON objects.
+    /// The response is not a stream of JSON objects.
     #[error(transparent)]
     JsonStream(#[from] JsonStreamError),
-    /// An object of the response is no valid endpoint list.
+    /// An object in the response is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] EndpointListError),
     /// The response ends within a list.
@@ -78,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// If the service can't be reached, does not respond in time, or responds with another status than 200.
+    /// If the service can't be reached, does not respond in time, or responds with a status other than 200.
     pub(crate) async fn request(
         address: SocketAddr, path: &str, timeout: Duration, budget: &MemoryBudget,
     ) -> Result<DiscoveryResponse, DiscoveryError> {
@@ -90,7 +91,8 @@
             (&stream).write_all(&request).await?;
             read_head(&stream, &mut buffer).await
         };
-        // The timeout covers the whole head, which might otherwise arrive byte by byte without end.
+        // One timeout covers the whole head, because a timeout per read would not end a head that arrives
+        // byte by byte.
         let ResponseHead { status, body, length } =
             with_timeout(timeout, DiscoveryError::HeadTimeout, head).await?;
         if status != STATUS_OK {
@@ -100,7 +102,7 @@
         Ok(DiscoveryResponse { stream, buffer, body, objects: JsonStream::default() })
     }
 
-    /// Returns the next object or empty line, or none at the end of the response.
+    /// Returns the next object or empty line, or `None` at the end of the response.
     ///
     /// # Errors
     ///
@@ -126,7 +128,8 @@
         Ok(consumed)
     }
 
-    /// Reads more of the response. Only a response without a length may end with the connection, and never by a reset.
+    /// Reads more of the response. The end of the connection completes a response that declares no length,
+    /// and is an error in any other. A reset of the connection is always an error.
     async fn read_more(&mut self) -> Result<(), DiscoveryError> {
         if self.buffer.fill(&self.stream).await? > 0 {
             return Ok(());
@@ -139,7 +142,7 @@
     }
 }
 
-/// Reads until the buffer contains the complete head, and leaves it there.
+/// Reads until the buffer contains the complete head, and parses it without consuming it.
 async fn read_head(stream: &Socket, buffer: &mut Buffer) -> Result<ResponseHead, DiscoveryError> {
     loop {
         if let Some(head) = http::parse_head(buffer.unread())? {
@@ -151,16 +154,20 @@
     }
 }
 
-/// Returns the timeout of the next response: twice the duration of the last one, or twice the last timeout if it
-/// expired. A slow or overloaded service would otherwise never be heard.
+/// Returns the timeout of the next response: twice the duration of the last response, or twice the last
+/// timeout if it expired, within fixed bounds. With a constant timeout, no response of a slow or overloaded
+/// service would be received.
+///
+/// `elapsed` is the duration of the last response; `None` if it timed out.
 pub(crate) fn next_response_timeout(timeout: Duration, elapsed: Option<Duration>) -> Duration {
     let doubled = elapsed.unwrap_or(timeout) * 2;
     doubled.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
 }
 
-/// Runs `step`, and returns `timeout_error` if it does not complete within `limit`.
+/// Runs `operation`, and returns `timeout_error` if it does not complete within `timeout`.
 pub(crate) async fn with_timeout<T>(
-    limit: Duration, timeout_error: DiscoveryError, step: impl Future<Output = Result<T, DiscoveryError>>,
+    timeout: Duration, timeout_error: DiscoveryError,
+    operation: impl Future<Output = Result<T, DiscoveryError>>,
 ) -> Result<T, DiscoveryError> {
-    step.or(after(limit, Err(timeout_error))).await
+    operation.or(after(timeout, Err(timeout_error))).await
 }
--- a/crates/comethitchd/src/service/endpoint_update.rs
+++ b/crates/comethitchd/src/service/endpoint_update.rs
@@ -1,4 +1,5 @@
-//! Applies endpoint lists and updates from discovery, unless they are outdated, and logs their entries.
+//! Applies endpoint lists and updates from the discovery service unless they are outdated, and logs their
+//! entries.
 
 use crate::service::discovery_client::DiscoveryError;
 use crate::stages::updates;
@@ -9,15 +10,17 @@
 use log::Level;
 use std::rc::Rc;
 
-/// Maximum number of entries of a list that are logged one by one at level info.
-const MAX_ENTRIES_LOGGED: usize = 32;
+/// Maximum number of entries that are logged one by one at level info. The entries of longer lists are logged
+/// at level debug.
+const MAX_INFO_ENTRIES: usize = 32;
 
-/// Parses and applies a list or an update, and marks the router ready. `version_before` is the current version at the
-/// time of the request: another response may have brought a newer one since.
+/// Parses and applies a list or an update, and marks the router ready. `version_before` is the version that
+/// was current when the response was requested. If another response has brought a newer version since, this
+/// one may be outdated.
 ///
 /// # Errors
 ///
-/// If the text is no valid endpoint list.
+/// If the text is not a valid endpoint list.
 pub(crate) fn apply(
     state: &Rc<RouterState>, text: &[u8], version_before: Option<u64>,
 ) -> Result<(), DiscoveryError> {
@@ -35,10 +38,10 @@
     Ok(())
 }
 
-/// Logs each entry of a short list, and a summary of a long one: logging an entry costs several times as much as
-/// applying it.
+/// Logs the entries at level info if the list is short; otherwise logs a summary, and the entries at level
+/// debug. Logging an entry costs several times as much as applying it.
 fn log_list(list: &EndpointList) {
-    let is_long = list.entries.len() > MAX_ENTRIES_LOGGED;
+    let is_long = list.entries.len() > MAX_INFO_ENTRIES;
     if is_long {
         log_summary(list);
     }
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -1,8 +1,10 @@
-//! Keeps the endpoint list up to date in two independent ways: [`follow`] watches for changes and restarts a watch that
-//! sends nothing for too long, and [`poll_while_silent`] polls the complete list while no watch sends anything.
+//! Keeps the endpoint list up to date in two independent ways: [`follow`] watches for changes and restarts a
+//! watch that sends nothing for too long, and [`poll_while_silent`] polls the complete list while no watch
+//! sends anything.
 //!
-//! A router must know a change within some seconds, even if watches hang, can't connect, are reset or send endless
-//! fragments. With the polls the list is never older than `SILENT_WATCH_THRESHOLD` and one poll.
+//! A router must learn of a change within a few seconds, even if watches hang, can't connect, are reset or
+//! send fragments without end. As long as polls succeed, the list is never older than
+//! `SILENT_WATCH_THRESHOLD` plus the time until the next poll completes.
 
 use crate::service::discovery_client::{
     DiscoveryError, DiscoveryResponse, next_response_timeout, with_timeout,
@@ -18,19 +20,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Interval at which discovery sends an empty line while nothing changes.
+/// Interval at which the discovery service sends an empty line while nothing changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a watch waits for the next complete line: a quarter more than the keep-alive interval. Fragments of a line
-/// don't count, as they may arrive without end.
+/// How long a watch waits for the next complete line: 1.25 times the keep-alive interval. Fragments of a line
+/// don't restart the timeout, because they may arrive without end.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(KEEP_ALIVE_INTERVAL.as_millis() as u64 * 5 / 4);
-/// Delay before a watch that ended is restarted.
+/// Delay before a watch that has ended is restarted.
 const WATCH_RESTART_DELAY: Duration = Duration::from_millis(250);
-/// How long no watch may have sent anything before the complete list is polled.
+/// How long watches may be silent before the complete list is polled: 1.5 times the keep-alive interval.
 const SILENT_WATCH_THRESHOLD: Duration =
     Duration::from_millis(KEEP_ALIVE_INTERVAL.as_millis() as u64 * 3 / 2);
 /// Interval between polls of the complete list.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Path of the endpoint list at the discovery service.
+/// HTTP path of the endpoint list at the discovery service.
 const LIST_PATH: &str = "/api/targets";
 
 /// Watches the endpoint list for changes; never completes.
@@ -39,28 +41,28 @@
     loop {
         let service = state.discovery.service();
         let version = state.hosts.directory().version();
-        // Polled before the watch, so that nothing is applied that a replaced service still sends.
+        // Polled before the watch, so that nothing is applied that the service sends after it was replaced.
         let replaced = async {
             service.replaced.wait().await;
             Err(DiscoveryError::Replaced)
         };
         match replaced.or(watch_or_fetch(&state, service.address, version)).await {
             Ok(()) => failure_logged = false,
-            // Discovery may be down for long: only the first failure in a row is logged.
+            // The discovery service may be down for long: only the first of consecutive failures is logged.
             Err(error) if !failure_logged => {
                 log::warn!(address:% = service.address, version, error:%; "endpoint watch failed, retrying");
                 failure_logged = true;
             }
             Err(_) => {}
         }
-        // The watch of a list that was just fetched starts without a delay.
-        let was_fetched = version.is_none() && state.hosts.directory().version().is_some();
-        let delay = if was_fetched { Duration::ZERO } else { WATCH_RESTART_DELAY };
+        // After the first list was fetched, the watch starts without a delay.
+        let first_list_fetched = version.is_none() && state.hosts.directory().version().is_some();
+        let delay = if first_list_fetched { Duration::ZERO } else { WATCH_RESTART_DELAY };
         after(delay, ()).or(service.replaced.wait()).await;
     }
 }
 
-/// Watches for changes after `version`, or fetches the complete list if there is no version yet.
+/// Watches for changes since `version`, or fetches the complete list if there is no version yet.
 async fn watch_or_fetch(
     state: &Rc<RouterState>, address: SocketAddr, version: Option<u64>,
 ) -> Result<(), DiscoveryError> {
@@ -94,7 +96,7 @@
     }
 }
 
-/// Runs one watch until it ends.
+/// Watches for changes since the version `since`, and applies them until the watch ends.
 async fn watch(state: &Rc<RouterState>, address: SocketAddr, since: u64) -> Result<(), DiscoveryError> {
     let path = format!("{LIST_PATH}?follow=1&since={since}");
     let mut response =
@@ -112,10 +114,10 @@
     }
 }
 
-/// Fetches the complete list, and applies it once all of it has arrived.
+/// Fetches the complete list; once all of it has arrived, applies it unless its version is the current one.
 async fn fetch_list(state: &Rc<RouterState>, address: SocketAddr) -> Result<(), DiscoveryError> {
     let version_before = state.hosts.directory().version();
-    let text = fetch_text(state, address).await?;
+    let text = fetch_list_text(state, address).await?;
     if version_before.is_some() && discovery::version_of_complete_list(&text) == version_before {
         log::debug!(version = version_before; "endpoint list unchanged");
         return Ok(());
@@ -123,8 +125,8 @@
     endpoint_update::apply(state, &text, version_before)
 }
 
-/// Fetches the text of the complete list, and adapts the response timeout to the service.
-async fn fetch_text(state: &RouterState, address: SocketAddr) -> Result<Vec<u8>, DiscoveryError> {
+/// Fetches the text of the complete list, and adapts the response timeout to the duration of the fetch.
+async fn fetch_list_text(state: &RouterState, address: SocketAddr) -> Result<Vec<u8>, DiscoveryError> {
     let timeout = state.discovery.response_timeout();
     let started = Instant::now();
     let fetch = read_last_object(state, address, timeout);
@@ -137,6 +139,7 @@
     fetched
 }
 
+/// Requests the complete list, and returns the last JSON object of the response.
 async fn read_last_object(
     state: &RouterState, address: SocketAddr, timeout: Duration,
 ) -> Result<Vec<u8>, DiscoveryError> {
--- a/crates/comethitchd/src/service/listener.rs
+++ b/crates/comethitchd/src/service/listener.rs
@@ -1,4 +1,4 @@
-//! Binds the addresses that clients connect to, and prepares their listeners.
+//! Binds the addresses that clients connect to, and configures the listeners.
 
 use crate::state::config::Config;
 use crate::state::socket::is_local_shortage;
@@ -7,13 +7,13 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// How long to retry an address that is still in use, as by the previous process, or that can't be bound for lack of
-/// local resources.
+/// How long to retry binding an address that is still in use, for example by the previous process, or that
+/// can't be bound for lack of local resources.
 const BIND_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Delay between attempts to bind an address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Number of connections that may wait to be accepted. The standard library's default is too short for clients that
-/// connect by the hundred.
+/// Maximum number of connections that wait to be accepted. The standard library's default is too low if
+/// hundreds of clients connect at once.
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// A listening address that can't be bound.
@@ -26,7 +26,7 @@
     pub source: io::Error,
 }
 
-/// Binds all addresses, and retries on transient errors.
+/// Binds all addresses, retrying after transient errors.
 ///
 /// # Errors
 ///
--- a/crates/comethitchd/src/service/logger.rs
+++ b/crates/comethitchd/src/service/logger.rs
@@ -1,7 +1,7 @@
 //! Writes the log to standard error: one line per record, as text or JSON, with RFC 3339 timestamps in UTC.
 //!
-//! A line that can't be written, as when the disk is full or the reader has exited, is counted and dropped: requests must
-//! not fail because of the log.
+//! A line that can't be written, for example because the disk is full or the reader has exited, is counted
+//! and dropped: requests must not fail because of the log.
 
 use crate::state::dropped_log_lines::record_dropped_line;
 use log::LevelFilter;
@@ -29,7 +29,7 @@
 
 /// The name of an unknown log format.
 #[derive(Debug, thiserror::Error)]
-#[error("the log's form is text or json, not {name:?}")]
+#[error("unknown log format {name:?}: must be text or json")]
 pub struct UnknownLogFormat {
     name: String,
 }
@@ -46,7 +46,8 @@
     }
 }
 
-/// Writes each line to standard error, or drops it. It never returns an error, because `logforth` panics on one.
+/// Writes each line to standard error, or drops it on failure. It never returns an error, because `logforth`
+/// panics on errors.
 #[derive(Debug)]
 struct StderrAppender {
     layout: Box<dyn Layout>,
@@ -69,11 +70,11 @@
     }
 }
 
-/// Rejects the records of other libraries.
+/// Rejects the log records of other projects' libraries.
 #[derive(Debug)]
-struct OwnTargets;
+struct ProjectTargetFilter;
 
-impl Filter for OwnTargets {
+impl Filter for ProjectTargetFilter {
     fn enabled(&self, criteria: &FilterCriteria, _: &[Box<dyn Diagnostic>]) -> FilterResult {
         if criteria.target().starts_with(TARGET_PREFIX) {
             FilterResult::Neutral
@@ -89,9 +90,10 @@
         LogFormat::Text => Box::new(TextLayout::default().no_color().timezone(TimeZone::UTC)),
         LogFormat::Json => Box::new(JsonLayout::default().timezone(TimeZone::UTC)),
     };
-    let append = StderrAppender { layout };
-    let logger =
-        logforth::core::builder().dispatch(|dispatch| dispatch.filter(OwnTargets).append(append)).build();
+    let appender = StderrAppender { layout };
+    let logger = logforth::core::builder()
+        .dispatch(|dispatch| dispatch.filter(ProjectTargetFilter).append(appender))
+        .build();
     if log::set_boxed_logger(Box::new(LogBridge::new(logger))).is_ok() {
         log::set_max_level(level);
     }
--- a/crates/comethitchd/src/service/maintenance.rs
+++ b/crates/comethitchd/src/service/maintenance.rs
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval between two sweeps.
+/// Interval between sweeps, which close expired connections and log state transitions.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Number of sweeps between two metrics reports, which makes one report every ten seconds.
+/// Number of sweeps per metrics report, which results in one report every ten seconds.
 const SWEEPS_PER_REPORT: u32 = 40;
 
-/// Sweeps at `SWEEP_INTERVAL` and logs the metrics every `SWEEPS_PER_REPORT` sweeps; never completes.
+/// Sweeps every `SWEEP_INTERVAL`, and logs the metrics every `SWEEPS_PER_REPORT` sweeps; never completes.
 pub(crate) async fn run_periodically(state: Rc<RouterState>) {
     for round in 1.. {
         Timer::after(SWEEP_INTERVAL).await;
--- a/crates/comethitchd/src/service/mod.rs
+++ b/crates/comethitchd/src/service/mod.rs
@@ -1,4 +1,5 @@
-//! Start, background tasks and shutdown of a router, its log, and the command-line tools `classify` and `trail`.
+//! Startup, background tasks and shutdown of a router, its logger, and the command-line tools `classify` and
+//! `trail`.
 
 mod accept_loop;
 pub mod classify;
--- a/crates/comethitchd/src/service/protocol.rs
+++ b/crates/comethitchd/src/service/protocol.rs
@@ -13,11 +13,11 @@
 /// Why a protocol can't be used with a configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// TDS statements are classified by their text, which needs statement rules.
-    #[error("TDS needs rules for statements: give --statements")]
+    /// There are no statement rules. TDS requires them, because it classifies statements by their text.
+    #[error("TDS requires statement rules: pass a file with --statements")]
     MissingRules,
-    /// The statement rules are for another dialect than the protocol's.
-    #[error("the rules for statements are not of the dialect {expected}")]
+    /// The dialect of the statement rules is not that of the protocol.
+    #[error("the dialect of the statement rules must be {expected} for this protocol")]
     WrongDialect {
         /// The protocol's dialect.
         expected: &'static str,
@@ -27,13 +27,13 @@
     TdsSettings(#[from] TdsSettingsError),
 }
 
-/// The protocol spoken with clients and hosts, and its additional listening addresses.
+/// The protocol spoken with clients and hosts, and the additional addresses that it listens on.
 pub struct Protocol {
     /// The protocol's client side.
     pub client: Rc<dyn ClientProtocol<RouterState>>,
     /// The protocol's host side.
     pub backend: Box<dyn BackendProtocol<RouterState>>,
-    /// Addresses to listen on in addition to that of the configuration.
+    /// Addresses to listen on in addition to the address in the configuration.
     pub additional_addresses: Vec<SocketAddr>,
 }
 
--- a/crates/comethitchd/src/service/received_signals.rs
+++ b/crates/comethitchd/src/service/received_signals.rs
@@ -1,5 +1,5 @@
-//! Flags for the signals that the process has received. Setting a flag takes no system call that could fail and lose
-//! the signal.
+//! Flags for the signals that the process has received. The handlers only set a flag, which needs no system
+//! call that could fail and lose the signal.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
@@ -33,8 +33,8 @@
         self.stop.load(SeqCst)
     }
 
-    /// Returns whether SIGHUP was received since the last call. Several signals in between count as one: the caller
-    /// reads the configuration after this call, and so sees what all of them announced.
+    /// Returns whether SIGHUP was received since the last call. Several signals in between count as one,
+    /// because the caller loads the configuration after this call and so sees the changes of all of them.
     pub(crate) fn take_reload(&self) -> bool {
         self.reload.swap(false, SeqCst)
     }
--- a/crates/comethitchd/src/service/reload.rs
+++ b/crates/comethitchd/src/service/reload.rs
@@ -1,4 +1,4 @@
-//! Acts on signals: stops the router on SIGTERM and SIGINT, and reloads its configuration on SIGHUP.
+//! Handles signals: stops the router on SIGTERM and SIGINT, and reloads its configuration on SIGHUP.
 
 use crate::service::received_signals::ReceivedSignals;
 use crate::stages::updates;
@@ -9,15 +9,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long to retry after SIGHUP while the configuration can't be read or is invalid. A new configuration has to be in
-/// effect four seconds after the signal.
+/// How long to retry a reload after SIGHUP while the configuration can't be read or is invalid. A new
+/// configuration must be in effect four seconds after the signal.
 const RELOAD_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Delay between attempts to reload the configuration.
 const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which received signals are polled.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Handles signals; never completes, since a repeated signal must not kill a router that is shutting down.
+/// Handles signals; never completes. A repeated stop signal has no effect, because it must not kill a router
+/// that is shutting down.
 pub(crate) async fn handle_signals(
     state: Rc<RouterState>, signals: ReceivedSignals, stop: OneShotEvent,
     load_config: impl Fn() -> Result<Config, ConfigError>,
@@ -35,7 +36,8 @@
     }
 }
 
-/// A requested reload, retried because the file may still be being written or be unreadable for a moment.
+/// A requested reload. It is retried because the file may be temporarily unreadable or not yet completely
+/// written.
 #[derive(Clone, Copy)]
 struct PendingReload {
     next_attempt_at: Instant,
@@ -48,7 +50,8 @@
         PendingReload { next_attempt_at: now, give_up_at: now + RELOAD_RETRY_TIMEOUT, has_failed: false }
     }
 
-    /// Reloads the configuration if an attempt is due. Returns the reload if it is still pending.
+    /// Reloads the configuration if an attempt is due. Returns the reload if it is still pending, `None` once
+    /// it has succeeded or been given up.
     fn try_once(
         mut self, state: &RouterState, load_config: &impl Fn() -> Result<Config, ConfigError>,
     ) -> Option<PendingReload> {
--- a/crates/comethitchd/src/service/server.rs
+++ b/crates/comethitchd/src/service/server.rs
@@ -1,4 +1,4 @@
-//! Runs a router from the first bound address to the end of its graceful shutdown.
+//! Runs a router: binds its addresses, serves clients, and shuts down gracefully.
 
 use crate::service::accept_loop::accept_all;
 use crate::service::listener::{self, BindError};
@@ -19,11 +19,11 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Why a router can't serve.
+/// Why a router can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The signal handlers can't be registered.
-    #[error("signals: {0}")]
+    #[error("signal handlers can't be registered: {0}")]
     Signals(#[source] io::Error),
     /// A listening address can't be bound.
     #[error(transparent)]
@@ -33,7 +33,7 @@
     Config(#[from] ConfigError),
 }
 
-/// Serves until SIGTERM or SIGINT; reloads the configuration on SIGHUP.
+/// Serves until SIGTERM or SIGINT is received, and reloads the configuration on SIGHUP.
 ///
 /// # Errors
 ///
@@ -53,18 +53,19 @@
     })
 }
 
-/// Serves until `stop` completes, then shuts down gracefully: requests that were received or still arrive are answered.
+/// Serves until `stop` completes, then shuts down gracefully: requests that were received or still arrive are
+/// answered.
 pub async fn serve(
     state: Rc<RouterState>, protocol: Rc<dyn ClientProtocol<RouterState>>,
     listeners: Vec<Async<TcpListener>>, stop: impl Future<Output = ()>,
 ) {
     listener::prepare_all(&listeners, &state.config);
     spawn_background_tasks(&state);
-    let work = async {
+    let serve_until_stopped = async {
         stop.or(accept_all(&state, &protocol, &listeners)).await;
         shut_down_gracefully(&state, &protocol, listeners).await;
     };
-    state.tasks.run(work).await;
+    state.tasks.run(serve_until_stopped).await;
 }
 
 fn spawn_background_tasks(state: &Rc<RouterState>) {
--- a/crates/comethitchd/src/service/shutdown.rs
+++ b/crates/comethitchd/src/service/shutdown.rs
@@ -1,4 +1,5 @@
-//! Shuts a router down gracefully: accepts and answers requests that are still arriving, then rejects what is left.
+//! Shuts a router down gracefully: accepts and answers requests that still arrive, then rejects the remaining
+//! ones.
 
 use crate::service::accept_loop::accept_all;
 use crate::stages::policy_driver;
@@ -13,20 +14,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long connections are still accepted after the signal to stop: new ones arrive for up to 0.4 s after it.
-const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
-/// Upper bound of the time granted to requests in progress. The supervisor waits for the longest client timeout, but
-/// no longer than this.
-const MAX_TIMEOUT_GRANTED: Duration = Duration::from_secs(3);
-/// How long a shutdown may take beyond the granted time.
+/// How long connections are accepted after the stop signal. New connections arrive for up to 0.4 s after it.
+const ACCEPT_TIME_AFTER_STOP: Duration = Duration::from_millis(500);
+/// Maximum time that requests in progress are given to finish. The supervisor waits for the longest client
+/// timeout, but no longer than this.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
+/// How long a shutdown may take beyond the time that requests in progress are given.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(600);
-/// Final part of the shutdown, reserved for writing the last answers.
-const LAST_WRITES: Duration = Duration::from_millis(150);
-/// Interval at which the number of open client connections is checked.
+/// Time reserved at the end of the shutdown for writing the last answers.
+const LAST_WRITES_TIME: Duration = Duration::from_millis(150);
+/// Interval between checks whether all client connections are closed.
 const CLIENTS_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Accepts connections for `ACCEPT_AFTER_STOP`, closes the listeners, and waits until all clients are closed or the
-/// time to shut down is over.
+/// Accepts connections for `ACCEPT_TIME_AFTER_STOP`, closes the listeners, and waits until all client
+/// connections are closed or the time limit of the shutdown is reached.
 pub(crate) async fn shut_down_gracefully(
     state: &Rc<RouterState>, protocol: &Rc<dyn ClientProtocol<RouterState>>,
     listeners: Vec<Async<TcpListener>>,
@@ -34,7 +35,7 @@
     let client_connections = state.clients.len();
     log::info!(client_connections, requests_in_progress = requests_in_progress(state); "shutting down");
     // Closing the listeners earlier would reset connections that wait to be accepted.
-    accept_all(state, protocol, &listeners).or(after(ACCEPT_AFTER_STOP, ())).await;
+    accept_all(state, protocol, &listeners).or(after(ACCEPT_TIME_AFTER_STOP, ())).await;
     drop(listeners);
     state.clients.close_all();
     all_clients_closed(state).or(reject_remaining_requests(state)).await;
@@ -52,12 +53,13 @@
     }
 }
 
-/// Rejects the requests that are still in progress shortly before the time to shut down is over, and leaves
-/// `LAST_WRITES` for their answers. Clients may wait longer than the timeout of their request class.
+/// Rejects the requests that are still in progress `LAST_WRITES_TIME` before the time limit of the shutdown,
+/// so that their answers can be written. There may be such requests because a client may set a longer timeout
+/// than that of the request class.
 async fn reject_remaining_requests(state: &Rc<RouterState>) {
-    let granted = state.config.longest_timeout().to_std().min(MAX_TIMEOUT_GRANTED);
-    let limit = granted + SHUTDOWN_GRACE - ACCEPT_AFTER_STOP;
-    Timer::after(limit.saturating_sub(LAST_WRITES)).await;
+    let drain_time = state.config.longest_timeout().to_std().min(MAX_DRAIN_TIME);
+    let remaining = drain_time + SHUTDOWN_GRACE - ACCEPT_TIME_AFTER_STOP;
+    Timer::after(remaining.saturating_sub(LAST_WRITES_TIME)).await;
     policy_driver::call(state, EventLoopStep::ShutDown, |router, actions| router.shut_down(actions));
-    Timer::after(LAST_WRITES).await;
+    Timer::after(LAST_WRITES_TIME).await;
 }
--- a/crates/comethitchd/src/service/startup.rs
+++ b/crates/comethitchd/src/service/startup.rs
@@ -1,4 +1,4 @@
-//! Creates the policy's router and the state around it, before any address is listened on.
+//! Creates the policy's router and the state around it, before any connection is accepted.
 
 use crate::stages::{policy_driver, updates};
 use crate::state::clock::Clock;
--- a/crates/comethitchd/src/service/trail.rs
+++ b/crates/comethitchd/src/service/trail.rs
@@ -1,7 +1,7 @@
 //! The command `trail`: sums the logs of many routers, or follows one request's id through them.
 //!
-//! The summary shows why requests were rejected, and how many health checks, connections and attempts there were per
-//! answered request.
+//! The summary shows why requests were rejected, and how many health checks, connections and attempts there
+//! were per answered request.
 //!
 //! ```
 //! use comethitchd::service::trail::LogSummary;
@@ -31,7 +31,8 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trail")]
 pub struct TrailCommand {
-    /// follow the request with this id (the `id=` of its comment) through all logs, in the order of their timestamps
+    /// follow the request with this id (the `id=` of its comment) through all logs, in the order of their
+    /// timestamps
     #[argh(option)]
     id: Option<String>,
     /// log files, or folders of log files
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -1,4 +1,5 @@
-//! Admission: turns a statement into a request by its comment or, with rules for statements, also by its text.
+//! Admission: turns a statement into a request, based on its comment and, if statement rules are configured,
+//! on its text.
 
 use crate::state::router_state::RouterState;
 use crate::wire::statement::{self, CommentError, CommentFields};
@@ -10,24 +11,24 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-/// Maximum timeout of a client: one day.
+/// Maximum timeout that a client may set: one day.
 const MAX_TIMEOUT_MS: u64 = 24 * 60 * 60 * 1000;
-/// Tags of the statements that change only the session.
+/// Command tags of the statements that change only session state.
 const SESSION_STATEMENT_TAGS: [&str; 3] = ["SET", "RESET", "DISCARD"];
 
-/// A statement as a client protocol has read it.
+/// A statement as received by a client protocol.
 pub struct StatementRequest<'a> {
-    /// The statement, with its comment.
+    /// The text of the statement, including its comment.
     pub text: &'a [u8],
     /// The arguments that were sent separately from the text.
     pub arguments: &'a [Argument],
-    /// When the last byte of the statement arrived.
+    /// Time at which the last byte of the statement arrived.
     pub arrived: Timestamp,
-    /// The client's machine, whose statements share one budget for parsing.
+    /// Identifies the client's machine. All statements from one machine share a parsing budget.
     pub origin: u64,
 }
 
-/// A request that can be submitted to the policy, apart from the statement's text.
+/// A request that is ready to be submitted to the policy, without the statement's text.
 pub struct AdmittedRequest {
     /// The id that the client gave the request, or a generated one.
     pub client_id: String,
@@ -35,25 +36,25 @@
     pub timeout_range: Option<Range<usize>>,
     /// The statement's shape, if statements are classified by their text.
     pub shape: Option<Rc<KnownShape>>,
-    /// The request class, by index.
+    /// The index of the request class.
     pub class: usize,
-    /// The shard.
+    /// The shard that holds the request's data.
     pub shard: ShardId,
-    /// The session key: requests of one session may stay on one host.
+    /// The session key: the policy may keep requests with the same key on one host.
     pub session: u64,
-    /// The commit that the request must see.
+    /// The time of the commit that the request must see, if the client gave one.
     pub after: Option<Timestamp>,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting for the answer.
     pub deadline: Timestamp,
 }
 
-/// Why a statement is no valid request. The messages are sent to clients.
+/// Why a statement is not a valid request. The messages are sent to clients.
 #[derive(Debug, thiserror::Error)]
 pub enum StatementError {
     /// The comment is missing or malformed, or is not followed by a statement that hosts support.
     #[error(transparent)]
     Comment(#[from] CommentError),
-    /// The comment lacks a field that the rules for statements do not supply.
+    /// The comment lacks a required field, and the statement rules do not supply it.
     #[error("the statement's comment must hold id, c, d and cluster: the rules admit none without")]
     CommentIncomplete,
     /// No request class has this name.
@@ -68,13 +69,13 @@
         /// The id in the comment.
         id: String,
     },
-    /// The client's timeout exceeds the maximum.
+    /// The client's timeout exceeds the maximum of one day.
     #[error("d is more than a day: {timeout_ms}")]
     TimeoutTooLong {
         /// The timeout in the comment.
         timeout_ms: u64,
     },
-    /// The rules for statements reject it.
+    /// The statement rules reject the statement.
     #[error("{0}")]
     Rejected(AssignmentError),
 }
@@ -94,10 +95,10 @@
 /// Why a statement was not admitted.
 #[derive(Debug, thiserror::Error)]
 pub enum AdmissionError {
-    /// The statement is no valid request.
+    /// The statement is not a valid request.
     #[error(transparent)]
     Invalid(#[from] StatementError),
-    /// The client's budget for parsing statements is exhausted. The statement may be retried.
+    /// The parsing budget is exhausted. The client may retry the statement.
     #[error("the budget for parsing is spent")]
     Throttled,
 }
@@ -111,11 +112,11 @@
     }
 }
 
-/// Admits a statement by its comment or, if there are rules for statements, also by its text.
+/// Admits a statement based on its comment and, if statement rules are configured, on its text.
 ///
 /// # Errors
 ///
-/// If the statement is no valid request, or the client's budget for parsing statements is exhausted.
+/// If the statement is not a valid request, or the parsing budget is exhausted.
 pub fn admit(state: &RouterState, request: &StatementRequest<'_>) -> Result<AdmittedRequest, AdmissionError> {
     state.statement_rules.with_admission(|admission| match admission {
         None => Ok(admit_by_comment(state, request)?),
@@ -141,8 +142,9 @@
     })
 }
 
-/// Admits a statement by the rules, which supply the fields that its comment lacks. A comment may not be less strict
-/// than its text.
+/// Admits a statement based on its text. The rules supply the fields that its comment lacks. If the comment
+/// names a request class that does not allow the effect of the text, the rules decide whether the statement
+/// is rejected or assigned to another class.
 fn admit_by_text(
     state: &RouterState, admission: &mut StatementAdmission, request: &StatementRequest<'_>,
 ) -> Result<AdmittedRequest, AdmissionError> {
@@ -154,20 +156,21 @@
     check_id_and_timeout(state, &client_id, timeout_ms)?;
     let hints = StatementHints { class, shard: fields.shard };
     let clock = || state.clock.now();
-    let passed = admission.admit_with_arguments(text, arguments, hints, request.origin, &clock)?;
+    let admitted = admission.admit_with_arguments(text, arguments, hints, request.origin, &clock)?;
     Ok(AdmittedRequest {
-        class: passed.assignment.class,
-        shard: passed.assignment.shard,
-        session: passed.assignment.session.unwrap_or_else(|| statement::session_key(text)),
+        class: admitted.assignment.class,
+        shard: admitted.assignment.shard,
+        session: admitted.assignment.session.unwrap_or_else(|| statement::session_key(text)),
         after: fields.after_ms.map(Timestamp::from_millis),
         deadline: request.arrived + Duration::from_millis(timeout_ms),
         client_id,
         timeout_range: fields.timeout.map(|timeout| timeout.range),
-        shape: Some(passed.shape),
+        shape: Some(admitted.shape),
     })
 }
 
-/// Returns the fields of the comment that the statement begins with; no fields without a comment.
+/// Returns the fields of the comment at the start of the statement, or no fields if it does not start with a
+/// comment.
 fn comment_fields(text: &[u8]) -> Result<CommentFields<'_>, StatementError> {
     match statement::parse_comment(text) {
         Ok(fields) => Ok(fields),
@@ -176,12 +179,13 @@
     }
 }
 
-/// Returns the client's timeout: from its comment, or from the rules if they admit incomplete comments.
+/// Returns the client's timeout in milliseconds: from the comment, or from the rules if they admit incomplete
+/// comments and the comment sets none.
 fn timeout_ms(admission: &StatementAdmission, fields: &CommentFields<'_>) -> Result<u64, StatementError> {
     let comment_timeout_ms = fields.timeout.as_ref().map(|timeout| timeout.ms);
-    let complete = fields.id.is_some() && fields.class.is_some() && fields.shard.is_some();
+    let has_other_fields = fields.id.is_some() && fields.class.is_some() && fields.shard.is_some();
     match (comment_timeout_ms, &admission.rules().comment_defaults) {
-        (Some(timeout_ms), _) if complete => Ok(timeout_ms),
+        (Some(timeout_ms), _) if has_other_fields => Ok(timeout_ms),
         (_, Some(defaults)) => Ok(comment_timeout_ms.unwrap_or(defaults.timeout_ms)),
         (_, None) => Err(StatementError::CommentIncomplete),
     }
@@ -202,10 +206,10 @@
     Ok(())
 }
 
-/// Returns the tag that answers a statement which changes only the session and has no effect here; none for any other
-/// statement.
+/// Returns the command tag of a statement that changes only session state, or `None` for any other statement.
+/// The router keeps no session state, so it answers such a statement with the tag and does nothing else.
 pub fn session_statement(state: &RouterState, text: &[u8]) -> Option<&'static str> {
-    // Rules admit any text: several statements are then admitted together.
+    // With statement rules, a text of several statements is admitted as one request, whatever it starts with.
     if state.statement_rules.are_present() && has_several_statements(text) {
         return None;
     }
@@ -213,7 +217,7 @@
     SESSION_STATEMENT_TAGS.into_iter().find(|tag| word.eq_ignore_ascii_case(tag.as_bytes()))
 }
 
-/// Returns whether a semicolon precedes the end of the text.
+/// Returns whether the text contains a semicolon other than a final one.
 fn has_several_statements(text: &[u8]) -> bool {
     let text = text.trim_ascii_end();
     text.strip_suffix(b";").unwrap_or(text).contains(&b';')
--- a/crates/comethitchd/src/stages/attempt_end.rs
+++ b/crates/comethitchd/src/stages/attempt_end.rs
@@ -1,4 +1,5 @@
-//! Records how attempts ended: counts them, answers their requests with the values, and keeps hosts' errors.
+//! Records how attempts ended: counts their outcomes, answers requests with the values, and stores errors of
+//! hosts.
 
 use crate::stages::reply;
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
@@ -6,8 +7,8 @@
 use crate::state::router_state::RouterState;
 use comethitch_policy::{AttemptOutcome, RequestId};
 
-/// Records the end of an attempt, whose value is the final answer if the request has none yet. Returns whether the
-/// request has its final answer.
+/// Records the end of an attempt. `payload` is a value, which becomes the request's final answer unless it
+/// already has one, or the error response of the host. Returns whether the request now has its final answer.
 pub fn record(
     state: &RouterState, id: RequestId, attempt: u16, completion: &Result<(), ConnectionError>,
     payload: Vec<u8>,
@@ -20,7 +21,7 @@
         state.requests.record_host_error(id, payload);
     }
     if let Some(task) = state.requests.take_attempt(id, attempt) {
-        // The task itself is running this: dropping it would cancel it.
+        // This code runs within the task, and dropping the task would cancel it.
         task.detach();
     }
     let answered = state.requests.is_answered(id);
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -1,4 +1,4 @@
-//! Calls the policy, and carries out the actions that it decided on after the call has returned.
+//! Calls the policy, and carries out the actions that the call queued once it has returned.
 
 use crate::stages::admit::AdmittedRequest;
 use crate::stages::{attempt_end, reply};
@@ -17,24 +17,25 @@
 };
 use std::rc::{Rc, Weak};
 
-/// Delay of the first tick after a stall of the event loop, in which the input that arrived meanwhile is read: clients
-/// may have disconnected or cancelled, hosts may have answered.
-const READ_AFTER_STALL: std::time::Duration = std::time::Duration::from_millis(2);
+/// Delay of the first tick after a stall of the event loop, so that input that arrived during the stall is
+/// read before the tick: clients may have disconnected or cancelled requests, and hosts may have answered.
+const TICK_DELAY_AFTER_STALL: std::time::Duration = std::time::Duration::from_millis(2);
 
-/// Calls the policy, then carries out its actions.
-pub fn call(state: &Rc<RouterState>, step: EventLoopStep, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
-    let actions = state.call_policy(step, call);
+/// Calls the policy by `f`, measured as `step`, and then carries out the queued actions.
+pub fn call(state: &Rc<RouterState>, step: EventLoopStep, f: impl FnOnce(&mut Router, &mut ActionQueue)) {
+    let actions = state.call_policy(step, f);
     carry_out(state, actions);
 }
 
-/// An attempt that ended while actions were carried out.
+/// An attempt that ended while actions were carried out, because it was cancelled or could not be sent.
 struct EndedAttempt {
     request: RequestId,
     attempt: u16,
     error: ConnectionError,
 }
 
-/// Carries out actions in order. Attempts that are cancelled or not sent are reported to the policy after all of them.
+/// Carries out actions in order. Attempts that were cancelled or not sent are reported to the policy after
+/// the last action.
 pub fn carry_out(state: &Rc<RouterState>, queue: ActionQueue) {
     let mut ended = Vec::new();
     for action in queue.actions {
@@ -57,7 +58,7 @@
             Action::CheckHealth(host) => state.backend.check_health(state, host),
             Action::CloseIdleConnections(host) => close_idle_connections(state, host),
             Action::WakeAfter(delay) => wake_after(state, delay),
-            // The watch of the endpoint list always runs.
+            // Nothing to do: the endpoint watch always runs.
             Action::WatchEndpoints => {}
         }
     }
@@ -66,7 +67,7 @@
     }
 }
 
-/// Gives a request the policy's final answer, and logs its reason.
+/// Gives a request the final answer of the policy's rejection; counts and logs its reason.
 fn reject(state: &RouterState, request: RequestId, answer: Reply, reason: RejectionReason) {
     let statement = state.requests.statement(request);
     let answer_kind = answer.kind();
@@ -85,18 +86,18 @@
 fn wake_after(state: &Rc<RouterState>, delay: Duration) {
     state.clock.schedule_tick(delay);
     let woken_state = state.clone();
-    let tick = async move {
+    let tick_task = async move {
         Timer::after(delay.to_std()).await;
         if woken_state.clock.has_just_stalled() {
-            Timer::after(READ_AFTER_STALL).await;
+            Timer::after(TICK_DELAY_AFTER_STALL).await;
         }
         woken_state.clock.record_tick();
         call(&woken_state, EventLoopStep::Tick, |router, actions| router.tick(actions));
     };
-    state.tasks.spawn(tick).detach();
+    state.tasks.spawn(tick_task).detach();
 }
 
-/// Reports the end of an attempt to the policy, as its answer begins to be streamed to the client.
+/// Reports an attempt to the policy as answered when its answer begins to be streamed to the client.
 pub fn answer_started(state: &Rc<RouterState>, id: RequestId, attempt: u16) {
     let end = AttemptEnd {
         attempt,
@@ -128,8 +129,8 @@
 
 /// Submits a request to the policy; returns its id, and the channel that its final answer is sent to.
 ///
-/// `text` and `message_kind` are the statement as the backend protocol sends it. No attempt is sent after `client` has
-/// ended.
+/// `text` and `message_kind` are the statement in the form in which the backend protocol sends it. No further
+/// attempt is sent once the connection `client` has ended.
 pub fn submit(
     state: &Rc<RouterState>, admitted: AdmittedRequest, text: Vec<u8>, message_kind: u8, client: Weak<Socket>,
 ) -> (RequestId, Receiver<Reply>) {
--- a/crates/comethitchd/src/stages/reply.rs
+++ b/crates/comethitchd/src/stages/reply.rs
@@ -1,4 +1,4 @@
-//! Gives requests their final answers, counts them, and logs rejections.
+//! Gives requests their final answers, counts the answers, and logs rejections.
 
 use crate::state::metrics::Counter;
 use crate::state::pending_requests::{AnswerKind, Reply};
@@ -7,7 +7,8 @@
 
 /// Gives a request its final answer. Returns false if it was answered before or its client has disconnected.
 ///
-/// A failure carries the host's error response to the latest attempt, if there is one.
+/// If the request failed and a host responded to its latest attempt with an error, the answer carries that
+/// error.
 pub fn answer(state: &RouterState, id: RequestId, reply: Reply) -> bool {
     let reply = with_host_error(state, id, reply);
     let counter = counter_of(state, reply.kind());
@@ -18,7 +19,7 @@
     delivered
 }
 
-/// Logs a rejected request. `id` is empty if the request's id was not read.
+/// Logs a rejected request. `id` is the client's id of the request, or empty if it is not known.
 pub fn log_rejection(id: &str, reason: &'static str, answer: AnswerKind) {
     log::info!(id, reason, answer = answer.name(); "request rejected");
 }
--- a/crates/comethitchd/src/stages/updates.rs
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -1,4 +1,4 @@
-//! Updates of a running router: endpoint lists from discovery, and reloads of the configuration.
+//! Updates of a running router: endpoint lists from the discovery service, and configuration reloads.
 
 use crate::stages::policy_driver;
 use crate::state::config::{Config, ConfigError};
@@ -9,21 +9,24 @@
 use comethitch_statement::Rules;
 use std::rc::Rc;
 
-/// Why a reloaded configuration is not applied.
+/// Why a reloaded configuration was not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The dialect of the rules for statements has changed, which is that of the protocol in use.
-    #[error("dialect has changed, which needs a new start")]
+    /// The dialect of the statement rules has changed. It must match the protocol, which is selected at
+    /// start.
+    #[error("dialect can't be changed by a reload: restart the router")]
     DialectChanged,
-    /// The cache of statement shapes has grown, which the memory for buffers was computed with.
-    #[error("cache.kib has grown, which needs a new start")]
+    /// The cache of statement shapes has grown. The memory for buffers was computed at start from the
+    /// previous size.
+    #[error("cache.kib can't be increased by a reload: restart the router")]
     CacheGrown,
     /// The new configuration is not valid.
     #[error(transparent)]
     Config(#[from] ConfigError),
 }
 
-/// Applies an endpoint list or an update to the directory, the idle connections and the policy.
+/// Applies a complete endpoint list or an update of it to the endpoint directory, the idle connections and
+/// the policy.
 pub fn apply_endpoint_list(state: &Rc<RouterState>, list: &EndpointList) {
     state.metrics.steps.measure(EventLoopStep::ApplyList, || {
         state.hosts.apply_endpoint_list(list);
@@ -35,11 +38,13 @@
     });
 }
 
-/// Applies the changes of a reloaded configuration that a running router can take over, and logs the others.
+/// Applies the changes in a reloaded configuration that a running router can apply, and logs the keys of the
+/// others, which take effect after a restart.
 ///
 /// # Errors
 ///
-/// If the configuration is not valid; then nothing is changed.
+/// If the configuration is not valid, or its statement rules can't be applied by a reload. Nothing is changed
+/// then.
 pub fn reload(state: &RouterState, reloaded: Result<Config, ConfigError>) -> Result<(), ReloadError> {
     // Everything that can fail comes before the first change.
     let config = reloaded?;
@@ -61,8 +66,8 @@
     state.discovery.replace(config.discovery);
 }
 
-/// Replaces the rules for statements if they have changed, for the request classes of the running configuration. The
-/// known statement shapes are dropped with the old rules.
+/// Replaces the statement rules if they have changed, after checking them against the request classes of the
+/// running configuration. The cache of statement shapes is dropped together with the old rules.
 fn reload_statement_rules(state: &RouterState, config: &Config) -> Result<(), ReloadError> {
     if !check_rules_changed(state, config)? {
         return Ok(());
@@ -77,7 +82,7 @@
     Ok(())
 }
 
-/// Returns whether the rules for statements have changed, after a check that a running router can take them over.
+/// Returns whether the statement rules have changed. Fails if a reload can't apply the changes.
 fn check_rules_changed(state: &RouterState, config: &Config) -> Result<bool, ReloadError> {
     let current = state.statement_rules.current();
     if let (Some(current), Some(new)) = (&current, &config.statements) {
@@ -86,7 +91,7 @@
     Ok(current.as_deref() != config.statements.as_ref())
 }
 
-/// Checks that no rule has changed that is fixed in a running router.
+/// Checks that only those parts of the statement rules have changed that a running router can change.
 fn check_fixed_rules(current: &Rules, new: &Rules) -> Result<(), ReloadError> {
     if current.dialect != new.dialect {
         return Err(ReloadError::DialectChanged);
