--- a/crates/comethitchd/examples/demo.rs
+++ b/crates/comethitchd/examples/demo.rs
@@ -1,7 +1,7 @@
-//! A router between scripted hosts and clients, with a failover of the primary: `make demo`.
+//! Runs a router between clients and scripted hosts during a failover of the primary: `make demo`.
 //!
-//! Prints how the clients' requests were answered before, during and after the failover, and the violations of the
-//! router's rules.
+//! Prints how the clients' requests were answered before, during and after the failover, and any violations
+//! of the router's rules.
 
 use async_io::Async;
 use comethitch_testkit::{Client, Exchange, Host, HostBehavior, Ledger, Protocol, Reply};
@@ -20,13 +20,13 @@
 const HOST_NAMES: [&str; 3] = ["db-1", "db-2", "db-3"];
 const HOST_LATENCY: Duration = Duration::from_millis(3);
 const CLIENTS: usize = 4;
-/// Number of requests of a client for each write among them.
+/// One in this many requests of a client is a write.
 const REQUESTS_PER_WRITE: usize = 4;
-const BEFORE_FAILOVER: Duration = Duration::from_secs(2);
-const WITHOUT_PRIMARY: Duration = Duration::from_millis(500);
-const AFTER_FAILOVER: Duration = Duration::from_secs(3);
-/// An address at which no discovery service listens.
-const NO_DISCOVERY: &str = "127.0.0.1:1";
+const TIME_BEFORE_CRASH: Duration = Duration::from_secs(2);
+const TIME_WITHOUT_PRIMARY: Duration = Duration::from_millis(500);
+const TIME_AFTER_FAILOVER: Duration = Duration::from_secs(3);
+/// The configured address of the discovery service. Nothing listens there.
+const DISCOVERY_ADDRESS: &str = "127.0.0.1:1";
 const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 fn main() {
@@ -34,8 +34,9 @@
     let hosts = start_hosts(&ledger);
     let router = DemoRouter::start(&hosts);
     println!(
-        "A router at {} before three hosts; {CLIENTS} clients unlock chapters and read pages.",
-        router.address
+        "Router at {}, {} hosts, and {CLIENTS} clients that send reads and writes",
+        router.address,
+        hosts.len()
     );
     let exchanges = run_clients(router.address, &hosts);
     router.stop();
@@ -45,29 +46,30 @@
 
 /// Starts the hosts. The first one is the primary.
 fn start_hosts(ledger: &Ledger) -> Vec<Host> {
-    let start = |(index, name): (usize, &&str)| {
+    let start_host = |(index, name): (usize, &&str)| {
         let host = Host::start(name, Protocol::Postgres, index == 0, ledger);
         host.script(|_, _| HostBehavior::AnswerAfter(HOST_LATENCY));
         host
     };
-    HOST_NAMES.iter().enumerate().map(start).collect()
+    HOST_NAMES.iter().enumerate().map(start_host).collect()
 }
 
-/// Returns the deployed configuration with a static endpoint list of these hosts.
+/// Returns the configuration in `deploy`, with an initial endpoint list of these hosts.
 fn configuration(hosts: &[Host]) -> Value {
     let entry = |(index, host): (usize, &Host)| {
         json!({"host": HOST_NAMES[index], "dial": host.address.to_string(), "site": "north", "block": 0,
-            "health": "ready", "share": 1.0, "rank": if index == 0 { "source" } else { "copy" }, "born_ms": 0})
+            "health": "ready", "share": 1.0, "rank": if index == 0 { "source" } else { "copy" },
+            "born_ms": 0})
     };
     let entries: Vec<Value> = hosts.iter().enumerate().map(entry).collect();
-    let mut configuration: Value =
-        serde_json::from_str(include_str!("../../../deploy/configuration.json")).expect("JSON");
+    let mut configuration: Value = serde_json::from_str(include_str!("../../../deploy/configuration.json"))
+        .expect("deploy/configuration.json is not JSON");
     configuration["known"] = json!({"seq": 1, "whole": true, "hosts": entries});
-    configuration["discovery"] = NO_DISCOVERY.into();
+    configuration["discovery"] = DISCOVERY_ADDRESS.into();
     configuration
 }
 
-/// A router on a thread of its own.
+/// A router on a separate thread.
 struct DemoRouter {
     address: SocketAddr,
     stop: async_channel::Sender<()>,
@@ -78,8 +80,8 @@
     fn start(hosts: &[Host]) -> DemoRouter {
         let configuration = configuration(hosts);
         let rules = include_str!("../../../deploy/statements.json");
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("can't bind a loopback port");
+        let address = listener.local_addr().expect("listener has no local address");
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = std::thread::spawn(move || serve(&configuration, rules, listener, stopped));
         DemoRouter { address, stop, thread }
@@ -87,30 +89,30 @@
 
     fn stop(self) {
         self.stop.close();
-        self.thread.join().expect("the router ends without a panic");
+        self.thread.join().expect("router thread panicked");
     }
 }
 
-/// Serves until the channel is closed.
+/// Runs the router until the channel is closed.
 fn serve(configuration: &Value, rules: &str, listener: TcpListener, stopped: async_channel::Receiver<()>) {
-    let config = Config::read(&configuration.to_string(), |_| None).expect("a configuration");
-    let config = config.with_statement_rules(rules).expect("rules");
+    let config = Config::read(&configuration.to_string(), |_| None).expect("configuration is invalid");
+    let config = config.with_statement_rules(rules).expect("deploy/statements.json is invalid");
     let protocol = RouterProtocol::postgres();
-    let state = startup::start(config, Clock::start(), protocol.backend).expect("a router");
-    let listener = Async::new(listener).expect("a listener");
+    let state = startup::start(config, Clock::start(), protocol.backend).expect("router can't be started");
+    let listener = Async::new(listener).expect("listener can't be registered with the event loop");
     async_io::block_on(server::serve(state, protocol.client, vec![listener], async {
         let _ = stopped.recv().await;
     }));
 }
 
-/// A request with its answer.
+/// A request, its answer and the time of the answer.
 struct TimedExchange {
-    /// Time from the start of the demo to the answer.
+    /// Time from the start of the clients to the answer.
     answered_at: Duration,
     exchange: Exchange,
 }
 
-/// Runs all clients during a failover.
+/// Runs all clients concurrently during a failover, and returns their requests and answers.
 fn run_clients(router: SocketAddr, hosts: &[Host]) -> Vec<TimedExchange> {
     let stop = AtomicBool::new(false);
     let started = Instant::now();
@@ -123,7 +125,7 @@
         fail_over(hosts, started);
         stop.store(true, Ordering::SeqCst);
     });
-    exchanges.into_inner().expect("no client panicked")
+    exchanges.into_inner().expect("client thread panicked")
 }
 
 fn run_client(
@@ -139,7 +141,7 @@
         let answer = connection.execute(&text);
         let exchange = Exchange { text, answers: vec![answer] };
         let exchange = TimedExchange { answered_at: started.elapsed(), exchange };
-        exchanges.lock().expect("no client panicked").push(exchange);
+        exchanges.lock().expect("client thread panicked").push(exchange);
     }
 }
 
@@ -151,24 +153,24 @@
     format!("SELECT data FROM facts WHERE code = '{key}'")
 }
 
-/// Crashes the primary, and later promotes the second host.
+/// Crashes the primary after `TIME_BEFORE_CRASH`, and promotes the second host `TIME_WITHOUT_PRIMARY` later.
 fn fail_over(hosts: &[Host], started: Instant) {
-    std::thread::sleep(BEFORE_FAILOVER);
+    std::thread::sleep(TIME_BEFORE_CRASH);
     println!("{:4} ms: db-1, the primary, crashes", started.elapsed().as_millis());
     hosts[0].set_down(true);
-    std::thread::sleep(WITHOUT_PRIMARY);
+    std::thread::sleep(TIME_WITHOUT_PRIMARY);
     println!("{:4} ms: failover: db-2 becomes the primary", started.elapsed().as_millis());
     hosts[1].set_primary(true);
-    std::thread::sleep(AFTER_FAILOVER);
+    std::thread::sleep(TIME_AFTER_FAILOVER);
 }
 
-/// Prints a table of the answers in each phase.
+/// Prints a table with the number of answers of each kind in each phase.
 fn print_answers(exchanges: &[TimedExchange]) {
     println!("\n| | answered | throttled | failed |\n| --- | --- | --- | --- |");
-    let failover_at = BEFORE_FAILOVER + WITHOUT_PRIMARY;
+    let failover_at = TIME_BEFORE_CRASH + TIME_WITHOUT_PRIMARY;
     let phases = [
-        ("before the crash", Duration::ZERO..BEFORE_FAILOVER),
-        ("without a primary", BEFORE_FAILOVER..failover_at),
+        ("before the crash", Duration::ZERO..TIME_BEFORE_CRASH),
+        ("without a primary", TIME_BEFORE_CRASH..failover_at),
         ("after the failover", failover_at..Duration::MAX),
     ];
     for (name, phase) in phases {
@@ -183,7 +185,7 @@
     }
 }
 
-/// Checks the answers against the ledger of the hosts.
+/// Checks the answers against what the hosts recorded.
 ///
 /// # Panics
 ///
@@ -198,5 +200,5 @@
         violations.len()
     );
     violations.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
-    assert!(violations.is_empty(), "a rule was violated");
+    assert!(violations.is_empty(), "the router violated its rules");
 }
--- a/crates/comethitchd/examples/fronts.rs
+++ b/crates/comethitchd/examples/fronts.rs
@@ -1,5 +1,5 @@
-//! Measures the processor time per request of the router for each protocol, compared with a plain forwarder of bytes,
-//! on loopback. Prints the table of docs/measured/fronts.md:
+//! Measures the CPU time that the router uses per request on loopback, for each protocol, and compares it
+//! with that of a plain byte forwarder. Prints the table of docs/measured/fronts.md:
 //!
 //!     cargo run --release -p comethitchd --example fronts
 
@@ -22,9 +22,10 @@
 
 const CLIENTS: usize = 8;
 const REQUESTS_PER_CLIENT: usize = 4_000;
+/// Number of measurements of each case; the table shows their medians.
 const ROUNDS: usize = 5;
 
-/// Returns the processor time of this thread, in microseconds.
+/// Returns the CPU time that this thread has used, in microseconds.
 fn thread_cpu_us() -> f64 {
     let used = clock_gettime(ClockId::ThreadCPUTime);
     used.tv_sec as f64 * 1e6 + used.tv_nsec as f64 / 1e3
@@ -34,18 +35,20 @@
 struct Intermediary {
     address: SocketAddr,
     stop: async_channel::Sender<()>,
-    /// Returns the processor time of the thread, in microseconds.
+    /// Returns the CPU time that the thread has used, in microseconds.
     thread: JoinHandle<f64>,
 }
 
 fn start_router(protocol: Protocol, host: &Host) -> Intermediary {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can't bind a loopback port");
+    let address = listener.local_addr().expect("listener has no local address");
     let (stop, stopped) = async_channel::bounded::<()>(1);
-    let mut configuration: Value =
-        serde_json::from_str(include_str!("../../../deploy/configuration.json")).expect("JSON");
-    configuration["known"] = json!({"seq": 1, "whole": true, "hosts": [{"host": "p", "dial": host.address.to_string(),
-        "site": "north", "block": 0, "health": "ready", "share": 1.0, "rank": "source", "born_ms": 0}]});
+    let mut configuration: Value = serde_json::from_str(include_str!("../../../deploy/configuration.json"))
+        .expect("deploy/configuration.json is not JSON");
+    configuration["known"] = json!({"seq": 1, "whole": true, "hosts": [{
+        "host": "p", "dial": host.address.to_string(), "site": "north", "block": 0, "health": "ready",
+        "share": 1.0, "rank": "source", "born_ms": 0
+    }]});
     configuration["discovery"] = "127.0.0.1:1".into();
     let rules = json!({
         "dialect": if protocol == Protocol::Tds { "tsql" } else { "postgres" },
@@ -54,17 +57,19 @@
             {"group": "write", "effects": ["locking_read", "session", "write", "unknown"]}]
     });
     let thread = std::thread::spawn(move || {
-        let config = Config::read(&configuration.to_string(), |_| None).expect("a configuration");
-        let config = config.with_statement_rules(&rules.to_string()).expect("rules");
-        let listener = Async::new(listener).expect("a listener");
+        let config = Config::read(&configuration.to_string(), |_| None).expect("configuration is invalid");
+        let config = config.with_statement_rules(&rules.to_string()).expect("statement rules are invalid");
+        let listener = Async::new(listener).expect("listener can't be registered with the event loop");
         let protocol = match protocol {
             Protocol::Postgres => RouterProtocol::postgres(),
             Protocol::Tds => {
-                let settings = TdsSettings::read(include_str!("../../../deploy/tds.json")).expect("settings");
-                RouterProtocol::tds(settings, &config).expect("a protocol")
+                let settings = TdsSettings::read(include_str!("../../../deploy/tds.json"))
+                    .expect("deploy/tds.json is invalid");
+                RouterProtocol::tds(settings, &config).expect("TDS does not accept the configuration")
             }
         };
-        let state = startup::start(config, Clock::start(), protocol.backend).expect("a router");
+        let state =
+            startup::start(config, Clock::start(), protocol.backend).expect("router can't be started");
         async_io::block_on(server::serve(state, protocol.client, vec![listener], async {
             let _ = stopped.recv().await;
         }));
@@ -73,17 +78,17 @@
     Intermediary { address, stop, thread }
 }
 
-/// Starts a forwarder with a connection to the host for each client.
+/// Starts a forwarder that opens a connection to the host for each client.
 fn start_forwarder(host: SocketAddr) -> Intermediary {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can't bind a loopback port");
+    let address = listener.local_addr().expect("listener has no local address");
     let (stop, stopped) = async_channel::bounded::<()>(1);
     let thread = std::thread::spawn(move || {
         let tasks = LocalExecutor::new();
-        let listener = Async::new(listener).expect("a listener");
+        let listener = Async::new(listener).expect("listener can't be registered with the event loop");
         let accept = async {
             loop {
-                let (client, _) = listener.accept().await.expect("a client");
+                let (client, _) = listener.accept().await.expect("accepting a client failed");
                 tasks.spawn(forward(client, host)).detach();
             }
         };
@@ -98,7 +103,7 @@
 
 /// Forwards the bytes of a client's connection in both directions.
 async fn forward(client: Async<TcpStream>, host: SocketAddr) {
-    let host = Async::<TcpStream>::connect(host).await.expect("the host");
+    let host = Async::<TcpStream>::connect(host).await.expect("can't connect to the host");
     let _ = client.get_ref().set_nodelay(true);
     let _ = host.get_ref().set_nodelay(true);
     or(copy(&client, &host), copy(&host, &client)).await;
@@ -113,9 +118,9 @@
     }
 }
 
-/// Processor time and throughput of one round.
+/// CPU time and throughput of one case in one round.
 struct Measurement {
-    /// Processor time of the intermediary per request, in microseconds.
+    /// CPU time that the intermediary used per request, in microseconds.
     cpu_us: f64,
     requests_per_second: f64,
 }
@@ -125,7 +130,7 @@
     let host = Host::start("p", case.protocol, true, &Ledger::default());
     let intermediary =
         if case.is_forwarder { start_forwarder(host.address) } else { start_router(case.protocol, &host) };
-    let began = Instant::now();
+    let started = Instant::now();
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
             let address = intermediary.address;
@@ -133,9 +138,9 @@
         }
     });
     let requests = (CLIENTS * REQUESTS_PER_CLIENT) as f64;
-    let requests_per_second = requests / began.elapsed().as_secs_f64();
+    let requests_per_second = requests / started.elapsed().as_secs_f64();
     intermediary.stop.close();
-    let cpu_us = intermediary.thread.join().expect("no panic") / requests;
+    let cpu_us = intermediary.thread.join().expect("intermediary thread panicked") / requests;
     Measurement { cpu_us, requests_per_second }
 }
 
@@ -169,7 +174,7 @@
 
 fn main() {
     println!("| between clients and host | CPU per request | requests per second |\n| --- | --- | --- |");
-    // Alternated, so that other load of the machine affects all cases alike.
+    // Each round measures all cases in turn, so that other load on the machine affects all of them alike.
     let mut rounds: Vec<Vec<Measurement>> = Vec::new();
     for _ in 0..ROUNDS {
         rounds.push(CASES.iter().map(measure).collect());
--- a/crates/comethitchd/src/bin/comethitch.rs
+++ b/crates/comethitchd/src/bin/comethitch.rs
@@ -1,4 +1,5 @@
-//! The command line of the operator's tool: `classify`, `schema` and `trail`, which need no running router.
+//! The command line of the operator's tool: the commands `classify`, `schema` and `trail`, which need no
+//! running router.
 
 use argh::FromArgs;
 use comethitch_statement::Rules;
@@ -8,7 +9,7 @@
 use comethitchd::service::trail::{TrailCommand, TrailError};
 use std::process::ExitCode;
 
-/// Tools around the query router.
+/// Tools for operators of the query router.
 #[derive(FromArgs)]
 struct CommandLine {
     #[argh(subcommand)]
@@ -23,19 +24,19 @@
     Trail(TrailCommand),
 }
 
-/// Print the JSON schema of an operator's file.
+/// Print the JSON schema of a file that operators write.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "schema")]
 struct Schema {
-    /// the file: statements or tds
+    /// the kind of file: statements (statement rules) or tds (TDS settings)
     #[argh(positional)]
     file: String,
 }
 
-/// Why a schema could not be printed.
+/// Why a schema can't be printed.
 #[derive(Debug, thiserror::Error)]
 enum SchemaError {
-    #[error("there are schemas of statements and tds, none of {file:?}")]
+    #[error("unknown file {file:?}: must be statements or tds")]
     UnknownFile { file: String },
     #[error(transparent)]
     Json(#[from] serde_json::Error),
--- a/crates/comethitchd/src/main.rs
+++ b/crates/comethitchd/src/main.rs
@@ -30,38 +30,40 @@
     Version(Version),
 }
 
-/// Serve clients until SIGTERM; SIGHUP reloads the configuration.
+/// Serve clients until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration; by default the file that `RELAY_CONFIG` names
+    /// the configuration file; by default the file that the environment variable `RELAY_CONFIG` names
     #[argh(option)]
     configuration: Option<PathBuf>,
-    /// the statement rules, as in deploy/statements.json; without them statements need a comment
+    /// the file of statement rules, in the format of deploy/statements.json; without it, statements need a
+    /// comment
     #[argh(option)]
     statements: Option<PathBuf>,
-    /// the TDS settings, as in deploy/tds.json; without them the router speaks PostgreSQL's protocol
+    /// the file of TDS settings, in the format of deploy/tds.json; without it, the router speaks the
+    /// PostgreSQL protocol
     #[argh(option)]
     tds: Option<PathBuf>,
     /// the log level: error, warn, info (default), debug or trace
     #[argh(option, default = "LevelFilter::Info")]
     log: LevelFilter,
-    /// the format of the log: text (default) or json
+    /// the log format: text (default) or json
     #[argh(option, default = "LogFormat::Text")]
     log_form: LogFormat,
 }
 
-/// Check the configuration and report errors, without serving.
+/// Check the configuration files and report errors, without serving clients.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration; by default the file that `RELAY_CONFIG` names
+    /// the configuration file; by default the file that the environment variable `RELAY_CONFIG` names
     #[argh(option)]
     configuration: Option<PathBuf>,
-    /// the statement rules, checked too
+    /// the file of statement rules to check
     #[argh(option)]
     statements: Option<PathBuf>,
-    /// the TDS settings, checked too
+    /// the file of TDS settings to check
     #[argh(option)]
     tds: Option<PathBuf>,
 }
@@ -109,13 +111,13 @@
     let classes = config.class_names.len();
     let hosts = config.initial_endpoints.entries.len();
     println!(
-        "{} would listen on {}: {classes} request classes, {hosts} known hosts",
+        "configuration is valid: router {} at {}, {classes} request classes, {hosts} initial hosts",
         config.name, config.listen
     );
     if let Some(rules) = &config.statements {
-        let classes = rules.classes.len();
-        let keys = rules.keys.len();
-        println!("statement rules: {classes} for request classes, {keys} for keys");
+        let class_rules = rules.classes.len();
+        let key_rules = rules.keys.len();
+        println!("statement rules are valid: {class_rules} rules for request classes, {key_rules} for keys");
     }
 }
 
@@ -125,9 +127,9 @@
     }
 }
 
-/// Returns TDS if its settings are given, and PostgreSQL's protocol otherwise.
-fn choose_protocol(tds: Option<&Path>, config: &Config) -> Result<Protocol, ProtocolError> {
-    if let Some(path) = tds {
+/// Returns TDS if the path of its settings is given, and the PostgreSQL protocol otherwise.
+fn choose_protocol(tds_settings: Option<&Path>, config: &Config) -> Result<Protocol, ProtocolError> {
+    if let Some(path) = tds_settings {
         let settings = TdsSettings::load(path)?;
         return Protocol::tds(settings, config);
     }
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -11,7 +11,7 @@
 use comethitch_statement::Dialect;
 use comethitch_statement::RulesError;
 use comethitch_statement::admission::StatementAdmission;
-use default_rules::{classes_of, default_rules};
+use default_rules::{default_rules, request_classes};
 use json_lines::classify_lines;
 use line_classifier::LineClassifier;
 use std::io::{self, BufReader, BufWriter};
@@ -20,18 +20,18 @@
 /// Size of the buffer for standard input.
 const INPUT_BUFFER_BYTES: usize = 64 << 10;
 
-/// Classify statements: reads one JSON object per line, {"sql": "…"}, and writes one per line in the same
-/// order.
+/// Classify statements: reads one JSON object with the key "sql" per line, and writes one verdict per line, in
+/// the same order.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "classify")]
 pub struct Classify {
-    /// the dialect: postgres or tsql; by default that of the rules, or postgres without rules
+    /// the SQL dialect: postgres or tsql; by default the dialect of the rules, or postgres without rules
     #[argh(option, from_str_fn(parse_dialect))]
     dialect: Option<Dialect>,
-    /// the statement rules, as in deploy/statements.json
+    /// the file of statement rules, in the format of deploy/statements.json
     #[argh(option)]
     rules: Option<PathBuf>,
-    /// the configuration whose request classes the rules are checked against
+    /// the configuration file with the request classes that the rules are checked against
     #[argh(option)]
     configuration: Option<PathBuf>,
 }
@@ -47,20 +47,20 @@
     Rules {
         /// The file of the rules.
         rules: String,
-        /// The error, which begins with the key.
+        /// The error, whose text begins with the key.
         source: RulesError,
     },
     /// Standard input can't be read, or standard output can't be written.
-    #[error("statements can't be read or verdicts written: {0}")]
+    #[error("reading statements or writing verdicts failed: {0}")]
     Io(#[source] io::Error),
 }
 
-/// Parses the option `--dialect`; `argh` requires a text as the error.
+/// Parses the option `--dialect`. The error is a `String` because `argh` requires it.
 fn parse_dialect(name: &str) -> Result<Dialect, String> {
     match name {
         "postgres" => Ok(Dialect::Postgres),
         "tsql" => Ok(Dialect::Tsql),
-        other => Err(format!("the dialect is postgres or tsql, not {other:?}")),
+        other => Err(format!("unknown dialect {other:?}: must be postgres or tsql")),
     }
 }
 
@@ -75,23 +75,24 @@
         let input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
         let output = BufWriter::new(io::stdout().lock());
         match classify_lines(input, output, |line| classifier.classify(line)) {
-            // The reader, as `head`, closes the pipe when it needs no more.
+            // A reader such as `head` closes the pipe once it has read enough.
             Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
             result => result.map_err(ClassifyError::Io),
         }
     }
 
     fn classifier(&self) -> Result<LineClassifier, ClassifyError> {
-        let given = self.rules.as_deref().map(|path| in_file(path, read_rules)).transpose()?;
-        let has_rules = given.is_some();
-        let mut rules = given.unwrap_or_else(|| default_rules(self.dialect.unwrap_or(Dialect::Postgres)));
+        let rules_from_file = self.rules.as_deref().map(|path| in_file(path, read_rules)).transpose()?;
+        let has_rules = rules_from_file.is_some();
+        let mut rules =
+            rules_from_file.unwrap_or_else(|| default_rules(self.dialect.unwrap_or(Dialect::Postgres)));
         rules.dialect = self.dialect.unwrap_or(rules.dialect);
         let (classes, class_names) = match &self.configuration {
             Some(path) => {
                 let config = load_config(path)?;
                 (config.deployment.classes, config.class_names)
             }
-            None => classes_of(&rules),
+            None => request_classes(&rules),
         };
         let admission = StatementAdmission::unlimited(rules, &classes, &class_names, random_secret())
             .map_err(|source| ClassifyError::Rules { rules: self.rules_name(), source })?;
@@ -99,6 +100,6 @@
     }
 
     fn rules_name(&self) -> String {
-        self.rules.as_deref().map_or_else(|| "the rules".to_string(), |path| path.display().to_string())
+        self.rules.as_deref().map_or_else(|| "default rules".to_string(), |path| path.display().to_string())
     }
 }
--- a/crates/comethitchd/src/service/classify/default_rules.rs
+++ b/crates/comethitchd/src/service/classify/default_rules.rs
@@ -1,11 +1,11 @@
-//! Statement rules and request classes for `classify` when the command line does not name them.
+//! Default statement rules and request classes for `classify`, used if the command line does not set them.
 
 use comethitch_policy::time::Duration;
 use comethitch_policy::{Consistency, DeduplicationScope, Idempotency, RequestClass};
 use comethitch_statement::rules::{CacheSize, ClassRule, Disagreement, ParsingBudget};
 use comethitch_statement::{Catalogue, Dialect, Effect, Rules};
 
-/// Returns rules that only tell reads from writes.
+/// Returns rules that only distinguish reads from writes.
 pub(super) fn default_rules(dialect: Dialect) -> Rules {
     Rules {
         dialect,
@@ -27,8 +27,9 @@
     ClassRule { class: class.into(), effects: effects.to_vec(), tables: None, from_ms: None, below_ms: None }
 }
 
-/// Returns the request classes that the rules name, each as strict as its effects require, and their names.
-pub(super) fn classes_of(rules: &Rules) -> (Vec<RequestClass>, Vec<String>) {
+/// Returns the request classes that the rules name, and their names. A class that the rules use for plain
+/// reads only is idempotent and eventually consistent, and so allows no other effect.
+pub(super) fn request_classes(rules: &Rules) -> (Vec<RequestClass>, Vec<String>) {
     let mut names: Vec<String> = rules.classes.iter().map(|rule| rule.class.clone()).collect();
     names.sort();
     names.dedup();
@@ -36,8 +37,9 @@
 }
 
 fn request_class(rules: &Rules, name: &str) -> RequestClass {
-    let own_rules = rules.classes.iter().filter(|rule| rule.class == name);
-    let only_reads = own_rules.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
+    let class_rules = rules.classes.iter().filter(|rule| rule.class == name);
+    let only_reads = class_rules.flat_map(|rule| &rule.effects).all(|effect| *effect == Effect::Read);
+    // The durations and the weight are placeholders: classifying statements uses none of them.
     RequestClass {
         latency_objective: Duration::from_micros(1),
         timeout: Duration::from_micros(1),
--- a/crates/comethitchd/src/service/classify/json_lines.rs
+++ b/crates/comethitchd/src/service/classify/json_lines.rs
@@ -1,12 +1,13 @@
-//! Reads JSON lines of bounded length, and writes a JSON line for each.
+//! Reads JSON lines of limited length, and writes a JSON line for each.
 
 use crate::service::classify::line_classifier::OutputLine;
 use std::io::{self, BufRead, BufReader, Read, Write};
 
-/// Maximum length of a line, which is more than a router accepts as a statement. A longer line is skipped with an error.
+/// Maximum length of an input line, which exceeds the maximum length of a statement that a router accepts. A
+/// longer line is skipped, and its output line is an error.
 const MAX_LINE_BYTES: usize = 16 << 20;
 
-/// Writes the output line of each input line; blank lines have none.
+/// Writes an output line for each input line that is not blank.
 pub(super) fn classify_lines<R: Read>(
     mut input: BufReader<R>, mut output: impl Write, mut classify: impl FnMut(&[u8]) -> OutputLine,
 ) -> io::Result<()> {
@@ -19,7 +20,7 @@
         }
         let classified = if line.len() > MAX_LINE_BYTES && line.last() != Some(&b'\n') {
             input.skip_until(b'\n')?;
-            OutputLine::Error { error: format!("a line of more than {MAX_LINE_BYTES} bytes") }
+            OutputLine::Error { error: format!("line is longer than {MAX_LINE_BYTES} bytes") }
         } else if line.trim_ascii().is_empty() {
             continue;
         } else {
@@ -27,7 +28,8 @@
         };
         serde_json::to_writer(&mut output, &classified)?;
         output.write_all(b"\n")?;
-        // An interactive client that sends one line at a time gets each verdict at once.
+        // Flushed once no input is buffered, so that a client that waits for each verdict receives it at
+        // once.
         if input.buffer().is_empty() {
             output.flush()?;
         }
--- a/crates/comethitchd/src/service/classify/line_classifier.rs
+++ b/crates/comethitchd/src/service/classify/line_classifier.rs
@@ -4,16 +4,16 @@
 use comethitch_statement::admission::{StatementAdmission, StatementHints};
 use serde::{Deserialize, Serialize};
 
-/// The client that all statements are attributed to; parsing budgets per client don't apply here.
-const CLIENT: u64 = 0;
+/// The client id that all statements are attributed to. The parsing budget is unlimited here.
+const CLIENT_ID: u64 = 0;
 
-/// One line of the input.
+/// A line of the input.
 #[derive(Deserialize)]
 struct InputLine {
     sql: String,
 }
 
-/// One line of the output.
+/// A line of the output.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub(super) enum OutputLine {
@@ -29,20 +29,20 @@
         cost: f64,
         why: String,
     },
-    /// Why a line has no verdict.
+    /// The reason why an input line has no verdict.
     Error { error: String },
 }
 
-/// Classifies input lines one after the other.
+/// Classifies the statements of input lines.
 pub(super) struct LineClassifier {
     admission: StatementAdmission,
     class_names: Vec<String>,
-    /// Whether the operator gave rules: if so, verdicts name the request class and the shard.
+    /// Whether the operator passed rules. If so, verdicts contain the request class and the shard.
     has_rules: bool,
 }
 
 impl LineClassifier {
-    /// Returns a classifier of lines; `has_rules` tells whether the operator gave rules.
+    /// Creates a classifier. `has_rules` states whether the operator passed rules.
     pub(super) fn new(
         admission: StatementAdmission, class_names: Vec<String>, has_rules: bool,
     ) -> LineClassifier {
@@ -53,10 +53,14 @@
     pub(super) fn classify(&mut self, line: &[u8]) -> OutputLine {
         let input: InputLine = match serde_json::from_slice(line) {
             Ok(input) => input,
-            Err(error) => return OutputLine::Error { error: format!("no statement: {error}") },
+            Err(error) => {
+                return OutputLine::Error {
+                    error: format!("line is not a JSON object with a string under the key sql: {error}"),
+                };
+            }
         };
         let text = input.sql.as_bytes();
-        let Some(classified) = self.admission.classify(text, CLIENT, &|| Timestamp::ZERO) else {
+        let Some(classified) = self.admission.classify(text, CLIENT_ID, &|| Timestamp::ZERO) else {
             return OutputLine::Error { error: "the budget for parsing is spent".into() };
         };
         let shape = classified.shape.clone();
--- a/crates/comethitchd/src/service/trail.rs
+++ b/crates/comethitchd/src/service/trail.rs
@@ -1,4 +1,4 @@
-//! The command `trail`: sums the logs of many routers, or follows one request's id through them.
+//! The command `trail`: summarizes the logs of many routers, or prints all lines with one request id.
 //!
 //! The summary shows why requests were rejected, and how many health checks, connections and attempts there
 //! were per answered request.
@@ -27,25 +27,26 @@
 use log_line::timestamp;
 use std::path::PathBuf;
 
-/// Sum up many routers' logs: why requests were rejected, and what an answer cost; or follow one id.
+/// Summarize the logs of many routers: why requests were rejected, and the counts per answered request; or
+/// print all lines with one request id.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trail")]
 pub struct TrailCommand {
-    /// follow the request with this id (the `id=` of its comment) through all logs, in the order of their
-    /// timestamps
+    /// print the lines with this request id (`id=` in the statement's comment) from all logs, sorted by
+    /// timestamp
     #[argh(option)]
     id: Option<String>,
-    /// log files, or folders of log files
+    /// log files, or folders that contain log files
     #[argh(positional)]
     logs: Vec<PathBuf>,
 }
 
 impl TrailCommand {
-    /// Reads the logs, and prints the summary or the lines with the id to follow.
+    /// Reads the logs, and prints the summary, or the lines with the id if one was given.
     ///
     /// # Errors
     ///
-    /// If there are no logs, one can't be read, or no line contains the id.
+    /// If there are no log files, one can't be read, or no line contains the id.
     pub fn run(self) -> Result<(), TrailError> {
         let files = log_files::find(&self.logs)?;
         let mut summary = self.id.as_deref().map_or_else(LogSummary::default, LogSummary::following);
--- a/crates/comethitchd/src/service/trail/aliases.rs
+++ b/crates/comethitchd/src/service/trail/aliases.rs
@@ -1,15 +1,16 @@
-//! Maps the names of earlier versions' log lines to the current ones, so that old and new logs can be summed together.
+//! Maps names that earlier versions used in log lines to the current names, so that logs of different
+//! versions can be summarized together.
 
 use std::borrow::Cow;
 
-/// An earlier name, and the current one.
+/// An earlier name and the current name.
 type Alias = (&'static str, &'static str);
 
 const MESSAGES: [Alias; 1] = [("given up", "request rejected")];
 
 const FIELDS: [Alias; 1] = [("why", "reason")];
 
-/// Reasons of rejected requests.
+/// Reasons for rejecting requests.
 const REASONS: [Alias; 5] = [
     ("time_up", "deadline_exceeded"),
     ("long_in_line", "queued_too_long"),
@@ -37,10 +38,10 @@
     ("dispatches_miss", "attempts_not_primary"),
 ];
 
-/// Prefixes of the counts of rejected requests, which end with the reason.
+/// Prefix of the counts of rejected requests. The rest of such a name is the reason.
 const REJECTED_PREFIX: Alias = ("given_up_", "rejected_");
 
-/// Returns the current name of a log message.
+/// Returns the current text of a log message.
 pub(super) fn current_message(name: &str) -> &str {
     current(&MESSAGES, name)
 }
--- a/crates/comethitchd/src/service/trail/log_files.rs
+++ b/crates/comethitchd/src/service/trail/log_files.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// Returns the given files, and the files of the given folders sorted by name.
+/// Returns the given files, and the files in the given folders, sorted by name within each folder.
 pub(super) fn find(paths: &[PathBuf]) -> Result<Vec<PathBuf>, TrailError> {
     let mut files = Vec::new();
     for path in paths {
@@ -25,7 +25,8 @@
     Ok(files)
 }
 
-/// Adds the lines of a file to the summary, with the file's name without its extension as the router's.
+/// Adds the lines of a file to the summary. The file name without its extension is used as the name of the
+/// router.
 pub(super) fn read(summary: &mut LogSummary, file: &Path) -> Result<(), TrailError> {
     let router = file.file_stem().unwrap_or_default().to_string_lossy();
     let opened = File::open(file).map_err(|source| unreadable(file, source))?;
--- a/crates/comethitchd/src/service/trail/log_line.rs
+++ b/crates/comethitchd/src/service/trail/log_line.rs
@@ -1,4 +1,4 @@
-//! Parses one line of a router's log, in either format of `--log-form`.
+//! Parses a line of a router's log, in either format of `--log-form`.
 
 use serde_json::Value;
 
@@ -6,15 +6,16 @@
 pub(super) struct LogLine<'a> {
     /// The message, without its fields.
     pub message: String,
-    /// Names and values of the fields, in the order of the line.
+    /// Names and values of the fields, in the order in which the line contains them.
     pub fields: Vec<(String, String)>,
-    /// The text of the line.
+    /// The text of the whole line.
     pub text: &'a str,
 }
 
 impl<'a> LogLine<'a> {
-    /// Parses `[bench time] timestamp LEVEL target: file:line message key=value ...`, or a JSON object with `message` and
-    /// `kvs`. Returns none if the line is neither.
+    /// Parses `[bench time] timestamp LEVEL target: file:line message key=value ...`, or a JSON object with
+    /// `message` and `kvs`. The bench time is a prefix that the test bench adds. Returns `None` if the line
+    /// has neither format.
     pub(super) fn parse(text: &'a str) -> Option<LogLine<'a>> {
         let text = text.trim_end();
         if let Some(start) = text.find('{')
@@ -27,9 +28,9 @@
 
     fn from_json(value: &Value, text: &'a str) -> Option<LogLine<'a>> {
         let message = value.get("message")?.as_str()?.to_string();
-        let shown = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_string);
+        let to_text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_string);
         let fields = match value.get("kvs").and_then(Value::as_object) {
-            Some(kvs) => kvs.iter().map(|(key, value)| (key.clone(), shown(value))).collect(),
+            Some(kvs) => kvs.iter().map(|(key, value)| (key.clone(), to_text(value))).collect(),
             None => Vec::new(),
         };
         Some(LogLine { message, fields, text })
@@ -37,9 +38,9 @@
 
     fn from_text(text: &'a str) -> Option<LogLine<'a>> {
         let words: Vec<&str> = text.split_whitespace().collect();
-        let level = words.iter().position(|word| is_level(word))?;
-        // The target and the source line follow the level.
-        let rest = words.get(level + 3..)?;
+        let level_index = words.iter().position(|word| is_level(word))?;
+        // The target and the source location stand between the level and the message.
+        let rest = words.get(level_index + 3..)?;
         let first_field = rest.iter().position(|word| word.contains('=')).unwrap_or(rest.len());
         let message = rest[..first_field].join(" ");
         let fields = rest[first_field..]
@@ -55,12 +56,12 @@
     matches!(word, "ERROR" | "WARN" | "INFO" | "DEBUG" | "TRACE")
 }
 
-/// Returns the RFC 3339 timestamp of a line, which sorts as text, or an empty text if there is none. The bench's clock,
-/// which may precede it, does not sort as text: `10.2` would come before `9.8`.
+/// Returns the RFC 3339 timestamp of a line, which can be compared as text, or an empty text if there is
+/// none. The bench time, which may precede it, can't be compared as text: `10.2` would sort before `9.8`.
 pub(super) fn timestamp(line: &str) -> &str {
     const JSON_KEY: &str = "\"timestamp\":\"";
-    if let Some(at) = line.find(JSON_KEY) {
-        let value = &line[at + JSON_KEY.len()..];
+    if let Some(key_start) = line.find(JSON_KEY) {
+        let value = &line[key_start + JSON_KEY.len()..];
         return value.split('"').next().unwrap_or_default();
     }
     line.split_whitespace().find(|word| is_rfc3339(word)).unwrap_or_default()
--- a/crates/comethitchd/src/service/trail/summary.rs
+++ b/crates/comethitchd/src/service/trail/summary.rs
@@ -1,24 +1,25 @@
-//! Sums the lines of many routers' logs.
+//! Summarizes the logs of many routers.
 
 use crate::service::trail::aliases;
 use crate::service::trail::log_line::LogLine;
 use std::collections::BTreeMap;
 
-/// Maximum length, in characters, of a line collected for one id; longer lines are cut.
+/// Maximum length, in characters, of a line collected for the followed id; longer lines are truncated.
 const MAX_LINE_CHARS: usize = 4096;
-/// Maximum number of lines collected for one id; later lines are dropped.
-const MAX_LINES: usize = 10_000;
-/// Maximum number of distinct reasons, and of distinct counts, so that a corrupt log can't use unbounded memory. Further
-/// names are not summed; lines with further reasons count as skipped.
+/// Maximum number of lines collected for the followed id; later lines are dropped.
+const MAX_FOLLOWED_LINES: usize = 10_000;
+/// Maximum number of distinct pairs of reason and answer, and of distinct counts, so that a corrupt log can't
+/// use unbounded memory. Further names are ignored; rejections with further reasons are counted as skipped
+/// lines.
 pub(super) const MAX_NAMES: usize = 1024;
-/// Number of routers named in the summary: those with the most rejections.
-const TOP_ROUTERS: usize = 5;
+/// Maximum number of routers listed in the summary: those with the most rejections.
+const MAX_LISTED_ROUTERS: usize = 5;
 /// Prefix of the counts that are gauges, which are not summed.
 const GAUGE_PREFIX: &str = "now_";
-/// Value of a field that a line lacks.
+/// Value used for a field that a line lacks.
 const MISSING_FIELD: &str = "unknown";
 
-/// A line with the id to follow.
+/// A line that contains the followed id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FollowedLine {
     /// The router that logged the line.
@@ -27,27 +28,29 @@
     pub text: String,
 }
 
-/// Sums over the lines of many routers' logs.
+/// A summary of the logs of many routers.
 ///
-/// Reads both formats of `--log-form`, and the names of earlier versions. A line in neither format is counted as
-/// skipped and is no error, so that a log cut off by a crash can be summed.
+/// Both formats of `--log-form` and the names used by earlier versions are accepted. A line in neither format
+/// is counted as skipped rather than reported as an error, so that a log truncated by a crash can be
+/// summarized.
 #[derive(Debug, Default)]
 pub struct LogSummary {
     /// Number of rejected requests by reason and final answer.
     pub rejections: BTreeMap<(String, String), u64>,
     /// Sums of the fields of the `counts` lines of all routers, by name.
     pub counts: BTreeMap<String, u64>,
-    /// Number of rejected requests by router, named as in [`LogSummary::add_line`].
+    /// Number of rejected requests by the router name passed to [`LogSummary::add_line`].
     pub rejections_by_router: BTreeMap<String, u64>,
-    /// The lines with the id to follow, if there is one.
+    /// The lines that contain the followed id, if there is one.
     pub followed_lines: Vec<FollowedLine>,
-    /// Number of lines that were not understood.
+    /// Number of lines that are in neither format, or whose reason exceeds the maximum number of distinct
+    /// ones.
     pub skipped_lines: u64,
     followed_id: Option<String>,
 }
 
 impl LogSummary {
-    /// Returns an empty summary that also collects the lines with this id.
+    /// Creates an empty summary that also collects the lines with this request id.
     pub fn following(id: &str) -> LogSummary {
         LogSummary { followed_id: Some(id.to_string()), ..LogSummary::default() }
     }
@@ -70,7 +73,7 @@
         let Some(id) = &self.followed_id else {
             return;
         };
-        if field(line, "id") == Some(id.as_str()) && self.followed_lines.len() < MAX_LINES {
+        if field(line, "id") == Some(id.as_str()) && self.followed_lines.len() < MAX_FOLLOWED_LINES {
             let text = line.text.chars().take(MAX_LINE_CHARS).collect();
             self.followed_lines.push(FollowedLine { router: router.to_string(), text });
         }
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Returns a count per answered request, or none if no request was answered.
+    /// Returns a count divided by the number of answered requests, or `None` if no request was answered.
     pub fn per_answered(&self, count: &str) -> Option<f64> {
         let answered = *self.counts.get("answered")?;
         let count = self.counts.get(aliases::current_count(count).as_ref()).copied().unwrap_or(0);
@@ -114,7 +117,7 @@
         lines.extend(self.count_lines());
         lines.push(self.routers_line());
         if self.skipped_lines > 0 {
-            lines.push(format!("lines of neither form, skipped: {}", self.skipped_lines));
+            lines.push(format!("skipped lines in neither log format: {}", self.skipped_lines));
         }
         lines
     }
@@ -125,9 +128,9 @@
             vec![format!("rejected: {rejected} over {} routers", self.rejections_by_router.len())];
         let mut rejections: Vec<_> = self.rejections.iter().collect();
         rejections.sort_by(|a, b| b.1.cmp(a.1));
-        for ((reason, answer), number) in rejections {
-            let share = *number as f64 / rejected.max(1) as f64;
-            lines.push(format!("  {reason:<18} {answer:<10} {number:>9}  {share:>6.3}"));
+        for ((reason, answer), count) in rejections {
+            let fraction = *count as f64 / rejected.max(1) as f64;
+            lines.push(format!("  {reason:<18} {answer:<10} {count:>9}  {fraction:>6.3}"));
         }
         lines
     }
@@ -136,8 +139,9 @@
         let received = self.counts.get("requests_received").copied().unwrap_or(0);
         let mut lines = vec![format!("counts over the fleet: requests_received {received}")];
         for (name, count) in &self.counts {
-            let each = self.per_answered(name).map_or(String::from("-"), |each| format!("{each:.3}"));
-            lines.push(format!("  {name:<28} {count:>9}  per answered {each}"));
+            let per_answered =
+                self.per_answered(name).map_or(String::from("-"), |ratio| format!("{ratio:.3}"));
+            lines.push(format!("  {name:<28} {count:>9}  per answered {per_answered}"));
         }
         lines
     }
@@ -145,13 +149,16 @@
     fn routers_line(&self) -> String {
         let mut routers: Vec<_> = self.rejections_by_router.iter().collect();
         routers.sort_by(|a, b| b.1.cmp(a.1));
-        let top: Vec<String> =
-            routers.iter().take(TOP_ROUTERS).map(|(router, number)| format!("{router} {number}")).collect();
+        let top: Vec<String> = routers
+            .iter()
+            .take(MAX_LISTED_ROUTERS)
+            .map(|(router, number)| format!("{router} {number}"))
+            .collect();
         format!("most rejected: {}", top.join(", "))
     }
 }
 
-/// Returns the value of a field, which may have its earlier name.
+/// Returns the value of a field by its current name. The line may use the name of an earlier version.
 fn field<'a>(line: &'a LogLine<'_>, name: &str) -> Option<&'a str> {
     let mut fields = line.fields.iter();
     fields.find(|(key, _)| aliases::current_field(key) == name).map(|(_, value)| value.as_str())
--- a/crates/comethitchd/src/service/trail/tests.rs
+++ b/crates/comethitchd/src/service/trail/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `trail`. Most lines have the names of earlier versions, whose logs must be summed too.
+//! Tests of `trail`. Most log lines use the names of earlier versions, whose logs must be summarized too.
 
 use super::LogSummary;
 use super::log_line::timestamp;
@@ -9,7 +9,7 @@
     let mut text = LogSummary::default();
     text.add_line("a", "1.0 2026-12-01T20:00:00Z INFO comethitchd::stages::route: route.rs:9 given up id=7 why=no_primary answer=throttled");
     text.add_line("b", "2026-12-01T20:00:00Z WARN comethitchd::x: x.rs:1 something else");
-    text.add_line("b", "not a line of ours");
+    text.add_line("b", "not a line in a known format");
     let mut json = LogSummary::default();
     json.add_line("a", r#"{"timestamp":"t","level":"INFO","message":"given up","kvs":{"id":"7","why":"no_primary","answer":"throttled"}}"#);
     assert_eq!(text.rejections, json.rejections);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn lines_sort_by_timestamp_not_by_the_bench_clock() {
+fn lines_sort_by_timestamp_not_by_bench_time() {
     let later =
         "10.2 2026-12-01T20:00:10.2+00:00 INFO c::r: r.rs:1 given up id=1 why=time_up answer=throttled";
     let earlier =
@@ -62,7 +62,7 @@
     assert_eq!(routers, ["a", "c"]);
 }
 
-/// The same log with the names of earlier versions and with the current ones.
+/// Adds the same log lines once with the names of earlier versions and once with the current names.
 #[test]
 fn earlier_and_current_names_give_the_same_sums() {
     let reasons = [
@@ -109,8 +109,9 @@
     assert_eq!((new.rejections.len(), new.counts.len()), (reasons.len(), 22));
 }
 
-/// Logs as earlier versions wrote them, with values in the messages: `first_names.log` has the first names of messages
-/// and counts, the others were written by the last version before messages became constant.
+/// The log files were written by earlier versions, whose messages contain values. `first_names.log` has the
+/// original names of messages and counts. The other files were written by the last version before messages
+/// became constant.
 #[test]
 fn kept_logs_of_earlier_versions_are_summed() {
     let mut summary = LogSummary::following("7301");
