--- a/crates/comethitchd/src/service/endpoint_update.rs
+++ b/crates/comethitchd/src/service/endpoint_update.rs
@@ -10,8 +10,8 @@
 use log::Level;
 use std::rc::Rc;
 
-/// Maximum number of entries that are logged one by one at level info. The entries of longer lists are logged
-/// at level debug.
+/// Maximum number of entries of a list that are logged one by one at level info. The entries of longer lists
+/// are logged at level debug.
 const MAX_INFO_ENTRIES: usize = 32;
 
 /// Parses and applies a list or an update, and marks the router ready. `version_before` is the version that
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -21,7 +21,7 @@
 /// read before the tick: clients may have disconnected or cancelled requests, and hosts may have answered.
 const TICK_DELAY_AFTER_STALL: std::time::Duration = std::time::Duration::from_millis(2);
 
-/// Calls the policy by `f`, measured as `step`, and then carries out the queued actions.
+/// Calls the policy through `f`, measured as `step`, and then carries out the queued actions.
 pub fn call(state: &Rc<RouterState>, step: EventLoopStep, f: impl FnOnce(&mut Router, &mut ActionQueue)) {
     let actions = state.call_policy(step, f);
     carry_out(state, actions);
@@ -67,7 +67,7 @@
     }
 }
 
-/// Gives a request the final answer of the policy's rejection; counts and logs its reason.
+/// Answers a request that the policy has rejected; counts and logs the reason.
 fn reject(state: &RouterState, request: RequestId, answer: Reply, reason: RejectionReason) {
     let statement = state.requests.statement(request);
     let answer_kind = answer.kind();
@@ -129,8 +129,8 @@
 
 /// Submits a request to the policy; returns its id, and the channel that its final answer is sent to.
 ///
-/// `text` and `message_kind` are the statement in the form in which the backend protocol sends it. No further
-/// attempt is sent once the connection `client` has ended.
+/// `text` is the statement in the encoding of the backend protocol, and `message_kind` the type of the message
+/// that it was received in. No further attempt is sent once the connection `client` has ended.
 pub fn submit(
     state: &Rc<RouterState>, admitted: AdmittedRequest, text: Vec<u8>, message_kind: u8, client: Weak<Socket>,
 ) -> (RequestId, Receiver<Reply>) {
