--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -19,7 +19,7 @@
     #[error("the client has disconnected")]
     ClientGone,
     /// The host reads the request so slowly that the remaining time stated in it is out of date.
-    #[error("the host reads too slowly")]
+    #[error("the host reads the request too slowly")]
     HostReadsSlowly,
     /// The policy's send guard refuses the attempt.
     #[error(transparent)]
@@ -27,7 +27,7 @@
 }
 
 impl SendRefused {
-    /// Returns the name used in logs and counts.
+    /// Returns the name used in logs and metrics.
     pub(super) fn name(self) -> &'static str {
         match self {
             SendRefused::ClientGone => "client_gone",
@@ -51,6 +51,7 @@
     pub streamed_answer: StreamedAnswer,
     client: Weak<Socket>,
     request: RequestId,
+    /// Number of the attempt within its request, counted from 0.
     number: u16,
 }
 
@@ -60,9 +61,9 @@
         self.deadline - self.state.clock.now()
     }
 
-    /// Checks right before a write that the client is still connected and that the policy's send guard passes. Both
-    /// may have changed since the attempt started: connecting may take long, the host may read slowly, and the event
-    /// loop may have stalled.
+    /// Checks right before a write that the client is still connected and that the policy's send guard still admits the
+    /// attempt. Either may have changed since the attempt started: connecting may take long, the host may read slowly,
+    /// and the event loop may have stalled.
     ///
     /// # Errors
     /// The reason why the attempt must not be sent.
@@ -76,8 +77,8 @@
         Ok(handle.check_send(&router, self.number, self.state.clock.now())?)
     }
 
-    /// Records a violation if the last byte was written too late although the check passed: the process may have been
-    /// suspended in between.
+    /// Records a violation if the last byte was written too late, although the check before the write passed: the process
+    /// may have been suspended between the two.
     pub(super) fn verify_sent(&self) {
         let router = self.state.policy();
         let handle = router.handle(self.request);
@@ -111,10 +112,10 @@
     }
 }
 
-/// Starts the request's next attempt, with the protocol's exchange as `send`.
+/// Starts the request's next attempt, which runs the protocol's exchange `send` with the host.
 ///
-/// If the timeout has already passed, as after a stall of the event loop, nothing is sent and the attempt's number is
-/// returned, so that the caller can end the attempt without blaming the host.
+/// If the timeout has already expired, as after a stall of the event loop, nothing is sent and the attempt's number is
+/// returned, so that the caller can end the attempt without counting its end against the host.
 pub(super) fn start<F: Future<Output = AttemptResult> + 'static>(
     state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
     send: impl FnOnce(Rc<Attempt>) -> F + 'static,
--- a/crates/comethitchd/src/protocols/connect.rs
+++ b/crates/comethitchd/src/protocols/connect.rs
@@ -12,22 +12,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Interval at which a new connection polls for a free descriptor.
+/// Interval at which a connection that is being opened polls for a free descriptor.
 const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A protocol's parameters for a new connection.
 pub(super) struct ConnectionOptions {
-    /// Maximum size of the connection's buffer.
+    /// Maximum size of the connection's receive buffer.
     pub max_buffer_bytes: usize,
     /// The initial session state.
     pub session: SessionState,
 }
 
-/// Connects to a host and runs the protocol's handshake, both within the connect timeout.
+/// Waits for a free descriptor within the connect timeout; then connects to a host and runs the protocol's handshake,
+/// within the same timeout again.
 ///
 /// # Errors
-/// [`ConnectionError::NotSent`] if no descriptor became free, the handshake's error, or else
-/// [`ConnectionError::ConnectFailed`]. After any of them, no request has run.
+/// [`ConnectionError::NotSent`] if no descriptor became free or another resource of the router's machine ran short, the
+/// handshake's error, or else [`ConnectionError::ConnectFailed`]. After any of them, no request has run.
 pub(super) async fn connect(
     state: &RouterState, address: SocketAddr, options: ConnectionOptions,
     handshake: impl AsyncFnOnce(&mut HostConnection) -> Result<(), ConnectionError>,
@@ -51,7 +52,7 @@
     open.or(after(timeout, Err(ConnectionError::ConnectFailed))).await
 }
 
-/// Maps an error of connecting; a shortage on the router's machine must not count against the host.
+/// Maps an I/O error of connecting. A shortage on the router's own machine must not count against the host.
 fn connect_error(error: &io::Error) -> ConnectionError {
     if is_local_shortage(error) { ConnectionError::NotSent } else { ConnectionError::ConnectFailed }
 }
--- a/crates/comethitchd/src/protocols/exchange.rs
+++ b/crates/comethitchd/src/protocols/exchange.rs
@@ -22,13 +22,13 @@
 /// the rules allow to be at most 150 ms out of date.
 const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
 
-/// One message and its response, for an attempt or a health check.
+/// The exchange of one message and its response with a host, for an attempt or a health check.
 pub(super) struct Exchange<'a> {
     /// The router's state.
     pub state: &'a RouterState,
     host: Host,
     deadline: Timestamp,
-    /// `None` for a health check.
+    /// The attempt, or `None` for a health check.
     attempt: Option<&'a Attempt>,
     /// Whether the whole message was written.
     sent: Cell<bool>,
@@ -46,18 +46,20 @@
         }
     }
 
-    /// Creates the exchange of a health check, which has as long as opening a connection.
+    /// Creates the exchange of a health check, whose timeout is the connect timeout.
     pub(super) fn for_health_check(state: &'a RouterState, host: Host) -> Exchange<'a> {
         let deadline = state.clock.now() + state.config.deployment.connect_timeout;
         Exchange { state, host, deadline, attempt: None, sent: Cell::new(false) }
     }
 
-    /// Returns where to stream a large answer; `None` for a health check, whose answer is never streamed.
+    /// Returns the answer that a large response is streamed to, or `None` for a health check, whose response is never
+    /// streamed.
     pub(super) fn streamed_answer(&self) -> Option<&'a StreamedAnswer> {
         self.attempt.map(|attempt| &attempt.streamed_answer)
     }
 
-    /// Runs the exchange up to its deadline. An answer that is being streamed may take longer while it makes progress.
+    /// Runs the exchange up to its deadline. An answer that is being streamed may take longer as long as it makes
+    /// progress.
     ///
     /// # Errors
     /// The error of `exchange`, or at the deadline [`ConnectionError::TimedOut`] if the message was sent and
@@ -78,8 +80,8 @@
         exchange.or(timeout).await
     }
 
-    /// Sends the message that `encode` returns for a connection, either an idle one or one that `connect` opens, and
-    /// returns the connection.
+    /// Sends the message that `encode` returns for a connection, and returns the connection, which is an idle one from
+    /// the pool or, if there is none, a new one that `connect` opens.
     ///
     /// # Errors
     /// If the message could not be sent, or the send check failed once a connection was available.
@@ -107,9 +109,9 @@
                     self.attempt.inspect(|attempt| attempt.verify_sent());
                     return Ok(connection);
                 }
-                // The last byte was not written, so the host cannot run the message.
+                // The message is incomplete without its last byte, so the host cannot run it.
                 Err(WriteError::Refused(refused)) => return Err(self.record_refused(refused)),
-                // The host had closed the idle connection, so nothing was run: try another connection.
+                // The host had closed the idle connection, so it has run nothing: try another connection.
                 Err(WriteError::Io(_)) if !is_new => {}
                 Err(WriteError::Io(_)) => return Err(ConnectionError::BrokenBeforeSend),
             }
@@ -120,7 +122,7 @@
         self.attempt.map_or(Ok(()), Attempt::check_send)
     }
 
-    /// Checks before each write of a message that may already be partly written.
+    /// Checks before each write that the rest of a message, which may already be partly written, may still be sent.
     fn check_write(&self, encoded_at: Timestamp) -> Result<(), SendRefused> {
         if self.state.clock.now() - encoded_at > MAX_WRITE_TIME {
             return Err(SendRefused::HostReadsSlowly);
@@ -128,7 +130,7 @@
         self.check_send()
     }
 
-    /// Records that an attempt was not sent, and returns the error that the exchange ends with.
+    /// Records that the attempt was not sent, and returns the error that the exchange ends with.
     fn record_refused(&self, refused: SendRefused) -> ConnectionError {
         self.attempt.inspect(|attempt| attempt.record_refused(refused));
         match refused {
@@ -162,7 +164,7 @@
 
 /// A host's response, parsed by a protocol.
 pub(super) trait Response {
-    /// Consumes the buffered bytes of the response, up to its end or, if it is streamed, up to the next part.
+    /// Consumes the buffered bytes of the response, up to its end or, if it is streamed, until a part is ready.
     ///
     /// # Errors
     /// If the host violates the protocol, or the response is too large.
@@ -170,16 +172,17 @@
         &mut self, buffer: &mut Buffer, is_streamed: bool,
     ) -> Result<ResponseProgress, ConnectionError>;
 
-    /// Removes and returns the bytes that may be sent to the client.
+    /// Removes and returns the received bytes that are sent to the client as the next part.
     fn take_part(&mut self) -> Vec<u8>;
 }
 
-/// How reading a response ended, as far as the host is concerned.
+/// How reading a response ended: completely, or with a failure of the host.
 pub(super) type ResponseEnd = Result<(), ConnectionError>;
 
 /// Reads a response to its end, and streams its parts if `streamed` is given.
 ///
-/// A failure of the host is returned as the [`ResponseEnd`], because the part that was received may still be usable.
+/// A failure of the host is returned as the [`ResponseEnd`] rather than as an error, because the part of the response
+/// that was received may still be usable.
 ///
 /// # Errors
 /// If the client no longer waits for the answer.
@@ -212,7 +215,7 @@
 async fn receive(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     match connection.buffer.fill(&connection.stream).await {
         Ok(1..) => Ok(()),
-        // The router is short of memory, which must not count against the host.
+        // The router's own lack of memory must not count against the host.
         Err(error) if error.kind() == ErrorKind::OutOfMemory => Err(ConnectionError::TooLarge),
         Ok(0) | Err(_) => Err(ConnectionError::BrokenAfterSend),
     }
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -11,13 +11,13 @@
 
 /// The result of a health check.
 pub(super) struct HealthCheckResult {
-    /// Whether the host gave a usable answer, or the reason why not.
+    /// `Ok` if the host gave a usable answer, otherwise the reason why it did not.
     pub completion: Result<(), ConnectionError>,
     /// The host's load report.
     pub report: LoadReport,
 }
 
-/// Starts a health check of a host, with the protocol's exchange as `check`.
+/// Starts a health check of a host, which runs the protocol's exchange `check`.
 pub(super) fn start<F: Future<Output = HealthCheckResult> + 'static>(
     state: &Rc<RouterState>, host: Host, check: impl FnOnce(Rc<RouterState>) -> F + 'static,
 ) {
--- a/crates/comethitchd/src/protocols/postgres/backend.rs
+++ b/crates/comethitchd/src/protocols/postgres/backend.rs
@@ -27,8 +27,8 @@
 const HEALTH_CHECK_QUERY: &[u8] = b"SHOW vitals";
 
 impl From<Result<HostResponse, ConnectionError>> for AttemptResult {
-    fn from(ended: Result<HostResponse, ConnectionError>) -> AttemptResult {
-        let response = match ended {
+    fn from(result: Result<HostResponse, ConnectionError>) -> AttemptResult {
+        let response = match result {
             Ok(response) => response,
             Err(error) => return AttemptResult::failed(error),
         };
@@ -109,7 +109,7 @@
     Ok(response)
 }
 
-/// Returns the usable response, and streams its remaining part if streaming has started.
+/// Returns the response if it is usable, and streams its remaining part if streaming has started.
 async fn finish_response(
     mut response: HostResponse, end: ResponseEnd, streamed: Option<&StreamedAnswer>,
 ) -> Result<HostResponse, ConnectionError> {
@@ -137,7 +137,7 @@
 /// A response that is being read.
 struct PendingResponse {
     response: HostResponse,
-    /// Memory for the rows, unless the response's shape bounds their size.
+    /// The memory reserved for the rows; `None` if the response's shape bounds their size.
     reservation: Option<Reservation>,
 }
 
@@ -188,7 +188,7 @@
     connect(state, address, options, start_session).await
 }
 
-/// Sends the startup message, and reads the response up to `ReadyForQuery`.
+/// Sends the startup message, and reads the host's response up to `ReadyForQuery`.
 async fn start_session(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let mut startup = Vec::new();
     postgres::put_startup(&mut startup, USER, DATABASE);
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -19,10 +19,10 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The answer to a request for encryption, which is not supported.
+/// The answer to a request for encryption: it is not supported.
 const ENCRYPTION_DECLINED: &[u8] = b"N";
 
-/// The SQLSTATEs of the router's own errors.
+/// The SQLSTATEs of the errors that the router itself generates.
 mod sqlstate {
     /// `protocol_violation`.
     pub(super) const PROTOCOL_VIOLATION: &str = "08P01";
@@ -38,7 +38,7 @@
 
 struct Session {
     connection: ClientConnection,
-    /// Whether messages are skipped up to the next Sync, after one that is not supported.
+    /// Whether messages are skipped up to the next Sync, because one that is not supported was received.
     skips_to_sync: bool,
 }
 
@@ -88,7 +88,7 @@
                 }
                 StartupRequest::Session { minor } => {
                     self.connection.consume(length);
-                    return self.welcome(minor).await;
+                    return self.send_session_start(minor).await;
                 }
             }
         }
@@ -102,10 +102,10 @@
         }
     }
 
-    async fn welcome(&self, minor_version: u16) -> Result<(), Disconnect> {
+    async fn send_session_start(&self, minor_version: u16) -> Result<(), Disconnect> {
         let mut out = Vec::new();
         let cancel_key = self.connection.signal.cancel_key;
-        postgres::put_welcome(&mut out, minor_version, self.connection.number, cancel_key);
+        postgres::put_session_start(&mut out, minor_version, self.connection.number, cancel_key);
         self.connection.write(&out).await
     }
 
@@ -130,7 +130,7 @@
             if self.skips_to_sync {
                 return Ok(());
             }
-            return self.query(text).await;
+            return self.handle_query(text).await;
         }
         let reply = self.reply_to(kind)?;
         self.connection.consume(length);
@@ -155,7 +155,7 @@
             | frontend::EXECUTE
             | frontend::CLOSE
             | frontend::FUNCTION_CALL => {
-                // The protocol allows only one error up to the next Sync.
+                // The protocol allows only one error before the next Sync.
                 if !self.skips_to_sync {
                     let text = "only simple queries are spoken here";
                     postgres::put_error(&mut out, &ErrorFields::error(sqlstate::NOT_SUPPORTED, text));
@@ -168,8 +168,8 @@
         Ok(out)
     }
 
-    /// Answers a query.
-    async fn query(&mut self, text: Vec<u8>) -> Result<(), Disconnect> {
+    /// Handles a query, and sends its answer followed by `ReadyForQuery`.
+    async fn handle_query(&mut self, text: Vec<u8>) -> Result<(), Disconnect> {
         let mut out = Vec::new();
         if is_empty_query(&text) {
             let state = self.connection.state.clone();
@@ -226,8 +226,11 @@
         Ok(())
     }
 
-    /// Forwards a large value in parts. If its end does not arrive, the connection must be closed, which tells the client
-    /// that the value is incomplete.
+    /// Forwards a large value in parts.
+    ///
+    /// # Errors
+    /// [`Disconnect::BrokenAnswer`] if the end of the value does not arrive. The connection must then be closed, which
+    /// tells the client that the value is incomplete.
     async fn stream_value(&self, first: &[u8], parts: &Receiver<ValuePart>) -> Result<(), Disconnect> {
         self.connection.write(first).await?;
         while let Ok(part) = parts.recv().await {
@@ -244,7 +247,7 @@
     text.iter().all(|b| b.is_ascii_whitespace() || *b == b';')
 }
 
-/// Appends a request's answer without the final `ReadyForQuery`.
+/// Appends a request's answer, without the `ReadyForQuery` that must follow it.
 fn put_reply(out: &mut Vec<u8>, reply: Reply) {
     match reply {
         Reply::Value(value) if out.is_empty() => *out = value,
--- a/crates/comethitchd/src/wire/postgres/mod.rs
+++ b/crates/comethitchd/src/wire/postgres/mod.rs
@@ -14,7 +14,7 @@
 pub use response::{HostParameters, HostResponse, MAX_RESPONSE_BYTES, ResponseError, ResponseShape};
 pub use write::{
     ErrorFields, Severity, put_command_complete, put_empty_query, put_error, put_query, put_ready_for_query,
-    put_startup, put_welcome,
+    put_session_start, put_startup,
 };
 
 /// Maximum size of a message: a value of 64 KiB in hexadecimal digits, and 8 KiB for the rest of the statement.
--- a/crates/comethitchd/src/wire/postgres/write.rs
+++ b/crates/comethitchd/src/wire/postgres/write.rs
@@ -106,7 +106,7 @@
 
 /// Appends the messages that start a client's session: `AuthenticationOk`, the parameters, the key for cancel requests
 /// and `ReadyForQuery`.
-pub fn put_welcome(out: &mut Vec<u8>, minor_version: u16, connection: u32, key: u32) {
+pub fn put_session_start(out: &mut Vec<u8>, minor_version: u16, connection: u32, key: u32) {
     if minor_version > 0 {
         let version_3_0 = [VERSION_3.to_be_bytes(), NO_UNKNOWN_OPTIONS].concat();
         put(out, backend::NEGOTIATE_VERSION, |out| out.extend(version_3_0));
