--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -51,8 +51,8 @@
 }
 
 impl From<Result<HostResponse, ConnectionError>> for AttemptResult {
-    fn from(ended: Result<HostResponse, ConnectionError>) -> AttemptResult {
-        let response = match ended {
+    fn from(result: Result<HostResponse, ConnectionError>) -> AttemptResult {
+        let response = match result {
             Ok(response) => response,
             Err(error) => return AttemptResult::failed(error),
         };
@@ -78,15 +78,15 @@
         let report = row.map(|row| parse_report(row, &settings.probe.primary)).unwrap_or_default();
         let mut completion = AttemptResult::from(response).completion;
         if completion.is_ok() && report.role.is_none() {
-            // The operator's query does not return a role as its first column.
+            // The health check query from the settings does not return a role in its first column.
             completion = Err(ConnectionError::Malformed);
         }
         HealthCheckResult { completion, report }
     });
 }
 
-/// Reads the role and the position, in milliseconds of Unix time, from the row of a health check. `primary` is the
-/// role's text at a primary.
+/// Reads the role and the position, in milliseconds of Unix time, from the row of a health check. `primary` is the text
+/// that a primary returns as its role.
 fn parse_report(row: &FirstRow, primary: &str) -> LoadReport {
     let is_primary = match &row.first {
         Value::Text(role) => Some(role.trim().eq_ignore_ascii_case(primary)),
@@ -101,7 +101,7 @@
     };
     LoadReport {
         role: is_primary.map(|is_primary| if is_primary { Role::Primary } else { Role::Replica }),
-        // The host may have rounded its position up to a full millisecond. Zero means that it has none.
+        // One millisecond is subtracted, because the host may have rounded its position up. Zero means no position.
         position: position_ms.and_then(|ms| ms.checked_sub(1)).map(Timestamp::from_millis),
         queue: None,
     }
@@ -131,7 +131,7 @@
     Ok(response)
 }
 
-/// Returns the usable response, and streams its remaining part if streaming has started.
+/// Returns the response if it is usable, and streams its remaining part if streaming has started.
 async fn finish_response(
     mut response: HostResponse, end: ResponseEnd, streamed: Option<&StreamedAnswer>,
 ) -> Result<HostResponse, ConnectionError> {
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -12,7 +12,7 @@
 };
 use futures_lite::AsyncWriteExt;
 
-/// Maximum size of a host's PRELOGIN.
+/// Maximum payload of a host's PRELOGIN.
 const MAX_PRELOGIN_BYTES: usize = 4096;
 /// The application name and the library name in a login.
 const APPLICATION: &str = "comethitch";
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Exchanges PRELOGINs. Encryption is not supported, so a host that requires it cannot be used.
+/// Exchanges PRELOGIN messages. The router does not support encryption, so a host that requires it cannot be used.
 async fn negotiate_encryption(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let mut payload = Vec::new();
     Prelogin::default().put(&mut payload);
--- a/crates/comethitchd/src/protocols/tds/pending_response.rs
+++ b/crates/comethitchd/src/protocols/tds/pending_response.rs
@@ -8,7 +8,7 @@
 use crate::state::memory_budget::Reservation;
 use crate::state::router_state::RouterState;
 
-/// Maximum size of the part of a response that is buffered.
+/// Maximum size of the part of a response that is buffered at a time.
 const MAX_BUFFERED_BYTES: usize = STREAMING_THRESHOLD_BYTES + MAX_TOKEN_BYTES;
 
 /// A response that is being read.
@@ -37,7 +37,7 @@
         if self.response.is_ended() {
             return Ok(ResponseProgress::Ended);
         }
-        // Up to this size nothing is streamed, so that an error anywhere in the response still takes effect.
+        // A response below this size is not streamed, so that an error anywhere in it still determines the outcome.
         if is_streamed && self.response.tokens.len() >= STREAMING_THRESHOLD_BYTES {
             return Ok(ResponseProgress::PartReady);
         }
--- a/crates/comethitchd/src/protocols/tds/prepared.rs
+++ b/crates/comethitchd/src/protocols/tds/prepared.rs
@@ -1,4 +1,4 @@
-//! A client's prepared statements. The router stores them instead of the hosts: each execution becomes a call of
+//! A client's prepared statements. The router stores them, and hosts do not: each execution becomes a call of
 //! `sp_executesql`, which any host can run.
 
 use crate::state::memory_budget::{MemoryBudget, Reservation};
@@ -26,8 +26,10 @@
 pub(super) struct PreparedStatements {
     /// The part of the memory budget, shared by all connections, that the statements use.
     reservation: Reservation,
+    /// The handle that was assigned last, 0 before the first one.
     last_handle: i32,
     by_handle: BTreeMap<i32, PreparedStatement>,
+    /// The memory accounted for all statements.
     bytes: usize,
 }
 
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Stores a statement and returns its handle; `None` if there is no memory for it.
+    /// Stores a statement and returns its handle, or `None` if there is no memory for it.
     pub(super) fn insert(&mut self, text: &str, declarations: &str) -> Option<i32> {
         let bytes = self.bytes + entry_bytes(text, declarations);
         if bytes > MAX_CLIENT_BYTES || !self.reservation.resize_to(bytes) {
@@ -60,7 +62,7 @@
         self.by_handle.get(&i32::try_from(handle).ok()?)
     }
 
-    /// Removes a statement. Returns whether there was one with this handle.
+    /// Removes the statement with this handle, and returns whether there was one.
     pub(super) fn remove(&mut self, handle: i64) -> bool {
         let removed = i32::try_from(handle).ok().and_then(|handle| self.by_handle.remove(&handle));
         let Some(statement) = removed else { return false };
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -11,13 +11,13 @@
 
 /// Maximum size of a token that is forwarded.
 pub(super) const MAX_TOKEN_BYTES: usize = 1 << 20;
-/// The highest severity class of an informational message; above it, a message is an error.
+/// The highest severity class of an informational message. Messages of higher classes are errors.
 const MAX_INFORMATION_CLASS: u8 = 10;
 
-/// A host's response, as far as it was received.
+/// The received part of a host's response.
 pub struct HostResponse {
     parser: TokenReader,
-    /// Payload that is not parsed yet.
+    /// Payload bytes that were received and are not parsed yet.
     unparsed: Vec<u8>,
     /// Number of payload bytes of the current packet that are not received yet.
     packet_remaining: usize,
@@ -43,7 +43,7 @@
 pub struct FirstRow {
     /// The first column's value.
     pub first: Value,
-    /// The second column's value; null without one.
+    /// The second column's value, or [`Value::Null`] if there is no second column.
     pub second: Value,
 }
 
@@ -83,7 +83,7 @@
             consumed += length;
             self.parse_tokens()?;
             if self.packet_remaining == 0 && self.is_last_packet && !self.is_complete() {
-                return Err(MalformedMessage("an answer that ends within its tokens"));
+                return Err(MalformedMessage("the response ends before its last token"));
             }
         }
         Ok(consumed)
@@ -91,12 +91,12 @@
 
     fn begin_packet(&mut self, header: &Header) -> Result<(), MalformedMessage> {
         if header.kind != MessageKind::Response {
-            return Err(MalformedMessage("a packet that is no answer"));
+            return Err(MalformedMessage("the packet is not part of a response"));
         }
         self.packet_remaining = header.length - HEADER_BYTES;
         self.is_last_packet = header.status & status::END != 0;
         if self.packet_remaining == 0 && !self.is_last_packet {
-            return Err(MalformedMessage("an empty packet within an answer"));
+            return Err(MalformedMessage("the response contains an empty packet"));
         }
         Ok(())
     }
@@ -126,7 +126,7 @@
                     self.record(token);
                 }
                 Err(ReadError::NeedMoreInput) => break,
-                Err(ReadError::Malformed(why)) => return Err(MalformedMessage(why)),
+                Err(ReadError::Malformed(reason)) => return Err(MalformedMessage(reason)),
             }
         }
         self.unparsed.drain(..parsed);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Records a token's effect on the session or the result.
+    /// Updates the state of the session and of the response by a token.
     fn record(&mut self, token: Token) {
         match token {
             Token::Error(message) if message.class > MAX_INFORMATION_CLASS => {
@@ -166,12 +166,12 @@
     }
 }
 
-/// Reads the packet header at the start of the bytes; `None` if it is incomplete.
+/// Reads the packet header at the start of the bytes. Returns `None` if it is incomplete.
 fn read_header(bytes: &[u8]) -> Result<Option<Header>, MalformedMessage> {
     match Header::read(bytes) {
         Ok(header) => Ok(Some(header)),
         Err(ReadError::NeedMoreInput) => Ok(None),
-        Err(ReadError::Malformed(why)) => Err(MalformedMessage(why)),
+        Err(ReadError::Malformed(reason)) => Err(MalformedMessage(reason)),
     }
 }
 
@@ -181,7 +181,7 @@
     Some(FirstRow { first: value(0)?, second: value(1).unwrap_or(Value::Null) })
 }
 
-/// Returns whether a token is forwarded to the client, rather than concerning only the session with the host.
+/// Returns whether a token is forwarded to the client. Tokens that concern only the session with the host are not.
 fn is_forwarded(token: &Token) -> bool {
     match token {
         Token::Change(Change::Reset | Change::PacketSize(_) | Change::Database(_) | Change::Other(_)) => {
--- a/crates/comethitchd/src/protocols/tds/settings.rs
+++ b/crates/comethitchd/src/protocols/tds/settings.rs
@@ -1,8 +1,8 @@
 //! The operator's settings file for TDS: how the router logs in to hosts and checks their health, and which error
 //! numbers it sends to clients.
 //!
-//! The published schema, `deploy/tds.schema.json`, is generated from these types; its descriptions are the doc comments
-//! of the fields.
+//! The published schema, `deploy/tds.schema.json`, is generated from these types. Its descriptions are the doc comments
+//! of the types and fields.
 
 use comethitch_tds::packet::{MAX_PACKET_BYTES, MIN_PACKET_BYTES};
 use schemars::JsonSchema;
@@ -11,23 +11,23 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The whole file. With it an instance speaks TDS with clients, at the configuration's `listen`, and with hosts.
+/// The settings of an instance that speaks TDS with clients, on the configuration's `listen` address, and with hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-// The title in the published schema.
+// Keeps the title in the published schema.
 #[schemars(rename = "Ways")]
 pub struct TdsSettings {
-    /// Further addresses to listen at, `127.0.0.1:1434`.
+    /// Additional addresses to listen on, such as `127.0.0.1:1434`.
     #[serde(default)]
     pub also_listen: Vec<String>,
-    /// The largest packets that clients and hosts may settle on, in bytes.
+    /// Maximum packet size in bytes that is negotiated with clients and hosts.
     #[serde(default = "default_packet_size")]
     pub packet_size: usize,
     /// How the router logs in to hosts.
     pub hosts: HostLogin,
-    /// How the health of hosts is checked.
+    /// How the router checks the health of hosts.
     pub probe: HealthCheck,
-    /// The numbers of the errors that the router answers with.
+    /// The error numbers that the router sends to clients.
     #[serde(default)]
     pub numbers: ErrorNumbers,
 }
@@ -38,16 +38,16 @@
 
 /// How the router logs in to hosts. Clients are admitted whatever their name and password are.
 #[derive(Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
-// The name in the published schema and in error messages.
+// Keeps the name in the published schema and in error messages.
 #[serde(deny_unknown_fields, rename = "LogIn")]
 pub struct HostLogin {
-    /// The name of the login.
+    /// The user name of the login.
     pub user: String,
-    /// A file whose first line is the password; none for an empty one.
+    /// Path of a file whose first line is the password. Without it, the password is empty.
     pub password_file: Option<String>,
-    /// The database that statements run in.
+    /// The database in which statements run.
     pub database: String,
-    /// Read from its file at the start.
+    /// The password, read from `password_file` when the settings are loaded.
     #[serde(skip)]
     pub password: String,
 }
@@ -59,26 +59,27 @@
     }
 }
 
-/// The health check: a query that each host answers with its role and position.
+/// The health check of a host: a query that returns the host's role and position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "Probe")]
 pub struct HealthCheck {
-    /// A query of one row: the host's role, then its position, in milliseconds of Unix time, up to which all
-    /// commits are applied there.
+    /// A query that returns one row: the host's role, then its position, which is the time in milliseconds of Unix
+    /// time up to which the host has applied all commits.
     pub sql: String,
-    /// What the role is at a primary, as text; anything else is a replica.
+    /// The role that a primary returns, as text. A host that returns any other role is a replica.
     pub primary: String,
 }
 
-/// The numbers of errors that the router answers with.
+/// The numbers of the errors that the router sends to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename = "Numbers")]
 pub struct ErrorNumbers {
-    /// Throttled: a retry is harmless. By default a number that drivers retry on.
+    /// The statement was throttled: it did not run, and may be retried. The default is a number that drivers retry on.
     pub throttled: i32,
-    /// Failed, and whether the statement ran is unknown: must be a number that no driver retries on.
+    /// The statement failed, and may have run. Must be a number that no driver retries on.
     pub failed: i32,
-    /// A statement that is rejected before it becomes a request.
+    /// The statement was rejected before it became a request, or the client violated the protocol. Must be a number that
+    /// no driver retries on.
     pub refused: i32,
 }
 
@@ -95,11 +96,11 @@
     10_929, 10_936, 40_143, 40_197, 40_501, 40_540, 40_613, 42_108, 49_918, 49_919, 49_920,
 ];
 
-/// Reasons why a settings file is rejected. The text names the key.
+/// Reasons why a settings file is rejected. The texts name the key or the file.
 #[derive(Debug, thiserror::Error)]
 pub enum TdsSettingsError {
     /// The file cannot be read.
-    #[error("{path} can't be read: {source}")]
+    #[error("cannot read {path}: {source}")]
     Unreadable {
         /// Path of the file.
         path: String,
@@ -123,7 +124,7 @@
         source: serde_json::Error,
     },
     /// Something follows the JSON object.
-    #[error("behind the ways: {0}")]
+    #[error("unexpected text after the settings: {0}")]
     TrailingText(#[source] serde_json::Error),
     /// One of the additional addresses is invalid.
     #[error("also_listen.{index} must be an address with a port, not {text:?}")]
@@ -137,7 +138,7 @@
     #[error("packet_size must be {MIN_PACKET_BYTES} to {MAX_PACKET_BYTES}, not {0}")]
     PacketSizeOutOfRange(usize),
     /// The health check has no query.
-    #[error("probe.sql must be a query")]
+    #[error("probe.sql must be a query, not an empty text")]
     EmptyHealthCheck,
     /// An error number is zero or negative.
     #[error("numbers.{key} must be above 0, not {number}")]
@@ -147,8 +148,8 @@
         /// The number.
         number: i32,
     },
-    /// Drivers retry on the number, although the statement may have run.
-    #[error("numbers.{key} is {number}, on which clients try again")]
+    /// Drivers retry on the number, although the statement may have run or would be rejected again.
+    #[error("numbers.{key} is {number}, an error number on which clients retry")]
     NumberIsRetried {
         /// The key of the number.
         key: &'static str,
@@ -156,7 +157,7 @@
         number: i32,
     },
     /// The password file cannot be read.
-    #[error("hosts.password_file: {path}: {source}")]
+    #[error("hosts.password_file: cannot read {path}: {source}")]
     PasswordFile {
         /// Path of the file.
         path: String,
@@ -169,13 +170,13 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// If the file can't be read, or [`TdsSettings::read`] fails.
+    /// If the file cannot be read, or [`TdsSettings::read`] fails.
     pub fn load(path: &Path) -> Result<TdsSettings, TdsSettingsError> {
-        let shown = || path.display().to_string();
+        let path_text = || path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| TdsSettingsError::Unreadable { path: shown(), source })?;
+            .map_err(|source| TdsSettingsError::Unreadable { path: path_text(), source })?;
         TdsSettings::read(&text)
-            .map_err(|source| TdsSettingsError::InFile { path: shown(), source: Box::new(source) })
+            .map_err(|source| TdsSettingsError::InFile { path: path_text(), source: Box::new(source) })
     }
 
     /// Parses and checks the text of a file, and reads the password file that it names.
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -310,10 +310,10 @@
     for (key, value, expected) in [
         ("/packet_size", json!(100), "packet_size must be 512 to 32767"),
         ("/also_listen", json!(["nowhere"]), "also_listen.0 must be an address"),
-        ("/numbers/failed", json!(1205), "numbers.failed is 1205, on which clients try again"),
+        ("/numbers/failed", json!(1205), "numbers.failed is 1205, an error number on which clients retry"),
         ("/numbers/refused", json!(49918), "numbers.refused is 49918"),
         ("/numbers/throttled", json!(0), "numbers.throttled must be above 0"),
-        ("/probe/sql", json!(" "), "probe.sql must be a query"),
+        ("/probe/sql", json!(" "), "probe.sql must be a query, not an empty text"),
         ("/hosts/user", json!(3), "hosts.user"),
         ("/hosts/password_file", json!("/nowhere/at/all"), "hosts.password_file"),
     ] {
