--- a/crates/comethitchd/src/protocols/client_connection/disconnect.rs
+++ b/crates/comethitchd/src/protocols/client_connection/disconnect.rs
@@ -1,4 +1,4 @@
-//! Reasons for closing a client's connection, and the errors that are sent to the client before.
+//! Reasons for closing a client's connection, and the errors that are sent to the client before that.
 
 use crate::wire::MalformedMessage;
 use std::io;
@@ -6,7 +6,7 @@
 /// Reasons for closing a client's connection.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Disconnect {
-    /// The client has closed the connection, or is treated as if it had.
+    /// The client has closed the connection, or the session ends in a way that needs no further message to the client.
     #[error("the client has disconnected")]
     ClientGone,
     /// The router closes the connection while no answer is outstanding.
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -31,10 +31,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long input is still discarded once the connection must close. Closing with unread input would reset the
+/// How long input is still read and discarded once the connection must close. Closing with unread input would reset the
 /// connection, and the client could lose the last answer.
 const LINGER: Duration = Duration::from_millis(60);
-/// Number of consecutive invalid statements after which a client is disconnected.
+/// Number of consecutive invalid statements at which a client is disconnected.
 const MAX_CONSECUTIVE_INVALID: u32 = 8;
 
 /// A client's connection.
@@ -45,7 +45,7 @@
     pub buffer: Buffer,
     /// The connection's number in the registry of clients.
     pub number: u32,
-    /// Requests that the connection close, or cancels its request.
+    /// Signals that the connection must close, or that its request is cancelled.
     pub signal: Rc<ConnectionSignal>,
     stream: Rc<Socket>,
     /// Whether a submitted request is unanswered.
@@ -59,13 +59,13 @@
     /// Whether a request was answered on this connection, so that it may be closed while idle.
     has_been_answered: bool,
     consecutive_invalid: u32,
-    /// Whether the last bytes were read after the connection had been asked to close.
+    /// Whether a close of the connection had already been requested when the last bytes were read.
     closing_at_last_read: bool,
 }
 
 /// The result of admitting a client's statement.
 pub(super) enum Admission {
-    /// A request, which must be submitted to the policy.
+    /// The statement is admitted as this request, which must be submitted to the policy.
     Admitted(AdmittedRequest),
     /// The statement must be answered as throttled.
     Throttled,
@@ -82,7 +82,7 @@
 }
 
 impl ClientConnection {
-    /// Registers a client. This happens before it sends anything, because it already uses a descriptor.
+    /// Registers a client, before it sends anything, because its connection already uses a descriptor.
     pub(super) fn new(
         state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, max_buffer_bytes: usize,
     ) -> ClientConnection {
@@ -118,7 +118,7 @@
     /// Counts and logs an invalid statement.
     ///
     /// # Errors
-    /// If there were too many consecutive ones.
+    /// If there were too many consecutive invalid statements.
     pub(super) fn record_invalid_statement(&mut self, reason: &str) -> Result<(), Disconnect> {
         self.state.metrics.invalid_requests.increment();
         log::debug!(client = self.number, reason; "invalid statement");
@@ -132,7 +132,7 @@
     /// Admits the statement that was consumed last. Counts and logs it if it is throttled.
     ///
     /// # Errors
-    /// If the client has disconnected, because no attempt may start for it any more.
+    /// If the client has disconnected, because no attempt may be started for it after that.
     pub(super) fn admit(&self, text: &[u8], arguments: &[Argument]) -> Result<Admission, Disconnect> {
         let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
         let admitted = match admit(&self.state, &request) {
@@ -171,7 +171,7 @@
         self.state.clients.set_phase(self.number, phase, self.state.clock.now());
     }
 
-    /// Consumes buffered bytes. The last of them determines when the request that they belong to arrived.
+    /// Consumes buffered bytes. The arrival time of the last one becomes that of the request that they belong to.
     pub(super) fn consume(&mut self, length: usize) {
         self.buffer.consume(length);
         self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
@@ -210,7 +210,7 @@
             Disconnect::Io(error) => {
                 log::debug!(client = self.number, error:%; "client connection failed");
             }
-            // The client sees the end of the stream, and retries requests that it sends after it.
+            // No error is sent: the client sees the end of the stream, and retries the requests that it sends too late.
             Disconnect::Closing | Disconnect::BrokenAnswer => {
                 self.close_gracefully(Vec::new(), &disconnect.to_string()).await;
             }
@@ -233,7 +233,7 @@
     }
 
     /// Writes the last bytes, if any, shuts down the sending half, and discards further input until the client closes the
-    /// connection, or until [`LINGER`] after the registry of clients requires it to close.
+    /// connection, or until [`LINGER`] has passed since the registry of clients requested an immediate close.
     async fn close_gracefully(&mut self, last_bytes: Vec<u8>, reason: &str) {
         log::debug!(client = self.number, reason; "client connection closing");
         self.set_phase(ConnectionPhase::Closing);
@@ -245,8 +245,8 @@
         self.send_and_discard(&last_bytes).or(linger).await;
     }
 
-    /// Writes the last bytes, and discards input up to the end of the stream. Always returns `None`, also if the
-    /// connection breaks.
+    /// Writes the last bytes, and discards input up to the end of the stream. Always returns `None`; the type lets `?` end
+    /// the function if the connection breaks.
     async fn send_and_discard(&mut self, last_bytes: &[u8]) -> Option<()> {
         self.write(last_bytes).await.ok()?;
         self.stream.shut_down_write().ok()?;
@@ -256,7 +256,7 @@
     }
 }
 
-/// Returns a number that identifies the client's machine; for IPv6 its /64 network.
+/// Returns a number that identifies the client's machine: its IPv4 address, or the /64 network of its IPv6 address.
 fn origin_of(stream: &Socket) -> u64 {
     stream.peer_ip().map_or(0, |ip| match ip {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -1,5 +1,5 @@
-//! Waits on a client's connection: for input, or for the end of a request. The latter wait also ends when the client
-//! disconnects or interrupts the request.
+//! Waits on a client's connection, for input or for the end of a request. A wait for the end of a request also ends when
+//! the client disconnects or interrupts the request.
 
 use super::{ClientConnection, Disconnect};
 use crate::state::client_registry::ConnectionPhase;
@@ -13,13 +13,13 @@
 
 /// Maximum size of pipelined input that is buffered while a request is in progress.
 const MAX_PIPELINED_BYTES: usize = 8 * 1024;
-/// Interval at which a disconnect is polled for while nothing is read. It must be well below 100 ms, because the rules
-/// forbid attempts that start later than that after a disconnect.
+/// Interval of polling for a disconnect while nothing is read. It must be well below 100 ms, because the rules forbid
+/// attempts that start more than 100 ms after a disconnect.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl ClientConnection {
-    /// Waits for more input between or within messages, while no request is in progress. The registry of clients enforces
-    /// the time limit, so there is no timer here.
+    /// Waits for more input between or within messages, while no request is in progress. There is no timer here, because
+    /// the registry of clients enforces the time limit.
     ///
     /// # Errors
     /// If the connection ends before more input arrives.
@@ -27,8 +27,8 @@
         self.wait_for_more(true).await
     }
 
-    /// Waits like [`ClientConnection::wait_for_input`]; `between_messages` states that no part of a message was consumed
-    /// from the buffer.
+    /// Waits like [`ClientConnection::wait_for_input`]. `between_messages` states whether no part of the current message
+    /// has been consumed from the buffer.
     ///
     /// # Errors
     /// If the connection ends before more input arrives.
@@ -36,7 +36,7 @@
         let at_message_boundary = between_messages && self.buffer.unread().is_empty();
         let is_idle = at_message_boundary && self.has_been_answered;
         self.set_phase(if is_idle { ConnectionPhase::Idle } else { ConnectionPhase::Reading });
-        // A client that keeps sending would never become idle; it retries what crosses the close.
+        // A client that keeps sending would otherwise never be disconnected. It retries a request that crosses the close.
         if is_idle && self.closing_at_last_read {
             return Err(Disconnect::Closing);
         }
@@ -45,7 +45,7 @@
             Err(Disconnect::Closing) if !at_message_boundary => {
                 return Err(Disconnect::ProtocolViolation("the rest of a message did not come"));
             }
-            // Input arrived at the same time as the close request.
+            // Input that arrived at the same time as the close request is still read.
             Err(Disconnect::Closing) if self.stream.has_input() => self.buffer.fill(&*self.stream).await?,
             filled => filled?,
         };
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Reads once, unless the connection is asked to close first.
+    /// Reads once, unless a close that is at least as urgent as `close_request` is requested first.
     async fn fill_unless_closed(&mut self, close_request: CloseRequest) -> Result<usize, Disconnect> {
         let stream = &*self.stream;
         let signal = &self.signal;
@@ -68,7 +68,8 @@
         fill.or(close).await
     }
 
-    /// Waits until the client has disconnected without reading its input, whose arrival time is still recorded.
+    /// Waits until the client has disconnected, without reading its input. The arrival time of the input is still
+    /// recorded.
     async fn wait_for_disconnect(&mut self) {
         while !self.stream.has_ended() {
             self.record_waiting_input();
@@ -89,12 +90,12 @@
     pub(crate) async fn wait_while_connected<T>(
         &mut self, event: impl Future<Output = T>,
     ) -> Result<T, Disconnect> {
-        // `None` is impossible without a test for interruptions.
+        // `None` is not returned if no `is_interruption` is given.
         self.wait_until_interrupted(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Disconnect::ClientGone)
     }
 
-    /// Waits for an event. Returns `None` as soon as `is_interruption` holds for the client's input. Without a test, no
-    /// input interrupts the wait.
+    /// Waits for an event. Returns `None` as soon as `is_interruption` returns true for the client's unread input. If
+    /// `is_interruption` is not given, no input interrupts the wait.
     ///
     /// # Errors
     /// [`Disconnect::ClientGone`] if the client disconnects first.
@@ -104,7 +105,7 @@
         let mut event = pin!(event);
         let mut out_of_memory = false;
         loop {
-            // During a graceful shutdown no further requests are read.
+            // Once a close is requested, nothing more is read, unless interruptions must be detected.
             let no_more_requests = self.closing_at_last_read && is_interruption.is_none();
             let is_full = self.buffer.unread().len() >= MAX_PIPELINED_BYTES;
             let may_read = !out_of_memory && !is_full && !no_more_requests;
@@ -114,7 +115,7 @@
                 Ok(value) => return Ok(Some(value)),
                 Err(Ok(length)) if length > 0 => {
                     self.record_read(length);
-                    if is_interruption.as_ref().is_some_and(|test| test(self.buffer.unread())) {
+                    if is_interruption.as_ref().is_some_and(|predicate| predicate(self.buffer.unread())) {
                         return Ok(None);
                     }
                 }
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Reads once, or waits without reading if `may_read` is false. Returns 0 once the client has disconnected.
+    /// Reads once, or only waits for a disconnect if `may_read` is false. Returns 0 once the client has disconnected.
     async fn read_or_wait_for_disconnect(&mut self, may_read: bool) -> io::Result<usize> {
         if !may_read {
             self.wait_for_disconnect().await;
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -1,4 +1,4 @@
-//! Opens a client's session: PRELOGIN, then LOGIN7. Clients are admitted whatever their name and password are.
+//! Opens a client's session: PRELOGIN, then LOGIN7. The user name and the password are not checked.
 
 use super::reply::{SERVER_NAME, change, class, encode_packets, put_failure};
 use super::{ClientMessage, Session, operation};
@@ -15,7 +15,7 @@
 const LANGUAGE: &str = "us_english";
 /// The database of a session before its login.
 const INITIAL_DATABASE: &str = "master";
-/// The error number of "login failed".
+/// The error number with which servers of this protocol report a failed login.
 const LOGIN_FAILED: i32 = 18_456;
 
 impl Session {
@@ -67,6 +67,7 @@
         Ok(payload)
     }
 
+    /// Rejects integrated authentication, which is not supported.
     async fn reject_login(&mut self) -> Result<(), Disconnect> {
         let text = "only logins by name and password are spoken here";
         let mut tokens = Vec::new();
@@ -75,7 +76,7 @@
         Err(Disconnect::Closing)
     }
 
-    /// Returns the packet size that the client requests, clamped to the limits of the protocol and the operator.
+    /// Returns the packet size that the client requests, clamped to the protocol's minimum and the operator's maximum.
     fn negotiate_packet_size(&self, login: &Login) -> usize {
         match usize::try_from(login.packet_size).unwrap_or(INITIAL_PACKET_BYTES) {
             0 => INITIAL_PACKET_BYTES,
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -31,7 +31,7 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Maximum payload of a batch or a call.
+/// Maximum payload of a message after the login, such as a batch or a call.
 const MAX_REQUEST_BYTES: usize = 512 * 1024;
 /// The status bits with which a message requests a reset of the session.
 const RESET_BITS: u8 = status::RESET | status::RESET_KEEPING_TRANSACTION;
@@ -57,7 +57,7 @@
 enum OperationEnd {
     /// The tokens of its answer are ready to be written.
     Answered,
-    /// The client cancelled it by an attention.
+    /// The client cancelled it with an attention message.
     Cancelled,
 }
 
@@ -131,11 +131,11 @@
         if resets_session {
             self.prepared.clear();
         }
-        // The client abandoned the message while sending it, so nothing of it may run.
+        // The client cancelled the message while sending it, so no part of it may run.
         if message.status & status::IGNORE != 0 {
             return Ok(());
         }
-        // This attention crossed the answer on the network; there is nothing to cancel any more.
+        // The attention crossed the answer on the network, so there is nothing left to cancel.
         if message.kind == MessageKind::Attention {
             return self.acknowledge_attention().await;
         }
@@ -162,7 +162,7 @@
         Ok(OperationEnd::Answered)
     }
 
-    /// Acknowledges to the client that its request is cancelled.
+    /// Acknowledges an attention, with which the client cancelled its request.
     async fn acknowledge_attention(&mut self) -> Result<(), Disconnect> {
         let mut tokens = Vec::new();
         reply::put_attention_acknowledgement(&mut tokens);
@@ -219,7 +219,7 @@
             }
             Ok(None) => {
                 policy_driver::client_disconnected(&state, id);
-                // Consumes the attention, whose acknowledgement is the only answer.
+                // Consumes the attention message. Its acknowledgement is the only answer to the request.
                 self.read_message(HEADER_BYTES).await?;
                 OperationEnd::Cancelled
             }
@@ -232,8 +232,12 @@
         Ok(end)
     }
 
-    /// Forwards a large value in parts. Its last token is left in `tokens`, because a handle may have to precede it. If
-    /// the end of the value does not arrive, the connection must be closed, which tells the client that it is incomplete.
+    /// Forwards a large value in parts. Its last token is left in `tokens`, because the handle of a prepared statement may
+    /// have to be inserted before it.
+    ///
+    /// # Errors
+    /// [`Disconnect::BrokenAnswer`] if the end of the value does not arrive. The connection must then be closed, which
+    /// tells the client that the value is incomplete.
     async fn stream_value(
         &mut self, tokens: &mut Vec<u8>, first: Vec<u8>, parts: &Receiver<ValuePart>, framing: ReplyFraming,
     ) -> Result<(), Disconnect> {
@@ -253,7 +257,7 @@
         Ok(())
     }
 
-    /// Writes all tokens except for the length of the last one, without ending the message.
+    /// Writes all bytes of `tokens` except for the last [`DONE_TOKEN_BYTES`], without ending the message.
     async fn write_all_but_last_token(&mut self, tokens: &mut Vec<u8>) -> Result<(), Disconnect> {
         if tokens.len() <= DONE_TOKEN_BYTES {
             return Ok(());
--- a/crates/comethitchd/src/protocols/tds/client/operation.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -1,5 +1,5 @@
-//! Parses a client's message: a statement to run at a host, an operation that the router answers locally, or one that is
-//! not supported.
+//! Parses a client's message into an operation: a statement to run at a host, one that the router answers itself, or one
+//! that is not supported.
 
 use super::reply::{ReplyFraming, put_handle};
 use crate::protocols::client_connection::Disconnect;
@@ -17,7 +17,7 @@
 use comethitch_tds::write::{put_done, put_return_status};
 
 /// Maximum size of a batch that is checked for containing only session options.
-const MAX_SETTINGS_BYTES: usize = 4 * 1024;
+const MAX_SESSION_OPTIONS_BYTES: usize = 4 * 1024;
 /// The return status of a procedure that succeeded.
 const SUCCESS: i32 = 0;
 
@@ -27,11 +27,11 @@
 
 /// An operation that a client's message requests.
 pub(super) enum Operation {
-    /// Run a statement at a host.
+    /// The statement must run at a host.
     Run(Statement),
-    /// Answered by the router itself, with these tokens.
+    /// The router answers the message itself, with these tokens.
     AnsweredLocally(Vec<u8>),
-    /// Not supported.
+    /// The operation is not supported.
     Rejected {
         /// The text of the error sent to the client.
         reason: String,
@@ -42,9 +42,9 @@
 
 /// A statement to run at a host.
 pub(super) struct Statement {
-    /// The text, by which the statement is admitted.
+    /// The statement's text, from which it is classified and admitted.
     pub text: String,
-    /// The values of the parameters by name; `None` for a value of a type that is not decoded.
+    /// The names and values of the parameters. The value is `None` if it is neither an integer nor text.
     pub arguments: Vec<Argument>,
     /// The kind of the message to the host.
     pub kind: MessageKind,
@@ -91,8 +91,8 @@
     if batch.headers.transaction != 0 {
         return Ok(rejected(ReplyFraming::Batch, NO_TRANSACTION));
     }
-    // Session options have no effect, because each request runs in a session that was reset.
-    if is_empty_or_settings(&batch.text) {
+    // Session options would have no effect, because each request runs in a session that was reset.
+    if is_empty_or_session_options(&batch.text) {
         let mut tokens = Vec::new();
         put_done(&mut tokens, code::DONE, 0, 0);
         return Ok(Operation::AnsweredLocally(tokens));
@@ -126,7 +126,7 @@
     Ok(operation)
 }
 
-/// `sp_executesql`: forwards the call unchanged.
+/// Handles `sp_executesql`: forwards the call unchanged.
 fn execute_sql(call: &Call, payload: Vec<u8>) -> Operation {
     let Some(text) = call.statement() else {
         return call_rejected("sp_executesql without a statement");
@@ -140,7 +140,7 @@
     })
 }
 
-/// `sp_prepare`: stores the statement and answers with its handle.
+/// Handles `sp_prepare`: stores a statement and answers with its handle.
 fn prepare(call: &Call, prepared: &mut PreparedStatements) -> Operation {
     let Some(text) = call.statement() else {
         return call_rejected("sp_prepare without a statement");
@@ -155,15 +155,15 @@
     Operation::AnsweredLocally(tokens)
 }
 
-/// `sp_execute`: runs a stored statement.
+/// Handles `sp_execute`: runs a stored statement.
 fn execute_prepared(call: &Call, payload: &[u8], prepared: &PreparedStatements) -> Operation {
-    let Some(statement) = handle(call).and_then(|handle| prepared.get(handle)) else {
+    let Some(statement) = statement_handle(call).and_then(|handle| prepared.get(handle)) else {
         return call_rejected(UNKNOWN_HANDLE);
     };
     run_prepared(call, payload, &statement.text, &statement.declarations, ReplyFraming::Call)
 }
 
-/// `sp_prepexec`: stores and runs a statement, and answers with its handle too.
+/// Handles `sp_prepexec`: stores and runs a statement, and adds its handle to the answer.
 fn prepare_and_execute(call: &Call, payload: &[u8], prepared: &mut PreparedStatements) -> Operation {
     let Some(text) = call.statement() else {
         return call_rejected("sp_prepexec without a statement");
@@ -175,9 +175,9 @@
     run_prepared(call, payload, text, declarations, ReplyFraming::CallReturningHandle(handle))
 }
 
-/// `sp_unprepare`: removes a stored statement.
+/// Handles `sp_unprepare`: removes a stored statement.
 fn unprepare(call: &Call, prepared: &mut PreparedStatements) -> Operation {
-    if !handle(call).is_some_and(|handle| prepared.remove(handle)) {
+    if !statement_handle(call).is_some_and(|handle| prepared.remove(handle)) {
         return call_rejected(UNKNOWN_HANDLE);
     }
     let mut tokens = Vec::new();
@@ -186,7 +186,8 @@
     Operation::AnsweredLocally(tokens)
 }
 
-/// Any other procedure: admitted as an `EXEC` statement, whose effect only the operator's rules can tell.
+/// Handles any other procedure: the call is forwarded unchanged, and admitted as an `EXEC` statement, whose effect is
+/// known only from the operator's statement rules.
 fn call_procedure(name: &str, payload: Vec<u8>) -> Operation {
     let quoted: Vec<String> =
         name.split('.').map(|part| format!("[{}]", part.trim_matches(['[', ']']))).collect();
@@ -200,14 +201,14 @@
 }
 
 /// Returns the handle of a prepared statement from a call's first parameter.
-fn handle(call: &Call) -> Option<i64> {
+fn statement_handle(call: &Call) -> Option<i64> {
     match call.parameters.first().map(|parameter| &parameter.value) {
         Some(Value::Integer(handle)) => Some(*handle),
         _ => None,
     }
 }
 
-/// Rewrites the execution of a prepared statement as a call of `sp_executesql`, which any host can run.
+/// Returns the execution of a prepared statement, rewritten as a call of `sp_executesql`, which any host can run.
 fn run_prepared(
     call: &Call, payload: &[u8], text: &str, declarations: &str, framing: ReplyFraming,
 ) -> Operation {
@@ -227,20 +228,20 @@
     })
 }
 
-/// Returns the values of a statement's parameters by name. Unnamed ones get the declared names, by position.
+/// Returns the names and values of a statement's parameters. Unnamed ones get the declared name at their position.
 fn argument_values(call: &Call, declarations: &str) -> Vec<Argument> {
     let declared = declared_names(declarations);
-    let named_value = |(position, CallArgument { name, value }): (usize, CallArgument<'_>)| {
+    let argument = |(position, CallArgument { name, value }): (usize, CallArgument<'_>)| {
         let name = match name {
             "" => declared.get(position).cloned().unwrap_or_default(),
             name => name.to_lowercase(),
         };
         Argument { name, value: text_value(value) }
     };
-    call.arguments().enumerate().map(named_value).collect()
+    call.arguments().enumerate().map(argument).collect()
 }
 
-/// Returns the text of an integer or a text value.
+/// Returns an integer or a text value as text, and `None` for other types.
 fn text_value(value: &Value) -> Option<Vec<u8>> {
     match value {
         Value::Integer(value) => Some(value.to_string().into_bytes()),
@@ -249,15 +250,15 @@
     }
 }
 
-/// Returns whether a batch is empty or only sets session options. To save parsing twice, only short batches that start
-/// like one are parsed here.
-fn is_empty_or_settings(text: &str) -> bool {
+/// Returns whether a batch is empty or only sets session options. Only short batches that begin like one are parsed here,
+/// so that other batches are not parsed twice.
+fn is_empty_or_session_options(text: &str) -> bool {
     let is_candidate = match text.trim_start().as_bytes() {
         [] | [b';' | b'-' | b'/', ..] => true,
         [first, second, third, ..] => [*first, *second, *third].eq_ignore_ascii_case(b"set"),
         _ => false,
     };
-    if !is_candidate || text.len() > MAX_SETTINGS_BYTES {
+    if !is_candidate || text.len() > MAX_SESSION_OPTIONS_BYTES {
         return false;
     }
     let mut lexer = Lexer::new(Dialect::Tsql);
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -7,13 +7,13 @@
 use comethitch_tds::token::{Message, ParsedToken, Token, TokenReader, code, done};
 use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
 
-/// The name that is sent to clients as the server's.
+/// The server name that is sent to clients.
 pub(super) const SERVER_NAME: &str = "comethitch";
 /// The length of a DONE token, which ends every answer.
 pub(super) const DONE_TOKEN_BYTES: usize = 13;
 /// The output parameter that returns a prepared statement's handle.
 const HANDLE_PARAMETER: &str = "@handle";
-/// The state reported with all errors, which distinguishes nothing here.
+/// The error state sent with all errors. The router does not use it to distinguish them.
 const ERROR_STATE: u8 = 1;
 
 /// The severity classes of the router's errors.
@@ -58,7 +58,7 @@
     }
 }
 
-/// Encodes a complete message of these tokens.
+/// Encodes a complete response of these tokens.
 pub(super) fn encode_packets(packet_size: usize, tokens: &[u8]) -> Vec<u8> {
     let mut packets = packet_buffer(tokens.len());
     put_message(&mut packets, MessageKind::Response, packet_size, tokens);
@@ -95,7 +95,7 @@
     pub numbers: ErrorNumbers,
     /// How the answer is framed.
     pub framing: ReplyFraming,
-    /// Whether the statement is idempotent, so that drivers may retry it.
+    /// Whether the statement is idempotent, so that drivers may retry it even if it has run.
     pub is_idempotent: bool,
 }
 
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Writes a host's answer that contains an error. Unless the statement is idempotent, an error that drivers retry on
-    /// is replaced, because the statement may have run.
+    /// Writes a host's answer that contains an error. If drivers would retry on the error, the answer is replaced by an
+    /// error that they do not retry on, because the statement may have run. The answer to an idempotent statement is kept.
     fn put_host_error(&self, tokens: &mut Vec<u8>, answer: Vec<u8>) {
         match error_retried_by_drivers(&answer).filter(|_| !self.is_idempotent) {
             Some(error) => {
