--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -1,5 +1,5 @@
-//! Runs one attempt of a request: spawns a task for the protocol's exchange with the host, and reports the outcome to
-//! the policy.
+//! Runs one attempt of a request: spawns a task for the protocol's exchange with the host, and reports the
+//! outcome to the policy.
 
 use crate::protocols::streamed_answer::StreamedAnswer;
 use crate::stages::policy_driver;
@@ -61,9 +61,9 @@
         self.deadline - self.state.clock.now()
     }
 
-    /// Checks right before a write that the client is still connected and that the policy's send guard still admits the
-    /// attempt. Either may have changed since the attempt started: connecting may take long, the host may read slowly,
-    /// and the event loop may have stalled.
+    /// Checks right before a write that the client is still connected and that the policy's send guard still
+    /// admits the attempt. Either may have changed since the attempt started: connecting may take long, the
+    /// host may read slowly, and the event loop may have stalled.
     ///
     /// # Errors
     /// The reason why the attempt must not be sent.
@@ -77,8 +77,8 @@
         Ok(handle.check_send(&router, self.number, self.state.clock.now())?)
     }
 
-    /// Records a violation if the last byte was written too late, although the check before the write passed: the process
-    /// may have been suspended between the two.
+    /// Records a violation if the last byte was written too late, although the check before the write passed:
+    /// the process may have been suspended between the two.
     pub(super) fn verify_sent(&self) {
         let router = self.state.policy();
         let handle = router.handle(self.request);
@@ -114,8 +114,8 @@
 
 /// Starts the request's next attempt, which runs the protocol's exchange `send` with the host.
 ///
-/// If the timeout has already expired, as after a stall of the event loop, nothing is sent and the attempt's number is
-/// returned, so that the caller can end the attempt without counting its end against the host.
+/// If the timeout has already expired, as after a stall of the event loop, nothing is sent and the attempt's
+/// number is returned, so that the caller can end the attempt without counting its end against the host.
 pub(super) fn start<F: Future<Output = AttemptResult> + 'static>(
     state: &Rc<RouterState>, request: RequestId, host: Host, timeout: Duration,
     send: impl FnOnce(Rc<Attempt>) -> F + 'static,
--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -31,8 +31,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long input is still read and discarded once the connection must close. Closing with unread input would reset the
-/// connection, and the client could lose the last answer.
+/// How long input is still read and discarded once the connection must close. Closing with unread input would
+/// reset the connection, and the client could lose the last answer.
 const LINGER: Duration = Duration::from_millis(60);
 /// Number of consecutive invalid statements at which a client is disconnected.
 const MAX_CONSECUTIVE_INVALID: u32 = 8;
@@ -171,7 +171,8 @@
         self.state.clients.set_phase(self.number, phase, self.state.clock.now());
     }
 
-    /// Consumes buffered bytes. The arrival time of the last one becomes that of the request that they belong to.
+    /// Consumes buffered bytes. The arrival time of the last one becomes that of the request that they belong
+    /// to.
     pub(super) fn consume(&mut self, length: usize) {
         self.buffer.consume(length);
         self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
@@ -193,7 +194,8 @@
         Ok(stream.write_all(bytes).or(after(timeout, timed_out)).await?)
     }
 
-    /// Closes the connection. `encode` returns the protocol's message for an error that is sent to the client.
+    /// Closes the connection. `encode` returns the protocol's message for an error that is sent to the
+    /// client.
     pub(super) async fn close(mut self, disconnect: Disconnect, encode: impl Fn(ClosingError) -> Vec<u8>) {
         self.verify_close(&disconnect);
         match disconnect {
@@ -210,7 +212,8 @@
             Disconnect::Io(error) => {
                 log::debug!(client = self.number, error:%; "client connection failed");
             }
-            // No error is sent: the client sees the end of the stream, and retries the requests that it sends too late.
+            // No error is sent: the client sees the end of the stream, and retries the requests that it sends
+            // too late.
             Disconnect::Closing | Disconnect::BrokenAnswer => {
                 self.close_gracefully(Vec::new(), &disconnect.to_string()).await;
             }
@@ -219,8 +222,8 @@
         self.state.clients.unregister(self.number);
     }
 
-    /// Records a violation if the router closes the connection while a request is unanswered. A streamed answer is
-    /// exempt, because the client can tell that it is incomplete.
+    /// Records a violation if the router closes the connection while a request is unanswered. A streamed
+    /// answer is exempt, because the client can tell that it is incomplete.
     fn verify_close(&self, disconnect: &Disconnect) {
         let closed_by_router = match disconnect {
             Disconnect::ProtocolViolation(_) | Disconnect::Closing => true,
@@ -232,8 +235,9 @@
         }
     }
 
-    /// Writes the last bytes, if any, shuts down the sending half, and discards further input until the client closes the
-    /// connection, or until [`LINGER`] has passed since the registry of clients requested an immediate close.
+    /// Writes the last bytes, if any, shuts down the sending half, and discards further input until the
+    /// client closes the connection, or until [`LINGER`] has passed since the registry of clients requested
+    /// an immediate close.
     async fn close_gracefully(&mut self, last_bytes: Vec<u8>, reason: &str) {
         log::debug!(client = self.number, reason; "client connection closing");
         self.set_phase(ConnectionPhase::Closing);
@@ -245,8 +249,8 @@
         self.send_and_discard(&last_bytes).or(linger).await;
     }
 
-    /// Writes the last bytes, and discards input up to the end of the stream. Always returns `None`; the type lets `?` end
-    /// the function if the connection breaks.
+    /// Writes the last bytes, and discards input up to the end of the stream. Always returns `None`; the type
+    /// lets `?` end the function if the connection breaks.
     async fn send_and_discard(&mut self, last_bytes: &[u8]) -> Option<()> {
         self.write(last_bytes).await.ok()?;
         self.stream.shut_down_write().ok()?;
@@ -256,7 +260,8 @@
     }
 }
 
-/// Returns a number that identifies the client's machine: its IPv4 address, or the /64 network of its IPv6 address.
+/// Returns a number that identifies the client's machine: its IPv4 address, or the /64 network of its IPv6
+/// address.
 fn origin_of(stream: &Socket) -> u64 {
     stream.peer_ip().map_or(0, |ip| match ip {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -1,5 +1,5 @@
-//! Waits on a client's connection, for input or for the end of a request. A wait for the end of a request also ends when
-//! the client disconnects or interrupts the request.
+//! Waits on a client's connection, for input or for the end of a request. A wait for the end of a request
+//! also ends when the client disconnects or interrupts the request.
 
 use super::{ClientConnection, Disconnect};
 use crate::state::client_registry::ConnectionPhase;
@@ -13,13 +13,13 @@
 
 /// Maximum size of pipelined input that is buffered while a request is in progress.
 const MAX_PIPELINED_BYTES: usize = 8 * 1024;
-/// Interval of polling for a disconnect while nothing is read. It must be well below 100 ms, because the rules forbid
-/// attempts that start more than 100 ms after a disconnect.
+/// Interval of polling for a disconnect while nothing is read. It must be well below 100 ms, because the
+/// rules forbid attempts that start more than 100 ms after a disconnect.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl ClientConnection {
-    /// Waits for more input between or within messages, while no request is in progress. There is no timer here, because
-    /// the registry of clients enforces the time limit.
+    /// Waits for more input between or within messages, while no request is in progress. There is no timer
+    /// here, because the registry of clients enforces the time limit.
     ///
     /// # Errors
     /// If the connection ends before more input arrives.
@@ -27,8 +27,8 @@
         self.wait_for_more(true).await
     }
 
-    /// Waits like [`ClientConnection::wait_for_input`]. `between_messages` states whether no part of the current message
-    /// has been consumed from the buffer.
+    /// Waits like [`ClientConnection::wait_for_input`]. `between_messages` states whether no part of the
+    /// current message has been consumed from the buffer.
     ///
     /// # Errors
     /// If the connection ends before more input arrives.
@@ -36,7 +36,8 @@
         let at_message_boundary = between_messages && self.buffer.unread().is_empty();
         let is_idle = at_message_boundary && self.has_been_answered;
         self.set_phase(if is_idle { ConnectionPhase::Idle } else { ConnectionPhase::Reading });
-        // A client that keeps sending would otherwise never be disconnected. It retries a request that crosses the close.
+        // A client that keeps sending would otherwise never be disconnected. It retries a request that
+        // crosses the close.
         if is_idle && self.closing_at_last_read {
             return Err(Disconnect::Closing);
         }
@@ -68,8 +69,8 @@
         fill.or(close).await
     }
 
-    /// Waits until the client has disconnected, without reading its input. The arrival time of the input is still
-    /// recorded.
+    /// Waits until the client has disconnected, without reading its input. The arrival time of the input is
+    /// still recorded.
     async fn wait_for_disconnect(&mut self) {
         while !self.stream.has_ended() {
             self.record_waiting_input();
@@ -94,8 +95,8 @@
         self.wait_until_interrupted(event, None::<fn(&[u8]) -> bool>).await?.ok_or(Disconnect::ClientGone)
     }
 
-    /// Waits for an event. Returns `None` as soon as `is_interruption` returns true for the client's unread input. If
-    /// `is_interruption` is not given, no input interrupts the wait.
+    /// Waits for an event. Returns `None` as soon as `is_interruption` returns true for the client's unread
+    /// input. If `is_interruption` is not given, no input interrupts the wait.
     ///
     /// # Errors
     /// [`Disconnect::ClientGone`] if the client disconnects first.
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Reads once, or only waits for a disconnect if `may_read` is false. Returns 0 once the client has disconnected.
+    /// Reads once, or only waits for a disconnect if `may_read` is false. Returns 0 once the client has
+    /// disconnected.
     async fn read_or_wait_for_disconnect(&mut self, may_read: bool) -> io::Result<usize> {
         if !may_read {
             self.wait_for_disconnect().await;
--- a/crates/comethitchd/src/protocols/connect.rs
+++ b/crates/comethitchd/src/protocols/connect.rs
@@ -23,12 +23,13 @@
     pub session: SessionState,
 }
 
-/// Waits for a free descriptor within the connect timeout; then connects to a host and runs the protocol's handshake,
-/// within the same timeout again.
+/// Waits for a free descriptor within the connect timeout; then connects to a host and runs the protocol's
+/// handshake, within the same timeout again.
 ///
 /// # Errors
-/// [`ConnectionError::NotSent`] if no descriptor became free or another resource of the router's machine ran short, the
-/// handshake's error, or else [`ConnectionError::ConnectFailed`]. After any of them, no request has run.
+/// [`ConnectionError::NotSent`] if no descriptor became free or another resource of the router's machine ran
+/// short, the handshake's error, or else [`ConnectionError::ConnectFailed`]. After any of them, no request
+/// has run.
 pub(super) async fn connect(
     state: &RouterState, address: SocketAddr, options: ConnectionOptions,
     handshake: impl AsyncFnOnce(&mut HostConnection) -> Result<(), ConnectionError>,
--- a/crates/comethitchd/src/protocols/exchange.rs
+++ b/crates/comethitchd/src/protocols/exchange.rs
@@ -1,5 +1,5 @@
-//! One message to a host and its response: takes a connection from the pool or opens one, sends the message, reads the
-//! response within a timeout, and returns the connection to the pool.
+//! One message to a host and its response: takes a connection from the pool or opens one, sends the message,
+//! reads the response within a timeout, and returns the connection to the pool.
 //!
 //! The protocols encode the message, and parse the response by implementing [`Response`].
 
@@ -18,8 +18,8 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Maximum time from encoding a message to writing its last byte. The message states the client's remaining time, which
-/// the rules allow to be at most 150 ms out of date.
+/// Maximum time from encoding a message to writing its last byte. The message states the client's remaining
+/// time, which the rules allow to be at most 150 ms out of date.
 const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
 
 /// The exchange of one message and its response with a host, for an attempt or a health check.
@@ -52,14 +52,14 @@
         Exchange { state, host, deadline, attempt: None, sent: Cell::new(false) }
     }
 
-    /// Returns the answer that a large response is streamed to, or `None` for a health check, whose response is never
-    /// streamed.
+    /// Returns the answer that a large response is streamed to, or `None` for a health check, whose response
+    /// is never streamed.
     pub(super) fn streamed_answer(&self) -> Option<&'a StreamedAnswer> {
         self.attempt.map(|attempt| &attempt.streamed_answer)
     }
 
-    /// Runs the exchange up to its deadline. An answer that is being streamed may take longer as long as it makes
-    /// progress.
+    /// Runs the exchange up to its deadline. An answer that is being streamed may take longer as long as it
+    /// makes progress.
     ///
     /// # Errors
     /// The error of `exchange`, or at the deadline [`ConnectionError::TimedOut`] if the message was sent and
@@ -80,8 +80,8 @@
         exchange.or(timeout).await
     }
 
-    /// Sends the message that `encode` returns for a connection, and returns the connection, which is an idle one from
-    /// the pool or, if there is none, a new one that `connect` opens.
+    /// Sends the message that `encode` returns for a connection, and returns the connection, which is an idle
+    /// one from the pool or, if there is none, a new one that `connect` opens.
     ///
     /// # Errors
     /// If the message could not be sent, or the send check failed once a connection was available.
@@ -122,7 +122,8 @@
         self.attempt.map_or(Ok(()), Attempt::check_send)
     }
 
-    /// Checks before each write that the rest of a message, which may already be partly written, may still be sent.
+    /// Checks before each write that the rest of a message, which may already be partly written, may still be
+    /// sent.
     fn check_write(&self, encoded_at: Timestamp) -> Result<(), SendRefused> {
         if self.state.clock.now() - encoded_at > MAX_WRITE_TIME {
             return Err(SendRefused::HostReadsSlowly);
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Returns a connection to the pool if the host is still listed at its address and no input is left unread.
+    /// Returns a connection to the pool if the host is still listed at its address and no input is left
+    /// unread.
     pub(super) fn release(&self, connection: HostConnection) {
         self.state.hosts.release(self.host, connection, self.state.clock.now());
     }
@@ -164,7 +166,8 @@
 
 /// A host's response, parsed by a protocol.
 pub(super) trait Response {
-    /// Consumes the buffered bytes of the response, up to its end or, if it is streamed, until a part is ready.
+    /// Consumes the buffered bytes of the response, up to its end or, if it is streamed, until a part is
+    /// ready.
     ///
     /// # Errors
     /// If the host violates the protocol, or the response is too large.
@@ -181,8 +184,8 @@
 
 /// Reads a response to its end, and streams its parts if `streamed` is given.
 ///
-/// A failure of the host is returned as the [`ResponseEnd`] rather than as an error, because the part of the response
-/// that was received may still be usable.
+/// A failure of the host is returned as the [`ResponseEnd`] rather than as an error, because the part of the
+/// response that was received may still be usable.
 ///
 /// # Errors
 /// If the client no longer waits for the answer.
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -1,4 +1,5 @@
-//! Runs one health check of a host: spawns a task for the protocol's exchange, and reports the result to the policy.
+//! Runs one health check of a host: spawns a task for the protocol's exchange, and reports the result to the
+//! policy.
 
 use crate::stages::policy_driver;
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
--- a/crates/comethitchd/src/protocols/mod.rs
+++ b/crates/comethitchd/src/protocols/mod.rs
@@ -1,8 +1,9 @@
-//! The wire protocols over sockets. Each protocol has a client side, which turns client messages into requests and
-//! writes the answers, and a backend side, which sends attempts to hosts and checks their health.
+//! The wire protocols over sockets. Each protocol has a client side, which turns client messages into
+//! requests and writes the answers, and a backend side, which sends attempts to hosts and checks their
+//! health.
 //!
-//! All protocols share `client_connection` on the client side, and `attempt`, `health_check`, `connect`, `exchange`
-//! and `streamed_answer` on the backend side.
+//! All protocols share `client_connection` on the client side, and `attempt`, `health_check`, `connect`,
+//! `exchange` and `streamed_answer` on the backend side.
 
 mod attempt;
 mod client_connection;
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -229,8 +229,8 @@
     /// Forwards a large value in parts.
     ///
     /// # Errors
-    /// [`Disconnect::BrokenAnswer`] if the end of the value does not arrive. The connection must then be closed, which
-    /// tells the client that the value is incomplete.
+    /// [`Disconnect::BrokenAnswer`] if the end of the value does not arrive. The connection must then be
+    /// closed, which tells the client that the value is incomplete.
     async fn stream_value(&self, first: &[u8], parts: &Receiver<ValuePart>) -> Result<(), Disconnect> {
         self.connection.write(first).await?;
         while let Ok(part) = parts.recv().await {
--- a/crates/comethitchd/src/protocols/streamed_answer.rs
+++ b/crates/comethitchd/src/protocols/streamed_answer.rs
@@ -1,9 +1,10 @@
-//! Streaming of large answers: an answer that reaches a size threshold is sent to the client in parts while the host is
-//! still sending the rest. Each part waits until the previous one is written, so memory stays bounded regardless of the
-//! size of the answer and the speed of the client.
+//! Streaming of large answers: an answer that reaches a size threshold is sent to the client in parts while
+//! the host is still sending the rest. Each part waits until the previous one is written, so memory stays
+//! bounded regardless of the size of the answer and the speed of the client.
 //!
-//! The first part commits the request to this attempt: the policy is notified that the request was answered, and no
-//! other attempt is sent. If the host fails before the end of the answer, the client's connection is closed.
+//! The first part commits the request to this attempt: the policy is notified that the request was answered,
+//! and no other attempt is sent. If the host fails before the end of the answer, the client's connection is
+//! closed.
 
 use crate::stages::{policy_driver, reply};
 use crate::state::host_connection::ConnectionError;
@@ -17,8 +18,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Minimum size at which an answer is streamed. A smaller answer is sent only once it is complete, so that until then
-/// another host can answer in its place.
+/// Minimum size at which an answer is streamed. A smaller answer is sent only once it is complete, so that
+/// until then another host can answer in its place.
 pub(super) const STREAMING_THRESHOLD_BYTES: usize = 256 * 1024;
 
 /// The answer to one attempt, which is streamed if it becomes large.
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Waits until no part has been sent for at least `stall_timeout`. Returns at once if the answer is not being
-    /// streamed.
+    /// Waits until no part has been sent for at least `stall_timeout`. Returns at once if the answer is not
+    /// being streamed.
     pub(super) async fn wait_until_stalled(&self, stall_timeout: Duration) {
         while self.has_started() {
             let before = self.last_progress.get();
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -85,8 +85,8 @@
     });
 }
 
-/// Reads the role and the position, in milliseconds of Unix time, from the row of a health check. `primary` is the text
-/// that a primary returns as its role.
+/// Reads the role and the position, in milliseconds of Unix time, from the row of a health check. `primary`
+/// is the text that a primary returns as its role.
 fn parse_report(row: &FirstRow, primary: &str) -> LoadReport {
     let is_primary = match &row.first {
         Value::Text(role) => Some(role.trim().eq_ignore_ascii_case(primary)),
@@ -101,7 +101,8 @@
     };
     LoadReport {
         role: is_primary.map(|is_primary| if is_primary { Role::Primary } else { Role::Replica }),
-        // One millisecond is subtracted, because the host may have rounded its position up. Zero means no position.
+        // One millisecond is subtracted, because the host may have rounded its position up. Zero means no
+        // position.
         position: position_ms.and_then(|ms| ms.checked_sub(1)).map(Timestamp::from_millis),
         queue: None,
     }
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -76,7 +76,8 @@
         Err(Disconnect::Closing)
     }
 
-    /// Returns the packet size that the client requests, clamped to the protocol's minimum and the operator's maximum.
+    /// Returns the packet size that the client requests, clamped to the protocol's minimum and the operator's
+    /// maximum.
     fn negotiate_packet_size(&self, login: &Login) -> usize {
         match usize::try_from(login.packet_size).unwrap_or(INITIAL_PACKET_BYTES) {
             0 => INITIAL_PACKET_BYTES,
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -232,12 +232,12 @@
         Ok(end)
     }
 
-    /// Forwards a large value in parts. Its last token is left in `tokens`, because the handle of a prepared statement may
-    /// have to be inserted before it.
+    /// Forwards a large value in parts. Its last token is left in `tokens`, because the handle of a prepared
+    /// statement may have to be inserted before it.
     ///
     /// # Errors
-    /// [`Disconnect::BrokenAnswer`] if the end of the value does not arrive. The connection must then be closed, which
-    /// tells the client that the value is incomplete.
+    /// [`Disconnect::BrokenAnswer`] if the end of the value does not arrive. The connection must then be
+    /// closed, which tells the client that the value is incomplete.
     async fn stream_value(
         &mut self, tokens: &mut Vec<u8>, first: Vec<u8>, parts: &Receiver<ValuePart>, framing: ReplyFraming,
     ) -> Result<(), Disconnect> {
--- a/crates/comethitchd/src/protocols/tds/client/operation.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -1,5 +1,5 @@
-//! Parses a client's message into an operation: a statement to run at a host, one that the router answers itself, or one
-//! that is not supported.
+//! Parses a client's message into an operation: a statement to run at a host, one that the router answers
+//! itself, or one that is not supported.
 
 use super::reply::{ReplyFraming, put_handle};
 use crate::protocols::client_connection::Disconnect;
@@ -186,8 +186,8 @@
     Operation::AnsweredLocally(tokens)
 }
 
-/// Handles any other procedure: the call is forwarded unchanged, and admitted as an `EXEC` statement, whose effect is
-/// known only from the operator's statement rules.
+/// Handles any other procedure: the call is forwarded unchanged, and admitted as an `EXEC` statement, whose
+/// effect is known only from the operator's statement rules.
 fn call_procedure(name: &str, payload: Vec<u8>) -> Operation {
     let quoted: Vec<String> =
         name.split('.').map(|part| format!("[{}]", part.trim_matches(['[', ']']))).collect();
@@ -208,7 +208,8 @@
     }
 }
 
-/// Returns the execution of a prepared statement, rewritten as a call of `sp_executesql`, which any host can run.
+/// Returns the execution of a prepared statement, rewritten as a call of `sp_executesql`, which any host can
+/// run.
 fn run_prepared(
     call: &Call, payload: &[u8], text: &str, declarations: &str, framing: ReplyFraming,
 ) -> Operation {
@@ -228,7 +229,8 @@
     })
 }
 
-/// Returns the names and values of a statement's parameters. Unnamed ones get the declared name at their position.
+/// Returns the names and values of a statement's parameters. Unnamed ones get the declared name at their
+/// position.
 fn argument_values(call: &Call, declarations: &str) -> Vec<Argument> {
     let declared = declared_names(declarations);
     let argument = |(position, CallArgument { name, value }): (usize, CallArgument<'_>)| {
@@ -250,8 +252,8 @@
     }
 }
 
-/// Returns whether a batch is empty or only sets session options. Only short batches that begin like one are parsed here,
-/// so that other batches are not parsed twice.
+/// Returns whether a batch is empty or only sets session options. Only short batches that begin like one are
+/// parsed here, so that other batches are not parsed twice.
 fn is_empty_or_session_options(text: &str) -> bool {
     let is_candidate = match text.trim_start().as_bytes() {
         [] | [b';' | b'-' | b'/', ..] => true,
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -114,7 +114,8 @@
                 let text = format!("not now; trying again after {after_ms} ms is harmless");
                 self.put_error(tokens, self.numbers.throttled, &text);
             }
-            // `Cancelled` does not occur: a TDS client cancels by an attention, which is acknowledged instead.
+            // `Cancelled` does not occur: a TDS client cancels by an attention, which is acknowledged
+            // instead.
             Reply::Failed | Reply::Cancelled => {
                 self.put_error(tokens, self.numbers.failed, "failed; nothing is known of its effect");
             }
@@ -133,8 +134,9 @@
         }
     }
 
-    /// Writes a host's answer that contains an error. If drivers would retry on the error, the answer is replaced by an
-    /// error that they do not retry on, because the statement may have run. The answer to an idempotent statement is kept.
+    /// Writes a host's answer that contains an error. If drivers would retry on the error, the answer is
+    /// replaced by an error that they do not retry on, because the statement may have run. The answer to an
+    /// idempotent statement is kept.
     fn put_host_error(&self, tokens: &mut Vec<u8>, answer: Vec<u8>) {
         match error_retried_by_drivers(&answer).filter(|_| !self.is_idempotent) {
             Some(error) => {
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -45,7 +45,8 @@
     Ok(())
 }
 
-/// Exchanges PRELOGIN messages. The router does not support encryption, so a host that requires it cannot be used.
+/// Exchanges PRELOGIN messages. The router does not support encryption, so a host that requires it cannot be
+/// used.
 async fn negotiate_encryption(connection: &mut HostConnection) -> Result<(), ConnectionError> {
     let mut payload = Vec::new();
     Prelogin::default().put(&mut payload);
--- a/crates/comethitchd/src/protocols/tds/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/mod.rs
@@ -21,8 +21,8 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Returns an empty buffer with about the capacity that the packets of a payload need. Packet headers take at most 1/64
-/// of a packet.
+/// Returns an empty buffer with about the capacity that the packets of a payload need. Packet headers take at
+/// most 1/64 of a packet.
 fn packet_buffer(payload_bytes: usize) -> Vec<u8> {
     Vec::with_capacity(payload_bytes + payload_bytes / 64 + HEADER_BYTES)
 }
--- a/crates/comethitchd/src/protocols/tds/pending_response.rs
+++ b/crates/comethitchd/src/protocols/tds/pending_response.rs
@@ -37,7 +37,8 @@
         if self.response.is_ended() {
             return Ok(ResponseProgress::Ended);
         }
-        // A response below this size is not streamed, so that an error anywhere in it still determines the outcome.
+        // A response below this size is not streamed, so that an error anywhere in it still determines the
+        // outcome.
         if is_streamed && self.response.tokens.len() >= STREAMING_THRESHOLD_BYTES {
             return Ok(ResponseProgress::PartReady);
         }
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -1,7 +1,7 @@
 //! Parses a host's response to one message incrementally.
 //!
-//! Packets are split into tokens. Tokens that concern only the session between router and host are not forwarded to the
-//! client.
+//! Packets are split into tokens. Tokens that concern only the session between router and host are not
+//! forwarded to the client.
 
 use crate::state::host_connection::HostErrorCode;
 use comethitch_tds::packet::{HEADER_BYTES, Header, MessageKind, status};
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Parses received bytes, and returns how many were consumed. Bytes after the end of the response are not consumed.
+    /// Parses received bytes, and returns how many were consumed. Bytes after the end of the response are not
+    /// consumed.
     ///
     /// # Errors
     /// If the host violates the protocol.
@@ -96,12 +97,13 @@
         self.packet_remaining = header.length - HEADER_BYTES;
         self.is_last_packet = header.status & status::END != 0;
         if self.packet_remaining == 0 && !self.is_last_packet {
-            return Err(MalformedMessage("the response contains an empty packet"));
+            return Err(MalformedMessage("the response contains an empty packet before its last one"));
         }
         Ok(())
     }
 
-    /// Returns whether the last packet was received to its end, so that the connection can carry the next message.
+    /// Returns whether the last packet was received to its end, so that the connection can carry the next
+    /// message.
     pub fn is_ended(&self) -> bool {
         self.is_complete() && self.packet_remaining == 0 && self.is_last_packet
     }
@@ -133,7 +135,8 @@
         Ok(())
     }
 
-    /// Appends the token at `range` of the unparsed bytes to the forwarded tokens, and keeps the first row's values.
+    /// Appends the token at `range` of the unparsed bytes to the forwarded tokens, and keeps the first row's
+    /// values.
     fn add_token(&mut self, token: &Token, range: std::ops::Range<usize>) {
         let bytes = &self.unparsed[range];
         if self.first_row.is_none() && *token == Token::Row {
@@ -181,7 +184,8 @@
     Some(FirstRow { first: value(0)?, second: value(1).unwrap_or(Value::Null) })
 }
 
-/// Returns whether a token is forwarded to the client. Tokens that concern only the session with the host are not.
+/// Returns whether a token is forwarded to the client. Tokens that concern only the session with the host are
+/// not.
 fn is_forwarded(token: &Token) -> bool {
     match token {
         Token::Change(Change::Reset | Change::PacketSize(_) | Change::Database(_) | Change::Other(_)) => {
--- a/crates/comethitchd/src/protocols/tds/settings.rs
+++ b/crates/comethitchd/src/protocols/tds/settings.rs
@@ -1,8 +1,8 @@
-//! The operator's settings file for TDS: how the router logs in to hosts and checks their health, and which error
-//! numbers it sends to clients.
+//! The operator's settings file for TDS: how the router logs in to hosts and checks their health, and which
+//! error numbers it sends to clients.
 //!
-//! The published schema, `deploy/tds.schema.json`, is generated from these types. Its descriptions are the doc comments
-//! of the types and fields.
+//! The published schema, `deploy/tds.schema.json`, is generated from these types. Its descriptions are the
+//! doc comments of the types and fields.
 
 use comethitch_tds::packet::{MAX_PACKET_BYTES, MIN_PACKET_BYTES};
 use schemars::JsonSchema;
@@ -11,7 +11,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The settings of an instance that speaks TDS with clients, on the configuration's `listen` address, and with hosts.
+/// The settings of an instance that speaks TDS with clients, on the configuration's `listen` address, and
+/// with hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 // Keeps the title in the published schema.
@@ -63,8 +64,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, rename = "Probe")]
 pub struct HealthCheck {
-    /// A query that returns one row: the host's role, then its position, which is the time in milliseconds of Unix
-    /// time up to which the host has applied all commits.
+    /// A query that returns one row: the host's role, then its position, which is the time in milliseconds of
+    /// Unix time up to which the host has applied all commits.
     pub sql: String,
     /// The role that a primary returns, as text. A host that returns any other role is a replica.
     pub primary: String,
@@ -74,12 +75,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename = "Numbers")]
 pub struct ErrorNumbers {
-    /// The statement was throttled: it did not run, and may be retried. The default is a number that drivers retry on.
+    /// The statement was throttled: it did not run, and may be retried. The default is a number that drivers
+    /// retry on.
     pub throttled: i32,
     /// The statement failed, and may have run. Must be a number that no driver retries on.
     pub failed: i32,
-    /// The statement was rejected before it became a request, or the client violated the protocol. Must be a number that
-    /// no driver retries on.
+    /// The statement was rejected before it became a request, or the client violated the protocol. Must be a
+    /// number that no driver retries on.
     pub refused: i32,
 }
 
@@ -89,8 +91,8 @@
     }
 }
 
-/// The error numbers that common drivers retry on by default. The failure of a statement that may have run must not be
-/// reported with any of them.
+/// The error numbers that common drivers retry on by default. The failure of a statement that may have run
+/// must not be reported with any of them.
 pub const RETRIED_BY_DRIVERS: [i32; 28] = [
     20, 64, 121, 233, 615, 926, 997, 1204, 1205, 1222, 4060, 4221, 10_053, 10_054, 10_060, 10_922, 10_928,
     10_929, 10_936, 40_143, 40_197, 40_501, 40_540, 40_613, 42_108, 49_918, 49_919, 49_920,
--- a/crates/comethitchd/src/wire/discovery.rs
+++ b/crates/comethitchd/src/wire/discovery.rs
@@ -1,6 +1,7 @@
-//! Parses discovery's endpoint list from JSON, and maps its keys to the names that the rest of the code uses.
+//! Parses the endpoint list of the discovery service from JSON, and maps its keys to the names that the rest
+//! of the code uses.
 //!
-//! [`super::json_stream`] splits a watch's stream into single objects.
+//! [`super::json_stream`] splits the stream of a watch into single objects.
 
 use comethitch_policy::time::Timestamp;
 use comethitch_policy::{Endpoint, Host, Lifecycle};
@@ -10,41 +11,41 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// The role of a primary in an entry's `rank`.
+/// The value of an entry's key `rank` for a primary.
 const PRIMARY_ROLE: &str = "source";
 /// The capacity of a host whose entry gives none, relative to the other hosts.
 const DEFAULT_CAPACITY: f64 = 1.0;
 
-/// An endpoint list, complete or an update of some endpoints.
+/// An endpoint list: either a complete one, or an update with the endpoints that changed.
 #[derive(Debug, Default)]
 pub struct EndpointList {
-    /// The version of the list, `seq`.
+    /// The version of the list, key `seq`.
     pub version: u64,
-    /// Whether the list holds every endpoint, `whole`. Otherwise it holds only those that changed.
+    /// Whether the list holds every endpoint, key `whole`. Otherwise it holds only those that changed.
     pub complete: bool,
-    /// The endpoints in the order of the list, `hosts`.
+    /// The endpoints in the order of the list, key `hosts`.
     pub entries: Vec<EndpointEntry>,
 }
 
 /// An entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The host's name, the same at every router, `host`.
+    /// The host's name, key `host`, which is the same at every router.
     pub name: String,
-    /// The address to connect to, which may differ between routers, `dial`.
+    /// The address to connect to, key `dial`, which may differ between routers.
     pub address: SocketAddr,
     /// The endpoint as the policy knows it.
     pub endpoint: Endpoint,
 }
 
-/// Reasons why an endpoint list is rejected. The text names the key.
+/// Reasons why an endpoint list is rejected. The texts name the key.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// The text is no valid JSON.
-    #[error("the list is no JSON: {0}")]
+    /// The text is not valid JSON.
+    #[error("the endpoint list is not valid JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
-    /// A key of the list itself is missing or of the wrong type.
-    #[error("{0} is missing")]
+    /// A key of the list itself is missing or has a value of the wrong type.
+    #[error("{0} is missing or has the wrong type")]
     Missing(&'static str),
     /// An entry is invalid.
     #[error("hosts.{index}.{source}")]
@@ -59,14 +60,14 @@
 /// Reasons why an entry of an endpoint list is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointEntryError {
-    /// The key is missing or of the wrong type.
-    #[error("{0} is missing")]
+    /// A key is missing, or its value has the wrong type or is out of range.
+    #[error("{0} is missing or invalid")]
     Missing(&'static str),
-    /// The address is no IP address with a port.
-    #[error("dial is no address: {0:?}")]
+    /// The address is not an IP address with a port.
+    #[error("dial must be an IP address with a port, not {0:?}")]
     InvalidAddress(String),
     /// The lifecycle state is unknown.
-    #[error("health is unknown: {0:?}")]
+    #[error("health must be ready, draining or gone, not {0:?}")]
     UnknownHealth(String),
 }
 
@@ -81,19 +82,20 @@
 /// Parses an endpoint list. `zones` are the names of the zones in the order of the configuration.
 ///
 /// # Errors
-/// If the text is no valid JSON, or a key is missing or has an invalid value.
+/// If the text is not valid JSON, or a key is missing or has an invalid value.
 pub fn parse_endpoint_list(text: &[u8], zones: &[String]) -> Result<EndpointList, EndpointListError> {
     if let Ok(RawList { version, complete, entries }) = serde_json::from_slice(text)
         && let Ok(entries) = entries.into_iter().map(|entry| endpoint_entry(entry, zones)).collect()
     {
         return Ok(EndpointList { version, complete, entries });
     }
-    // The slower path tolerates optional keys of the wrong type, and its errors name the key.
+    // This path is slower, but ignores optional keys that have the wrong type, and its errors name the key.
     let value: Value = serde_json::from_slice(text)?;
     endpoint_list_from_json(&value, zones)
 }
 
-/// A list in discovery's own keys. Its strings are borrowed, because a list may have thousands of entries.
+/// An endpoint list with the keys of the discovery service. Its strings are borrowed, because a list may have
+/// thousands of entries.
 #[derive(Deserialize)]
 struct RawList<'a> {
     #[serde(rename = "seq")]
@@ -104,7 +106,7 @@
     entries: Vec<RawEntry<'a>>,
 }
 
-/// An entry of a list in discovery's own keys; unknown keys are ignored.
+/// An entry of an endpoint list with the keys of the discovery service. Unknown keys are ignored.
 #[derive(Deserialize)]
 struct RawEntry<'a> {
     #[serde(borrow, rename = "host")]
@@ -143,7 +145,8 @@
     Ok(EndpointList { version, complete, entries })
 }
 
-/// Returns the version of a complete list without parsing its entries; `None` for an update or anything else.
+/// Returns the version of a complete list without parsing its entries. Returns `None` for an update, or if
+/// the text is not an endpoint list.
 pub fn version_of_complete_list(text: &[u8]) -> Option<u64> {
     let ListHeader { version, complete } = serde_json::from_slice(text).ok()?;
     complete.then_some(version)
@@ -164,7 +167,7 @@
         name: text_of(value, "host")?.into(),
         address: text_of(value, "dial")?.into(),
         lifecycle: text_of(value, "health")?.into(),
-        // Out of range, so that `endpoint_entry` reports the key as missing.
+        // A missing key becomes an out-of-range value, which `endpoint_entry` reports as missing or invalid.
         shard: value["block"].as_u64().unwrap_or(u64::MAX),
         zone: optional_text("site"),
         role: optional_text("rank"),
@@ -207,7 +210,8 @@
     }
 }
 
-/// Returns the index of a zone. All zones that are not configured share the index after the last configured one.
+/// Returns the index of a zone in the configuration. All zones that are not configured share the next index
+/// after the last configured one.
 fn zone_index(name: &str, zones: &[String]) -> u8 {
     let index = zones.iter().position(|zone| zone == name).unwrap_or(zones.len());
     u8::try_from(index).unwrap_or(u8::MAX)
--- a/crates/comethitchd/src/wire/host_report.rs
+++ b/crates/comethitchd/src/wire/host_report.rs
@@ -10,7 +10,8 @@
 const POSITION_RESOLUTION: Duration = Duration::from_micros(1_000);
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Reads the response trailer, with a host's role and position, from the parameters of a response.
+/// Reads the response trailer, which consists of a host's role and position, from the parameters of a
+/// response.
 pub fn from_parameters(parameters: &HostParameters) -> LoadReport {
     let role = match parameters.role.as_deref() {
         Some("source") => Some(Role::Primary),
@@ -22,17 +23,18 @@
     LoadReport { role, position, queue: None }
 }
 
-/// Parses a load report such as `x0=1767225600.123,x1=1,queue=4`, where `x0` is the position in seconds of Unix time
-/// and `x1` is at least 0.5 at a primary. Fields that cannot be parsed count as absent.
+/// Parses a load report such as `x0=1767225600.123,x1=1,queue=4`, where `x0` is the position in seconds of
+/// Unix time and `x1` is at least 0.5 at a primary. Other fields that cannot be parsed count as absent, but
+/// if `x0` is zero or cannot be parsed, the whole report counts as empty.
 ///
 /// ```
 /// use comethitch_policy::{Role, time::Timestamp};
 /// let report = comethitchd::wire::host_report::parse_load_report("queue=4,x0=1767225600.12,x1=1");
-/// assert_eq!(report.position, Some(Timestamp::from_millis(1_767_225_600_119)), "never newer than it was");
+/// assert_eq!(report.position, Some(Timestamp::from_millis(1_767_225_600_119)), "1 ms earlier");
 /// assert_eq!((report.role, report.queue), (Some(Role::Primary), Some(4.0)));
-/// // A host that has made no report yet says zero; that is no position, and no role either.
-/// let none = comethitchd::wire::host_report::parse_load_report("x0=0.000,x1=0,queue=0");
-/// assert_eq!(none, comethitch_policy::LoadReport::default());
+/// // A host without a position yet reports zero. The rest of its report is ignored, too.
+/// let empty = comethitchd::wire::host_report::parse_load_report("x0=0.000,x1=0,queue=0");
+/// assert_eq!(empty, comethitch_policy::LoadReport::default());
 /// ```
 pub fn parse_load_report(text: &str) -> LoadReport {
     let fields = || text.split(',').filter_map(|field| field.trim().split_once('='));
@@ -49,8 +51,8 @@
     if x1 >= 0.5 { Role::Primary } else { Role::Replica }
 }
 
-/// Parses a position in decimal seconds. One unit of the resolution is subtracted, because the host may have rounded
-/// up.
+/// Parses a position in decimal seconds of Unix time. One unit of the resolution is subtracted, because the
+/// host may have rounded the position up. Returns `None` for zero.
 fn parse_position(text: &str) -> Option<Timestamp> {
     let (seconds, fraction) = text.split_once('.').unwrap_or((text, ""));
     let digits = |text: &str| text.bytes().all(|b| b.is_ascii_digit());
--- a/crates/comethitchd/src/wire/http.rs
+++ b/crates/comethitchd/src/wire/http.rs
@@ -1,9 +1,11 @@
-//! The subset of HTTP/1.1 that discovery's watch uses: GET requests, response heads, and bodies with or without chunked
-//! encoding.
+//! The subset of HTTP/1.1 that requests to the discovery service use: GET requests, response heads, and
+//! bodies with or without chunked encoding.
 
 use crate::wire::MalformedMessage;
 
+/// Size above which an incomplete response head is rejected.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Size above which an incomplete line between the chunks of a body is rejected.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const LINE_END: &[u8] = b"\r\n";
@@ -24,12 +26,12 @@
     pub length: usize,
 }
 
-/// Decodes the body of a response; the variant tells how the body is delimited.
+/// Decodes the body of a response. The variants are the ways in which a body may be delimited.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BodyDecoder {
     /// By chunked encoding.
     Chunked(ChunkPhase),
-    /// By its length; holds the number of bytes not received yet.
+    /// By its length. Holds the number of bytes that are not received yet.
     Length(u64),
     /// By the end of the connection.
     UntilClosed,
@@ -40,7 +42,7 @@
 pub enum ChunkPhase {
     /// The line with a chunk's size.
     Size,
-    /// A chunk's data; holds the number of bytes not received yet.
+    /// A chunk's data. Holds the number of bytes that are not received yet.
     Data(u64),
     /// The line end after a chunk's data.
     DataEnd,
@@ -53,17 +55,21 @@
 /// Parses the head of a response. Returns `None` if it is incomplete.
 ///
 /// # Errors
-/// If it is not an HTTP/1 response head, or too large.
+/// If the bytes are not the head of an HTTP/1 response, or the head is too large.
 pub fn parse_head(bytes: &[u8]) -> Result<Option<ResponseHead>, MalformedMessage> {
     let Some(end) = bytes.windows(HEAD_END.len()).position(|four| four == HEAD_END) else {
         if bytes.len() > MAX_HEAD_BYTES {
-            return Err(MalformedMessage("the head has no end"));
+            return Err(MalformedMessage("the HTTP response head is too large"));
         }
         return Ok(None);
     };
-    let text = std::str::from_utf8(&bytes[..end]).map_err(|_| MalformedMessage("the head is not UTF-8"))?;
+    let text = std::str::from_utf8(&bytes[..end])
+        .map_err(|_| MalformedMessage("the HTTP response head is not UTF-8"))?;
     let mut lines = text.split("\r\n");
-    let status = lines.next().and_then(parse_status).ok_or(MalformedMessage("no HTTP/1 status line"))?;
+    let status = lines
+        .next()
+        .and_then(parse_status)
+        .ok_or(MalformedMessage("the HTTP response has no HTTP/1 status line"))?;
     let body = BodyDecoder::from_headers(lines)?;
     Ok(Some(ResponseHead { status, body, length: end + HEAD_END.len() }))
 }
@@ -72,8 +78,8 @@
     line.strip_prefix("HTTP/1.")?.get(2..5)?.parse().ok()
 }
 
-/// Appends up to `remaining` of the bytes to `out`, and returns how many were appended.
-fn copy_some(remaining: &mut u64, bytes: &[u8], out: &mut Vec<u8>) -> usize {
+/// Appends up to `remaining` of the bytes to `out`, subtracts their number from `remaining`, and returns it.
+fn copy_remaining(remaining: &mut u64, bytes: &[u8], out: &mut Vec<u8>) -> usize {
     let length = bytes.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
     out.extend(&bytes[..length]);
     *remaining -= length as u64;
@@ -88,7 +94,8 @@
             if name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
                 body = BodyDecoder::Chunked(ChunkPhase::Size);
             } else if name.eq_ignore_ascii_case("content-length") && body == BodyDecoder::UntilClosed {
-                let length = value.parse().map_err(|_| MalformedMessage("content-length is no number"))?;
+                let length =
+                    value.parse().map_err(|_| MalformedMessage("the HTTP content-length is not a number"))?;
                 body = BodyDecoder::Length(length);
             }
         }
@@ -105,7 +112,7 @@
                 out.extend(bytes);
                 Ok(bytes.len())
             }
-            BodyDecoder::Length(remaining) => Ok(copy_some(remaining, bytes, out)),
+            BodyDecoder::Length(remaining) => Ok(copy_remaining(remaining, bytes, out)),
             BodyDecoder::Chunked(phase) => {
                 let mut consumed = 0;
                 while let Some(length) = phase.step(&bytes[consumed..], out)? {
@@ -116,20 +123,22 @@
         }
     }
 
-    /// Returns whether the whole body was decoded; always false if the body is delimited by the end of the connection.
+    /// Returns whether the whole body was decoded. This is always false for a body that is delimited by the
+    /// end of the connection.
     pub fn is_complete(&self) -> bool {
         matches!(self, BodyDecoder::Length(0) | BodyDecoder::Chunked(ChunkPhase::Complete))
     }
 }
 
 impl ChunkPhase {
-    /// Decodes one element and returns how many bytes were consumed; `None` if more bytes are needed.
+    /// Decodes one element, or a part of a chunk's data, and returns how many bytes were consumed. Returns
+    /// `None` if more bytes are needed or the body is complete.
     fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<Option<usize>, MalformedMessage> {
         if bytes.is_empty() || *self == ChunkPhase::Complete {
             return Ok(None);
         }
         if let ChunkPhase::Data(remaining) = self {
-            let length = copy_some(remaining, bytes, out);
+            let length = copy_remaining(remaining, bytes, out);
             if *remaining == 0 {
                 *self = ChunkPhase::DataEnd;
             }
@@ -137,7 +146,7 @@
         }
         let Some(end) = bytes.windows(LINE_END.len()).position(|two| two == LINE_END) else {
             if bytes.len() > MAX_CHUNK_LINE_BYTES {
-                return Err(MalformedMessage("a chunk's line has no end"));
+                return Err(MalformedMessage("a line in the HTTP chunked body is too long"));
             }
             return Ok(None);
         };
@@ -145,14 +154,16 @@
         Ok(Some(end + LINE_END.len()))
     }
 
-    /// Returns the phase that follows a line.
+    /// Returns the phase that follows a line, which excludes its line end.
     fn after_line(&self, line: &[u8]) -> Result<ChunkPhase, MalformedMessage> {
         match self {
             ChunkPhase::Size => match parse_chunk_size(line)? {
                 0 => Ok(ChunkPhase::Trailer),
                 size => Ok(ChunkPhase::Data(size)),
             },
-            ChunkPhase::DataEnd if !line.is_empty() => Err(MalformedMessage("a chunk longer than its size")),
+            ChunkPhase::DataEnd if !line.is_empty() => {
+                Err(MalformedMessage("an HTTP chunk is longer than its stated size"))
+            }
             ChunkPhase::DataEnd => Ok(ChunkPhase::Size),
             _ if line.is_empty() => Ok(ChunkPhase::Complete),
             _ => Ok(ChunkPhase::Trailer),
@@ -160,9 +171,9 @@
     }
 }
 
-/// Parses a chunk size; chunk extensions are ignored.
+/// Parses the line with a chunk's size. Chunk extensions are ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<u64, MalformedMessage> {
     let text = std::str::from_utf8(line).unwrap_or_default();
     let size = text.split(';').next().unwrap_or_default().trim();
-    u64::from_str_radix(size, 16).map_err(|_| MalformedMessage("a chunk without a size"))
+    u64::from_str_radix(size, 16).map_err(|_| MalformedMessage("an HTTP chunk has no valid size"))
 }
--- a/crates/comethitchd/src/wire/json_stream.rs
+++ b/crates/comethitchd/src/wire/json_stream.rs
@@ -1,31 +1,32 @@
-//! Splits the JSON stream of discovery's watch into objects and line ends.
+//! Splits the JSON stream of a watch at the discovery service into objects and line ends.
 //!
-//! Only brackets and quotes are tracked; [`super::discovery`] validates the objects.
+//! Only brackets and strings are tracked; [`super::discovery`] validates the objects.
 
 /// A complete item of the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum JsonStreamItem {
     /// The text of one object, from its opening to its closing brace.
     Object(Vec<u8>),
-    /// The end of a line outside of any object, which serves as a keep-alive.
+    /// The end of a line outside of any object. The discovery service sends empty lines as keep-alives.
     LineEnd,
 }
 
 /// Reasons why a stream is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonStreamError {
-    /// Something other than an object stands at the top level.
-    #[error("the list is no JSON object")]
+    /// The stream contains something other than an object at the top level.
+    #[error("the response contains something other than JSON objects")]
     NotAnObject,
     /// An object is larger than [`MAX_OBJECT_BYTES`].
-    #[error("it sends an object without end")]
+    #[error("the response contains a JSON object larger than {MAX_OBJECT_BYTES} bytes")]
     ObjectTooLarge,
 }
 
 /// Maximum size of an object: 4 MiB.
 pub const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// An incremental splitter. Objects may span several lines or share a line.
+/// An incremental splitter of a JSON stream. An object may span several lines, and a line may contain several
+/// objects.
 ///
 /// ```
 /// use comethitchd::wire::json_stream::{JsonStream, JsonStreamItem};
@@ -36,10 +37,11 @@
 /// assert_eq!(stream.next_item(), Ok(Some(JsonStreamItem::LineEnd)));
 /// assert_eq!(stream.next_item(), Ok(Some(JsonStreamItem::LineEnd)));
 /// assert_eq!(stream.next_item(), Ok(None));
-/// assert!(stream.in_object(), "an object has begun");
+/// assert!(stream.in_object(), "the last object is incomplete");
 /// ```
 #[derive(Debug, Default)]
 pub struct JsonStream {
+    /// The received text that is not returned yet.
     text: Vec<u8>,
     /// Offset in `text` of the current item.
     start: usize,
@@ -66,7 +68,7 @@
     /// Returns the next complete item, or `None` if more text is needed.
     ///
     /// # Errors
-    /// If something other than an object stands at the top level, or an object is too large.
+    /// If the stream contains something other than an object at the top level, or an object is too large.
     pub fn next_item(&mut self) -> Result<Option<JsonStreamItem>, JsonStreamError> {
         while let Some(byte) = self.text.get(self.position).copied() {
             self.position += 1;
--- a/crates/comethitchd/src/wire/mod.rs
+++ b/crates/comethitchd/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Wire formats: parsers and serializers as pure functions over bytes, without I/O, clock or access to the router's
-//! state.
+//! Wire formats: parsers and serializers as pure functions over bytes, without I/O, clock or access to the
+//! router's state.
 //!
 //! The codec of TDS is the package `comethitch-tds`.
 
--- a/crates/comethitchd/src/wire/postgres/message.rs
+++ b/crates/comethitchd/src/wire/postgres/message.rs
@@ -5,11 +5,11 @@
 
 const MIN_STARTUP_BYTES: usize = 8;
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// Size of the length field, which a message's length includes.
+/// Size of the length field. A message's length includes it.
 pub(super) const LENGTH_BYTES: usize = 4;
-/// Size of the type byte and the length, which precede a message's body.
+/// Size of a message's header, which consists of the type byte and the length field.
 pub(super) const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
-/// Offset of a message's length, after the type byte.
+/// Offset of the length field, which follows the type byte.
 pub(super) const LENGTH_OFFSET: usize = 1;
 const MAJOR_VERSION_MASK: u32 = 0xffff_0000;
 const CANCEL_CODE: u32 = 80_877_102;
@@ -22,13 +22,13 @@
 /// The first message of a client's connection.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StartupMessage {
-    /// What the client asks for.
+    /// What the client requests.
     pub request: StartupRequest,
     /// Length of the message in bytes.
     pub length: usize,
 }
 
-/// What a client asks for with its first message.
+/// What a client requests with its first message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StartupRequest {
     /// A session in version 3 of the protocol.
@@ -45,9 +45,9 @@
 /// A message as received.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// The type byte, one of [`super::message_type`].
+    /// The type byte; [`super::message_type`] lists the known ones.
     pub kind: u8,
-    /// The bytes after the length.
+    /// The bytes after the header.
     pub body: &'a [u8],
     /// The whole message.
     pub raw: &'a [u8],
@@ -61,7 +61,7 @@
 /// Parses the first message of a client. Returns `None` if it is incomplete.
 ///
 /// # Errors
-/// If its length is impossible, or it asks for another version of the protocol.
+/// If its length is impossible, or it requests another version of the protocol.
 pub fn startup_message(bytes: &[u8]) -> Result<Option<StartupMessage>, MalformedMessage> {
     let Some(length) = u32_at(bytes, 0) else { return Ok(None) };
     let length = length as usize;
--- a/crates/comethitchd/src/wire/postgres/mod.rs
+++ b/crates/comethitchd/src/wire/postgres/mod.rs
@@ -1,4 +1,5 @@
-//! Messages of the PostgreSQL protocol, version 3, as a server for clients and as a client of hosts.
+//! Messages of the PostgreSQL protocol, version 3. The router is a server for its clients, and a client of
+//! the hosts.
 //!
 //! See <https://www.postgresql.org/docs/current/protocol-message-formats.html>.
 
@@ -17,7 +18,8 @@
     put_session_start, put_startup,
 };
 
-/// Maximum size of a message: a value of 64 KiB in hexadecimal digits, and 8 KiB for the rest of the statement.
+/// Maximum length of a message, without its type byte: a value of 64 KiB in hexadecimal digits, and 8 KiB for
+/// the rest of the statement.
 pub const MAX_MESSAGE_BYTES: usize = 2 * 64 * 1024 + 8 * 1024;
 
 /// Version 3.0 of the protocol in a startup message.
--- a/crates/comethitchd/src/wire/postgres/response.rs
+++ b/crates/comethitchd/src/wire/postgres/response.rs
@@ -1,7 +1,7 @@
 //! Parses a host's response to a query or a startup message incrementally, message by message.
 //!
-//! The order of the messages, their lengths and the fields that the router depends on are checked as soon as their
-//! first bytes arrive, so that a host that violates the protocol fails at once instead of timing out.
+//! The order of the messages, their lengths and the fields that the router depends on are checked as soon as
+//! their first bytes arrive, so that a host that violates the protocol fails at once instead of timing out.
 
 use super::MAX_MESSAGE_BYTES;
 use super::message::{HEADER_BYTES, LENGTH_BYTES, LENGTH_OFFSET, Message, message, u32_at};
@@ -10,11 +10,12 @@
 use std::borrow::Cow;
 use std::ops::{Range, RangeInclusive};
 
-/// Maximum size of a response, or of its part that is not streamed yet.
+/// Maximum size of a response or, if it is streamed, of the part that is not sent yet.
 pub const MAX_RESPONSE_BYTES: usize = 8 * MAX_MESSAGE_BYTES;
-/// Maximum size of the body of a message without values: descriptions, tags, parameters and errors.
+/// Maximum size of the body of a message that contains no values, such as a description, tag, parameter or
+/// error.
 const MAX_TEXT_BYTES: usize = 8 * 1024;
-/// Size of the type byte, the length and the number of columns, which precede a row's first column.
+/// Size of the message header and the number of columns, which precede a row's first column.
 const ROW_HEADER_BYTES: usize = HEADER_BYTES + COLUMN_COUNT_BYTES;
 /// Size of the number of columns at the start of the body of a row or a row description.
 const COLUMN_COUNT_BYTES: usize = 2;
@@ -22,8 +23,8 @@
 const COLUMN_LENGTH_BYTES: usize = 4;
 /// Size of the fields after a column's name in a row description.
 const COLUMN_TYPE_BYTES: usize = 18;
-/// The SQLSTATEs that clients interpret as throttling: `too_many_connections` and `cannot_connect_now`. They are not
-/// forwarded from hosts, because only the policy decides to throttle.
+/// The SQLSTATEs that clients interpret as throttling: `too_many_connections` and `cannot_connect_now`. They
+/// are not forwarded from hosts, because only the policy decides to throttle.
 const THROTTLING_CODES: [&str; 2] = ["53300", "57P03"];
 
 /// The rows that a response may contain.
@@ -43,7 +44,7 @@
     #[error(transparent)]
     Malformed(#[from] MalformedMessage),
     /// The response is valid, but larger than [`MAX_RESPONSE_BYTES`].
-    #[error("an answer larger than is passed on")]
+    #[error("the response is larger than {MAX_RESPONSE_BYTES} bytes")]
     TooLarge,
 }
 
@@ -58,7 +59,7 @@
     pub load_report: Option<String>,
 }
 
-/// A host's response, as far as it was received.
+/// The received part of a host's response.
 #[derive(Debug, Default)]
 pub struct HostResponse {
     shape: ResponseShape,
@@ -79,7 +80,8 @@
     rows_taken: bool,
 }
 
-/// The last part of the response that was received.
+/// The kind of the last message that was received, apart from those that may come at any time. `Started` if
+/// there was none.
 #[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum ResponsePhase {
     #[default]
@@ -90,7 +92,7 @@
     Ready,
 }
 
-/// Returns the possible body lengths of a message type; `None` for an unknown type.
+/// Returns the possible body lengths of a message type, or `None` if the type is unknown.
 fn body_lengths(kind: u8, shape: ResponseShape) -> Option<RangeInclusive<usize>> {
     let lengths = match kind {
         backend::AUTHENTICATION => 4..=4,
@@ -113,14 +115,16 @@
     Some(lengths)
 }
 
-/// Checks the received part of the first message in `bytes`, because the rest of an invalid one may never arrive.
+/// Checks the received part of the first message in `bytes`, because the rest of an invalid one may never
+/// arrive.
 fn check_prefix(bytes: &[u8], shape: ResponseShape) -> Result<(), MalformedMessage> {
     let Some(kind) = bytes.first() else { return Ok(()) };
-    let lengths = body_lengths(*kind, shape).ok_or(MalformedMessage("a message of unknown type"))?;
+    let lengths =
+        body_lengths(*kind, shape).ok_or(MalformedMessage("the host sent a message of unknown type"))?;
     let Some(length) = u32_at(bytes, LENGTH_OFFSET) else { return Ok(()) };
     let length = length as usize;
     if length.checked_sub(LENGTH_BYTES).is_none_or(|length| !lengths.contains(&length)) {
-        return Err(MalformedMessage("a message has an impossible length"));
+        return Err(MalformedMessage("the host sent a message of invalid length"));
     }
     if *kind == backend::DATA_ROW && shape == ResponseShape::SingleValue {
         return check_single_column(bytes, length);
@@ -135,12 +139,12 @@
     let fills_row =
         u32_at(bytes, ROW_HEADER_BYTES).is_none_or(|column| column as usize == length - preceding_bytes);
     if !is_one || !fills_row {
-        return Err(MalformedMessage("a row that does not hold one value"));
+        return Err(MalformedMessage("the host sent a row that is not a single value"));
     }
     Ok(())
 }
 
-/// Splits a body into zero-terminated texts; `None` if it does not end with a zero byte.
+/// Splits a body into zero-terminated texts. Returns `None` if the body does not end with a zero byte.
 fn zero_terminated(body: &[u8]) -> Option<impl Iterator<Item = &[u8]>> {
     body.strip_suffix(b"\0").map(|body| body.split(|b| *b == 0))
 }
@@ -194,7 +198,7 @@
     fn set_parameter(&mut self, body: &[u8]) -> Result<(), MalformedMessage> {
         let texts: Option<Vec<&[u8]>> = zero_terminated(body).map(|texts| texts.take(3).collect());
         let Some(&[name, value]) = texts.as_deref() else {
-            return Err(MalformedMessage("a ParameterStatus that is no name and value"));
+            return Err(MalformedMessage("the host sent a ParameterStatus that is not a name and a value"));
         };
         let value = Some(String::from_utf8_lossy(value).into_owned());
         match name {
@@ -206,16 +210,20 @@
         Ok(())
     }
 
-    /// Only `AuthenticationOk` is supported, and only at the start.
+    /// Checks that an authentication message is `AuthenticationOk`, which is supported only at the start of a
+    /// response.
     fn check_authentication(&self, body: &[u8]) -> Result<(), MalformedMessage> {
         if self.phase != ResponsePhase::Started || body != [0; 4] {
-            return Err(MalformedMessage("the host asks for a password"));
+            return Err(MalformedMessage(
+                "the host sent an unexpected or unsupported authentication request",
+            ));
         }
         Ok(())
     }
 
     fn set_error(&mut self, message: &Message<'_>) -> Result<(), MalformedMessage> {
-        let code = error_code(message.body).ok_or(MalformedMessage("an error without a code"))?;
+        let code = error_code(message.body)
+            .ok_or(MalformedMessage("the host sent an error without a valid SQLSTATE"))?;
         let throttles = THROTTLING_CODES.contains(&&*code);
         self.error_code = Some(code.into_owned());
         if self.shape == ResponseShape::AnyRows && !throttles {
@@ -242,13 +250,13 @@
             (backend::DATA_ROW, Described) => Row,
             (backend::COMMAND_COMPLETE, Started | Row) if is_one_text(message.body) => CommandComplete,
             (backend::READY_FOR_QUERY, _) if !matches!(message.body, [b'I' | b'T' | b'E', ..]) => {
-                return Err(MalformedMessage("an unknown state"));
+                return Err(MalformedMessage("the host sent an unknown transaction status"));
             }
             (backend::READY_FOR_QUERY, phase) if *phase == CommandComplete || self.error_code.is_some() => {
                 Ready
             }
             (backend::READY_FOR_QUERY, Started) => Ready,
-            _ => return Err(MalformedMessage("a message out of its order")),
+            _ => return Err(MalformedMessage("the host sent a message out of order")),
         };
         Ok(next)
     }
@@ -269,13 +277,13 @@
         Ok(())
     }
 
-    /// Checks that the response may grow by `added_bytes`. Streamed rows stay below the limit.
+    /// Checks that the response may grow by `added_bytes`. Rows that were taken to be streamed do not count.
     fn check_size(&self, added_bytes: usize) -> Result<(), ResponseError> {
         let length = self.rows.len() + added_bytes;
         match self.shape {
             ResponseShape::AnyRows if length > MAX_RESPONSE_BYTES => Err(ResponseError::TooLarge),
             ResponseShape::SingleValue if length > MAX_MESSAGE_BYTES => {
-                Err(MalformedMessage("a value larger than it may be").into())
+                Err(MalformedMessage("the host sent a value that is too large").into())
             }
             _ => Ok(()),
         }
@@ -292,14 +300,14 @@
         self.phase == ResponsePhase::Ready
     }
 
-    /// Returns whether all rows were received without an error, even before `ReadyForQuery`.
+    /// Returns whether all rows were received without an error. `ReadyForQuery` may still be missing.
     pub fn is_complete(&self) -> bool {
         let has_any_rows = self.shape == ResponseShape::AnyRows && (self.rows_taken || !self.rows.is_empty());
         let has_rows = has_any_rows || self.last_row.is_some();
         has_rows && self.phase >= ResponsePhase::CommandComplete && self.error_code.is_none()
     }
 
-    /// Returns the text of the only column of the last row.
+    /// Returns the text of the first column of the last row, or `None` if there is no row.
     pub fn single_value(&self) -> Option<Cow<'_, str>> {
         let row = &self.rows[self.last_row.clone()?];
         let length = u32_at(row, COLUMN_COUNT_BYTES)? as usize;
@@ -307,7 +315,7 @@
     }
 }
 
-/// Returns the SQLSTATE of a well-formed `ErrorResponse`.
+/// Returns the SQLSTATE of an `ErrorResponse`, or `None` if it is malformed.
 fn error_code(body: &[u8]) -> Option<Cow<'_, str>> {
     let mut fields = zero_terminated(body.strip_suffix(b"\0")?)?.filter_map(|field| field.split_first());
     let code = fields.find(|(name, _)| **name == b'C').map(|(_, code)| code);
--- a/crates/comethitchd/src/wire/postgres/write.rs
+++ b/crates/comethitchd/src/wire/postgres/write.rs
@@ -1,4 +1,5 @@
-//! Serializes messages to clients and hosts. Each function appends one message, or a fixed sequence of messages.
+//! Serializes messages to clients and hosts. Each function appends one message, or a fixed sequence of
+//! messages.
 
 use super::VERSION_3;
 use super::message::LENGTH_BYTES;
@@ -80,7 +81,7 @@
     put_text(out, value);
 }
 
-/// Appends a zero-terminated text. Zero bytes within the text are omitted.
+/// Appends a text and its terminating zero byte. Zero bytes within the text are omitted.
 fn put_text(out: &mut Vec<u8>, text: &str) {
     out.extend(text.bytes().filter(|b| *b != 0));
     out.push(0);
@@ -96,7 +97,7 @@
     });
 }
 
-/// Appends a Query to a host, whose text is the concatenation of `parts`.
+/// Appends a Query to a host. Its text is the concatenation of `parts`.
 pub fn put_query(out: &mut Vec<u8>, parts: &[&[u8]]) {
     put(out, frontend::QUERY, |out| {
         parts.iter().for_each(|part| out.extend(*part));
@@ -104,8 +105,8 @@
     });
 }
 
-/// Appends the messages that start a client's session: `AuthenticationOk`, the parameters, the key for cancel requests
-/// and `ReadyForQuery`.
+/// Appends the messages that start a client's session: `AuthenticationOk`, the parameters, the key for cancel
+/// requests and `ReadyForQuery`.
 pub fn put_session_start(out: &mut Vec<u8>, minor_version: u16, connection: u32, key: u32) {
     if minor_version > 0 {
         let version_3_0 = [VERSION_3.to_be_bytes(), NO_UNKNOWN_OPTIONS].concat();
--- a/crates/comethitchd/src/wire/statement.rs
+++ b/crates/comethitchd/src/wire/statement.rs
@@ -1,7 +1,8 @@
-//! The comment at the start of a client's statement, and the statement forms that hosts support.
+//! Parses the comment at the start of a client's statement, and checks that the statement has a form that
+//! hosts support.
 //!
-//! The comment's field names are mapped to the names that the rest of the code uses here and nowhere else; see
-//! `field`. Admission (`stages::admit`) turns a parsed comment into a request.
+//! Only this module maps the names of the comment's fields, listed in `field`, to the names that the rest of
+//! the code uses. Admission (`stages::admit`) turns a parsed comment into a request.
 
 use comethitch_statement::assign::fnv1a;
 use std::ops::Range;
@@ -15,11 +16,11 @@
     pub(super) const ID: &str = "id";
     /// The name of the request class.
     pub(super) const CLASS: &str = "c";
-    /// The client's timeout in milliseconds.
+    /// The client's timeout, in milliseconds.
     pub(super) const TIMEOUT: &str = "d";
     /// The shard.
     pub(super) const SHARD: &str = "cluster";
-    /// The commit that a session's read must see, in milliseconds of Unix time.
+    /// Time of the commit that a session's read must see, in milliseconds of Unix time.
     pub(super) const AFTER: &str = "after";
 }
 
@@ -96,7 +97,7 @@
     UnsupportedStatement,
 }
 
-/// A comment with all required fields.
+/// A statement's comment that has all required fields.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RequestComment<'a> {
     /// The request id.
@@ -107,12 +108,12 @@
     pub timeout: TimeoutField,
     /// The shard.
     pub shard: u16,
-    /// The commit that a session's read must see, in milliseconds of Unix time.
+    /// Time of the commit that a session's read must see, in milliseconds of Unix time.
     pub after_ms: Option<u64>,
 }
 
-/// Parses a statement such as `/* id=9b1f,c=basket,d=480,cluster=2 */ SELECT …`. The fields may be in any order, and
-/// unknown ones are ignored. The statement itself must have a form that hosts support.
+/// Parses a statement such as `/* id=9b1f,c=basket,d=480,cluster=2 */ SELECT …`. The fields may be in any
+/// order, and unknown ones are ignored. The statement itself must have a form that hosts support.
 ///
 /// ```
 /// use comethitchd::wire::statement::parse_request_comment;
@@ -122,7 +123,8 @@
 /// ```
 ///
 /// # Errors
-/// If a field is missing or invalid, or the statement has another form.
+/// If there is no comment, a required field is missing, a known field is invalid, or the statement has a form
+/// that hosts do not support.
 pub fn parse_request_comment(text: &[u8]) -> Result<RequestComment<'_>, CommentError> {
     let fields = parse_comment(text)?;
     let id = fields.id.ok_or(CommentError::MissingField(field::ID))?;
@@ -145,7 +147,7 @@
     pub range: Range<usize>,
 }
 
-/// The known fields of a comment, which may be incomplete.
+/// The known fields of a comment, of which any may be missing.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct CommentFields<'a> {
     /// The request id.
@@ -156,9 +158,9 @@
     pub timeout: Option<TimeoutField>,
     /// The shard.
     pub shard: Option<u16>,
-    /// The commit that a session's read must see, in milliseconds of Unix time.
+    /// Time of the commit that a session's read must see, in milliseconds of Unix time.
     pub after_ms: Option<u64>,
-    /// Byte offset of the comment's end in the statement.
+    /// Byte offset in the statement of the first byte after the comment.
     pub end: usize,
 }
 
@@ -191,7 +193,7 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Sets a field from its `name=value`, which begins at byte `offset` of the statement.
+    /// Sets a field from a part `name=value` of the comment, which begins at byte `offset` of the statement.
     fn set(&mut self, part: &'a str, offset: usize) -> Result<(), CommentError> {
         let (name, value) = part.trim().split_once('=').unwrap_or_default();
         match name {
@@ -229,27 +231,30 @@
     rest.trim_ascii().is_empty()
 }
 
-/// Returns the length of the token at the start of the text, or `None` if the text starts with something else.
+/// Returns the length of the token at the start of the text. Returns `None` or 0 if the text starts with
+/// something else.
 fn token_length(text: &[u8], token: &FormToken) -> Option<usize> {
     match token {
         FormToken::Word(word) => text.starts_with(word.as_bytes()).then_some(word.len()),
-        FormToken::Name => Some(run_length(text, |b| b.is_ascii_alphanumeric() || *b == b'_')),
+        FormToken::Name => Some(allowed_prefix_length(text, |b| b.is_ascii_alphanumeric() || *b == b'_')),
         FormToken::Text => quoted_length(text, "'", |b| !b.is_ascii_control() && !b"'\\".contains(b)),
         FormToken::HexText => quoted_length(text, "'\\x", u8::is_ascii_hexdigit),
     }
 }
 
-fn run_length(text: &[u8], allowed: fn(&u8) -> bool) -> usize {
+/// Returns the length of the longest prefix of the text that consists of allowed bytes.
+fn allowed_prefix_length(text: &[u8], allowed: fn(&u8) -> bool) -> usize {
     text.iter().take_while(|b| allowed(b)).count()
 }
 
 fn quoted_length(text: &[u8], open: &str, allowed: fn(&u8) -> bool) -> Option<usize> {
     let inner = text.strip_prefix(open.as_bytes())?;
-    let length = run_length(inner, allowed);
+    let length = allowed_prefix_length(inner, allowed);
     (inner.get(length) == Some(&b'\'')).then_some(open.len() + length + 1)
 }
 
-/// Returns the session that a statement belongs to: a hash of its first quoted text, or 0 if there is none.
+/// Returns the key of the session that a statement belongs to: a hash of its first quoted text, or 0 if there
+/// is none.
 pub fn session_key(text: &[u8]) -> u64 {
     let mut parts = text.split(|b| *b == b'\'');
     let _before = parts.next();
