--- a/crates/comethitch-policy/src/actions.rs
+++ b/crates/comethitch-policy/src/actions.rs
@@ -1,32 +1,35 @@
-//! What the policy has its caller do.
+//! Actions that the policy asks its caller to carry out.
 //!
-//! Every decision leaves the policy through the trait [`Actions`]. A caller that carries actions out after the call has
-//! returned passes an [`ActionQueue`] and then processes its [`Action`]s.
+//! The policy reports every decision through the trait [`Actions`]. A caller that carries out actions only
+//! after a call has returned passes an [`ActionQueue`] and then processes its [`Action`]s.
 
 use crate::time::{Duration, Timestamp};
 use crate::{Host, RejectionReason, RequestId};
 
-/// Carries out the decisions of the policy. An implementation decides nothing itself.
+/// Carries out the decisions of the policy. Implementations make no decisions of their own.
 pub trait Actions {
     /// Returns the current time on the caller's clock.
     fn now(&self) -> Timestamp;
 
-    /// Sends an attempt of a request to a host. A request's attempts are numbered from 0 in the order of these calls.
+    /// Sends an attempt of a request to a host. The attempts of a request are numbered from 0 in the order of
+    /// these calls. `timeout` is the time until the deadline of the request.
     fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration);
 
-    /// Cancels an attempt that has not ended yet.
+    /// Cancels an attempt that is in flight.
     fn cancel_attempt(&mut self, request: RequestId, attempt: u16);
 
-    /// Gives the final answer: rejected, and the client may safely retry, after `retry_after` if given.
+    /// Sends the final answer to a request: it is rejected, and the client may safely retry it. `retry_after`
+    /// is the time that the client should wait first; `None` if clients are not told a time.
     fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectionReason);
 
-    /// Gives the final answer: failed; the request may or may not have taken effect.
+    /// Sends the final answer to a request: it has failed, and may or may not have taken effect.
     fn fail(&mut self, request: RequestId, reason: RejectionReason);
 
-    /// Sends a health check, whose end is reported to [`Router::health_checked`](crate::Router::health_checked).
+    /// Sends a health check. The caller reports its end to
+    /// [`Router::health_checked`](crate::Router::health_checked).
     fn check_health(&mut self, host: Host);
 
-    /// Closes the idle connections to a host that is no longer believed to be the primary.
+    /// Closes the idle connections to a host that is no longer considered the primary.
     fn close_idle_connections(&mut self, host: Host);
 
     /// Schedules a call of [`Router::tick`](crate::Router::tick) after this delay.
@@ -36,16 +39,16 @@
     fn watch_endpoints(&mut self);
 }
 
-/// A call of [`Actions`] to be carried out later.
+/// An action that is carried out later; each variant corresponds to a method of [`Actions`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Sends a request's next attempt.
+    /// Sends the next attempt of a request.
     SendAttempt {
         /// The request.
         request: RequestId,
-        /// The host that it is sent to.
+        /// The host that the attempt is sent to.
         host: Host,
-        /// How long the attempt may take.
+        /// The maximum duration of the attempt.
         timeout: Duration,
     },
     /// Cancels an attempt.
@@ -55,20 +58,20 @@
         /// The number of the attempt.
         attempt: u16,
     },
-    /// Gives the final answer: rejected, and the client may safely retry.
+    /// Sends the final answer to a request: it is rejected, and the client may safely retry it.
     Throttle {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it retries, if given.
+        /// How long the client should wait before it retries; `None` if clients are not told a time.
         retry_after: Option<Duration>,
         /// Why the request is rejected.
         reason: RejectionReason,
     },
-    /// Gives the final answer: failed.
+    /// Sends the final answer to a request: it has failed, and may or may not have taken effect.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why the request is rejected.
+        /// Why the request fails.
         reason: RejectionReason,
     },
     /// Sends a health check.
@@ -81,7 +84,7 @@
     WatchEndpoints,
 }
 
-/// Records actions in the order in which the policy decided them.
+/// An implementation of [`Actions`] that records actions in the order in which the policy decides on them.
 #[derive(Debug)]
 pub struct ActionQueue {
     now: Timestamp,
@@ -90,7 +93,7 @@
 }
 
 impl ActionQueue {
-    /// Returns an empty queue for decisions made at this time.
+    /// Returns an empty queue for decisions made at `now`.
     pub fn at(now: Timestamp) -> ActionQueue {
         ActionQueue { now, actions: Vec::new() }
     }
--- a/crates/comethitch-policy/src/admission_queue.rs
+++ b/crates/comethitch-policy/src/admission_queue.rs
@@ -1,7 +1,7 @@
 //! The admission queue: requests that wait for capacity, by shard.
 //!
-//! An event at one shard does not touch what waits for others. Which requests wait, in which order, and which go next is
-//! decided in [`policy`](crate::policy).
+//! The shards have separate queues, so that an event at one shard causes no work for the queues of others.
+//! The module [`policy`](crate::policy) decides which requests wait, in which order, and which are sent next.
 
 use crate::{RequestId, ShardId};
 use std::collections::BTreeMap;
@@ -9,13 +9,13 @@
 /// What a queued request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaitingFor {
-    /// Its first attempt.
+    /// The first attempt.
     FirstAttempt,
-    /// A retry, as its attempts have failed.
+    /// A retry, after all attempts so far have failed.
     Retry,
 }
 
-/// The requests that wait for one shard, in the order in which they are to be sent.
+/// The requests that wait for one shard, in the order in which they will be sent.
 #[derive(Default)]
 struct ShardQueues {
     first_attempts: Vec<RequestId>,
@@ -35,13 +35,13 @@
     }
 }
 
-/// All requests that wait for capacity; at most the requests in progress.
+/// All requests that wait for capacity. Its length is bounded by the number of requests in progress.
 #[derive(Default)]
 pub(crate) struct AdmissionQueue {
-    /// Holds no shard whose queues are empty, except while one is being drained.
+    /// The queues by shard. A shard whose queues are empty has no entry, except while it is being drained.
     shards: BTreeMap<ShardId, ShardQueues>,
-    /// The last shard of the previous round over all shards.
-    cursor: Option<ShardId>,
+    /// The last shard that [`AdmissionQueue::next_round`] returned.
+    last_in_round: Option<ShardId>,
 }
 
 impl AdmissionQueue {
@@ -50,7 +50,8 @@
         self.shards.is_empty()
     }
 
-    /// Inserts a request behind all for which `goes_before` holds; these must be at the front of the queue.
+    /// Inserts a request after all queued requests for which `goes_before` returns true. These must form the
+    /// front of the queue.
     pub(crate) fn insert(
         &mut self, shard_id: ShardId, waiting_for: WaitingFor, id: RequestId,
         goes_before: impl Fn(RequestId) -> bool,
@@ -60,13 +61,15 @@
         queue.insert(position, id);
     }
 
-    /// Removes and returns a whole queue, to be drained; [`AdmissionQueue::restore`] takes back the rest of it.
+    /// Removes and returns all requests of a queue, so that the caller can drain it. The caller must then
+    /// pass those that still wait to [`AdmissionQueue::restore`].
     pub(crate) fn take(&mut self, shard_id: ShardId, waiting_for: WaitingFor) -> Vec<RequestId> {
         let shard = self.shards.get_mut(&shard_id);
         shard.map(|shard| std::mem::take(shard.queue_mut(waiting_for))).unwrap_or_default()
     }
 
-    /// Puts back the requests of a drained queue that still wait, ahead of any that were queued meanwhile.
+    /// Puts back the requests that still wait after their queue was drained, ahead of requests queued in the
+    /// meantime.
     pub(crate) fn restore(
         &mut self, shard_id: ShardId, waiting_for: WaitingFor, mut remaining: Vec<RequestId>,
     ) {
@@ -79,15 +82,16 @@
         }
     }
 
-    /// Returns the next shards with waiting requests, at most `max_shards`, continuing behind the previous round.
+    /// Returns the next shards with waiting requests, at most `max_shards`. Continues after the last shard of
+    /// the previous round, so that all shards have their turn.
     pub(crate) fn next_round(&mut self, max_shards: usize) -> Vec<ShardId> {
-        let first = self.cursor.map_or(0, |last| last.saturating_add(1));
-        let behind_cursor = self.shards.range(first..);
+        let first = self.last_in_round.map_or(0, |last| last.saturating_add(1));
+        let after_last = self.shards.range(first..);
         let from_start = self.shards.iter();
         let max_shards = max_shards.min(self.shards.len());
         let round: Vec<ShardId> =
-            behind_cursor.chain(from_start).map(|(shard_id, _)| *shard_id).take(max_shards).collect();
-        self.cursor = round.last().copied().or(self.cursor);
+            after_last.chain(from_start).map(|(shard_id, _)| *shard_id).take(max_shards).collect();
+        self.last_in_round = round.last().copied().or(self.last_in_round);
         round
     }
 }
--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings of a deployment, parsed once at the start from the `path=value` lines of a start message.
+//! The settings of a deployment. They are parsed once, from the `key=value` lines of the start message.
 
 use crate::host::{LoadReport, Role};
 use crate::request_class::{Consistency, DeduplicationScope, Idempotency, RequestClass, StalenessCheck};
@@ -11,23 +11,23 @@
 /// Why a start message is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeploymentError {
-    /// A key without default is not set.
+    /// A required key is missing.
     #[error("{key} is missing")]
     Missing {
         /// The key.
         key: String,
     },
-    /// A key's value cannot be parsed.
-    #[error("{key} is unreadable: {text:?}")]
-    Unreadable {
+    /// The value of a key cannot be parsed.
+    #[error("{key} is unreadable: {value:?}")]
+    InvalidValue {
         /// The key.
         key: String,
         /// The value.
-        text: String,
+        value: String,
     },
     /// A list has fewer entries than there are request classes.
-    #[error("{key} is too short")]
-    TooShort {
+    #[error("{key} has fewer entries than there are request classes")]
+    ListTooShort {
         /// The key.
         key: &'static str,
     },
@@ -38,40 +38,41 @@
 pub struct Deployment {
     /// The request classes.
     pub classes: Vec<RequestClass>,
-    /// What replicas do with reads that they lag too far behind for.
+    /// What replicas do with a read if their data are older than the read allows.
     pub staleness_check: StalenessCheck,
-    /// Whether clients carry their session's last commit; otherwise routers track it.
+    /// Whether clients send the position of their session's last commit; otherwise routers track it.
     pub session_tokens_carried: bool,
-    /// Minimum interval between ticks.
+    /// Minimum interval between two calls of [`Router::tick`](crate::Router::tick).
     pub tick: Duration,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether health checks may be sent.
     pub may_check_health: bool,
-    /// Points of service that one health check per request costs.
+    /// Price of one health check per request, in points of service. Each request adds a fixed number of
+    /// points to the budget for health checks.
     pub health_check_price: f64,
-    /// Whether a second attempt may be sent while one is in flight.
+    /// Whether hedged requests are allowed: a second attempt that is sent while another one is in flight.
     pub hedging_allowed: bool,
     /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Maximum Retry-After of a rejected request; none if clients get no Retry-After.
+    /// Maximum Retry-After of a rejected request; `None` if clients get no Retry-After.
     pub max_retry_after: Option<Duration>,
     /// Maximum time for establishing a connection.
     pub connect_timeout: Duration,
-    /// How long a draining host still answers requests.
+    /// How long a host still answers requests after it has started to drain.
     pub drain_grace: Duration,
-    /// Whether hosts that are listed as removed may still be used.
+    /// Whether hosts that were removed from the endpoint list may still be used.
     pub removal_is_advisory: bool,
     /// Whether the router must subscribe to the endpoint list.
     pub must_watch_endpoints: bool,
-    /// The settings of hosts in slow start.
+    /// The settings of slow start.
     pub slow_start: SlowStart,
-    /// The origin of reported positions.
+    /// The time relative to which hosts report positions, on the hosts' clock.
     position_origin: Timestamp,
     report_fields: ReportFields,
 }
 
-/// The indices of the values in a load report; none for values that hosts do not report.
+/// The indices of the values in a load report; `None` for a value that hosts do not report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ReportFields {
     position: Option<usize>,
@@ -80,7 +81,7 @@
 }
 
 impl Deployment {
-    /// Parses the `path=value` lines of a start message.
+    /// Parses the `key=value` lines of a start message.
     ///
     /// ```
     /// let missing = comethitch_policy::Deployment::read("me=0\n").unwrap_err();
@@ -89,39 +90,41 @@
     ///
     /// # Errors
     ///
-    /// If a key is missing or unreadable, or a list is too short.
+    /// Returns an error if a required key is missing, a value is invalid, or a list has fewer entries than
+    /// there are request classes.
     pub fn read(text: &str) -> Result<Deployment, DeploymentError> {
-        let lines = Lines(text.lines().filter_map(|line| line.split_once('=')).collect());
-        let classes = lines.request_classes()?;
-        let retry_after_allowed = lines.value_or("permissions.retry_after", false)?;
+        let message = StartMessage(text.lines().filter_map(|line| line.split_once('=')).collect());
+        let classes = message.request_classes()?;
+        let retry_after_allowed = message.value_or("permissions.retry_after", false)?;
         Ok(Deployment {
             classes,
-            staleness_check: lines.one_of("domain.guards", &STALENESS_CHECKS)?,
-            session_tokens_carried: lines.text_or("domain.tokens", "carried") == "carried",
-            tick: lines.duration("tick_us")?,
-            may_cancel: lines.value_or("permissions.cancel", false)?,
-            may_check_health: lines.value_or("permissions.may_probe", false)?,
-            health_check_price: lines.value_or("prices.probe", 0.0)?,
-            hedging_allowed: lines.value_or("permissions.second_copies", false)?,
-            max_attempts: lines.value("permissions.max_attempts")?,
+            staleness_check: message.one_of("domain.guards", &STALENESS_CHECKS)?,
+            session_tokens_carried: message.text_or("domain.tokens", "carried") == "carried",
+            tick: message.duration("tick_us")?,
+            may_cancel: message.value_or("permissions.cancel", false)?,
+            may_check_health: message.value_or("permissions.may_probe", false)?,
+            health_check_price: message.value_or("prices.probe", 0.0)?,
+            hedging_allowed: message.value_or("permissions.second_copies", false)?,
+            max_attempts: message.value("permissions.max_attempts")?,
             max_retry_after: if retry_after_allowed {
-                Some(lines.duration("permissions.max_retry_after_us")?)
+                Some(message.duration("permissions.max_retry_after_us")?)
             } else {
                 None
             },
-            connect_timeout: lines.duration("permissions.connect_timeout_us")?,
-            drain_grace: lines.duration("rules.drain_grace_us")?,
-            removal_is_advisory: lines.value_or("rules.gone_is_advice", false)?,
-            must_watch_endpoints: lines.text_or("membership_mode", "automatic") == "subscribe",
-            slow_start: lines.slow_start()?,
-            position_origin: Timestamp::from_micros(lines.value_or("domain.origin_time_us", 0)?),
-            report_fields: lines.report_fields(),
+            connect_timeout: message.duration("permissions.connect_timeout_us")?,
+            drain_grace: message.duration("rules.drain_grace_us")?,
+            removal_is_advisory: message.value_or("rules.gone_is_advice", false)?,
+            must_watch_endpoints: message.text_or("membership_mode", "automatic") == "subscribe",
+            slow_start: message.slow_start()?,
+            position_origin: Timestamp::from_micros(message.value_or("domain.origin_time_us", 0)?),
+            report_fields: message.report_fields(),
         })
     }
 
     /// Parses the values of a host's load report.
     ///
-    /// The position is a 32-bit float, rounded to the nearest; the next one below is never past the true position.
+    /// Hosts round the position to the nearest 32-bit float. The next lower float is used instead, because it
+    /// never exceeds the exact position.
     pub fn parse_report(&self, values: &[f32]) -> LoadReport {
         let value = |field: Option<usize>| field.and_then(|field| values.get(field)).copied();
         let position = value(self.report_fields.position).map(|seconds| {
@@ -134,7 +137,8 @@
         LoadReport { role, position, queue }
     }
 
-    /// Parses a response trailer: four times the position in milliseconds, plus the role.
+    /// Parses a response trailer, which is four times the position in milliseconds plus a code for the role.
+    /// A position of zero and an unknown code mean that the value was not reported.
     pub fn parse_trailer(&self, trailer: u32) -> LoadReport {
         let role = match trailer % 4 {
             1 => Some(Role::Primary),
@@ -146,12 +150,12 @@
         LoadReport { role, position, queue: None }
     }
 
-    /// Returns the shortest latency objective of all request classes; none without request classes.
+    /// Returns the shortest latency objective of all request classes; `None` if there are no request classes.
     pub fn shortest_latency_objective(&self) -> Option<Duration> {
         self.classes.iter().map(|class| class.latency_objective).min()
     }
 
-    /// Returns the tightest staleness bound; none if no request class has one.
+    /// Returns the tightest staleness bound of all request classes; `None` if no request class has one.
     pub fn tightest_staleness_bound(&self) -> Option<Duration> {
         let bound = |class: &RequestClass| match class.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
@@ -160,7 +164,7 @@
         self.classes.iter().filter_map(bound).min()
     }
 
-    /// Returns whether some request class requires this consistency.
+    /// Returns whether any request class requires this consistency.
     pub fn serves(&self, consistency: Consistency) -> bool {
         self.classes.iter().any(|class| class.consistency == consistency)
     }
@@ -181,13 +185,15 @@
     ("cell", DeduplicationScope::Shard),
 ];
 
-const CONSISTENCIES: &str = "domain.class_read";
-const STALENESS_BOUNDS: &str = "domain.oldest_data_us";
+/// The key of the list of consistencies, one per request class.
+const CONSISTENCIES_KEY: &str = "domain.class_read";
+/// The key of the list of staleness bounds, one per request class.
+const STALENESS_BOUNDS_KEY: &str = "domain.oldest_data_us";
 
 /// The values of a start message, by key.
-struct Lines<'a>(BTreeMap<&'a str, &'a str>);
+struct StartMessage<'a>(BTreeMap<&'a str, &'a str>);
 
-impl Lines<'_> {
+impl StartMessage<'_> {
     fn text(&self, key: &str) -> Result<&str, DeploymentError> {
         self.0.get(key).copied().ok_or_else(|| DeploymentError::Missing { key: key.into() })
     }
@@ -211,7 +217,7 @@
     fn one_of<T: Copy>(&self, key: &str, values: &[(&str, T)]) -> Result<T, DeploymentError> {
         let text = self.text(key)?;
         let found = values.iter().find(|(name, _)| *name == text);
-        found.map(|(_, value)| *value).ok_or_else(|| unreadable(key, text))
+        found.map(|(_, value)| *value).ok_or_else(|| invalid_value(key, text))
     }
 
     fn slow_start(&self) -> Result<SlowStart, DeploymentError> {
@@ -231,8 +237,8 @@
     }
 
     fn request_classes(&self) -> Result<Vec<RequestClass>, DeploymentError> {
-        let consistencies: Vec<&str> = self.text(CONSISTENCIES)?.split(',').collect();
-        let bounds: Vec<&str> = self.text(STALENESS_BOUNDS)?.split(',').collect();
+        let consistencies: Vec<&str> = self.text(CONSISTENCIES_KEY)?.split(',').collect();
+        let bounds: Vec<&str> = self.text(STALENESS_BOUNDS_KEY)?.split(',').collect();
         (0..self.value::<usize>("classes.count")?)
             .map(|number| {
                 let consistency = consistency(consistencies.get(number), bounds.get(number))?;
@@ -264,24 +270,24 @@
 
 /// Parses a request class's entries in the lists of consistencies and staleness bounds.
 fn consistency(name: Option<&&str>, bound: Option<&&str>) -> Result<Consistency, DeploymentError> {
-    let name = name.ok_or(DeploymentError::TooShort { key: CONSISTENCIES })?;
+    let name = name.ok_or(DeploymentError::ListTooShort { key: CONSISTENCIES_KEY })?;
     match *name {
         "write" => Ok(Consistency::Write),
         "fresh" => Ok(Consistency::Strong),
         "session" => Ok(Consistency::Session),
         "bounded" => {
-            let bound = bound.ok_or(DeploymentError::TooShort { key: STALENESS_BOUNDS })?;
-            parse(STALENESS_BOUNDS, bound).map(Duration::from_micros).map(Consistency::BoundedStaleness)
+            let bound = bound.ok_or(DeploymentError::ListTooShort { key: STALENESS_BOUNDS_KEY })?;
+            parse(STALENESS_BOUNDS_KEY, bound).map(Duration::from_micros).map(Consistency::BoundedStaleness)
         }
         "any" => Ok(Consistency::Eventual),
-        other => Err(unreadable(CONSISTENCIES, other)),
+        other => Err(invalid_value(CONSISTENCIES_KEY, other)),
     }
 }
 
 fn parse<T: FromStr>(key: &str, text: &str) -> Result<T, DeploymentError> {
-    text.parse().map_err(|_| unreadable(key, text))
+    text.parse().map_err(|_| invalid_value(key, text))
 }
 
-fn unreadable(key: &str, text: &str) -> DeploymentError {
-    DeploymentError::Unreadable { key: key.into(), text: text.into() }
+fn invalid_value(key: &str, value: &str) -> DeploymentError {
+    DeploymentError::InvalidValue { key: key.into(), value: value.into() }
 }
--- a/crates/comethitch-policy/src/health_check_budget.rs
+++ b/crates/comethitch-policy/src/health_check_budget.rs
@@ -1,33 +1,34 @@
-//! The budget of a shard's health checks: its requests add to it, health checks are charged to it.
+//! The budget for a shard's health checks: requests of the shard add to it, and health checks are charged to
+//! it.
 
-/// Number of health checks that a shard may still send, in fractions.
+/// The number of health checks that may still be sent to the members of a shard, including a fraction of one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct HealthCheckBudget {
-    available: f64,
+    available_checks: f64,
 }
 
 impl HealthCheckBudget {
-    /// Adds health checks, up to a maximum.
+    /// Adds health checks, up to a total of `max`.
     pub(crate) fn deposit(&mut self, checks: f64, max: f64) {
-        self.available = (self.available + checks).min(max);
+        self.available_checks = (self.available_checks + checks).min(max);
     }
 
-    /// Adds one health check for a new member.
+    /// Adds one health check, for a new member of the shard.
     pub(crate) fn add_one(&mut self) {
-        self.available += 1.0;
+        self.available_checks += 1.0;
     }
 
-    /// Takes out one health check, if there is one. Returns whether there was.
+    /// Charges one health check if the budget covers it, and returns whether it does.
     pub(crate) fn withdraw(&mut self) -> bool {
-        let available = self.available >= 1.0;
-        if available {
-            self.available -= 1.0;
+        let is_covered = self.available_checks >= 1.0;
+        if is_covered {
+            self.available_checks -= 1.0;
         }
-        available
+        is_covered
     }
 
-    /// Empties the budget, as an unpaid health check was sent.
+    /// Empties the budget, for a health check that is sent although the budget does not cover it.
     pub(crate) fn clear(&mut self) {
-        self.available = 0.0;
+        self.available_checks = 0.0;
     }
 }
--- a/crates/comethitch-policy/src/histogram.rs
+++ b/crates/comethitch-policy/src/histogram.rs
@@ -1,11 +1,12 @@
-//! A small decaying histogram of durations: sixteen bins, each half a power of two wide.
+//! A small decaying histogram of durations. Each of its 16 bins ends at √2 times the end of the previous one.
 
 use crate::time::Duration;
 
 const BINS: usize = 16;
 const BINS_PER_DOUBLING: f64 = 2.0;
 
-/// Counts durations by size. All counts are halved whenever the histogram is full, so that recent durations prevail.
+/// Counts durations by size. All counts are halved whenever their total reaches the capacity, so that recent
+/// durations have the most weight.
 ///
 /// ```
 /// use comethitch_policy::{histogram::Histogram, time::Duration};
@@ -20,7 +21,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
-    /// The end of the first bin.
+    /// The inclusive upper bound of the first bin.
     lowest: Duration,
     /// The total at which all counts are halved.
     capacity: u32,
@@ -29,7 +30,8 @@
 }
 
 impl Histogram {
-    /// Returns an empty histogram whose first bin ends at `lowest`, and which halves its counts at a total of `capacity`.
+    /// Returns an empty histogram. Its first bin ends at `lowest`, and it halves its counts when their total
+    /// reaches `capacity`.
     pub fn new(lowest: Duration, capacity: u32) -> Histogram {
         Histogram { lowest, capacity, total: 0, counts: [0; BINS] }
     }
@@ -45,17 +47,19 @@
         }
     }
 
+    /// Returns the geometric mean of the bounds of a bin.
     fn middle(&self, bin: usize) -> Duration {
         self.lowest.scaled(2f64.powf((bin as f64 - 0.5) / BINS_PER_DOUBLING))
     }
 
-    /// Returns the middle of the bin that contains this quantile, 0 to 1; none without values.
+    /// Returns the middle of the bin that contains this quantile, which is between 0 and 1. Returns `None` if
+    /// the histogram is empty.
     pub fn quantile(&self, quantile: f64) -> Option<Duration> {
         let rank = quantile * f64::from(self.total);
-        let mut below = 0;
+        let mut cumulative = 0;
         self.counts.iter().enumerate().find_map(|(bin, count)| {
-            below += count;
-            let reached = *count > 0 && f64::from(below) >= rank;
+            cumulative += count;
+            let reached = *count > 0 && f64::from(cumulative) >= rank;
             reached.then(|| self.middle(bin))
         })
     }
--- a/crates/comethitch-policy/src/host.rs
+++ b/crates/comethitch-policy/src/host.rs
@@ -12,21 +12,21 @@
 }
 
 impl Host {
-    /// Returns address and port as one number.
+    /// Returns the address and the port, combined into one number that is unique to the host.
     pub fn number(self) -> u64 {
         u64::from(u32::from_be_bytes(self.address)) << 16 | u64::from(self.port)
     }
 }
 
-/// The id of a shard: one primary and its replicas.
+/// The id of a shard, which consists of one primary and its replicas.
 pub type ShardId = u16;
 
 /// A host's role in its shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The host that takes writes, and has all commits.
+    /// The host that accepts writes and has all commits.
     Primary,
-    /// A host that follows the primary.
+    /// A host that replicates the data of the primary.
     Replica,
 }
 
@@ -35,18 +35,18 @@
 pub enum Lifecycle {
     /// The host may be used.
     Ready,
-    /// The host is about to shut down, and gets no new requests.
+    /// The host will shut down after its drain grace and should receive no new requests.
     Draining,
     /// The host no longer belongs to its shard.
     Removed,
 }
 
-/// A load report of a host. A value that is `None` was not reported.
+/// A load report of a host. Values that were not reported are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The role in its shard.
+    /// The role of the host in its shard.
     pub role: Option<Role>,
-    /// The position up to which at least all commits are applied.
+    /// A position up to which the host has applied all commits; it may have applied later ones too.
     pub position: Option<Timestamp>,
     /// Number of requests queued at the host.
     pub queue: Option<f64>,
--- a/crates/comethitch-policy/src/host_health.rs
+++ b/crates/comethitch-policy/src/host_health.rs
@@ -1,33 +1,36 @@
-//! A host's answers and failures, and its ejection.
+//! The answers and failures of a host, and its ejection.
 //!
-//! When a host counts as failed, and for how long it is ejected, is decided in [`policy`](crate::policy).
+//! The module [`policy`](crate::policy) decides when a host counts as failed and for how long it is ejected.
 
 use crate::time::{Duration, Timestamp};
 
-/// A host's signs of life, failures and ejection.
+/// The last answers of a host, its failures since, and its ejection.
 #[derive(Debug, Default)]
 pub(crate) struct HostHealth {
-    /// The last answer to a request; zero before the first.
+    /// When the host last answered a request; zero if it never has.
     last_answer: Timestamp,
-    /// The last answer of any kind, including those to health checks.
+    /// When the host last answered a request or a health check, or rejected a connection for lack of slots.
+    /// Error answers that count as failures are not included.
     last_sign_of_life: Timestamp,
-    /// The first request or health check since then.
+    /// When the first request or health check after the last sign of life was sent. If this is not later than
+    /// `last_sign_of_life`, none has been sent since.
     awaiting_since: Timestamp,
-    /// Attempts that timed out, or were cancelled late, since the last answer to a request.
+    /// Number of attempts that timed out or were cancelled late since the host last answered a request.
     unanswered_attempts: u32,
     unresponsive: bool,
-    /// Failed connections, resets, failed health checks and rare errors since the last sign of life.
+    /// Number of failed connections, connection resets, failed health checks and error answers since the last
+    /// sign of life. Error answers do not count while errors are widespread.
     consecutive_failures: u32,
     ejected_until: Timestamp,
 }
 
 impl HostHealth {
-    /// Returns the health of a host that was just listed.
+    /// Returns the health of a host that was first listed at `now`.
     pub(crate) fn new(now: Timestamp) -> HostHealth {
         HostHealth { last_sign_of_life: now, ..HostHealth::default() }
     }
 
-    /// Returns when the host last answered a request; zero if never.
+    /// Returns when the host last answered a request; zero if it never has.
     pub(crate) fn last_answer(&self) -> Timestamp {
         self.last_answer
     }
@@ -37,12 +40,13 @@
         self.last_answer > Timestamp::ZERO
     }
 
-    /// Returns when the host last answered anything, including health checks.
+    /// Returns when the host last answered a request or a health check, or rejected a connection for lack of
+    /// slots.
     pub(crate) fn last_sign_of_life(&self) -> Timestamp {
         self.last_sign_of_life
     }
 
-    /// Returns whether the host leaves requests unanswered, whatever its health checks say.
+    /// Returns whether the host leaves requests unanswered, even if it answers health checks.
     pub(crate) fn is_unresponsive(&self) -> bool {
         self.unresponsive
     }
@@ -52,17 +56,18 @@
         self.consecutive_failures
     }
 
-    /// Returns whether no requests are sent to the host at present.
+    /// Returns whether the host is ejected, so that it receives no requests.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         now < self.ejected_until
     }
 
-    /// Returns how long the host has left everything unanswered.
+    /// Returns the time since the first request or health check after the host's last sign of life was sent;
+    /// zero if none was sent.
     pub(crate) fn silent_for(&self, now: Timestamp) -> Duration {
         if self.awaiting_since > self.last_sign_of_life { now - self.awaiting_since } else { Duration::ZERO }
     }
 
-    /// Records that something was sent to the host.
+    /// Records that a request or a health check was sent to the host.
     pub(crate) fn expect_answer(&mut self, now: Timestamp) {
         if self.awaiting_since <= self.last_sign_of_life {
             self.awaiting_since = now;
@@ -76,7 +81,8 @@
         self.unresponsive = false;
     }
 
-    /// Records an answer of any kind, and ends the ejection of a host that is not unresponsive.
+    /// Records that the host answered or rejected something. Ends the ejection of the host unless it is
+    /// unresponsive.
     pub(crate) fn record_sign_of_life(&mut self, now: Timestamp) {
         self.last_sign_of_life = now;
         self.consecutive_failures = 0;
@@ -97,13 +103,13 @@
         self.unanswered_attempts
     }
 
-    /// Marks the host as unresponsive, and ejects it at least until then.
+    /// Marks the host as unresponsive, and ejects it at least until `eject_until`.
     pub(crate) fn mark_unresponsive(&mut self, eject_until: Timestamp) {
         self.unresponsive = true;
         self.ejected_until = self.ejected_until.max(eject_until);
     }
 
-    /// Ejects the host until then.
+    /// Ejects the host until `until`, which replaces the end of an earlier ejection.
     pub(crate) fn eject_until(&mut self, until: Timestamp) {
         self.ejected_until = until;
     }
--- a/crates/comethitch-policy/src/host_load.rs
+++ b/crates/comethitch-policy/src/host_load.rs
@@ -1,4 +1,5 @@
-//! A host's load: the work that this router has in flight there, its limits, and its slow start.
+//! The load of a host: the work that this router has in flight there, the limits on it, and the usage of slow
+//! start.
 
 use crate::histogram::Histogram;
 use crate::time::{Duration, Timestamp};
@@ -7,28 +8,30 @@
 use comethitch_fleet::decaying_counter::DecayingCounter;
 use comethitch_fleet::quota::{Window, WindowUsage};
 
-/// The relative latency of one, as the histogram of durations stores it.
+/// Duration that represents a relative latency of 1 in the histogram, which can store durations only.
 const RELATIVE_LATENCY_UNIT: Duration = Duration::from_millis(1);
 
-/// The load of a host, as far as this router causes or sees it.
+/// The load of a host, as far as this router causes it or the host reports it.
 #[derive(Default)]
 pub(crate) struct HostLoad {
+    /// Number of requests queued at the host at its last report.
     queue_length: f64,
     concurrency: ConcurrencyLimit,
     connection_slots: ConnectionSlots,
-    /// Answer times relative to the median of their request class, in [`RELATIVE_LATENCY_UNIT`]s.
+    /// Service times of answered attempts, as multiples of the median of their request class. A multiple of 1
+    /// is stored as [`RELATIVE_LATENCY_UNIT`].
     relative_latency: Histogram,
-    /// Cost of what was sent, decaying over the slow-start window.
+    /// Cost of the attempts sent, decaying over the slow-start window.
     work_sent: DecayingCounter,
-    /// Cost of what was answered, decaying over the slow-start window.
+    /// Cost of the attempts answered, decaying over the slow-start window.
     work_answered: DecayingCounter,
-    /// Cost of what was sent in the current slow-start window.
+    /// Cost of the attempts sent in the current slow-start window.
     slow_start_usage: WindowUsage,
 }
 
 impl HostLoad {
-    /// Returns the load of a host that was just listed. The histogram is empty; its lowest bin ends at a fraction of
-    /// the relative latency of one, which a millisecond stands for.
+    /// Returns the load of a host that was just listed for the first time. `relative_latency` must be an
+    /// empty histogram whose first bin ends well below [`RELATIVE_LATENCY_UNIT`].
     pub(crate) fn new(relative_latency: Histogram) -> HostLoad {
         HostLoad { relative_latency, ..HostLoad::default() }
     }
@@ -58,12 +61,13 @@
         self.concurrency.limit = limit;
     }
 
-    /// Returns whether the concurrency limit, times a multiple, admits more work. `sample` is a draw from 0 to 1.
+    /// Returns whether the concurrency limit, multiplied by `limit_multiple`, admits additional work.
+    /// `sample` is a uniformly distributed number in `0.0..1.0`.
     pub(crate) fn admits(&self, work: Duration, limit_multiple: f64, sample: f64) -> bool {
         self.concurrency.admits(work, limit_multiple, sample)
     }
 
-    /// Returns whether the host accepts one more connection, as far as is known.
+    /// Returns whether the host is expected to have a connection slot for one more attempt.
     pub(crate) fn has_free_connection(&self, now: Timestamp) -> bool {
         self.connection_slots.has_free(now)
     }
@@ -75,7 +79,8 @@
         self.connection_slots.connection_rejected(hash_seed, host_key, connect_timeout, now);
     }
 
-    /// Records an attempt that is sent in this slow-start window. `cost` is its cost in the slow-start budget.
+    /// Records that an attempt is sent in the given slow-start window. `cost` is charged to the slow-start
+    /// budget.
     pub(crate) fn record_sent(&mut self, work: Duration, cost: f64, window: &Window) {
         self.concurrency.in_flight += work;
         self.work_sent.add(cost, window.now, window.length);
@@ -83,7 +88,7 @@
         self.connection_slots.attempt_sent(window.now);
     }
 
-    /// Takes back the cost of an attempt that did no work at the host.
+    /// Subtracts the cost of an attempt that caused no work at the host from the work sent.
     pub(crate) fn refund_sent(&mut self, cost: f64) {
         self.work_sent.subtract(cost);
     }
@@ -93,12 +98,13 @@
         self.connection_slots.attempt_ended(sent_at, answered);
     }
 
-    /// Releases the work of an attempt, and adapts the concurrency limit to how it ended.
+    /// Releases the work of an ended attempt, and adapts the concurrency limit to how it ended.
     pub(crate) fn release_work(&mut self, ended: EndedWork, now: Timestamp) {
         self.concurrency.record_end(ended, now);
     }
 
-    /// Records an answer: its cost over the slow-start window, and its latency relative to the median.
+    /// Records an answered attempt: `cost` decays over the slow-start window `window`, and `relative_latency`
+    /// is the service time as a multiple of the median of the request class.
     pub(crate) fn record_answer(
         &mut self, cost: f64, window: Duration, relative_latency: f64, now: Timestamp,
     ) {
@@ -107,22 +113,23 @@
         self.relative_latency.add(Duration::from_micros(micros as u64));
     }
 
-    /// Returns the decayed cost of what was sent.
+    /// Returns the cost of the attempts sent, decayed over the slow-start window.
     pub(crate) fn work_sent(&self, now: Timestamp, window: Duration) -> f64 {
         self.work_sent.value(now, window)
     }
 
-    /// Returns the decayed cost of what was answered.
+    /// Returns the cost of the attempts answered, decayed over the slow-start window.
     pub(crate) fn work_answered(&self, now: Timestamp, window: Duration) -> f64 {
         self.work_answered.value(now, window)
     }
 
-    /// Returns whether the budget for this slow-start window admits this cost.
+    /// Returns whether the budget for this slow-start window admits an attempt of this cost.
     pub(crate) fn slow_start_admits(&self, cost: f64, budget: f64, window: &Window) -> bool {
         self.slow_start_usage.admits(cost, budget, window)
     }
 
-    /// Returns the host's median relative latency, at least 1: fast hosts count as usual ones.
+    /// Returns the median relative latency of the host, but at least 1: a host that is faster than usual counts
+    /// as a usual one.
     pub(crate) fn slowness(&self) -> f64 {
         let unit = RELATIVE_LATENCY_UNIT.as_micros() as f64;
         let median = self.relative_latency.quantile(0.5);
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -1,6 +1,6 @@
-//! What the router knows of a database host.
+//! The state of a database host as known to the router.
 //!
-//! What follows from it is decided in [`policy`](crate::policy).
+//! Decisions based on it are made in [`policy`](crate::policy).
 
 use crate::health_check_state::HealthCheckState;
 use crate::host_health::HostHealth;
@@ -11,7 +11,7 @@
 use crate::{Endpoint, Host, histogram::Histogram};
 use comethitch_fleet::quota::Window;
 
-/// A database host as this router sees it.
+/// The state of a database host as known to this router.
 #[derive(Default)]
 pub(crate) struct HostState {
     pub host: Host,
@@ -20,12 +20,14 @@
     pub health: HostHealth,
     pub checks: HealthCheckState,
     pub load: HostLoad,
-    /// Attempts of requests in progress, ended ones included, that refer to this host.
+    /// Number of attempts at this host that belong to requests in progress, including attempts that have
+    /// ended.
     attempts_in_progress: u32,
 }
 
 impl HostState {
-    /// Returns a host that was just listed for the first time. `relative_latency` is empty.
+    /// Returns the state of a host that was first listed at `now`. `relative_latency` must be an empty
+    /// histogram.
     pub(crate) fn new(endpoint: &Endpoint, relative_latency: Histogram, now: Timestamp) -> HostState {
         HostState {
             host: endpoint.host,
@@ -38,14 +40,14 @@
         }
     }
 
-    /// Records an attempt that is sent to the host.
+    /// Records that an attempt is sent to the host.
     pub(crate) fn record_attempt(&mut self, work: Duration, cost: f64, window: &Window) {
         self.load.record_sent(work, cost, window);
         self.health.expect_answer(window.now);
         self.attempts_in_progress += 1;
     }
 
-    /// Records that the request of an attempt is forgotten.
+    /// Records that the request of an attempt at this host is no longer in progress.
     pub(crate) fn forget_attempt(&mut self) {
         self.attempts_in_progress -= 1;
     }
@@ -55,13 +57,13 @@
         self.checks.is_in_flight() || self.attempts_in_progress > 0
     }
 
-    /// Records a health check that is sent to the host.
+    /// Records that a health check is sent to the host.
     pub(crate) fn record_health_check(&mut self, now: Timestamp) {
         self.checks.record_sent(now);
         self.health.expect_answer(now);
     }
 
-    /// Records that the host rejected a connection for lack of slots, which is a sign of life.
+    /// Records that the host rejected a connection for lack of slots, which shows that the host is running.
     pub(crate) fn record_connection_rejected(
         &mut self, hash_seed: u64, connect_timeout: Duration, now: Timestamp,
     ) {
--- a/crates/comethitch-policy/src/host_table.rs
+++ b/crates/comethitch-policy/src/host_table.rs
@@ -1,6 +1,6 @@
-//! The table of hosts, found by index or by host. Entries of forgotten hosts are reused.
+//! The table of hosts, which are looked up by index or by address. The entries of released hosts are reused.
 //!
-//! When a host is forgotten is decided in [`policy`](crate::policy).
+//! The module [`policy`](crate::policy) decides when a host is released.
 
 use crate::time::Timestamp;
 use crate::{Host, host_state::HostState};
@@ -10,26 +10,26 @@
 /// The index of a host in the table.
 pub(crate) type HostIndex = usize;
 
-/// When a removed host is to be reviewed, ordered by time.
+/// A scheduled review of a host that was removed from the endpoint list. Reviews are ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RemovalReview {
     at: Timestamp,
     index: HostIndex,
 }
 
-/// All hosts that the router knows, and which of them are to be forgotten.
+/// All hosts that the router knows, and the scheduled reviews of removed hosts.
 #[derive(Default)]
 pub(crate) struct HostTable {
     entries: Vec<HostState>,
-    free: Vec<HostIndex>,
+    free_indices: Vec<HostIndex>,
     index_of: BTreeMap<Host, HostIndex>,
     removal_reviews: BTreeSet<RemovalReview>,
-    /// The hosts in `removal_reviews`, each of which has one review.
+    /// The hosts in `removal_reviews`. Each has exactly one review.
     under_review: BTreeSet<HostIndex>,
 }
 
 impl HostTable {
-    /// Returns the number of allocated entries, in use or free.
+    /// Returns the number of allocated entries, including free ones.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
@@ -39,7 +39,7 @@
         0..self.entries.len()
     }
 
-    /// Returns the index of a host that is in the table.
+    /// Returns the index of a host, or `None` if the host is not in the table.
     pub(crate) fn index_of(&self, host: Host) -> Option<HostIndex> {
         self.index_of.get(&host).copied()
     }
@@ -49,29 +49,29 @@
         self.index_of(self.entries[index].host) == Some(index)
     }
 
-    /// Adds a host that is not in the table.
+    /// Adds a host that is not in the table, and returns its index.
     pub(crate) fn insert(&mut self, host: HostState) -> HostIndex {
-        let index = self.free.pop().unwrap_or(self.entries.len());
+        let index = self.free_indices.pop().unwrap_or(self.entries.len());
         self.index_of.insert(host.host, index);
         self.entries.resize_with(self.entries.len().max(index + 1), HostState::default);
         self.entries[index] = host;
         index
     }
 
-    /// Frees an entry that is in use. Its content stays until the entry is reused.
+    /// Frees an entry that is in use. The entry can still be read until it is reused.
     pub(crate) fn release(&mut self, index: HostIndex) {
         self.index_of.remove(&self.entries[index].host);
-        self.free.push(index);
+        self.free_indices.push(index);
     }
 
-    /// Schedules a review of a removed host, unless one is scheduled already.
+    /// Schedules a review of a removed host, unless one is already scheduled.
     pub(crate) fn schedule_removal_review(&mut self, index: HostIndex, at: Timestamp) {
         if self.under_review.insert(index) {
             self.removal_reviews.insert(RemovalReview { at, index });
         }
     }
 
-    /// Removes and returns the next host whose removal review was due before `now`.
+    /// Takes the earliest scheduled review that was due before `now`, and returns its host.
     pub(crate) fn next_removal_review(&mut self, now: Timestamp) -> Option<HostIndex> {
         let due = self.removal_reviews.first().filter(|review| review.at < now)?.index;
         self.removal_reviews.pop_first();
--- a/crates/comethitch-policy/src/lib.rs
+++ b/crates/comethitch-policy/src/lib.rs
@@ -1,18 +1,22 @@
 //! Decides where each request to a sharded, replicated database goes.
 //!
-//! This package contains the decisions and the interface around them. It does no I/O and reads no clock: every call takes
-//! an [`Actions`], which tells the time and carries out what was decided, so any protocol can be put in front.
+//! This package contains the decisions and the interface around them. It does no I/O and reads no clock:
+//! every call takes an [`Actions`], which provides the current time and carries out the decisions. It is
+//! therefore independent of the protocols that clients and hosts use.
 //!
-//! - [`policy`]: every decision, as calls on a [`Router`] and on the [`Handle`] of a request,
-//! - [`messages`], [`actions`]: what a caller reports, and what the policy has it do,
-//! - [`deployment`]: the settings, and the parser of a start message,
-//! - [`request_class`], [`host`], [`outcome`], [`send`]: what requests require, what hosts report, how attempts end,
-//! - `request_table`, `host_table`, `shard_table` and `admission_queue`: the state that decisions are based on. A host is a
-//!   `listing`, a `replication_status`, a `host_health`, a `health_check_state` and a `host_load`; a shard has a
-//!   `health_check_budget`,
+//! - [`policy`]: every decision, as methods of [`Router`] and of [`Handle`], which identifies a submitted
+//!   request,
+//! - [`messages`], [`actions`]: what a caller reports to the policy, and what the policy asks the caller to
+//!   do,
+//! - [`deployment`]: the settings, and the parser of the start message that contains them,
+//! - [`request_class`], [`host`], [`outcome`], [`send`]: what requests require, what hosts report, how
+//!   attempts end, and why an attempt may not be sent,
+//! - `request_table`, `host_table`, `shard_table` and `admission_queue`: the state that decisions are based
+//!   on. The state of a host consists of a `listing`, a `replication_status`, a `host_health`, a
+//!   `health_check_state` and a `host_load`; the state of a shard includes a `health_check_budget`,
 //! - [`histogram`], [`random`], `random_source`, [`session_commits`]: general data structures.
 //!
-//! Nothing outside [`policy`] depends on it.
+//! No other module depends on [`policy`].
 
 pub mod actions;
 mod admission_queue;
--- a/crates/comethitch-policy/src/listing.rs
+++ b/crates/comethitch-policy/src/listing.rs
@@ -1,12 +1,12 @@
-//! A host's entry in the endpoint list.
+//! The entry of a host in the endpoint list.
 
 use crate::time::Timestamp;
 use crate::{DeduplicationScope, Endpoint, Lifecycle, ShardId};
 
-/// Capacity of a host that is listed with none: weights must be above zero.
+/// Minimum capacity, which replaces a listed capacity of zero: weights must be above zero.
 const MIN_CAPACITY: f64 = 1e-9;
 
-/// What the endpoint list says of a host.
+/// The state of a host according to the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     zone: u8,
@@ -18,12 +18,13 @@
 }
 
 impl Listing {
-    /// Returns the entry of a host that was just listed for the first time, before [`Listing::apply`].
+    /// Returns the initial entry of a host that is listed for the first time. It contains only the shard;
+    /// [`Listing::apply`] sets the rest.
     pub(crate) fn new(endpoint: &Endpoint) -> Listing {
         Listing { shard_id: endpoint.shard_id, ..Listing::default() }
     }
 
-    /// Applies the host's entry in a new endpoint list.
+    /// Applies the entry of the host in an endpoint update.
     pub(crate) fn apply(&mut self, endpoint: &Endpoint, now: Timestamp) {
         self.zone = endpoint.zone;
         self.capacity = endpoint.capacity.max(MIN_CAPACITY);
@@ -36,7 +37,7 @@
         };
     }
 
-    /// Marks the host as removed; where removal is binding, it also starts to drain.
+    /// Marks the host as removed. If removal is binding, the host also starts to drain.
     pub(crate) fn remove(&mut self, removal_is_binding: bool, now: Timestamp) {
         self.removed = true;
         if removal_is_binding {
@@ -54,7 +55,8 @@
         self.capacity
     }
 
-    /// Returns when the host was first listed as draining, or as removed where removal is binding.
+    /// Returns when the host started to drain, because it was listed as draining, or as removed if removal is
+    /// binding. Returns `None` if the host is not draining.
     pub(crate) fn draining_since(&self) -> Option<Timestamp> {
         self.draining_since
     }
@@ -69,12 +71,13 @@
         self.removed
     }
 
-    /// Returns when the host's process started, on the hosts' clock, if that is listed.
+    /// Returns when the host's process started, on the hosts' clock; `None` if the list does not say.
     pub(crate) fn started(&self) -> Option<Timestamp> {
         self.started
     }
 
-    /// Returns whether the host drops a request that ran at the other one as a duplicate.
+    /// Returns whether this host recognizes a request that the other host has executed, and drops it as a
+    /// duplicate.
     pub(crate) fn deduplicates_with(&self, other: &Listing, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::Everywhere => true,
--- a/crates/comethitch-policy/src/outcome.rs
+++ b/crates/comethitch-policy/src/outcome.rs
@@ -1,13 +1,13 @@
-//! How attempts end, and why requests are rejected.
+//! Outcomes of attempts, and reasons for which requests are rejected.
 
-/// How an attempt, or a health check, ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptOutcome {
     /// The host answered the request.
     Answered,
     /// The host answered with an error.
     Error,
-    /// The host rejected the request because it is overloaded.
+    /// The host rejected the request because the host is overloaded.
     Overloaded,
     /// The host has no free connection slot.
     NoConnectionSlot,
@@ -15,18 +15,19 @@
     TimedOut,
     /// The connection to the host could not be established.
     ConnectionFailed,
-    /// The connection was reset before the answer.
+    /// The connection was reset before the answer arrived.
     ConnectionReset,
-    /// The router cancelled it.
+    /// The router cancelled the attempt.
     Cancelled,
-    /// The send guard refused it.
+    /// The send guard refused the attempt, so that it was not sent.
     NotSent,
-    /// The host rejected the request because it is not the primary, or too far behind.
+    /// The host rejected the request because the host is not the primary or its data are too old for the
+    /// read.
     NotPrimary,
 }
 
 impl AttemptOutcome {
-    /// Returns whether this outcome proves that the request never ran.
+    /// Returns whether this outcome proves that the host never executed the request.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -53,23 +54,28 @@
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// It needs the primary, and no primary is believed to serve: Failover, or none found yet.
+    /// The request needs the primary, and none is considered to serve requests: the shard is in Failover, no
+    /// primary has been found yet, or the primary is unreachable, past its drain grace or last reported to be
+    /// a replica.
     NoPrimary,
-    /// It would have been queued past its deadline.
+    /// The request would have had to wait, and its deadline was too close.
     DeadlineTooClose,
-    /// Its deadline was reached, less a margin for the answer to reach the client.
+    /// The deadline of the request was reached, less a margin within which the rejection still reaches the
+    /// client.
     DeadlineExceeded,
-    /// It was queued for so long that any answer would be late: a retry elsewhere may still help.
+    /// The request was queued for so long that any answer would be late. The client may still get an
+    /// answer in time if it retries elsewhere.
     QueuedTooLong,
-    /// It is a non-idempotent write that was in flight to a lost primary, and may have run.
+    /// The request is a non-idempotent write that was in flight to a lost primary and may have been executed.
     PrimaryLost,
-    /// Its attempt ended without an answer, and it may not be retried: because of its idempotency, errors of its own, or
-    /// too little time.
+    /// The last attempt ended without the final answer, and the request may not be retried: because of its
+    /// idempotency, because the request itself causes errors, because the maximum number of attempts is
+    /// reached, or because its deadline is too close.
     NotRetryable,
 }
 
 impl RejectionReason {
-    /// Returns the name in logs and counts, in snake case.
+    /// Returns the name used in logs and metrics, in snake case.
     pub fn name(self) -> &'static str {
         match self {
             RejectionReason::NoPrimary => "no_primary",
--- a/crates/comethitch-policy/src/replication_status.rs
+++ b/crates/comethitch-policy/src/replication_status.rs
@@ -1,4 +1,4 @@
-//! A host's role and replication position, as its reports show them.
+//! The role and replication position of a host, according to its load reports and response trailers.
 
 use crate::time::{Duration, Timestamp};
 use crate::{LoadReport, Role};
@@ -6,18 +6,20 @@
 /// Resolution of the positions in response trailers.
 const TRAILER_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// A host's role and how far its data reach.
+/// The role of a host and the position up to which it has applied commits.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicationStatus {
     role: Option<Role>,
+    /// When the host was last confirmed as primary; zero if it never was.
     last_seen_primary: Timestamp,
     position: Timestamp,
+    /// The replication lag at the last report of the position.
     lag: Duration,
     lag_reported_at: Timestamp,
 }
 
 impl ReplicationStatus {
-    /// Returns the role that the host reported last.
+    /// Returns the role that the host last reported; `None` if it never reported one.
     pub(crate) fn role(&self) -> Option<Role> {
         self.role
     }
@@ -27,7 +29,7 @@
         self.role = Some(role);
     }
 
-    /// Returns when the host was last confirmed as primary.
+    /// Returns when the host was last confirmed as primary; zero if it never was.
     pub(crate) fn last_seen_primary(&self) -> Timestamp {
         self.last_seen_primary
     }
@@ -37,36 +39,38 @@
         self.last_seen_primary = now;
     }
 
-    /// Returns the position up to which all commits are applied, on the hosts' clock; it never decreases.
+    /// Returns the position up to which the host has applied all commits, on the hosts' clock. It never
+    /// decreases.
     pub(crate) fn position(&self) -> Timestamp {
         self.position
     }
 
-    /// Returns whether the host has ever shown a position.
+    /// Returns whether a position of the host is known.
     pub(crate) fn has_position(&self) -> bool {
         self.position > Timestamp::ZERO
     }
 
-    /// Returns how far the host's position was behind at its last report.
+    /// Returns the replication lag at the last report of the position.
     pub(crate) fn lag(&self) -> Duration {
         self.lag
     }
 
-    /// Returns when the host last reported its position.
+    /// Returns when the host last reported its position; zero if it never has.
     pub(crate) fn lag_reported_at(&self) -> Timestamp {
         self.lag_reported_at
     }
 
-    /// Records a reported position and how far behind it seemed.
+    /// Records a reported position and the replication lag estimated from it.
     pub(crate) fn record_position(&mut self, position: Timestamp, lag: Duration, now: Timestamp) {
         self.position = self.position.max(position);
         self.lag = lag;
         self.lag_reported_at = now;
     }
 
-    /// Records a response trailer. `sent_at` is when the request was sent, on the hosts' clock, if known.
+    /// Applies a response trailer. `sent_at` is when the request was sent, on the hosts' clock; `None` if the
+    /// offset of that clock is unknown.
     ///
-    /// A primary has all commits when it answers, so at least those up to `sent_at`.
+    /// A primary has all commits when it answers, so its position is at least `sent_at`.
     pub(crate) fn apply_trailer(&mut self, trailer: &LoadReport, sent_at: Option<Timestamp>) {
         if trailer.role == Some(Role::Primary) {
             let reported = trailer.position.map(|position| position - TRAILER_RESOLUTION);
--- a/crates/comethitch-policy/src/request_class.rs
+++ b/crates/comethitch-policy/src/request_class.rs
@@ -1,77 +1,77 @@
-//! Request classes: the settings that an application's requests of one kind share.
+//! Request classes: settings that all requests of one kind share.
 
 use crate::time::Duration;
 
 /// The settings of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The time within which an answer is of full value.
+    /// The time within which an answer has its full value to the client.
     pub latency_objective: Duration,
-    /// How long clients wait at most.
+    /// The maximum time that clients wait for an answer.
     pub timeout: Duration,
-    /// The value of a request relative to others.
+    /// The value of an answer relative to those of other classes.
     pub priority_weight: f64,
-    /// The effect of running a request twice.
+    /// The effect of executing a request twice.
     pub idempotency: Idempotency,
-    /// The hosts among which a keyed request's retry is dropped as a duplicate.
+    /// The hosts that drop a retry of a keyed request as a duplicate.
     pub deduplication_scope: DeduplicationScope,
-    /// How long duplicates are dropped, from the first run.
+    /// How long after the first execution of a keyed request its duplicates are dropped.
     pub deduplication_window: Duration,
-    /// How fresh the data must be.
+    /// How up to date the data must be.
     pub consistency: Consistency,
 }
 
-/// The effect of running a request twice.
+/// The effect of executing a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The same as running it once.
+    /// The effect is the same as that of executing it once.
     Idempotent,
-    /// Hosts drop duplicates by the idempotency key that it carries.
+    /// The request carries an idempotency key, by which hosts recognize and drop duplicates.
     Keyed,
-    /// It takes effect again.
+    /// The request takes effect twice.
     NonIdempotent,
 }
 
-/// The hosts among which a keyed request's retry is dropped as a duplicate.
+/// The hosts that drop a retry of a keyed request as a duplicate, given the host that executed it first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All hosts.
     Everywhere,
-    /// Hosts of the same zone.
+    /// Hosts in the same zone.
     Zone,
-    /// Hosts of the same shard.
+    /// Hosts in the same shard.
     Shard,
 }
 
-/// How fresh the data must be that a request is answered from.
+/// How up to date the data must be from which a request is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// The request changes data, which only a primary can do.
+    /// The request writes data, which only the primary can do.
     Write,
-    /// All commits before the request, which only a primary has.
+    /// The read must see all commits before it, which only the primary has.
     Strong,
-    /// All commits of the client's own session.
+    /// The read must see all commits of the client's own session.
     Session,
-    /// All commits older than this.
+    /// The read must see all commits older than this bound.
     BoundedStaleness(Duration),
-    /// Data of any age.
+    /// The read may see data of any age.
     Eventual,
 }
 
 impl Consistency {
-    /// Returns whether only the primary can answer such a request.
+    /// Returns whether only the primary can answer a request with this consistency.
     pub fn needs_primary(self) -> bool {
         matches!(self, Consistency::Write | Consistency::Strong)
     }
 }
 
-/// What a replica does with a read that it lags too far behind for.
+/// What a replica does with a read if its data are older than the read allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessCheck {
-    /// It answers from old data: the router alone guards the read.
+    /// It does not check and answers from old data; only the router ensures the consistency of the read.
     Off,
     /// It rejects the read.
     Reject,
-    /// It answers once it has caught up.
+    /// It delays the answer until it has caught up.
     Wait,
 }
--- a/crates/comethitch-policy/src/request_table.rs
+++ b/crates/comethitch-policy/src/request_table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::ops::Index;
 
-/// All requests that have no final answer yet, or have attempts in flight.
+/// All requests that have no final answer yet or have an attempt in flight.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, RequestState>,
@@ -22,22 +22,22 @@
         self.requests.remove(&id)
     }
 
-    /// Returns a request that is in progress.
+    /// Returns a request, or `None` if it is not in progress.
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.requests.get(&id)
     }
 
-    /// Returns a request that is in progress, for changes.
+    /// Returns a mutable reference to a request, or `None` if it is not in progress.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(&id)
     }
 
-    /// Returns the ids of all requests, in order.
+    /// Returns the ids of all requests in ascending order.
     pub(crate) fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
 
-    /// Marks the attempts in flight to a host as in flight at its fault, and returns their number.
+    /// Sets `in_flight_at_fault` of the attempts that are in flight to a host, and returns their number.
     pub(crate) fn mark_in_flight_at_fault(&mut self, host: HostIndex) -> u32 {
         let mut in_flight = 0;
         let attempts = self.requests.values_mut().flat_map(|request| &mut request.attempts);
@@ -49,7 +49,7 @@
     }
 }
 
-/// A request that is known to be in progress.
+/// Looks up a request that must be in progress.
 impl Index<RequestId> for RequestTable {
     type Output = RequestState;
 
--- a/crates/comethitch-policy/src/send.rs
+++ b/crates/comethitch-policy/src/send.rs
@@ -1,4 +1,4 @@
-//! The results of the send guard: why an attempt may not be sent, and which rule a sent attempt broke.
+//! The results of the send guard: why an attempt may not be sent, and which rule a sent attempt has broken.
 
 /// Why the send guard refuses an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -9,22 +9,23 @@
     /// The attempt was cancelled, or has ended.
     #[error("the attempt has ended")]
     AttemptEnded,
-    /// The client no longer waits.
+    /// The deadline of the request has passed, so its client no longer waits.
     #[error("the request's deadline has passed")]
     DeadlinePassed,
-    /// The host's data may be older than the read allows.
+    /// The data of the host may be older than the read allows.
     #[error("the host's data may be too old")]
     DataTooOld,
     /// The host is draining, and too little of its drain grace is left.
-    #[error("the host drains")]
+    #[error("the host is draining, and too little of its drain grace is left")]
     HostDrains,
-    /// Another attempt may have run, and this one must not run beside or after it.
-    #[error("it must not be repeated there")]
+    /// Another attempt may have been executed or may still be, and this one could take effect in addition, or
+    /// would be a hedged request although hedging is not allowed.
+    #[error("another attempt may have been executed, and the request must not be repeated at this host")]
     MayNotRepeat,
 }
 
 impl SendRefusal {
-    /// Returns the name in logs and counts, in snake case.
+    /// Returns the name used in logs and metrics, in snake case.
     pub fn name(self) -> &'static str {
         match self {
             SendRefusal::RequestFinished => "command_finished",
@@ -37,21 +38,22 @@
     }
 }
 
-/// A rule that an attempt broke when its last byte was sent.
+/// The rule that an attempt had broken when its last byte was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendViolation {
-    /// The client no longer waited.
+    /// The deadline of the request had passed.
     AfterDeadline,
-    /// The host's drain grace had ended.
+    /// The drain grace of the host had ended.
     PastDrainGrace,
-    /// The host's data were older than the read allows, as far as is known here.
+    /// The data of the host were older than the read allows, as far as the router knows.
     DataTooOld,
-    /// Another attempt may have run, and the host does not drop this one as a duplicate.
+    /// Another attempt may have been executed or may still be, and this one may take effect in addition, or
+    /// was a hedged request although hedging is not allowed.
     Repeated,
 }
 
 impl SendViolation {
-    /// Returns the name in logs and counts, in snake case.
+    /// Returns the name used in logs and metrics, in snake case.
     pub fn name(self) -> &'static str {
         match self {
             SendViolation::AfterDeadline => "sent_after_deadline",
--- a/crates/comethitch-policy/src/session_commits.rs
+++ b/crates/comethitch-policy/src/session_commits.rs
@@ -1,9 +1,9 @@
-//! The latest commit that each session has written, for a bounded number of sessions.
+//! The latest commit of each session, for a bounded number of sessions.
 
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// Maximum number of sessions kept; beyond it, the half with the oldest commits is dropped.
+/// Maximum number of sessions kept. Once it is exceeded, the half with the oldest commits is dropped.
 const MAX_SESSIONS: usize = 4096;
 
 /// Tracks the latest commit of each session, so that sessions read their own writes.
@@ -24,17 +24,18 @@
 #[derive(Default)]
 pub struct SessionCommits {
     latest: BTreeMap<u64, Timestamp>,
-    /// Upper bound on the commits of sessions that were dropped.
+    /// Upper bound on the latest commits of the sessions that were dropped.
     latest_dropped: Timestamp,
 }
 
 impl SessionCommits {
-    /// Returns the latest commit that a session may have written.
+    /// Returns the latest commit that a session may have written. For a session that is not kept, this is an
+    /// upper bound.
     pub fn latest(&self, session: u64) -> Timestamp {
         self.latest.get(&session).copied().unwrap_or(self.latest_dropped)
     }
 
-    /// Records that a session has written a commit.
+    /// Records a commit that a session has written.
     pub fn record(&mut self, session: u64, commit: Timestamp) {
         let commit = commit.max(self.latest(session));
         self.latest.insert(session, commit);
--- a/crates/comethitch-policy/src/shard.rs
+++ b/crates/comethitch-policy/src/shard.rs
@@ -1,25 +1,25 @@
-//! What the router knows of a shard: one primary and its replicas.
+//! The state of a shard, which consists of one primary and its replicas, as known to the router.
 //!
-//! The transitions between the states are decided in [`policy`](crate::policy).
+//! The module [`policy`](crate::policy) decides on the transitions between the states.
 
 use crate::health_check_budget::HealthCheckBudget;
 use crate::{host_table::HostIndex, time::Timestamp};
 use comethitch_fleet::subset::Ranking;
 use comethitch_fleet::{concurrency_limit::ConcurrencyLimit, decaying_counter::DecayingCounter};
 
-/// State of a shard's believed primary.
+/// The state of a shard with respect to its believed primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShardState {
-    /// The primary serves, as far as is known.
+    /// The primary serves requests, as far as the router knows.
     #[default]
     Healthy,
-    /// The primary has shown a fault.
+    /// The primary has shown a fault but is not considered lost yet.
     Unhealthy,
-    /// The primary is lost, and its successor is not known yet.
+    /// The primary is lost, and the new primary is not known yet.
     Failover,
 }
 
-/// A shard as this router sees it.
+/// The state of a shard as known to this router.
 #[derive(Default)]
 pub(crate) struct Shard {
     /// The member that this router believes to be the primary.
@@ -28,56 +28,59 @@
     pub listed_primary: Option<HostIndex>,
     pub health_check_budget: HealthCheckBudget,
     pub recent_requests: DecayingCounter,
-    /// Limits on the work in flight to all members together, by request class.
+    /// Limits on the work in flight to all members together, indexed by request class.
     pub concurrency_limits: Vec<ConcurrencyLimit>,
     /// All hosts of the shard, in the order in which they were first listed.
     pub members: Vec<HostIndex>,
-    /// The replicas in this router's order of preference.
+    /// The replicas in the order in which this router prefers them.
     pub ranking: Ranking,
-    /// Number of members that have answered a request of this router.
+    /// Number of members that have ever answered a request of this router.
     pub answered_members: usize,
     state: ShardState,
+    /// When the shard entered `state`.
     state_since: Timestamp,
-    /// Number of failovers.
+    /// Number of failovers that this router has seen.
     serial: u32,
     /// Number of attempts that were in flight to the primary when the shard became Unhealthy.
     in_flight_at_fault: u32,
-    /// Number of these that were lost.
+    /// Number of those attempts that have been lost.
     lost_since_fault: u32,
     next_review: Timestamp,
 }
 
 impl Shard {
-    /// Returns whether a host is believed to be the primary.
+    /// Returns whether this host is the believed primary.
     pub(crate) fn is_primary(&self, index: HostIndex) -> bool {
         self.primary == Some(index)
     }
 
-    /// Adds a host, and a concurrency limit for each request class.
+    /// Adds a host, and ensures that there is a concurrency limit for each of `request_classes` request
+    /// classes.
     pub(crate) fn add_member(&mut self, index: HostIndex, request_classes: usize) {
         self.members.push(index);
         self.ranking.invalidate();
         self.concurrency_limits.resize(request_classes, ConcurrencyLimit::default());
     }
 
-    /// Removes a host that is not the primary.
+    /// Removes a host that is not the primary. `has_answered` is whether it ever answered a request of this
+    /// router.
     pub(crate) fn remove_member(&mut self, index: HostIndex, has_answered: bool) {
         self.members.retain(|member| *member != index);
         self.answered_members -= usize::from(has_answered);
         self.ranking.invalidate();
     }
 
-    /// Returns the state of the believed primary.
+    /// Returns the state of the shard.
     pub(crate) fn state(&self) -> ShardState {
         self.state
     }
 
-    /// Returns when the shard entered its state.
+    /// Returns when the shard entered its current state.
     pub(crate) fn state_since(&self) -> Timestamp {
         self.state_since
     }
 
-    /// Returns the number of failovers seen.
+    /// Returns the number of failovers that this router has seen.
     pub(crate) fn serial(&self) -> u32 {
         self.serial
     }
@@ -95,7 +98,7 @@
         self.lost_since_fault = 0;
     }
 
-    /// Enters Failover, and schedules a review at once.
+    /// Enters Failover, and schedules an immediate review.
     pub(crate) fn enter_failover(&mut self, now: Timestamp) {
         self.enter(ShardState::Failover, now);
         self.serial += 1;
@@ -107,17 +110,19 @@
         self.state_since = now;
     }
 
-    /// Records that an attempt was lost which was in flight when the shard became Unhealthy.
+    /// Records the loss of an attempt that was in flight to the primary when the shard became Unhealthy.
     pub(crate) fn record_lost_attempt(&mut self) {
         self.lost_since_fault += 1;
     }
 
-    /// Returns whether at least this fraction of the attempts in flight at the fault were lost.
+    /// Returns whether at least this fraction of the attempts that were in flight to the primary when the
+    /// shard became Unhealthy have been lost.
     pub(crate) fn has_lost(&self, fraction: f64) -> bool {
         f64::from(self.lost_since_fault) >= fraction * f64::from(self.in_flight_at_fault)
     }
 
-    /// Returns when health checks and state are reviewed next for what time alone changes.
+    /// Returns when the health checks and the state are next reviewed for changes that depend on time alone,
+    /// such as timeouts.
     pub(crate) fn next_review(&self) -> Timestamp {
         self.next_review
     }
@@ -127,7 +132,7 @@
         self.next_review = at;
     }
 
-    /// Moves the next review forward, unless it is due earlier.
+    /// Moves the next review forward to `at`, unless it is due earlier.
     pub(crate) fn review_by(&mut self, at: Timestamp) {
         self.next_review = self.next_review.min(at);
     }
--- a/crates/comethitch-policy/src/shard_table.rs
+++ b/crates/comethitch-policy/src/shard_table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// All shards that hosts were listed for.
+/// All shards for which a host was ever listed; none is ever removed.
 #[derive(Default)]
 pub(crate) struct ShardTable {
     shards: BTreeMap<ShardId, Shard>,
@@ -17,34 +17,34 @@
         self.shards.len()
     }
 
-    /// Returns a shard, if a host was listed for it.
+    /// Returns a shard, or `None` if no host was ever listed for it.
     pub(crate) fn get(&self, shard_id: ShardId) -> Option<&Shard> {
         self.shards.get(&shard_id)
     }
 
-    /// Returns a shard for changes, if a host was listed for it.
+    /// Returns a mutable reference to a shard, or `None` if no host was ever listed for it.
     pub(crate) fn get_mut(&mut self, shard_id: ShardId) -> Option<&mut Shard> {
         self.shards.get_mut(&shard_id)
     }
 
-    /// Returns a shard, which is added if it is new.
+    /// Returns a mutable reference to a shard, which is added if it is new.
     pub(crate) fn get_or_add(&mut self, shard_id: ShardId) -> &mut Shard {
         self.shards.entry(shard_id).or_default()
     }
 
-    /// Returns all shards with their ids, in the order of the ids.
+    /// Returns all shards with their ids, in ascending order of the ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ShardId, &Shard)> {
         self.shards.iter().map(|(shard_id, shard)| (*shard_id, shard))
     }
 
-    /// Returns the shards whose health checks and state are to be reviewed by now.
+    /// Returns the shards whose next review of health checks and state is due.
     pub(crate) fn due_for_review(&self, now: Timestamp) -> Vec<ShardId> {
         let due = self.iter().filter(|(_, shard)| shard.next_review() <= now);
         due.map(|(shard_id, _)| shard_id).collect()
     }
 }
 
-/// The shard of a host in the host table, or of one of its members: it is never removed.
+/// Looks up a shard for which a host was listed, such as the shard of a host in the host table.
 impl Index<ShardId> for ShardTable {
     type Output = Shard;
 
@@ -55,6 +55,8 @@
 
 impl IndexMut<ShardId> for ShardTable {
     fn index_mut(&mut self, shard_id: ShardId) -> &mut Shard {
-        self.shards.get_mut(&shard_id).expect("a shard is never removed")
+        self.shards
+            .get_mut(&shard_id)
+            .expect("a host was listed for this shard, and shards are never removed")
     }
 }
