--- a/crates/comethitch-fleet/src/connection_slots.rs
+++ b/crates/comethitch-fleet/src/connection_slots.rs
@@ -1,35 +1,40 @@
 //! Backoff from a host that accepts no more connections.
 //!
-//! A host accepts a limited number of connections and rejects further ones. When a router is rejected, the number of
-//! requests that it has in flight at the host becomes its limit. It tries one more connection after an exponential
-//! backoff with jitter, so that routers rejected at the same time do not retry at the same time.
+//! A host accepts a limited number of connections and rejects further ones. When the host rejects a
+//! connection of a router, the router limits its attempts in flight there to their current number. It tries
+//! one additional connection after an exponential backoff with jitter, so that routers rejected at the same
+//! time do not retry at the same time.
 
 use crate::hash;
 use comethitch_time::{Duration, Timestamp};
 
-/// The maximum of the first backoff, as a multiple of the connect timeout.
+/// Maximum duration of the first backoff, as a multiple of the connect timeout.
 const FIRST_BACKOFF_CONNECT_TIMEOUTS: u64 = 4;
-/// Maximum number of times that the backoff is doubled: other routers close idle connections within tens of seconds.
+/// Maximum number of times that the backoff is doubled. Longer backoffs are not needed, because other routers
+/// close idle connections within tens of seconds.
 const MAX_DOUBLINGS: u32 = 4;
-/// Divisor of the idle timeout while connection slots are scarce.
+/// Divisor of the idle timeout of connections while connection slots are scarce.
 const SCARCE_IDLE_DIVISOR: u64 = 16;
 
 /// A router's estimate of the connection slots at one host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ConnectionSlots {
-    /// Number of requests in flight; each uses one connection.
+    /// Number of attempts in flight. Each uses one connection.
     in_flight: u32,
-    /// Maximum number in flight, set when a connection was rejected.
+    /// Maximum number of attempts in flight; `None` if no connection has been rejected since one was last
+    /// accepted.
     limit: Option<u32>,
-    /// Number of rejections since a connection was last accepted.
+    /// Number of rejections since an additional connection was last accepted. Rejections during a backoff do
+    /// not count.
     rejections: u32,
+    /// When an additional connection may be tried next.
     backoff_until: Timestamp,
-    /// When the request that tries an additional connection was sent, while it is in flight.
+    /// When the attempt that tries an additional connection was sent; `None` if no such attempt is in flight.
     trial_sent_at: Option<Timestamp>,
 }
 
 impl ConnectionSlots {
-    /// Records that a request is sent to the host.
+    /// Records that an attempt is sent to the host.
     pub fn attempt_sent(&mut self, now: Timestamp) {
         self.in_flight += 1;
         if self.limit.is_some_and(|limit| self.in_flight > limit) {
@@ -37,8 +42,8 @@
         }
     }
 
-    /// Records the end of the request sent at `sent_at`. Only an answer to the request that tried an additional connection
-    /// proves a free slot.
+    /// Records the end of the attempt that was sent at `sent_at`. Only an answer to the attempt that tried an
+    /// additional connection proves that there is a free slot.
     pub fn attempt_ended(&mut self, sent_at: Timestamp, answered: bool) {
         if self.trial_sent_at == Some(sent_at) {
             self.trial_sent_at = None;
@@ -51,8 +56,8 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Records a rejected connection, after the end of the request that tried it. The backoff is a multiple of
-    /// `connect_timeout`.
+    /// Records that the host rejected a connection. Must be called after [`ConnectionSlots::attempt_ended`]
+    /// of the attempt that tried the connection. The backoff is a multiple of `connect_timeout`.
     ///
     /// ```
     /// use comethitch_fleet::connection_slots::ConnectionSlots;
@@ -72,7 +77,7 @@
         &mut self, hash_seed: u64, host_key: u64, connect_timeout: Duration, now: Timestamp,
     ) {
         self.limit = Some(self.in_flight);
-        // Rejections of connections that were tried at the same time count once.
+        // Rejections of connections that were tried at the same time count as one.
         if now >= self.backoff_until {
             let max_backoff =
                 connect_timeout * FIRST_BACKOFF_CONNECT_TIMEOUTS * (1 << self.rejections.min(MAX_DOUBLINGS));
@@ -82,8 +87,8 @@
         }
     }
 
-    /// Returns whether one more request may be sent, on an idle connection or to try an additional one. Only one request
-    /// at a time tries an additional connection.
+    /// Returns whether one more attempt may be sent, either on an idle connection or to try an additional
+    /// one. Only one attempt at a time tries an additional connection.
     pub fn has_free(&self, now: Timestamp) -> bool {
         self.limit.is_none_or(|limit| {
             self.in_flight < limit || self.in_flight == limit && now >= self.backoff_until
@@ -91,10 +96,11 @@
     }
 }
 
-/// Returns how long an idle connection stays open, at most `max_timeout`.
+/// Returns how long an idle connection is kept open, which is at most `max_timeout`.
 ///
-/// For `max_timeout` after a host rejected a connection, slots are scarce, and idle connections are closed earlier so
-/// that other routers can connect.
+/// `rejected_at` is when a host last rejected a connection, or `None` if none has. For `max_timeout` after
+/// that, slots are considered scarce, and idle connections are closed earlier so that other routers can
+/// connect.
 ///
 /// ```
 /// use comethitch_fleet::connection_slots::idle_timeout;
--- a/crates/comethitch-fleet/src/lib.rs
+++ b/crates/comethitch-fleet/src/lib.rs
@@ -1,17 +1,19 @@
-//! Load control for a fleet of routers that do not talk to each other.
+//! Load control for a fleet of routers that do not communicate with each other.
 //!
-//! Each router sees a small part of the traffic, but a database host receives the sum of what all routers send.
-//! The calculations here keep that sum within the host's capacity, although no router knows about the others:
+//! Each router sees a small part of the traffic, but a database host receives the sum of what all routers
+//! send. The calculations here keep that sum within the capacity of the host, although no router knows what
+//! the others send:
 //!
 //! - [`subset`]: selects the few replicas of a shard that a router uses (rendezvous hashing),
 //! - [`freshness`]: computes when a replica's position is refreshed,
-//! - [`quota`]: computes a router's share of what all routers may send to a host in slow start,
+//! - [`quota`]: computes a router's share of the work that all routers together may send to a host in slow
+//!   start,
 //! - [`concurrency_limit`]: limits the work that a router has in flight at a host,
 //! - [`connection_slots`]: backs off from a host that accepts no more connections,
 //! - [`decaying_counter`]: estimates the rate of recent events.
 //!
-//! This package makes no decisions; the policy calls it. There is no I/O and no clock. Random numbers are hashes of
-//! the caller's arguments, so that equal calls give equal results.
+//! This package makes no decisions; the policy calls it. It does no I/O and reads no clock. Random numbers
+//! are hashes of the caller's arguments, so that calls with equal arguments return equal results.
 //!
 //! ```
 //! use comethitch_fleet::subset::{self, Candidate};
@@ -20,7 +22,8 @@
 //! let replicas = (0..22).map(|key| Candidate { index: key as usize, host_key: key, weight: 1.0 });
 //! let subset = subset::select(7, Timestamp::ZERO, Duration::from_secs(60), 3, replicas);
 //! assert_eq!(subset.len(), 3);
-//! assert!((subset[0].router_share - 3.0 / 22.0).abs() < 1e-9, "the share of all routers that use this host too");
+//! let expected_share = 3.0 / 22.0;
+//! assert!((subset[0].router_share - expected_share).abs() < 1e-9, "fraction of routers that use this host");
 //! ```
 
 pub mod concurrency_limit;
--- a/crates/comethitch-fleet/src/quota.rs
+++ b/crates/comethitch-fleet/src/quota.rs
@@ -1,21 +1,24 @@
-//! A router's quota: its share of the work that a host accepts from all routers together.
+//! A router's quota: its share of the work that all routers together may send to a host.
 //!
-//! A host in slow start is overloaded if all routers together send it more than its current capacity. Each router's
-//! quota is the fleet's budget divided by the number of routers that use the host ([`expected_users`]). A quota of less
-//! than one request can't be rounded down, which would leave the host idle, nor up, which would multiply the budget.
-//! It is rounded at random instead ([`WindowUsage::admits`]): all routers together spend the budget on average, with
-//! the variance of a Poisson distribution. [`overrun_probability`] bounds the probability of exceeding it.
+//! A host in slow start is overloaded if all routers together send it more than its current capacity. The
+//! quota of each router is the budget of the fleet divided by the number of routers that use the host
+//! ([`expected_users`]). A quota of less than one request can neither be rounded down, which would leave the
+//! host idle, nor up, which would multiply the budget. Instead, it is rounded up or down at random
+//! ([`WindowUsage::admits`]): all routers together spend the budget on average, with the variance of a
+//! Poisson distribution. [`overrun_probability`] bounds the probability of exceeding it.
 
 use crate::hash;
 use comethitch_time::{Duration, Timestamp};
 
-/// Estimates how many routers use a host that is in the subsets of a fraction `router_share` (0 to 1) of them.
+/// Estimates how many routers use a host that is in the subsets of a fraction `router_share` (0 to 1) of
+/// them.
 ///
-/// The estimate is one standard deviation above the mean, because subsets are selected at random.
+/// The estimate is one standard deviation above the mean, because subsets are selected at random. It is at
+/// least 1 and at most `routers`.
 ///
 /// ```
 /// use comethitch_fleet::quota::expected_users;
-/// assert_eq!(expected_users(300, 1.0), 300.0, "all use a primary");
+/// assert_eq!(expected_users(300, 1.0), 300.0, "all routers use a primary");
 /// assert_eq!(expected_users(300, 3.0 / 9.0), 110.0);
 /// assert_eq!(expected_users(1, 0.2), 1.0);
 /// ```
@@ -24,11 +27,12 @@
     (mean + mean.sqrt()).clamp(1.0, f64::from(routers).max(1.0))
 }
 
-/// Fraction of the warmed-up peers' load that the budget of a host in slow start is based on. The rest is headroom for
-/// random variation and for peers that are overloaded themselves.
+/// Fraction of the load of warmed-up peers on which the budget of a host in slow start is based. The rest is
+/// headroom for random variation and for peers that are overloaded themselves.
 const PEER_LOAD_SHARE: f64 = 0.4;
 
-/// Fraction of the work answered by a host that its next budget is based on. The rest is headroom for random variation.
+/// Fraction of the work that a host has answered on which its next budget is based. The rest is headroom for
+/// random variation.
 const ANSWERED_SHARE: f64 = 0.5;
 
 /// The settings of slow start, and the size of the fleet.
@@ -36,36 +40,38 @@
 pub struct SlowStart {
     /// Number of routers that use the same hosts.
     pub routers: u32,
-    /// A host that receives more than this multiple of its capacity over one `window` is overloaded.
+    /// The multiple of its capacity above which the work that a host receives in one `window` overloads it.
     pub overload_multiple: f64,
-    /// The time over which a host's load is compared with its capacity.
+    /// The time over which the load of a host is compared with its capacity.
     pub window: Duration,
-    /// The minimum fraction of its capacity that a host has when it starts, 0 to 1.
+    /// The fraction of its full capacity that a host has at least when it starts, from 0 to 1.
     pub initial_capacity: f64,
     /// The time after its start at which a host has its full capacity.
     pub warmup: Duration,
 }
 
 impl SlowStart {
-    /// Returns the minimum fraction of its capacity that a host has now, from `initial_capacity` to 1.
+    /// Returns the fraction of its full capacity that a host has at least, from `initial_capacity` to 1.
     ///
-    /// Returns 1 if the time of its start is unknown.
+    /// It grows linearly over the warm-up time since `started`. If `started` is `None`, the time of the start
+    /// is unknown, and the fraction is 1.
     pub fn warm_fraction(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
         let Some(started) = started else { return 1.0 };
-        let passed = (now - started).ratio(self.warmup).min(1.0);
-        self.initial_capacity + (1.0 - self.initial_capacity) * passed
+        let progress = (now - started).ratio(self.warmup).min(1.0);
+        self.initial_capacity + (1.0 - self.initial_capacity) * progress
     }
 
-    /// Returns how much work one router may send to a host in slow start in one window, in the unit of `peer_load`
-    /// (microseconds of service time).
+    /// Returns how much work one router may send in one window to a host in slow start, in microseconds of
+    /// service time. `peer_load` and `answered` are in the same unit.
     ///
-    /// The budget is the larger of two estimates:
+    /// The budget is the overload multiple times the larger of two estimates:
     ///
-    /// - this router's share of the slow-start ramp, scaled by `warm_fraction`. The ramp is based on `peer_load`, the work
-    ///   that this router sends to a warmed-up host of the same capacity per window, averaged over all of them, or on the
-    ///   time of one core if that is more;
-    /// - the work that the host has `answered` in the previous window, which proves that it had that capacity. With an
-    ///   overload multiple above two, budgets grow from window to window while requests are answered.
+    /// - `warm_fraction` times this router's share of a fixed fraction of the load of a warmed-up host, or of
+    ///   the time of one core if that is more. `peer_load` is the work that this router sends per window to a
+    ///   warmed-up host of the same capacity, averaged over all such hosts;
+    /// - half of the work that the host has `answered` for this router in the last window, which proves that
+    ///   the host had that capacity. With an overload multiple above two, budgets grow from window to window
+    ///   while requests are answered.
     pub fn budget(&self, warm_fraction: f64, router_share: f64, peer_load: f64, answered: f64) -> f64 {
         let users = expected_users(self.routers, router_share);
         let load_per_user = peer_load * f64::from(self.routers) / users;
@@ -77,12 +83,13 @@
 
 /// The current quota window of a router at a host.
 ///
-/// Windows of different routers begin at different times, so that their quotas are not spent at the same moment.
+/// The windows of different routers begin at different times, so that their quotas are not spent at the same
+/// moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// Identifies the router: any number that differs among routers.
+    /// A number that identifies the router, different for each router.
     pub hash_seed: u64,
-    /// Identifies the host.
+    /// A number that identifies the host.
     pub host_key: u64,
     /// The current time.
     pub now: Timestamp,
@@ -91,6 +98,8 @@
 }
 
 impl Window {
+    /// Returns the number of the current window, counted from the origin of the clock. The times at which
+    /// windows begin are shifted by `hash_seed`.
     fn number(&self) -> u64 {
         let length = self.length.as_micros().max(1);
         self.now.as_micros().saturating_add(self.hash_seed % length) / length
@@ -117,6 +126,7 @@
 /// The part of its quota at one host that a router has spent in the current window.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WindowUsage {
+    /// The number of the window that `amount` refers to.
     window: u64,
     amount: f64,
 }
@@ -132,18 +142,21 @@
         self.window = window.number();
     }
 
-    /// Returns whether `cost` more may be spent in this window.
+    /// Returns whether an additional `cost` may be spent in this window.
     ///
-    /// The budget is rounded up or down to a multiple of `cost`, at random and once per router, host and window. On
-    /// average over many windows the budget is spent, even if it is only a fraction of one request.
+    /// The budget is rounded up or down to a multiple of `cost`, at random but in the same way for all calls
+    /// with the same router, host and window. On average over many windows the budget is spent, even if it is
+    /// only a fraction of the cost of one request.
     pub fn admits(&self, cost: f64, budget: f64, window: &Window) -> bool {
         self.spent_in(window.number()) + cost * (1.0 - window.sample()) < budget
     }
 }
 
-/// Returns an upper bound on the probability that a sum of independent events with the mean `expected` reaches `limit`.
+/// Returns an upper bound on the probability that the number of independent events, with the mean `expected`,
+/// reaches `limit`.
 ///
-/// This is the Chernoff bound of a Poisson distribution; it also holds for sums of independent Bernoulli variables.
+/// This is the Chernoff bound of a Poisson distribution; it also holds for sums of independent Bernoulli
+/// variables.
 ///
 /// ```
 /// use comethitch_fleet::quota::overrun_probability;
--- a/crates/comethitch-fleet/src/subset/tests.rs
+++ b/crates/comethitch-fleet/src/subset/tests.rs
@@ -4,7 +4,8 @@
 
 const DRIFT: Duration = Duration::from_secs(100);
 
-fn even(hosts: u64) -> impl Iterator<Item = Candidate> {
+/// Returns candidates with equal weights.
+fn equal_candidates(hosts: u64) -> impl Iterator<Item = Candidate> {
     (0..hosts).map(|key| Candidate { index: key as usize, host_key: key, weight: 1.0 })
 }
 
@@ -27,7 +28,8 @@
         let expected = 3.0 * weight(member.index as u64) / 26.0;
         assert!(
             (selected[member.index] / expected - 1.0).abs() < 0.3,
-            "{} for {expected}",
+            "host {} is in a fraction {} of all subsets, expected {expected}",
+            member.index,
             selected[member.index]
         );
     }
@@ -35,35 +37,37 @@
 
 #[test]
 fn next_host_in_rank_replaces_omitted_one() {
-    let before = indices(&select(5, Timestamp::ZERO, DRIFT, 4, even(20)));
-    let without = indices(&select(5, Timestamp::ZERO, DRIFT, 4, even(20).filter(|c| c.index != before[1])));
-    assert_eq!([before[0], before[2], before[3]], without[..3]);
-    assert!(!before.contains(&without[3]));
+    let before = indices(&select(5, Timestamp::ZERO, DRIFT, 4, equal_candidates(20)));
+    let others = equal_candidates(20).filter(|candidate| candidate.index != before[1]);
+    let after = indices(&select(5, Timestamp::ZERO, DRIFT, 4, others));
+    assert_eq!([before[0], before[2], before[3]], after[..3]);
+    assert!(!before.contains(&after[3]));
 }
 
 #[test]
 fn subsets_drift_one_member_at_a_time() {
     let mut now = Timestamp::ZERO;
-    let first = indices(&select(9, now, DRIFT, 3, even(20)));
+    let first = indices(&select(9, now, DRIFT, 3, equal_candidates(20)));
     let (mut before, mut changes) = (first.clone(), 0);
     for _ in 0..3000 {
         now = now + DRIFT / 1000;
-        let subset = indices(&select(9, now, DRIFT, 3, even(20)));
+        let subset = indices(&select(9, now, DRIFT, 3, equal_candidates(20)));
         let new = subset.iter().filter(|index| !before.contains(index)).count();
-        assert!(new <= 1, "{before:?} to {subset:?}");
+        assert!(new <= 1, "the subset changes from {before:?} to {subset:?}");
         changes += new;
         before = subset;
     }
-    assert!((6..=24).contains(&changes), "{changes} in three drifts");
+    assert!((6..=24).contains(&changes), "{changes} changes in three drift periods");
     assert_ne!(first, before);
 }
 
 #[test]
 fn only_subset_of_all_hosts_uses_weights() {
-    let two =
-        |n: u64| (0..n).map(|key| Candidate { index: key as usize, host_key: key, weight: 1.0 + key as f64 });
-    let all = select(1, Timestamp::ZERO, DRIFT, 3, two(2));
-    assert!(all.iter().all(|m| m.router_share == 1.0 || m.index == 0));
-    let few = select(1, Timestamp::ZERO, DRIFT, 3, two(60));
-    assert!(few.windows(2).all(|pair| pair[0].weight == pair[1].weight), "{few:?}");
+    let weighted_candidates = |hosts: u64| {
+        (0..hosts).map(|key| Candidate { index: key as usize, host_key: key, weight: 1.0 + key as f64 })
+    };
+    let all = select(1, Timestamp::ZERO, DRIFT, 3, weighted_candidates(2));
+    assert!(all.iter().all(|member| member.router_share == 1.0 || member.index == 0));
+    let small_subset = select(1, Timestamp::ZERO, DRIFT, 3, weighted_candidates(60));
+    assert!(small_subset.windows(2).all(|pair| pair[0].weight == pair[1].weight), "{small_subset:?}");
 }
--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -240,17 +240,15 @@
         let consistencies: Vec<&str> = self.text(CONSISTENCIES_KEY)?.split(',').collect();
         let bounds: Vec<&str> = self.text(STALENESS_BOUNDS_KEY)?.split(',').collect();
         (0..self.value::<usize>("classes.count")?)
-            .map(|number| {
-                let consistency = consistency(consistencies.get(number), bounds.get(number))?;
-                self.request_class(number, consistency)
+            .map(|index| {
+                let consistency = consistency(consistencies.get(index), bounds.get(index))?;
+                self.request_class(index, consistency)
             })
             .collect()
     }
 
-    fn request_class(
-        &self, number: usize, consistency: Consistency,
-    ) -> Result<RequestClass, DeploymentError> {
-        let key = |field: &str| format!("classes.{number}.{field}");
+    fn request_class(&self, index: usize, consistency: Consistency) -> Result<RequestClass, DeploymentError> {
+        let key = |field: &str| format!("classes.{index}.{field}");
         let idempotency = self.one_of(&key("effect"), &IDEMPOTENCIES)?;
         Ok(RequestClass {
             latency_objective: self.duration(&key("target_us"))?,
--- a/crates/comethitch-policy/src/histogram.rs
+++ b/crates/comethitch-policy/src/histogram.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
     /// The inclusive upper bound of the first bin.
-    lowest: Duration,
+    first_bin_end: Duration,
     /// The total at which all counts are halved.
     capacity: u32,
     total: u32,
@@ -30,15 +30,15 @@
 }
 
 impl Histogram {
-    /// Returns an empty histogram. Its first bin ends at `lowest`, and it halves its counts when their total
-    /// reaches `capacity`.
-    pub fn new(lowest: Duration, capacity: u32) -> Histogram {
-        Histogram { lowest, capacity, total: 0, counts: [0; BINS] }
+    /// Returns an empty histogram. Its first bin ends at `first_bin_end`, and it halves its counts when their
+    /// total reaches `capacity`.
+    pub fn new(first_bin_end: Duration, capacity: u32) -> Histogram {
+        Histogram { first_bin_end, capacity, total: 0, counts: [0; BINS] }
     }
 
     /// Counts a duration.
     pub fn add(&mut self, value: Duration) {
-        let bin = BINS_PER_DOUBLING * value.ratio(self.lowest).max(f64::MIN_POSITIVE).log2();
+        let bin = BINS_PER_DOUBLING * value.ratio(self.first_bin_end).max(f64::MIN_POSITIVE).log2();
         self.counts[(bin.ceil().max(0.0) as usize).min(BINS - 1)] += 1;
         self.total += 1;
         if self.total >= self.capacity {
@@ -49,7 +49,7 @@
 
     /// Returns the geometric mean of the bounds of a bin.
     fn middle(&self, bin: usize) -> Duration {
-        self.lowest.scaled(2f64.powf((bin as f64 - 0.5) / BINS_PER_DOUBLING))
+        self.first_bin_end.scaled(2f64.powf((bin as f64 - 0.5) / BINS_PER_DOUBLING))
     }
 
     /// Returns the middle of the bin that contains this quantile, which is between 0 and 1. Returns `None` if
--- a/crates/comethitch-policy/src/host_load.rs
+++ b/crates/comethitch-policy/src/host_load.rs
@@ -128,8 +128,8 @@
         self.slow_start_usage.admits(cost, budget, window)
     }
 
-    /// Returns the median relative latency of the host, but at least 1: a host that is faster than usual counts
-    /// as a usual one.
+    /// Returns the median relative latency of the host, but at least 1: a host that is faster than usual
+    /// counts as a usual one.
     pub(crate) fn slowness(&self) -> f64 {
         let unit = RELATIVE_LATENCY_UNIT.as_micros() as f64;
         let median = self.relative_latency.quantile(0.5);
--- a/crates/comethitch-time/src/lib.rs
+++ b/crates/comethitch-time/src/lib.rs
@@ -1,12 +1,13 @@
 //! Timestamps and durations as distinct types that cannot be mixed up.
 //!
-//! All types count whole microseconds. Unlike their namesakes in `std::time` they have no clock: the caller passes the
-//! current time, so code that uses them can run in simulated time. Arithmetic saturates: a [`Duration`] is never
-//! negative, and a [`Timestamp`] never overflows. A [`SignedDuration`] is a difference that may be negative.
+//! All types count whole microseconds. Unlike the types of `std::time`, they have no clock: the caller
+//! passes the current time, so that code that uses them can run in simulated time. Arithmetic saturates: a
+//! [`Duration`] is never negative, and a [`Timestamp`] never overflows. A [`SignedDuration`] is a difference
+//! that may be negative.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
-/// A point on the caller's clock, in microseconds since that clock's origin.
+/// A point in time on the caller's clock, in microseconds since the origin of that clock.
 ///
 /// ```
 /// use comethitch_time::{Duration, Timestamp};
@@ -21,12 +22,12 @@
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// Returns the point this many microseconds after the origin.
+    /// Returns the timestamp this many microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Timestamp {
         Timestamp(micros)
     }
 
-    /// Returns the point this many milliseconds after the origin.
+    /// Returns the timestamp this many milliseconds after the origin. Saturates at the maximum.
     pub const fn from_millis(millis: u64) -> Timestamp {
         Timestamp(millis.saturating_mul(1_000))
     }
@@ -36,7 +37,7 @@
         self.0
     }
 
-    /// Returns how far this timestamp is past `reference`; negative if it is before it.
+    /// Returns how far this timestamp is after `reference`; negative if it is before `reference`.
     pub const fn offset_from(self, reference: Timestamp) -> SignedDuration {
         SignedDuration((self.0 as i64).saturating_sub(reference.0 as i64))
     }
@@ -54,7 +55,7 @@
 pub struct Duration(u64);
 
 impl Duration {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Duration = Duration(0);
     /// The longest duration.
     pub const MAX: Duration = Duration(u64::MAX);
@@ -79,12 +80,12 @@
         self.0
     }
 
-    /// Converts to the standard library's type.
+    /// Converts this duration to the standard library's type.
     pub const fn to_std(self) -> std::time::Duration {
         std::time::Duration::from_micros(self.0)
     }
 
-    /// Returns the duration multiplied by a factor, rounded down.
+    /// Returns this duration multiplied by a factor, rounded down to microseconds.
     pub fn scaled(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
     }
@@ -109,7 +110,7 @@
 pub struct SignedDuration(i64);
 
 impl SignedDuration {
-    /// No difference.
+    /// A difference of zero.
     pub const ZERO: SignedDuration = SignedDuration(0);
 
     /// Returns a difference of this many microseconds.
@@ -140,7 +141,7 @@
     }
 }
 
-/// The difference as a duration; zero if `earlier` is the greater one.
+/// Returns the difference as a duration; zero if `earlier` is the greater one.
 impl Sub for SignedDuration {
     type Output = Duration;
     fn sub(self, earlier: SignedDuration) -> Duration {
