--- a/crates/comethitch-policy/src/policy/attempts.rs
+++ b/crates/comethitch-policy/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of an attempt: it is sent, and it ends or is cancelled.
+//! The lifecycle of an attempt: it is sent, then it ends or is cancelled.
 
 use super::router::{Handle, Router};
 use crate::host_table::HostIndex;
@@ -7,9 +7,9 @@
 use crate::{Actions, AttemptEnd, AttemptOutcome, Consistency, RejectionReason, RequestId};
 
 impl Handle {
-    /// Records the end of an attempt, then finishes, retries or rejects its request.
-    pub fn attempt_ended(self, router: &mut Router, end: AttemptEnd, out: &mut dyn Actions) {
-        let now = out.now();
+    /// Records the end of an attempt, then retries, rejects or forgets its request where necessary.
+    pub fn attempt_ended(self, router: &mut Router, end: AttemptEnd, actions: &mut dyn Actions) {
+        let now = actions.now();
         let Some(request) = router.requests.get_mut(self.0) else { return };
         let Some(attempt) = request.end_attempt(end.attempt, end.outcome) else { return };
         let session = request.session;
@@ -21,17 +21,17 @@
         }
         let sent_at = router.host_clock.earliest(attempt.sent_at);
         router.hosts[attempt.host].replication.apply_trailer(&end.trailer, sent_at);
-        router.apply_report(attempt.host, end.report, attempt.was_answered().then_some(end.trailer), out);
-        router.fail_over_if_not_primary(&attempt, out);
-        router.continue_request(self.0, &attempt, out);
-        router.drain_queues(router.hosts[attempt.host].listing.shard_id(), out);
+        router.apply_report(attempt.host, end.report, attempt.was_answered().then_some(end.trailer), actions);
+        router.fail_over_if_not_primary(&attempt, actions);
+        router.continue_request(self.0, &attempt, actions);
+        router.drain_queues(router.hosts[attempt.host].listing.shard_id(), actions);
     }
 }
 
 impl Router {
-    /// Sends an attempt of a request, which leaves the queue.
-    pub(super) fn send(&mut self, id: RequestId, index: HostIndex, out: &mut dyn Actions) {
-        let now = out.now();
+    /// Sends an attempt of a request, and removes the request from the queue if it is queued.
+    pub(super) fn send(&mut self, id: RequestId, index: HostIndex, actions: &mut dyn Actions) {
+        let now = actions.now();
         let request_class = self.requests[id].request_class;
         let attempt = Attempt::new(request_class, index, self.work(request_class), now);
         self.record_sent(&attempt, self.cost(attempt.work, request_class));
@@ -43,10 +43,10 @@
         request.attempts.push(attempt);
         let host = &mut self.hosts[index];
         host.health.record_trial(now);
-        out.send_attempt(id, host.host, request.deadline - now);
+        actions.send_attempt(id, host.host, request.deadline - now);
     }
 
-    /// Counts an attempt as in flight; `cost` is its cost in the slow-start budget.
+    /// Counts an attempt as in flight. `cost` is its cost in the slow-start budget, in microseconds.
     fn record_sent(&mut self, attempt: &Attempt, cost: f64) {
         let window = self.window(attempt.host, attempt.sent_at, self.settings.slow_start().window);
         let shard = self.shard_of_mut(attempt.host);
@@ -54,13 +54,13 @@
         self.hosts[attempt.host].record_attempt(attempt.work, cost, &window);
     }
 
-    /// Cancels the attempts in flight of a finished request, where that is allowed, and forgets the request once none is
-    /// in flight.
-    pub(super) fn cancel_attempts(&mut self, id: RequestId, out: &mut dyn Actions) {
+    /// Cancels the in-flight attempts of a finished request, if the deployment allows that, and forgets the
+    /// request if none is in flight.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId, actions: &mut dyn Actions) {
         let Some(request) = self.requests.get(id) else { return };
-        for (nth, attempt) in request.attempts.iter().enumerate() {
+        for (attempt_number, attempt) in request.attempts.iter().enumerate() {
             if self.settings.deployment().may_cancel && attempt.outcome.is_none() {
-                out.cancel_attempt(id, nth as u16);
+                actions.cancel_attempt(id, attempt_number as u16);
             }
         }
         if request.in_flight().next().is_none() {
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Records a lost attempt as a fault of the primary, if it was sent there.
+    /// Records an attempt that was lost, or whose host is unresponsive, as a fault of the primary if it was
+    /// sent there.
     fn record_primary_fault(&mut self, attempt: &Attempt, now: Timestamp) {
         if attempt.was_lost() || self.hosts[attempt.host].health.is_unresponsive() {
             self.mark_unhealthy(attempt.host, now);
@@ -85,24 +86,25 @@
         }
     }
 
-    /// Fails over if the believed primary has rejected a write as a replica.
-    fn fail_over_if_not_primary(&mut self, attempt: &Attempt, out: &mut dyn Actions) {
+    /// Moves the shard to Failover if the believed primary has rejected a write because it is not the
+    /// primary.
+    fn fail_over_if_not_primary(&mut self, attempt: &Attempt, actions: &mut dyn Actions) {
         if attempt.ended_as(AttemptOutcome::NotPrimary)
             && self.settings.class(attempt.request_class).consistency == Consistency::Write
             && self.is_primary(attempt.host)
         {
-            self.fail_over(self.hosts[attempt.host].listing.shard_id(), out);
+            self.fail_over(self.hosts[attempt.host].listing.shard_id(), actions);
         }
     }
 
-    fn continue_request(&mut self, id: RequestId, ended: &Attempt, out: &mut dyn Actions) {
+    fn continue_request(&mut self, id: RequestId, ended: &Attempt, actions: &mut dyn Actions) {
         let Some(request) = self.requests.get(id) else { return };
         if request.finished {
-            self.cancel_attempts(id, out);
-        } else if request.is_idle() && self.may_retry(request, ended, out.now()) {
-            self.schedule(id, out);
+            self.cancel_attempts(id, actions);
+        } else if request.is_idle() && self.may_retry(request, ended, actions.now()) {
+            self.schedule(id, actions);
         } else if request.is_idle() {
-            self.reject(id, RejectionReason::NotRetryable, out);
+            self.reject(id, RejectionReason::NotRetryable, actions);
         }
     }
 }
--- a/crates/comethitch-policy/src/policy/capacity.rs
+++ b/crates/comethitch-policy/src/policy/capacity.rs
@@ -1,7 +1,7 @@
-//! Capacity: how much work each host may get from this router.
+//! Capacity: how much work this router may send to each host.
 //!
-//! Work is the time that a host needs for a request. Concurrency limits bound the work in flight; a host in slow start
-//! has a budget per window besides.
+//! The work of a request is the time that a host needs for it without queueing. Concurrency limits bound the
+//! work in flight; a host in slow start also has a budget per window.
 
 use super::router::Router;
 use crate::host_table::HostIndex;
@@ -9,22 +9,26 @@
 use comethitch_fleet::quota;
 use comethitch_fleet::subset::Member;
 
-/// Cost of a request in slow start, as a multiple of its work: long requests are what overloads a host.
+/// Cost of a request in the slow-start budget, as a multiple of its work: a host is overloaded mostly by long
+/// requests.
 const COST_PER_WORK: u64 = 2;
-/// Minimum cost of a request in slow start: its latency objective over this.
+/// Divisor of the latency objective: the cost of a request in the slow-start budget is at least an eighth of
+/// it.
 const MIN_COST_DIVISOR: u64 = 8;
-/// The admission sample stays the same for the shortest latency objective over this.
-const SAMPLE_WINDOW_DIVISOR: u64 = 2;
-/// A class whose median answer time exceeds its latency objective over this waits in queues instead of being long.
+/// Divisor of the shortest latency objective: the admission sample changes once per half of it.
+const ADMISSION_WINDOW_DIVISOR: u64 = 2;
+/// Divisor of the latency objective: a class's median answer time counts only up to a quarter of it, as
+/// longer times are caused by queueing.
 const LONG_CLASS_DIVISOR: u64 = 4;
 
 impl Router {
-    /// Returns whether a host can take a request of this class in time, and is not overloaded by it.
+    /// Returns whether a request of this class may be sent to a host without exceeding its limits.
     pub(super) fn has_capacity(&self, member: &Member, request_class: usize, now: Timestamp) -> bool {
-        self.fits_limits(member, request_class, now) && self.fits_slow_start(member, request_class, now)
+        self.fits_concurrency_limits(member, request_class, now)
+            && self.fits_slow_start(member, request_class, now)
     }
 
-    fn fits_limits(&self, member: &Member, request_class: usize, now: Timestamp) -> bool {
+    fn fits_concurrency_limits(&self, member: &Member, request_class: usize, now: Timestamp) -> bool {
         let load = &self.hosts[member.index].load;
         let shard_limit = &self.shard_of(member.index).concurrency_limits[request_class];
         let work = self.work(request_class);
@@ -35,8 +39,12 @@
             && shard_limit.admits(work, 1.0, 0.0)
     }
 
-    /// Admits a previously unused host probabilistically: during an outage every router fails over to it at the same
-    /// time.
+    /// Returns whether a host may be used that has not answered this router yet, although other members of
+    /// the shard have.
+    ///
+    /// The host is admitted with the probability quota / work: during an outage, all routers switch to it at
+    /// the same time. The quota is this router's share of one longest latency objective of work. Returns true
+    /// for all other hosts.
     fn admits_first_use(&self, member: &Member, work: Duration, sample: f64) -> bool {
         let shard = self.shard_of(member.index);
         let is_first_use = self.settings.refreshes_on_demand()
@@ -44,12 +52,12 @@
             && !shard.is_primary(member.index)
             && shard.answered_members > 0;
         let users = quota::expected_users(self.settings.slow_start().routers, member.router_share);
-        let quota = self.settings.longest_objective().scaled(1.0 / users).ratio(work);
-        !is_first_use || sample < quota
+        let quota_in_requests = self.settings.longest_objective().scaled(1.0 / users).ratio(work);
+        !is_first_use || sample < quota_in_requests
     }
 
-    /// Returns the multiple of a host's limit that applies to a request class. Limits are adapted to the shortest
-    /// latency objective; a long class has a longer one, and so a higher limit.
+    /// Returns the factor by which a host's limit is multiplied for a request class. It is 1, except for long
+    /// classes: limits are adapted to the shortest latency objective, and a long class has a longer one.
     fn limit_multiple(&self, request_class: usize) -> f64 {
         if !self.is_long(request_class) {
             return 1.0;
@@ -58,7 +66,8 @@
         objective.ratio(self.settings.shortest_objective())
     }
 
-    /// Returns whether a host in slow start stays within this router's quota of what its ramp allows.
+    /// Returns whether one more request stays within this router's slow-start budget at a host; true for a
+    /// warm host.
     fn fits_slow_start(&self, member: &Member, request_class: usize, now: Timestamp) -> bool {
         let warmup_fraction = self.warmup_fraction(member.index, now);
         if warmup_fraction >= 1.0 {
@@ -74,8 +83,8 @@
         host.load.slow_start_admits(cost, budget, &window)
     }
 
-    /// Returns the work that this router sends in a slow-start window to usable warm hosts, per unit of their capacity.
-    /// Walks all hosts, as it is the mean over all; hence it is cached.
+    /// Returns the work that this router sends to usable warm hosts in a slow-start window, per unit of their
+    /// capacity. The result is cached, as it is computed from all hosts.
     fn warm_peer_load(&self, now: Timestamp) -> f64 {
         let is_warm =
             |peer: &HostIndex| self.is_usable(*peer, now) && self.warmup_fraction(*peer, now) >= 1.0;
@@ -84,7 +93,8 @@
         })
     }
 
-    /// Returns the work sent to these hosts in a slow-start window per unit of their capacity; 0 without hosts.
+    /// Returns the work sent to these hosts in a slow-start window, per unit of their capacity; 0 if there
+    /// are no hosts.
     fn load_per_capacity(&self, peers: impl Iterator<Item = HostIndex>, now: Timestamp) -> f64 {
         let window = self.settings.slow_start().window;
         let mut work_sent = 0.0;
@@ -96,10 +106,10 @@
         if capacity > 0.0 { work_sent / capacity } else { 0.0 }
     }
 
-    /// Returns a hashed sample, uniform from 0 to 1, by which a host whose quota is less than one request gets one
-    /// occasionally.
+    /// Returns a number from 0 to 1 that is uniformly distributed over hosts and windows. It decides at
+    /// random whether a host whose quota is less than one request gets a request in the current window.
     pub(super) fn admission_sample(&self, index: HostIndex, now: Timestamp) -> f64 {
-        let length = self.settings.shortest_objective() / SAMPLE_WINDOW_DIVISOR;
+        let length = self.settings.shortest_objective() / ADMISSION_WINDOW_DIVISOR;
         self.window(index, now, length).sample()
     }
 
@@ -108,14 +118,14 @@
         self.statistics.service_times.work(request_class)
     }
 
-    /// Returns the cost of a request in the budget of a host in slow start, in microseconds.
+    /// Returns the cost of a request in the slow-start budget, in microseconds.
     pub(super) fn cost(&self, work: Duration, request_class: usize) -> f64 {
         let min = self.settings.class(request_class).latency_objective / MIN_COST_DIVISOR;
         (work * COST_PER_WORK).max(min).as_micros() as f64
     }
 
-    /// Returns whether requests of a class take longer than the shortest latency objective by nature, and not for a
-    /// queue.
+    /// Returns whether requests of a class take longer than the shortest latency objective even without
+    /// queueing.
     pub(super) fn is_long(&self, request_class: usize) -> bool {
         let max = self.settings.class(request_class).latency_objective / LONG_CLASS_DIVISOR;
         self.statistics.service_times.median(request_class).min(max) > self.settings.shortest_objective()
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: hosts that are added, drained, restarted, named primary or removed.
+//! Applies endpoint list updates: hosts are added, drained, restarted, listed as the primary, or removed.
 
 use super::intervals::HEALTH_CHECK_INTERVAL;
 use super::router::Router;
@@ -9,41 +9,43 @@
 use crate::{Actions, Endpoint, EndpointUpdate, Host, Lifecycle, ShardId};
 use std::collections::BTreeSet;
 
-/// How long after its removal a host is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
-/// Interval of further reviews while something still refers to a removed host.
-const FORGET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// End of the lowest bin of relative latencies, of which a millisecond is one.
-const MIN_RELATIVE_LATENCY: Duration = Duration::from_micros(250);
+/// Time after its removal from the endpoint list for which a host's entry is kept.
+const REMOVED_HOST_RETENTION: Duration = Duration::from_secs(10);
+/// Delay before a removed host is reviewed again if its entry is still referred to.
+const REMOVED_HOST_REVIEW_INTERVAL: Duration = Duration::from_secs(1);
+/// Upper end of the lowest histogram bin of relative latencies. The histogram stores a relative latency of 1
+/// as 1 ms.
+const LOWEST_RELATIVE_LATENCY_BIN: Duration = Duration::from_micros(250);
 /// Number of answers at which a histogram of relative latencies halves its counts.
 const RELATIVE_LATENCY_CAPACITY: u32 = 64;
 
 impl Router {
-    /// Applies a change of the endpoint list. Only a complete list costs work for hosts that it does not name.
-    pub fn update_endpoints(&mut self, update: &EndpointUpdate, out: &mut dyn Actions) {
-        let now = out.now();
+    /// Applies an update of the endpoint list. Only a complete list is compared with all known hosts; the
+    /// cost of a partial one depends on the hosts that it names.
+    pub fn update_endpoints(&mut self, update: &EndpointUpdate, actions: &mut dyn Actions) {
+        let now = actions.now();
         for endpoint in &update.endpoints {
-            self.update_endpoint(endpoint, out);
+            self.update_endpoint(endpoint, actions);
         }
         let mut changed_shards: BTreeSet<ShardId> =
             update.endpoints.iter().map(|entry| entry.shard_id).collect();
-        for index in self.removed_by(update) {
+        for index in self.removed_hosts(update) {
             changed_shards.insert(self.hosts[index].listing.shard_id());
             self.remove_host(index, now);
         }
         self.forget_removed_hosts(now);
         for shard_id in &changed_shards {
-            self.members_changed(*shard_id, now);
+            self.update_changed_shard(*shard_id, now);
         }
-        self.run_due_health_checks(out);
+        self.run_due_health_checks(actions);
         for shard_id in changed_shards {
-            self.drain_queues(shard_id, out);
+            self.drain_queues(shard_id, actions);
         }
     }
 
-    /// Returns the hosts that an update lists as removed and, if it is complete, those that it does not name: in that
-    /// case all hosts are walked.
-    fn removed_by(&self, update: &EndpointUpdate) -> Vec<HostIndex> {
+    /// Returns the hosts that an update lists as removed and, if it is complete, the known hosts that it does
+    /// not name.
+    fn removed_hosts(&self, update: &EndpointUpdate) -> Vec<HostIndex> {
         let is_removed = |entry: &&Endpoint| entry.lifecycle == Lifecycle::Removed;
         let listed = update.endpoints.iter().filter(is_removed);
         let mut removed: Vec<HostIndex> =
@@ -61,26 +63,27 @@
         let listing = &mut self.hosts[index].listing;
         listing.remove(removal_is_binding, now);
         let since = listing.draining_since().unwrap_or(now);
-        self.hosts.schedule_removal_review(index, since + FORGET_AFTER);
+        self.hosts.schedule_removal_review(index, since + REMOVED_HOST_RETENTION);
     }
 
-    /// Updates what depends on the members of a shard.
-    fn members_changed(&mut self, shard_id: ShardId, now: Timestamp) {
+    /// Updates the state that depends on the members of a shard after their endpoint list entries have
+    /// changed.
+    fn update_changed_shard(&mut self, shard_id: ShardId, now: Timestamp) {
         let Some(shard) = self.shards.get_mut(shard_id) else { return };
         shard.ranking.invalidate();
         shard.schedule_review(now);
         self.limit_unused_hosts(shard_id, now);
     }
 
-    fn update_endpoint(&mut self, endpoint: &Endpoint, out: &mut dyn Actions) {
-        let now = out.now();
+    fn update_endpoint(&mut self, endpoint: &Endpoint, actions: &mut dyn Actions) {
+        let now = actions.now();
         let known = self.hosts.index_of(endpoint.host);
         let index = known.unwrap_or_else(|| self.add_host(endpoint, now));
         let restarted = known.is_some() && self.has_restarted(index, endpoint);
         self.hosts[index].listing.apply(endpoint, now);
         let Some(shard) = self.shards.get_mut(endpoint.shard_id) else { return };
-        let newly_named = endpoint.is_primary && shard.listed_primary != Some(index);
-        if newly_named {
+        let newly_listed_primary = endpoint.is_primary && shard.listed_primary != Some(index);
+        if newly_listed_primary {
             self.hosts[index].checks.schedule(now);
             shard.schedule_review(now);
         }
@@ -92,17 +95,18 @@
             if primary == index {
                 return restarted || endpoint.lifecycle == Lifecycle::Removed;
             }
-            // The list lags by seconds: a primary that has just answered as one outweighs it.
+            // The list lags by seconds, so it is not followed if the believed primary has just confirmed its
+            // role.
             let last_seen_primary = self.hosts[primary].replication.last_seen_primary();
-            newly_named && now - last_seen_primary > HEALTH_CHECK_INTERVAL
+            newly_listed_primary && now - last_seen_primary > HEALTH_CHECK_INTERVAL
         });
         if primary_lost {
-            self.fail_over(endpoint.shard_id, out);
+            self.fail_over(endpoint.shard_id, actions);
         }
     }
 
-    /// Returns whether a host's process has restarted since its last answer: it has lost its role and what was sent to
-    /// it.
+    /// Returns whether a host's process has restarted since its last answer. A restarted process has lost its
+    /// role and the requests that were sent to it.
     fn has_restarted(&self, index: HostIndex, endpoint: &Endpoint) -> bool {
         let host = &self.hosts[index];
         let last_answer = self.host_clock.estimated(host.health.last_answer());
@@ -110,7 +114,7 @@
     }
 
     fn add_host(&mut self, endpoint: &Endpoint, now: Timestamp) -> HostIndex {
-        let relative_latency = Histogram::new(MIN_RELATIVE_LATENCY, RELATIVE_LATENCY_CAPACITY);
+        let relative_latency = Histogram::new(LOWEST_RELATIVE_LATENCY_BIN, RELATIVE_LATENCY_CAPACITY);
         let index = self.hosts.insert(HostState::new(endpoint, relative_latency, now));
         let shard = self.shards.get_or_add(endpoint.shard_id);
         shard.add_member(index, self.settings.deployment().classes.len());
@@ -118,18 +122,19 @@
         index
     }
 
-    /// Forgets the removed hosts whose time has come, except those that were listed again.
+    /// Forgets the hosts that were removed more than [`REMOVED_HOST_RETENTION`] ago, unless they were listed
+    /// again or their entries are still referred to.
     pub(super) fn forget_removed_hosts(&mut self, now: Timestamp) {
         while let Some(index) = self.hosts.next_removal_review(now) {
             let listing = &self.hosts[index].listing;
             if !listing.is_removed() {
                 continue;
             }
-            let expired = listing.draining_since().is_some_and(|since| now - since > FORGET_AFTER);
+            let expired = listing.draining_since().is_some_and(|since| now - since > REMOVED_HOST_RETENTION);
             if expired && !self.is_referred_to(index) {
                 self.forget_host(index);
             } else {
-                self.hosts.schedule_removal_review(index, now + FORGET_RETRY_INTERVAL);
+                self.hosts.schedule_removal_review(index, now + REMOVED_HOST_REVIEW_INTERVAL);
             }
         }
     }
@@ -146,8 +151,12 @@
         self.hosts.release(index);
     }
 
-    /// Limits the hosts that have not answered yet to the work of the longest latency objective from all routers
-    /// together. A host that enters many subsets at once would otherwise be filled for seconds before any answer is late.
+    /// Limits the work in flight at each host that has not answered yet to this router's share of the longest
+    /// latency objective, so that all routers together have at most one such objective of work in flight
+    /// there.
+    ///
+    /// Without this limit, a host that enters the subsets of many routers at once would be sent seconds of
+    /// work before the first late answer shows the overload.
     fn limit_unused_hosts(&mut self, shard_id: ShardId, now: Timestamp) {
         let shard = &self.shards[shard_id];
         let subset_size = self.subset_size(shard, now);
--- a/crates/comethitch-policy/src/policy/error_rate.rs
+++ b/crates/comethitch-policy/src/policy/error_rate.rs
@@ -1,8 +1,8 @@
-//! The rate of errors over all hosts, which tells a faulty host from faulty requests.
+//! The error rate over all hosts, which distinguishes a faulty host from faulty requests.
 
-/// Number of answers that the moving average covers.
+/// Number of answers over which the moving average extends.
 const AVERAGED_ANSWERS: f64 = 32.0;
-/// Maximum rate at which errors count as their host's fault.
+/// Maximum error rate at which an error counts as a fault of its host.
 const MAX_HOST_FAULT_RATE: f64 = 1.0 / 8.0;
 
 /// Moving average of the fraction of errors among answers, over all hosts.
@@ -17,7 +17,8 @@
         self.average += (f64::from(is_error) - self.average) / AVERAGED_ANSWERS;
     }
 
-    /// Returns whether errors are so frequent over all hosts that they are the requests' fault.
+    /// Returns whether errors are so frequent over all hosts that they are caused by the requests, not by a
+    /// host.
     pub(super) fn is_widespread(&self) -> bool {
         self.average > MAX_HOST_FAULT_RATE
     }
--- a/crates/comethitch-policy/src/policy/event_loop_lag.rs
+++ b/crates/comethitch-policy/src/policy/event_loop_lag.rs
@@ -1,13 +1,13 @@
 //! Event-loop lag: how late the router's own ticks run.
 //!
-//! A tick waits in the same event loop as everything else, so its delay is what an answer decided on now will wait until
-//! it is written.
+//! Ticks wait in the same event loop as all other events. The lag of a tick therefore predicts how long an
+//! answer that is decided on now waits before it is written.
 
 use crate::time::{Duration, Timestamp};
 
-/// Maximum lag that counts: a longer one means that the process was stopped, which predicts nothing.
+/// Maximum lag that is recorded: a longer one means that the process was stopped, which predicts nothing.
 const MAX_LAG: Duration = Duration::from_millis(500);
-/// The maximum decays by this fraction of itself, as a divisor, with each tick.
+/// Divisor of the maximum lag: it decays by a sixteenth of itself with each tick.
 const DECAY_DIVISOR: u64 = 16;
 
 /// Decaying maximum of the lag of recent ticks.
@@ -18,7 +18,7 @@
 }
 
 impl EventLoopLag {
-    /// Records a tick that runs now; the next one is due after `interval`.
+    /// Records a tick that runs at `now`; the next one is due after `interval`.
     pub(super) fn record_tick(&mut self, now: Timestamp, interval: Duration) {
         let lag = self.next_tick_at.map_or(Duration::ZERO, |due| now - due);
         let decayed = self.recent_max - self.recent_max / DECAY_DIVISOR;
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -1,7 +1,7 @@
-//! The state machine of a shard: whether the believed primary serves, and when it counts as lost.
+//! The state machine of a shard: whether the believed primary serves requests, and when it counts as lost.
 //!
-//! Healthy becomes Unhealthy at the primary's first fault. Unhealthy becomes Failover when the primary is certainly lost.
-//! A member that proves to be the primary ends both.
+//! A shard changes from Healthy to Unhealthy at the primary's first fault, and from Unhealthy to Failover
+//! when the primary counts as lost. It becomes Healthy again when a member is confirmed as the primary.
 
 use super::intervals::{SILENCE_TIMEOUT, STALL_ALLOWANCE};
 use super::router::Router;
@@ -10,15 +10,18 @@
 use crate::time::{Duration, Timestamp};
 use crate::{Actions, Role, ShardId, ShardState};
 
-/// Minimum time that a shard stays Unhealthy before Failover, from the design page.
+/// Minimum time that a shard stays Unhealthy before Failover, as specified in `docs/design.md`.
 const FAILOVER_DELAY: Duration = Duration::from_secs(3);
-/// Minimum fraction of the attempts in flight at the fault that must be lost, from the design page.
+/// Minimum fraction of the attempts in flight at the first fault that must be lost before Failover if the
+/// primary is unreachable, as specified in `docs/design.md`.
 const FAILOVER_LOST_FRACTION: f64 = 0.6;
-/// A draining host gets new requests for its drain grace over this; the rest is left for requests in flight.
+/// Divisor of the drain grace: a draining primary gets new requests for at most half of it. The rest is left
+/// for requests in flight.
 const DRAIN_GRACE_DIVISOR: u64 = 2;
 
 impl Router {
-    /// Moves a shard from Healthy to Unhealthy after a fault of a host, if that is its believed primary.
+    /// Moves a host's shard from Healthy to Unhealthy after a fault of the host, if it is the believed
+    /// primary.
     pub(super) fn mark_unhealthy(&mut self, index: HostIndex, now: Timestamp) {
         let shard = self.shard_of(index);
         if !shard.is_primary(index) || shard.state() != ShardState::Healthy {
@@ -29,10 +32,11 @@
         self.schedule_health_check(index, now);
     }
 
-    /// Moves a shard to Failover: the old primary's idle connections are closed, all members are checked at once, and
-    /// queued writes are rejected.
-    pub(super) fn fail_over(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
-        let now = out.now();
+    /// Moves a shard to Failover: closes the idle connections to the old primary, schedules immediate health
+    /// checks of all members, and rejects queued requests that need a primary, unless they may have run and
+    /// may be repeated.
+    pub(super) fn fail_over(&mut self, shard_id: ShardId, actions: &mut dyn Actions) {
+        let now = actions.now();
         let shard = self.shards.get_mut(shard_id);
         let Some(shard) = shard.filter(|shard| shard.state() != ShardState::Failover) else { return };
         shard.enter_failover(now);
@@ -40,23 +44,26 @@
             self.hosts[member].checks.bring_forward(now);
         }
         if let Some(primary) = shard.primary {
-            out.close_idle_connections(self.hosts[primary].host);
+            actions.close_idle_connections(self.hosts[primary].host);
         }
-        self.run_due_health_checks(out);
-        self.drain_queues(shard_id, out);
+        self.run_due_health_checks(actions);
+        self.drain_queues(shard_id, actions);
     }
 
-    /// Acts on what time alone shows of the believed primary: that it is silent, past its drain grace, or lost.
-    pub(super) fn check_primary(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
-        let now = out.now();
+    /// Makes the state transitions that depend on the passage of time: the believed primary has been silent
+    /// or draining for too long, or counts as lost.
+    pub(super) fn review_primary(&mut self, shard_id: ShardId, actions: &mut dyn Actions) {
+        let now = actions.now();
         let shard = &self.shards[shard_id];
         let Some(primary) = shard.primary else { return };
         let is_silent = self.hosts[primary].health.silent_for(now) > SILENCE_TIMEOUT;
         match shard.state() {
-            ShardState::Healthy if self.is_past_drain_grace(primary, now) => self.fail_over(shard_id, out),
+            ShardState::Healthy if self.is_past_drain_grace(primary, now) => {
+                self.fail_over(shard_id, actions);
+            }
             ShardState::Healthy if is_silent => self.mark_unhealthy(primary, now),
             ShardState::Unhealthy if self.is_failover_due(primary, shard, now) => {
-                self.fail_over(shard_id, out);
+                self.fail_over(shard_id, actions);
             }
             _ => {}
         }
@@ -67,7 +74,7 @@
         let attempts_lost = shard.has_lost(FAILOVER_LOST_FRACTION);
         (health.is_unresponsive() || health.is_unreachable() && attempts_lost)
             && now - shard.state_since() > FAILOVER_DELAY
-            && !self.keeps_primary(shard, now)
+            && !self.has_working_primary(shard, now)
     }
 
     /// Returns whether the believed primary may get requests that need a primary.
@@ -77,16 +84,18 @@
         match shard.state() {
             _ if self.is_past_drain_grace(primary, now) => false,
             ShardState::Healthy => host.replication.role() != Some(Role::Replica),
-            // Beyond the design: an unresponsive host is tried with a request occasionally.
-            ShardState::Unhealthy => is_reachable || self.keeps_primary(shard, now),
+            // Beyond the design: an unresponsive primary occasionally gets a request as a trial.
+            ShardState::Unhealthy => is_reachable || self.has_working_primary(shard, now),
             ShardState::Failover => false,
         }
     }
 
-    /// Returns whether the shard has a working primary that only this router cannot reach.
+    /// Returns whether the believed primary works, even if this router cannot reach it.
     ///
-    /// Beyond the design: without a primary no member's position advances, so an advancing one shows that it works.
-    fn keeps_primary(&self, shard: &Shard, now: Timestamp) -> bool {
+    /// Beyond the design: replicas' positions advance only while the primary works. If another member's
+    /// position is recent, and requests to the primary are not left unanswered, only this router's
+    /// connections to the primary fail.
+    fn has_working_primary(&self, shard: &Shard, now: Timestamp) -> bool {
         let mut others = shard.members.iter().filter(|member| !shard.is_primary(**member));
         let host_time = self.host_clock.estimated(now);
         let advances =
@@ -94,7 +103,7 @@
         advances && shard.primary.is_some_and(|primary| !self.hosts[primary].health.is_unresponsive())
     }
 
-    /// Returns whether a host has been draining for so long that it gets no new requests.
+    /// Returns whether a host has been draining for so long that it no longer gets new requests.
     pub(super) fn is_past_drain_grace(&self, index: HostIndex, now: Timestamp) -> bool {
         let grace = self.settings.deployment().drain_grace;
         let usable = (grace / DRAIN_GRACE_DIVISOR).min(grace - STALL_ALLOWANCE);
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! Health checks: how they are sent, what their ends show, and how requests pay for them.
+//! Health checks: sends them, handles their ends, and adds to their budget with each request.
 
 use super::intervals::HEALTH_CHECK_RETRY_INTERVAL;
 use super::recent_requests::{RECENT_REQUESTS_WINDOW, is_in_use};
@@ -7,21 +7,23 @@
 use crate::time::Timestamp;
 use crate::{Actions, AttemptOutcome, Host, LoadReport, ShardId};
 
-/// Points of service that each request spends on health checks.
-const POINTS_PER_REQUEST: f64 = 0.02;
-/// The fraction of these that periodic health checks get where positions are refreshed on demand besides.
-const PERIODIC_FRACTION: f64 = 0.25;
-/// Maximum number of health checks saved up per member of a shard.
-const MAX_BUDGET_PER_MEMBER: f64 = 2.0;
-/// A host that has reported no position yet is checked again after the retry interval over this.
+/// Points of service that each request may cost in health checks, in the unit of
+/// [`Deployment::health_check_price`](crate::Deployment::health_check_price).
+const BUDGET_POINTS_PER_REQUEST: f64 = 0.02;
+/// Fraction of these points for periodic health checks if positions are also refreshed on demand.
+const PERIODIC_CHECK_FRACTION: f64 = 0.25;
+/// Maximum number of health checks that a shard's budget holds per member.
+const MAX_SAVED_CHECKS_PER_MEMBER: f64 = 2.0;
+/// Divisor of the retry interval: a host that has not reported a position yet is checked again after a
+/// quarter of it.
 const STARTING_HOST_RETRY_DIVISOR: u64 = 4;
 
 impl Router {
-    /// Records the end of a health check, with the load report that came back.
+    /// Records the end of a health check and its load report, which is empty if the host returned none.
     pub fn health_checked(
-        &mut self, host: Host, outcome: AttemptOutcome, report: LoadReport, out: &mut dyn Actions,
+        &mut self, host: Host, outcome: AttemptOutcome, report: LoadReport, actions: &mut dyn Actions,
     ) {
-        let now = out.now();
+        let now = actions.now();
         let Some(index) = self.hosts.index_of(host) else { return };
         let connect_timeout = self.settings.deployment().connect_timeout;
         let host = &mut self.hosts[index];
@@ -43,12 +45,12 @@
         }
         let next_check_at = self.hosts[index].checks.next_at();
         self.shard_of_mut(index).review_by(next_check_at);
-        self.apply_report(index, report, None, out);
-        self.drain_queues(self.hosts[index].listing.shard_id(), out);
+        self.apply_report(index, report, None, actions);
+        self.drain_queues(self.hosts[index].listing.shard_id(), actions);
     }
 
-    /// Repeats a health check that reported nothing: the host has just started, is overloaded, or only its health checks
-    /// fail.
+    /// Schedules the repetition of a health check that returned no load report: the host has just started, is
+    /// overloaded, or only its health checks fail.
     fn retry_health_check(&mut self, index: HostIndex, now: Timestamp) {
         let host = &mut self.hosts[index];
         let divisor = if host.replication.has_position() { 1 } else { STARTING_HOST_RETRY_DIVISOR };
@@ -56,21 +58,22 @@
     }
 
     /// Sends a health check to a host.
-    pub(super) fn send_health_check(&mut self, index: HostIndex, out: &mut dyn Actions) {
+    pub(super) fn send_health_check(&mut self, index: HostIndex, actions: &mut dyn Actions) {
         let host = &mut self.hosts[index];
-        host.record_health_check(out.now());
-        out.check_health(host.host);
+        host.record_health_check(actions.now());
+        actions.check_health(host.host);
     }
 
-    /// Records a request of a shard, which pays for a fraction of a health check there.
-    pub(super) fn record_request_of_shard(&mut self, shard_id: ShardId, now: Timestamp) {
+    /// Records a request for a shard, and adds the corresponding fraction of a health check to the shard's
+    /// budget.
+    pub(super) fn record_shard_request(&mut self, shard_id: ShardId, now: Timestamp) {
         let Some(shard) = self.shards.get_mut(shard_id) else { return };
-        let fraction = if self.settings.refreshes_on_demand() { PERIODIC_FRACTION } else { 1.0 };
-        let checks = POINTS_PER_REQUEST * fraction / self.settings.deployment().health_check_price;
-        let max = shard.members.len() as f64 * MAX_BUDGET_PER_MEMBER;
+        let fraction = if self.settings.refreshes_on_demand() { PERIODIC_CHECK_FRACTION } else { 1.0 };
+        let checks = BUDGET_POINTS_PER_REQUEST * fraction / self.settings.deployment().health_check_price;
+        let max = shard.members.len() as f64 * MAX_SAVED_CHECKS_PER_MEMBER;
         shard.health_check_budget.deposit(checks, max);
         if !is_in_use(shard, now) {
-            // The state of an unused shard may be outdated.
+            // The state of a shard that was not in use may be outdated.
             shard.schedule_review(now);
         }
         shard.recent_requests.add(1.0, now, RECENT_REQUESTS_WINDOW);
--- a/crates/comethitch-policy/src/policy/health_check_scheduler/tests.rs
+++ b/crates/comethitch-policy/src/policy/health_check_scheduler/tests.rs
@@ -27,11 +27,11 @@
 }
 
 #[test]
-fn unpaid_checks_are_long_overdue_and_spaced() {
+fn checks_over_budget_are_long_overdue_and_spaced() {
     let mut scheduler = HealthCheckScheduler::new();
     let overdue = NOW - Duration::from_secs(10);
-    assert!(!scheduler.admit_unpaid(overdue + Duration::from_millis(1), NOW));
-    assert!(scheduler.admit_unpaid(overdue, NOW));
-    assert!(!scheduler.admit_unpaid(overdue, NOW + Duration::from_millis(39)));
-    assert!(scheduler.admit_unpaid(overdue, NOW + Duration::from_millis(40)));
+    assert!(!scheduler.admit_over_budget(overdue + Duration::from_millis(1), NOW));
+    assert!(scheduler.admit_over_budget(overdue, NOW));
+    assert!(!scheduler.admit_over_budget(overdue, NOW + Duration::from_millis(39)));
+    assert!(scheduler.admit_over_budget(overdue, NOW + Duration::from_millis(40)));
 }
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -1,14 +1,15 @@
-//! Estimates the offset between the hosts' clocks and the router's.
+//! Estimates the offset of the hosts' clocks from the router's clock.
 //!
-//! Positions and start times are Unix times of other machines, and the wall clock that this router read at its start may
-//! be wrong by an hour; only intervals on its own monotonic clock are certain.
+//! Positions and start times are Unix times of other machines. The wall clock that this router read at
+//! startup may be wrong by an hour; only intervals on its own monotonic clock are reliable.
 //!
-//! A primary's report holds its position at some moment before the report arrived, so the difference to the router's
-//! clock never exceeds the offset between the two clocks, and the maximum over several reports is close to it. Two
-//! estimates follow: the latest possible time at the hosts, for the age of data, and the earliest, for how long ago a host
-//! started. Until a primary has reported, both are unknown and nothing relies on the router's own clock. If no primary
-//! reports for half a second because the primaries are unreachable, replicas whose positions agree with the router's
-//! clock are used instead.
+//! A primary's report contains its position at some time before the report arrived. The difference between
+//! this position and the router's clock at the arrival is therefore at most the offset between the two
+//! clocks, and the maximum over several reports is close to the offset. Two estimates are derived: the latest
+//! possible time on the hosts' clocks, for the age of data, and the earliest, for the time since a host
+//! started. Both are unknown until a primary has reported, and until then no decision relies on the router's
+//! own clock. If no primary reports for half a second because the primaries are unreachable, the reports of
+//! replicas are used instead, if they agree with the router's clock.
 
 use super::intervals::HEALTH_CHECK_RETRY_INTERVAL;
 use crate::time::{Duration, SignedDuration, Timestamp};
@@ -16,17 +17,18 @@
 
 /// Number of recent offsets kept, of primaries and of replicas each.
 const MAX_OFFSETS: usize = 16;
-/// How long to wait for a primary's report before falling back to replicas' reports.
+/// Time without a primary's report after which the reports of replicas are used instead.
 const PRIMARY_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Maximum number of unanswered polls after which the next one still comes at the shortest interval.
-const MAX_UNANSWERED_BEFORE_BACKOFF: u32 = 4;
+/// Number of consecutive unanswered polls up to which the poll interval does not grow.
+const MAX_UNANSWERED_POLLS_BEFORE_BACKOFF: u32 = 4;
 /// Maximum number of times that the poll interval doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Minimum number of primaries' reports for correcting a wrong clock.
+/// Minimum number of primaries' reports from which the amount of a wrong clock's offset is estimated.
 const MIN_PRIMARY_REPORTS: usize = 4;
-/// Offset above which the router's clock counts as behind.
+/// Maximum offset at which the clocks agree; above it, the router's clock is behind.
 const MAX_AGREEING_OFFSET: SignedDuration = SignedDuration::from_millis(20);
-/// Offset below which the router's clock counts as ahead: a primary's newest report is never as old as this.
+/// Minimum offset at which the clocks agree; below it, the router's clock is ahead, as the newest of several
+/// reports of primaries is never two seconds old.
 const MIN_AGREEING_OFFSET: SignedDuration = SignedDuration::from_millis(-2_000);
 
 /// State of the router's clock relative to the hosts'.
@@ -35,31 +37,32 @@
     /// No primary has reported yet.
     #[default]
     Unproven,
-    /// The clocks agree, as far as reports show.
+    /// No report shows a difference between the clocks.
     Agrees,
-    /// The router's clock is wrong, by an amount that reports do not show yet.
+    /// The router's clock is wrong, but too few primaries have reported to estimate by how much.
     Wrong,
-    /// The router's clock is wrong by at least `offset`, and at most `uncertainty` more.
+    /// The router's clock is wrong. The offset is from `offset` to `offset` plus `uncertainty`.
     Corrected {
-        /// Minimum offset of the hosts' clocks from the router's.
+        /// Minimum offset of the hosts' clocks from the router's clock; positive if the router's clock is
+        /// behind.
         offset: SignedDuration,
-        /// How much greater the offset may be.
+        /// Maximum amount by which the true offset exceeds `offset`.
         uncertainty: Duration,
     },
 }
 
-/// Estimator of the hosts' time, fed by the positions in their reports.
+/// Estimator of the time on the hosts' clocks, based on the positions in their reports.
 #[derive(Debug, Default)]
 pub(super) struct HostClock {
     /// Offsets of primaries' recent positions from the router's clock.
     primary_offsets: VecDeque<SignedDuration>,
-    /// The same for replicas, whose positions lag.
+    /// Offsets of replicas' recent positions from the router's clock; they also include the replication lag.
     replica_offsets: VecDeque<SignedDuration>,
-    /// Since when a primary's report has been needed.
+    /// When a primary's report was first needed.
     needed_since: Option<Timestamp>,
     /// Whether replicas' reports are used in place of primaries', after [`PRIMARY_REPORT_TIMEOUT`].
     replica_fallback: bool,
-    /// Cached result of the above, as it is read for every host and changes with reports only.
+    /// Cached result of the fields above, as it is read for every host but changes only with reports.
     estimate: OffsetEstimate,
     polls: PollSchedule,
 }
@@ -67,11 +70,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct OffsetEstimate {
     state: ClockState,
-    /// Maximum offset over all reports; none before the first usable one.
+    /// Maximum offset over all reports; `None` before the first usable one.
     offset: Option<SignedDuration>,
 }
 
-/// Schedule of polling primaries for the hosts' time, with exponential backoff while none reports anything new.
+/// Schedule of polls of primaries for the hosts' time, with exponential backoff while none reports a new
+/// position.
 #[derive(Debug, Default)]
 struct PollSchedule {
     sent: usize,
@@ -82,7 +86,7 @@
 impl PollSchedule {
     fn record_poll(&mut self, now: Timestamp) {
         let doublings =
-            self.unanswered.saturating_sub(MAX_UNANSWERED_BEFORE_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
+            self.unanswered.saturating_sub(MAX_UNANSWERED_POLLS_BEFORE_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
         self.next_at = now + HEALTH_CHECK_RETRY_INTERVAL * (1 << doublings);
         self.sent += 1;
         self.unanswered += 1;
@@ -95,7 +99,7 @@
         self.estimate.state
     }
 
-    /// Records a position from a report that arrived just now.
+    /// Records the position in a report that arrives at `now`.
     pub(super) fn record_position(&mut self, position: Timestamp, by_primary: bool, now: Timestamp) {
         let offsets = if by_primary { &mut self.primary_offsets } else { &mut self.replica_offsets };
         if offsets.len() == MAX_OFFSETS {
@@ -109,12 +113,13 @@
     }
 
     /// Returns whether more reports of primaries would improve the estimate.
-    pub(super) fn needs_reports(&self) -> bool {
+    pub(super) fn needs_primary_reports(&self) -> bool {
         self.primary_offsets.is_empty() || self.state() == ClockState::Wrong
     }
 
-    /// Falls back to replicas' reports once a primary's report has been needed for [`PRIMARY_REPORT_TIMEOUT`].
-    pub(super) fn wait_for_primary(&mut self, now: Timestamp) {
+    /// Starts to use the reports of replicas if a primary's report has been needed for
+    /// [`PRIMARY_REPORT_TIMEOUT`].
+    pub(super) fn update_replica_fallback(&mut self, now: Timestamp) {
         let since = *self.needed_since.get_or_insert(now);
         if now - since > PRIMARY_REPORT_TIMEOUT && !self.replica_fallback {
             self.replica_fallback = true;
@@ -127,14 +132,15 @@
         now >= self.polls.next_at
     }
 
-    /// Chooses the next of these primaries, in turn, and records that it is polled.
+    /// Selects the next of these primaries in round-robin order, and records that it is polled.
     pub(super) fn next_to_poll<T: Copy>(&mut self, primaries: &[T], now: Timestamp) -> Option<T> {
         let chosen = *primaries.get(self.polls.sent % primaries.len().max(1))?;
         self.polls.record_poll(now);
         Some(chosen)
     }
 
-    /// Returns the latest possible time at the hosts at `at` on the router's clock, if known.
+    /// Converts a time on the router's clock to the latest possible time on the hosts' clocks; `None` if
+    /// unknown.
     pub(super) fn latest(&self, at: Timestamp) -> Option<Timestamp> {
         match self.state() {
             ClockState::Unproven | ClockState::Wrong => None,
@@ -143,14 +149,16 @@
         }
     }
 
-    /// Returns the earliest possible time at the hosts at `at` on the router's clock, if known.
+    /// Converts a time on the router's clock to the earliest possible time on the hosts' clocks; `None` if
+    /// unknown.
     pub(super) fn earliest(&self, at: Timestamp) -> Option<Timestamp> {
         let offset = self.estimate.offset?;
         let agrees = self.state() == ClockState::Agrees;
         Some(at + if agrees { offset.min(SignedDuration::ZERO) } else { offset })
     }
 
-    /// Returns the best estimate of the hosts' time at `at` on the router's clock; `at` itself if nothing better is known.
+    /// Converts a time on the router's clock to the best estimate of the time on the hosts' clocks. Returns
+    /// `at` itself if no difference between the clocks is known.
     pub(super) fn estimated(&self, at: Timestamp) -> Timestamp {
         match self.state() {
             ClockState::Unproven | ClockState::Agrees => at,
@@ -159,32 +167,35 @@
     }
 
     fn update_estimate(&mut self) {
-        let Some(newest) = self.newest_offset() else {
+        let Some(max_trusted) = self.max_trusted_offset() else {
             self.estimate = OffsetEstimate::default();
             return;
         };
-        let offset = self.replica_offsets.iter().copied().fold(newest, SignedDuration::max);
-        self.estimate = OffsetEstimate { state: self.classify(offset, newest), offset: Some(offset) };
+        let offset = self.replica_offsets.iter().copied().fold(max_trusted, SignedDuration::max);
+        self.estimate = OffsetEstimate { state: self.classify(offset, max_trusted), offset: Some(offset) };
     }
 
-    /// Returns the maximum offset of primaries, or of replicas while they are used instead.
-    fn newest_offset(&self) -> Option<SignedDuration> {
+    /// Returns the maximum offset of primaries. Without a report of a primary, returns the maximum offset of
+    /// replicas if these are used instead, else `None`.
+    fn max_trusted_offset(&self) -> Option<SignedDuration> {
         let replicas = self.replica_offsets.iter().filter(|_| self.replica_fallback);
         self.primary_offsets.iter().copied().max().or_else(|| replicas.copied().max())
     }
 
-    fn classify(&self, offset: SignedDuration, newest: SignedDuration) -> ClockState {
+    fn classify(&self, offset: SignedDuration, max_trusted: SignedDuration) -> ClockState {
         if (MIN_AGREEING_OFFSET..=MAX_AGREEING_OFFSET).contains(&offset) {
             return ClockState::Agrees;
         }
-        // A replica's position may have stopped: it proves that a clock is wrong, but not by how much.
+        // A replica's position may have stopped advancing: its offset proves that the router's clock is
+        // wrong, but not by how much.
         if self.primary_offsets.len() < MIN_PRIMARY_REPORTS {
             return ClockState::Wrong;
         }
-        // The newest of several reports is younger than the median one by more than its own age.
+        // The true offset exceeds the maximum offset by the age of that report's position. This age is less
+        // than the difference between the maximum and the median offset.
         let mut sorted: Vec<SignedDuration> = self.primary_offsets.iter().copied().collect();
         sorted.sort_unstable();
-        ClockState::Corrected { offset, uncertainty: newest - sorted[sorted.len() / 2 - 1] }
+        ClockState::Corrected { offset, uncertainty: max_trusted - sorted[sorted.len() / 2 - 1] }
     }
 }
 
--- a/crates/comethitch-policy/src/policy/host_clock/tests.rs
+++ b/crates/comethitch-policy/src/policy/host_clock/tests.rs
@@ -37,15 +37,15 @@
 }
 
 #[test]
-fn replicas_count_only_after_waiting_for_a_primary() {
+fn replica_reports_are_used_only_after_the_primary_timeout() {
     let mut clock = HostClock::default();
     clock.record_position(NOW - Duration::from_millis(100), false, NOW);
-    clock.wait_for_primary(NOW);
-    clock.wait_for_primary(NOW + Duration::from_millis(500));
+    clock.update_replica_fallback(NOW);
+    clock.update_replica_fallback(NOW + Duration::from_millis(500));
     assert_eq!(clock.state(), ClockState::Unproven);
-    clock.wait_for_primary(NOW + Duration::from_millis(501));
+    clock.update_replica_fallback(NOW + Duration::from_millis(501));
     assert_eq!(clock.state(), ClockState::Agrees);
-    assert!(clock.needs_reports(), "a primary's report is still needed");
+    assert!(clock.needs_primary_reports(), "a primary's report is still needed");
 }
 
 #[test]
--- a/crates/comethitch-policy/src/policy/host_time.rs
+++ b/crates/comethitch-policy/src/policy/host_time.rs
@@ -1,4 +1,5 @@
-//! The hosts' time as the decisions use it, and the polls of primaries that establish it.
+//! The time on the hosts' clocks: its bounds, as used in decisions, and the polls of primaries that determine
+//! it.
 
 use super::host_clock::ClockState;
 use super::recent_requests::is_in_use;
@@ -8,31 +9,35 @@
 use crate::{Actions, LoadReport, Role};
 
 impl Router {
-    /// Returns how the router's clock stands to the hosts', for the log.
+    /// Returns the state of the router's clock relative to the hosts' clocks, for the log.
     pub fn clock_state(&self) -> ClockState {
         self.host_clock.state()
     }
 
-    /// Returns whether the age of positions depends on the hosts' clocks, and primaries can be polled for them.
+    /// Returns whether the router must know the time on the hosts' clocks, and can poll primaries for it.
     ///
-    /// Elsewhere replicas check the age of their data themselves, or reports arrive with responses only.
+    /// It need not know it if replicas check staleness themselves, and cannot poll if health checks are not
+    /// permitted: reports then arrive with responses only.
     fn depends_on_host_clock(&self) -> bool {
-        self.settings.deployment().may_check_health && self.settings.positions_guard_reads()
+        self.settings.deployment().may_check_health && self.settings.router_enforces_staleness()
     }
 
-    /// Returns the latest possible time at the hosts, for the age of their data, if known.
+    /// Returns the latest possible time on the hosts' clocks, which gives the maximum age of their data;
+    /// `None` if unknown.
     pub(super) fn latest_host_time(&self, now: Timestamp) -> Option<Timestamp> {
         self.host_clock.latest(now).or_else(|| (!self.depends_on_host_clock()).then_some(now))
     }
 
-    /// Returns the earliest possible time at the hosts, for how long ago they started, if known.
+    /// Returns the earliest possible time on the hosts' clocks, which gives the minimum time since a host
+    /// started; `None` if unknown.
     pub(super) fn earliest_host_time(&self, now: Timestamp) -> Option<Timestamp> {
         self.host_clock.earliest(now).or_else(|| (!self.depends_on_host_clock()).then_some(now))
     }
 
-    /// Records the position of a host's report for the estimate of the hosts' time.
+    /// Adds the position in a host's report to the estimate of the hosts' time.
     ///
-    /// Ignores a position that has not advanced: its age is unknown, and it would make the router's clock seem ahead.
+    /// A position that has not advanced is ignored: its age is unknown, and it would make the router's clock
+    /// seem ahead.
     pub(super) fn record_host_time(&mut self, index: HostIndex, report: &LoadReport, now: Timestamp) {
         let advanced = |position: &Timestamp| *position > self.hosts[index].replication.position();
         let Some(position) = report.position.filter(advanced) else { return };
@@ -43,25 +48,26 @@
         self.host_clock.record_position(position, by_primary, now);
     }
 
-    /// Polls one believed primary for the hosts' time while that is unknown, each time another one.
+    /// Polls one believed primary, in turn, while the hosts' time is not known well enough.
     ///
-    /// The polls back off while no primary reports anything new, as hundreds of routers may poll at once.
-    pub(super) fn poll_host_clock(&mut self, out: &mut dyn Actions) {
-        let now = out.now();
-        if !self.depends_on_host_clock() || !self.host_clock.needs_reports() {
+    /// The poll interval grows while no primary reports a new position, as hundreds of routers may poll at
+    /// once.
+    pub(super) fn poll_host_clock(&mut self, actions: &mut dyn Actions) {
+        let now = actions.now();
+        if !self.depends_on_host_clock() || !self.host_clock.needs_primary_reports() {
             return;
         }
-        self.host_clock.wait_for_primary(now);
+        self.host_clock.update_replica_fallback(now);
         if !self.host_clock.is_poll_due(now) {
             return;
         }
         let primaries: Vec<HostIndex> = self.pollable_primaries(now).collect();
         if let Some(index) = self.host_clock.next_to_poll(&primaries, now) {
-            self.send_health_check(index, out);
+            self.send_health_check(index, actions);
         }
     }
 
-    /// Returns the believed primaries of shards in use that have no health check in flight.
+    /// Returns the believed primaries of shards in use that can be sent a health check now.
     fn pollable_primaries(&self, now: Timestamp) -> impl Iterator<Item = HostIndex> {
         let in_use = self.shards.iter().map(|(_, shard)| shard).filter(move |shard| is_in_use(shard, now));
         in_use.filter_map(|shard| shard.primary).filter(move |index| {
--- a/crates/comethitch-policy/src/policy/intervals.rs
+++ b/crates/comethitch-policy/src/policy/intervals.rs
@@ -2,11 +2,12 @@
 
 use crate::time::Duration;
 
-/// How often the health of each host is checked, from the design page.
+/// Interval between two health checks of a host, as specified in `docs/design.md`.
 pub(super) const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How soon a health check that reported nothing is repeated, and the interval of urgent health checks.
+/// Delay before a health check that returned no load report is repeated, and the interval of urgent health
+/// checks.
 pub(super) const HEALTH_CHECK_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a host may leave everything unanswered before it counts as silent, from the design page.
+/// Time without any answer after which a host counts as silent, as specified in `docs/design.md`.
 pub(super) const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a router may stall between a check and the write that the check allows.
+/// Maximum time that the router may stall between the send guard's check and the write that it allows.
 pub(super) const STALL_ALLOWANCE: Duration = Duration::from_millis(150);
--- a/crates/comethitch-policy/src/policy/load_statistics.rs
+++ b/crates/comethitch-policy/src/policy/load_statistics.rs
@@ -1,4 +1,4 @@
-//! What the router observes of the load as a whole, over all hosts and shards.
+//! Statistics of the load over all hosts and shards.
 
 use super::error_rate::ErrorRate;
 use super::peer_load::PeerLoad;
@@ -16,11 +16,12 @@
 pub(super) struct LoadStatistics {
     /// Service times by request class.
     pub(super) service_times: ServiceTimes,
-    /// Rate of errors among answers.
+    /// Fraction of errors among answers.
     pub(super) error_rate: ErrorRate,
-    /// Load of warm hosts, for slow start.
+    /// Load of warm hosts, which bounds the load of hosts in slow start.
     pub(super) peer_load: PeerLoad,
-    /// Ages of primaries' reported positions: pure report age, as a primary has all commits.
+    /// Ages of the positions that primaries report. They show only how old reports are on arrival, as a
+    /// primary has all commits.
     report_age: Histogram,
     recent_requests: DecayingCounter,
 }
@@ -42,7 +43,7 @@
         self.recent_requests.add(1.0, now, RECENT_REQUESTS_WINDOW);
     }
 
-    /// Returns the number of requests per [`RECENT_REQUESTS_WINDOW`], of all shards.
+    /// Returns the number of requests to all shards per [`RECENT_REQUESTS_WINDOW`].
     pub(super) fn request_rate(&self, now: Timestamp) -> f64 {
         self.recent_requests.rate(now, RECENT_REQUESTS_WINDOW)
     }
@@ -52,7 +53,7 @@
         self.report_age.add(age);
     }
 
-    /// Returns the median age of primaries' reports; zero before the first.
+    /// Returns the median age of primaries' reports on arrival; zero before the first report.
     pub(super) fn median_report_age(&self) -> Duration {
         self.report_age.quantile(0.5).unwrap_or_default()
     }
--- a/crates/comethitch-policy/src/policy/lookups.rs
+++ b/crates/comethitch-policy/src/policy/lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups and quantities that derive from several parts of the router's state.
+//! Lookups, and quantities that are derived from several parts of the router's state.
 
 use super::router::Router;
 use crate::RequestClass;
@@ -19,7 +19,7 @@
         &self.shards[self.hosts[index].listing.shard_id()]
     }
 
-    /// Returns the shard of a host, for changes.
+    /// Returns the shard of a host, mutably.
     pub(super) fn shard_of_mut(&mut self, index: HostIndex) -> &mut Shard {
         &mut self.shards[self.hosts[index].listing.shard_id()]
     }
@@ -29,9 +29,9 @@
         self.shard_of(index).is_primary(index)
     }
 
-    /// Returns the fraction of its capacity that a host has at least, 1 unless it started recently.
+    /// Returns the minimum fraction of its capacity that a host has at present: 1 unless it started recently.
     ///
-    /// While the hosts' time is unknown, a host with a known start counts as just started.
+    /// If the time on the hosts' clocks is unknown, a host with a known start time counts as just started.
     pub(super) fn warmup_fraction(&self, index: HostIndex, now: Timestamp) -> f64 {
         let started = self.hosts[index].listing.started();
         if started.is_none() {
@@ -41,7 +41,7 @@
         self.settings.slow_start().warm_fraction(started, host_time)
     }
 
-    /// Returns how many routers use a host, if their subsets have this size; all routers use a primary.
+    /// Estimates how many routers use a host if their subsets have this size. All routers use a primary.
     pub(super) fn expected_users(&self, index: HostIndex, subset_size: usize) -> f64 {
         let shard = self.shard_of(index);
         let subset_share = subset_size as f64 / shard.members.len().max(1) as f64;
@@ -49,7 +49,7 @@
         quota::expected_users(self.settings.slow_start().routers, router_share.min(1.0))
     }
 
-    /// Returns the current window of this router at a host.
+    /// Returns this router's current window, of this length, at a host.
     pub(super) fn window(&self, index: HostIndex, now: Timestamp, length: Duration) -> Window {
         self.random.window(self.hosts[index].host, now, length)
     }
--- a/crates/comethitch-policy/src/policy/mod.rs
+++ b/crates/comethitch-policy/src/policy/mod.rs
@@ -1,35 +1,41 @@
 //! The decision module: every decision of the router is made in this folder.
 //!
-//! A caller creates a [`Router`], reports endpoint updates, health checks and ticks, and submits requests. Everything
-//! that happens to a request later is a call on the [`Handle`] that [`Router::submit`] returns. The mechanism is
-//! described in `docs/design.md`; comments marked "Beyond the design" point to its table of departures from the sources.
+//! A caller creates a [`Router`], reports endpoint updates, health checks and ticks to it, and submits
+//! requests. Later events of a request are reported through the [`Handle`] that [`Router::submit`] returns.
+//! The mechanisms are described in `docs/design.md`, which also has a table of departures from its sources.
+//! In comments, these departures are marked "Beyond the design".
 //!
 //! Coordination:
 //!
-//! - `router`: the router's state and the entry points, `lookups`: quantities derived from several parts of it,
-//! - `settings`: immutable settings, `intervals`: time constants that several decisions share.
+//! - `router`: the router's state and entry points,
+//! - `lookups`: quantities derived from several parts of the state,
+//! - `settings`: immutable settings,
+//! - `intervals`: time constants that several decisions share.
 //!
-//! The way of a request:
+//! The path of a request:
 //!
 //! - `admission`: sends, queues or rejects requests,
 //! - `selection`: selects a host, with `staleness` for the age of its data and `capacity` for its load,
-//! - `attempts`: sends attempts and handles their ends, with `outcomes` for what these show of hosts and load,
+//! - `attempts`: sends attempts and handles their ends, with `outcomes` for what an end shows about hosts and
+//!   load,
 //! - `retries`: decides on retries and hedged requests, within `retry_budget`,
 //! - `send_guard`: checks an attempt right before it is written.
 //!
 //! Hosts and shards:
 //!
 //! - `endpoints`: applies the endpoint list,
-//! - `reports`: applies load reports, `failover`: the state machine of a shard,
-//! - `health`: handles health checks, `outliers`: ejects hosts,
-//! - `periodic_checks`: starts health checks that are due, within `health_check_scheduler`,
+//! - `reports`: applies load reports,
+//! - `failover`: the state machine of a shard,
+//! - `health`: handles health checks,
+//! - `outliers`: ejects hosts,
+//! - `periodic_checks`: starts health checks that are due, within the limits of `health_check_scheduler`,
 //! - `position_refresh`: refreshes positions on demand,
-//! - `host_time`: the time at the hosts, estimated by `host_clock`.
+//! - `host_time`: the time on the hosts' clocks, estimated by `host_clock`.
 //!
 //! Measurements:
 //!
-//! - `load_statistics`: `service_times`, `error_rate` and `peer_load`,
-//! - `recent_requests`: when a shard is in use,
+//! - `load_statistics`: groups `service_times`, `error_rate` and `peer_load`,
+//! - `recent_requests`: whether a shard is in use,
 //! - `event_loop_lag`: how late the router's own ticks run.
 
 mod admission;
--- a/crates/comethitch-policy/src/policy/outcomes.rs
+++ b/crates/comethitch-policy/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt shows of its host's health, of service times and of load.
+//! Records what the end of an attempt shows about its host's health, service times and load.
 
 use super::recent_requests::RECENT_REQUESTS_WINDOW;
 use super::router::Router;
@@ -7,15 +7,17 @@
 use crate::time::{Duration, Timestamp};
 use comethitch_fleet::concurrency_limit::EndedWork;
 
-/// Minimum limit of a host, as latency objectives of work that all routers together have in flight there.
+/// Minimum concurrency limit of a host over all routers together, in latency objectives of work.
 const MIN_HOST_LIMIT_OBJECTIVES: u64 = 2;
-/// Minimum limit of a host where few routers use it: the latency objective over this.
+/// Divisor of the latency objective: one router's minimum limit at a host is at most half of it, if few
+/// routers use the host.
 const MIN_HOST_LIMIT_DIVISOR: u64 = 2;
-/// Minimum time between two cuts of a limit: the latency objective over this.
+/// Divisor of the latency objective: the minimum time between two cuts of a limit is half of it.
 const CUT_INTERVAL_DIVISOR: u64 = 2;
 
 impl Router {
-    /// Records how an attempt ended: for its host's health, its class's service times, and all limits.
+    /// Records how an attempt ended in its host's health, its class's service times, and the limits of its
+    /// host and shard.
     pub(super) fn record_outcome(&mut self, attempt: &Attempt, now: Timestamp) {
         let answered = attempt.ended_as(AttemptOutcome::Answered);
         let did_work = attempt.maybe_ran() && !attempt.ended_as(AttemptOutcome::Error);
@@ -31,7 +33,7 @@
         self.release_work(attempt, now);
     }
 
-    /// Returns whether an ended attempt was late; none where its end says nothing about load.
+    /// Returns whether an ended attempt was late; `None` if its end says nothing about load.
     fn was_late(&self, attempt: &Attempt, now: Timestamp) -> Option<bool> {
         let late = now - attempt.sent_at > self.settings.late_after(attempt.request_class);
         match attempt.outcome? {
@@ -107,7 +109,8 @@
         self.hosts[attempt.host].load.release_work(at_host, now);
     }
 
-    /// Returns the minimum limit at an attempt's host: every router may have this much in flight there at once.
+    /// Returns the minimum concurrency limit of this router at an attempt's host: its share of the minimum
+    /// over all routers, but at most half of the latency objective.
     fn min_host_limit(&self, attempt: &Attempt, now: Timestamp) -> Duration {
         let objective = self.settings.class(attempt.request_class).latency_objective;
         let subset_size = self.subset_size(self.shard_of(attempt.host), now);
@@ -116,8 +119,9 @@
         of_all_routers.scaled(1.0 / users).min(objective / MIN_HOST_LIMIT_DIVISOR)
     }
 
-    /// Returns the minimum limit of an attempt's shard: that of its members, and what its requests need at their usual
-    /// rate, as some routers see many times the requests of others.
+    /// Returns the minimum concurrency limit of an attempt's shard: the largest of its members' total
+    /// minimum, the work in flight that its requests need at their recent rate, and the work of the attempt.
+    /// The recent rate is included because some routers receive many times the requests of others.
     fn min_shard_limit(&self, attempt: &Attempt, min_host_limit: Duration, now: Timestamp) -> Duration {
         let shard = self.shard_of(attempt.host);
         let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
--- a/crates/comethitch-policy/src/policy/peer_load.rs
+++ b/crates/comethitch-policy/src/policy/peer_load.rs
@@ -1,12 +1,12 @@
-//! The load that warm hosts get from this router, which bounds what hosts in slow start get.
+//! The load that this router sends to warm hosts, which bounds the load that it sends to hosts in slow start.
 
 use crate::time::{Duration, Timestamp};
 use std::cell::Cell;
 
-/// Number of updates per slow-start window: each one walks all hosts.
+/// Number of updates per slow-start window, kept low because each update visits all hosts.
 const UPDATES_PER_WINDOW: u64 = 8;
 
-/// Cached work that this router sends in a slow-start window to warm hosts, per unit of their capacity.
+/// Cache of the work that this router sends to warm hosts in a slow-start window, per unit of their capacity.
 #[derive(Debug, Default)]
 pub(super) struct PeerLoad {
     cached: Cell<CachedLoad>,
@@ -14,21 +14,23 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct CachedLoad {
-    per_capacity: f64,
+    load_per_capacity_unit: f64,
     valid_until: Timestamp,
 }
 
 impl PeerLoad {
-    /// Returns the cached load, or recomputes it when an eighth of the slow-start window has passed.
+    /// Returns the cached load. Recomputes it if an eighth of the slow-start window has passed since the last
+    /// update.
     pub(super) fn get_or_compute(
         &self, now: Timestamp, window: Duration, compute: impl FnOnce() -> f64,
     ) -> f64 {
         let cached = self.cached.get();
         if now < cached.valid_until {
-            return cached.per_capacity;
+            return cached.load_per_capacity_unit;
         }
-        let per_capacity = compute();
-        self.cached.set(CachedLoad { per_capacity, valid_until: now + window / UPDATES_PER_WINDOW });
-        per_capacity
+        let load_per_capacity_unit = compute();
+        self.cached
+            .set(CachedLoad { load_per_capacity_unit, valid_until: now + window / UPDATES_PER_WINDOW });
+        load_per_capacity_unit
     }
 }
--- a/crates/comethitch-policy/src/policy/periodic_checks.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -1,4 +1,4 @@
-//! Schedules periodic health checks with a bounded amount of work per tick.
+//! Schedules periodic health checks, with a bounded amount of work per tick.
 
 use super::intervals::{HEALTH_CHECK_INTERVAL, HEALTH_CHECK_RETRY_INTERVAL};
 use super::recent_requests::is_in_use;
@@ -10,18 +10,20 @@
 
 /// Maximum time between two reviews of a shard in use.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum interval of health checks that are not urgent, for tight staleness bounds.
+/// Minimum interval of health checks that are not urgent; applies where staleness bounds are shorter than
+/// this.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Silence after which a primary that should have answered is checked, where only answers show its state.
+/// Time without an answer after which a primary is checked, where otherwise only answers to requests show its
+/// state.
 const PRIMARY_CHECK_AFTER_SILENCE: Duration = Duration::from_millis(500);
 
 impl Router {
-    /// Checks each host whose health check is due, if it is needed and paid for.
-    pub(super) fn run_due_health_checks(&mut self, out: &mut dyn Actions) {
+    /// Sends the health checks that are due, if they are needed and within the budgets.
+    pub(super) fn run_due_health_checks(&mut self, actions: &mut dyn Actions) {
         if !self.settings.deployment().may_check_health {
             return;
         }
-        let now = out.now();
+        let now = actions.now();
         let mut due = self.shards.due_for_review(now);
         self.health_checks.continue_round(&mut due);
         for shard_id in due {
@@ -29,22 +31,23 @@
                 return;
             }
             self.health_checks.record_visited(shard_id);
-            self.run_due_health_checks_of(shard_id, out);
+            self.run_due_health_checks_of(shard_id, actions);
             let next_review = self.next_review(shard_id, now);
             self.shards[shard_id].schedule_review(next_review);
         }
     }
 
-    /// Moves a host's next health check to this time, and its shard's next review forward to it.
+    /// Schedules a host's next health check at this time, and its shard's next review no later.
     pub(super) fn schedule_health_check(&mut self, index: HostIndex, at: Timestamp) {
         self.hosts[index].checks.schedule(at);
         self.shard_of_mut(index).review_by(at);
     }
 
-    /// Returns when a member's health check may be due next.
+    /// Returns the time of a shard's next review: when a member's health check may be due.
     ///
-    /// The time is bounded by a review interval, as requests may need a check, or pay for one, without any other event.
-    /// A shard that is not in use is reviewed less often; its next request brings the review forward.
+    /// This is at most [`REVIEW_INTERVAL`] from now, because requests may make a health check necessary, or
+    /// add to its budget, without causing a review. A shard that is not in use is reviewed less often; its
+    /// next request schedules a review.
     fn next_review(&self, shard_id: ShardId, now: Timestamp) -> Timestamp {
         if self.health_checks.is_exhausted() {
             return now;
@@ -59,8 +62,8 @@
 
     /// Returns the members that may need a health check.
     ///
-    /// Where positions are refreshed on demand, these are none of a shard that is not in use, and only the primary of
-    /// one that has one and is not in Failover (see [`Router::is_check_needed`]).
+    /// If positions are refreshed on demand, a shard that is not in use needs no health checks, and a shard
+    /// with a primary needs only those of the primary, except in Failover (see [`Router::is_check_needed`]).
     fn members_to_check<'a>(&self, shard: &'a Shard, now: Timestamp) -> &'a [HostIndex] {
         let refreshes_on_demand = self.settings.refreshes_on_demand();
         match &shard.primary {
@@ -72,34 +75,36 @@
         }
     }
 
-    fn run_due_health_checks_of(&mut self, shard_id: ShardId, out: &mut dyn Actions) {
-        let now = out.now();
-        let calm_interval = self.settings.tightest_bound().clamp(MIN_CHECK_INTERVAL, HEALTH_CHECK_INTERVAL);
+    fn run_due_health_checks_of(&mut self, shard_id: ShardId, actions: &mut dyn Actions) {
+        let now = actions.now();
+        let regular_interval =
+            self.settings.tightest_bound().clamp(MIN_CHECK_INTERVAL, HEALTH_CHECK_INTERVAL);
         for index in self.due_health_checks(shard_id, now) {
             if self.health_checks.is_exhausted() {
                 return;
             }
             let is_urgent = self.is_check_urgent(index);
-            let interval = if is_urgent { HEALTH_CHECK_RETRY_INTERVAL } else { calm_interval };
+            let interval = if is_urgent { HEALTH_CHECK_RETRY_INTERVAL } else { regular_interval };
             if !is_urgent && self.has_reported_within(index, interval, now) {
                 self.hosts[index].checks.schedule(now + interval);
             } else if self.charge_health_check(index, now) {
                 self.health_checks.record_started();
                 self.hosts[index].checks.schedule(now + interval);
-                self.send_health_check(index, out);
+                self.send_health_check(index, actions);
             }
         }
     }
 
-    /// Returns whether an answer that carried a load report makes a health check unnecessary.
+    /// Returns whether a host has sent a load report within this interval, so that no health check is
+    /// necessary.
     fn has_reported_within(&self, index: HostIndex, interval: Duration, now: Timestamp) -> bool {
         let host = &self.hosts[index];
         now - host.replication.lag_reported_at() < interval
             && now - host.health.last_sign_of_life() < interval
     }
 
-    /// Returns the members to check: listed primaries first, then the longest overdue, so that each has its turn where
-    /// few checks are paid for.
+    /// Returns the members to check: the listed primary first, then the longest overdue, so that each member
+    /// is checked in turn if the budget allows few checks.
     fn due_health_checks(&self, shard_id: ShardId, now: Timestamp) -> Vec<HostIndex> {
         let shard = &self.shards[shard_id];
         let is_due = |index: &HostIndex| self.is_check_due(*index, now) && self.is_check_needed(*index, now);
@@ -124,17 +129,21 @@
         lacks_primary || self.hosts[index].health.is_unresponsive() || self.is_doubtful_primary(index)
     }
 
-    /// Returns whether a host is a primary that is Unhealthy or was last seen as a replica: no request checks it.
+    /// Returns whether a host is the believed primary, and its shard is Unhealthy or its last report was that
+    /// of a replica. Such a host needs health checks, as it may get no requests whose answers would show its
+    /// state.
     fn is_doubtful_primary(&self, index: HostIndex) -> bool {
         let shard = self.shard_of(index);
         let was_replica = self.hosts[index].replication.role() == Some(Role::Replica);
         shard.is_primary(index) && (shard.state() == ShardState::Unhealthy || was_replica)
     }
 
-    /// Returns whether a health check would show what nothing else does.
+    /// Returns whether a health check would provide information that is not available otherwise.
     ///
-    /// Where positions are refreshed on demand, requests check the replicas, and a primary's answers show its state; it
-    /// is checked if they fail to come. Without requests no check is needed.
+    /// If positions are not refreshed on demand, every health check is needed. Otherwise, requests have the
+    /// replicas checked, and answers to requests show the state of the primary. The primary is checked only
+    /// if answers are missing or its role is in doubt, and all members if the shard has no primary. A shard
+    /// that is not in use needs no health checks.
     fn is_check_needed(&self, index: HostIndex, now: Timestamp) -> bool {
         let shard = self.shard_of(index);
         let is_silent = self.hosts[index].health.silent_for(now) >= PRIMARY_CHECK_AFTER_SILENCE;
@@ -144,14 +153,15 @@
         !self.settings.refreshes_on_demand() || is_needed && is_in_use(shard, now)
     }
 
-    /// Charges a health check to the shard's budget, or admits an unpaid one. Returns whether it may be sent.
+    /// Charges a health check to the shard's budget, or admits it beyond the budget if it is long overdue.
+    /// Returns whether it may be sent.
     fn charge_health_check(&mut self, index: HostIndex, now: Timestamp) -> bool {
         let due_at = self.hosts[index].checks.next_at();
         let shard = &mut self.shards[self.hosts[index].listing.shard_id()];
         if shard.health_check_budget.withdraw() {
             return true;
         }
-        let admitted = self.health_checks.admit_unpaid(due_at, now);
+        let admitted = self.health_checks.admit_over_budget(due_at, now);
         if admitted {
             shard.health_check_budget.clear();
         }
--- a/crates/comethitch-policy/src/policy/recent_requests.rs
+++ b/crates/comethitch-policy/src/policy/recent_requests.rs
@@ -1,11 +1,11 @@
-//! Recent traffic: how many requests count as recent, and when a shard is in use.
+//! Recent requests: the period over which they are counted, and whether a shard is in use.
 
 use crate::shard::Shard;
 use crate::time::{Duration, Timestamp};
 
-/// Time constant over which recent requests are counted.
+/// Time constant of the decaying counters of recent requests.
 pub(super) const RECENT_REQUESTS_WINDOW: Duration = Duration::from_secs(10);
-/// Minimum number of recent requests for a shard to count as in use.
+/// Minimum value of a shard's counter at which the shard is in use.
 const MIN_RECENT_REQUESTS: f64 = 0.5;
 
 /// Returns whether a shard has received requests recently.
--- a/crates/comethitch-policy/src/policy/router.rs
+++ b/crates/comethitch-policy/src/policy/router.rs
@@ -1,6 +1,7 @@
-//! The router: its state, and the entry points of callers.
+//! The router: its state, and the entry points for callers.
 //!
-//! Each part of the state has an owner; the decisions on it are made in the other modules of this folder.
+//! Each field's type maintains its own data. The decisions that use the data are made in the other modules of
+//! this folder.
 
 use super::event_loop_lag::EventLoopLag;
 use super::health_check_scheduler::HealthCheckScheduler;
@@ -19,8 +20,8 @@
 
 /// Decides where each request goes.
 ///
-/// A router does no I/O and reads no clock: each call takes [`Actions`], which tells the time and carries out what was
-/// decided.
+/// A router does no I/O and reads no clock: each call takes [`Actions`], which provides the current time and
+/// carries out the decisions.
 pub struct Router {
     pub(super) settings: Settings,
     pub(super) random: RandomSource,
@@ -33,27 +34,30 @@
     pub(super) statistics: LoadStatistics,
     pub(super) event_loop_lag: EventLoopLag,
     pub(super) host_clock: HostClock,
-    /// The latest commit that each session has written, where clients do not carry it.
+    /// The latest commit that each session has written. Only used if clients do not send it with their
+    /// requests.
     pub(super) session_commits: SessionCommits,
 }
 
-/// A submitted request. Everything that happens to it later is a call on its handle.
+/// Identifies a submitted request; later events of the request are reported through it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Handle(pub(super) RequestId);
 
 impl Handle {
-    /// Finishes a request whose client has disconnected, and cancels its attempts where that is allowed.
-    pub fn client_disconnected(self, router: &mut Router, out: &mut dyn Actions) {
+    /// Finishes a request whose client has disconnected, and cancels its attempts if the deployment allows
+    /// that.
+    pub fn client_disconnected(self, router: &mut Router, actions: &mut dyn Actions) {
         if let Some(request) = router.requests.get_mut(self.0) {
             request.finished = true;
-            router.cancel_attempts(self.0, out);
+            router.cancel_attempts(self.0, actions);
         }
     }
 }
 
 impl Router {
-    /// Starts a router that knows no hosts yet. The same seed and the same calls give the same decisions.
-    pub fn start(deployment: Deployment, seed: u64, out: &mut dyn Actions) -> Router {
+    /// Starts a router without hosts. Two routers with the same seed and the same calls make the same
+    /// decisions.
+    pub fn start(deployment: Deployment, seed: u64, actions: &mut dyn Actions) -> Router {
         let router = Router {
             random: RandomSource::new(seed),
             shards: ShardTable::default(),
@@ -68,14 +72,14 @@
             session_commits: SessionCommits::default(),
             settings: Settings::new(deployment),
         };
-        router.watch_endpoints(out);
-        out.wake_after(router.settings.tick_interval());
+        router.watch_endpoints(actions);
+        actions.wake_after(router.settings.tick_interval());
         router
     }
 
-    /// Submits a request, which is sent, queued or rejected at once.
-    pub fn submit(&mut self, request: Request, out: &mut dyn Actions) -> Handle {
-        let now = out.now();
+    /// Submits a request, which is immediately sent, queued or rejected.
+    pub fn submit(&mut self, request: Request, actions: &mut dyn Actions) -> Handle {
+        let now = actions.now();
         let required_position = if self.settings.deployment().session_tokens_carried {
             request.after.unwrap_or_default()
         } else {
@@ -84,40 +88,42 @@
         self.requests.insert(request.id, RequestState::new(&request, required_position, now));
         self.retry_budget.deposit();
         self.statistics.record_request(now);
-        self.record_request_of_shard(request.shard_id, now);
-        self.poll_host_clock(out);
-        self.refresh_positions(request.id, out);
-        self.schedule(request.id, out);
+        self.record_shard_request(request.shard_id, now);
+        self.poll_host_clock(actions);
+        self.refresh_positions(request.id, actions);
+        self.schedule(request.id, actions);
         Handle(request.id)
     }
 
-    /// Reviews everything that depends on the time; to be called as [`Actions::wake_after`] asks for.
-    pub fn tick(&mut self, out: &mut dyn Actions) {
-        out.wake_after(self.settings.tick_interval());
-        self.event_loop_lag.record_tick(out.now(), self.settings.tick_interval());
+    /// Makes the decisions that depend on the passage of time. The caller calls this after each delay that it
+    /// was given by [`Actions::wake_after`].
+    pub fn tick(&mut self, actions: &mut dyn Actions) {
+        actions.wake_after(self.settings.tick_interval());
+        self.event_loop_lag.record_tick(actions.now(), self.settings.tick_interval());
         self.health_checks.start_tick();
-        for shard_id in self.shards.due_for_review(out.now()) {
-            self.check_primary(shard_id, out);
+        for shard_id in self.shards.due_for_review(actions.now()) {
+            self.review_primary(shard_id, actions);
         }
-        self.forget_removed_hosts(out.now());
-        self.run_due_health_checks(out);
-        self.poll_host_clock(out);
+        self.forget_removed_hosts(actions.now());
+        self.run_due_health_checks(actions);
+        self.poll_host_clock(actions);
         for id in self.requests.ids() {
-            self.review_request(id, out);
+            self.review_request(id, actions);
         }
-        self.retry_queued_requests(out);
+        self.retry_queued_requests(actions);
     }
 
     /// Rejects all requests that have no final answer yet, as the router shuts down.
-    pub fn shut_down(&mut self, out: &mut dyn Actions) {
+    pub fn shut_down(&mut self, actions: &mut dyn Actions) {
         for id in self.requests.ids() {
-            self.reject(id, RejectionReason::DeadlineExceeded, out);
+            self.reject(id, RejectionReason::DeadlineExceeded, actions);
         }
     }
 
-    /// Watches the endpoint list again after the watch has failed, where the deployment asks for a watch.
-    pub fn endpoints_unavailable(&mut self, out: &mut dyn Actions) {
-        self.watch_endpoints(out);
+    /// Subscribes to the endpoint list again after the subscription has failed, if the deployment requires
+    /// one.
+    pub fn endpoints_unavailable(&mut self, actions: &mut dyn Actions) {
+        self.watch_endpoints(actions);
     }
 
     /// Returns the settings that the router was started with.
@@ -125,7 +131,8 @@
         self.settings.deployment()
     }
 
-    /// Returns the handle of a request that has no final answer yet, or has an attempt in flight.
+    /// Returns the handle of a request that has no final answer yet or has an attempt in flight; `None` for
+    /// others.
     pub fn handle(&self, id: RequestId) -> Option<Handle> {
         self.requests.get(id).map(|_| Handle(id))
     }
@@ -135,14 +142,14 @@
         self.shards.iter().map(|(shard_id, shard)| (shard_id, shard.state(), shard.serial()))
     }
 
-    /// Returns the number of allocated host entries; those of removed hosts are reused.
+    /// Returns the number of allocated host entries. The entries of removed hosts are reused.
     pub fn host_entries(&self) -> usize {
         self.hosts.len()
     }
 
-    fn watch_endpoints(&self, out: &mut dyn Actions) {
+    fn watch_endpoints(&self, actions: &mut dyn Actions) {
         if self.settings.deployment().must_watch_endpoints {
-            out.watch_endpoints();
+            actions.watch_endpoints();
         }
     }
 }
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -1,8 +1,8 @@
-//! Host selection: where a request can be sent now.
+//! Host selection: the host that a request can be sent to now.
 //!
-//! Writes and strong reads go to the believed primary. Other reads go to a weighted random one of the fresh replicas in
-//! the router's subset. If none is fresh, they go to the freshest replica that checks staleness itself, else to the
-//! primary.
+//! Writes and strong reads go to the believed primary. Other reads go to a fresh replica in the router's
+//! subset, selected by weighted random choice. If no replica is fresh, they go to the freshest replica if
+//! replicas check staleness themselves, otherwise to the primary.
 
 use super::intervals::{HEALTH_CHECK_RETRY_INTERVAL, SILENCE_TIMEOUT};
 use super::recent_requests::RECENT_REQUESTS_WINDOW;
@@ -15,20 +15,21 @@
 use comethitch_fleet::subset::{Candidate, Member};
 use comethitch_fleet::{freshness, subset};
 
-/// The fraction of a primary's concurrency limit that reads may use which replicas could take.
-const PRIMARY_READ_FRACTION: f64 = 0.75;
-/// How long the ranking of a shard's replicas is cached; weights change by the second, as hosts warm up.
+/// Fraction of a primary's concurrency limit up to which it accepts reads that do not need a primary.
+const PRIMARY_READ_LIMIT_FRACTION: f64 = 0.75;
+/// Time for which the ranking of a shard's replicas is cached. The replicas' weights change within seconds,
+/// as hosts warm up.
 const RANKING_LIFETIME: Duration = Duration::from_millis(100);
-/// The drift period of rankings, in warm-up times.
-const RANKING_DRIFT_WARMUPS: u64 = 8;
+/// Period after which the rank of each replica is drawn again, as a multiple of the warm-up time of hosts.
+const RANKING_DRIFT_IN_WARMUPS: u64 = 8;
 
-/// Where a request can be sent now.
+/// The result of host selection.
 pub(super) enum Selection {
-    /// To this host.
+    /// The request can be sent to this host.
     Host(HostIndex),
-    /// Nowhere yet: no suitable host has capacity.
+    /// No suitable host has capacity yet.
     Wait,
-    /// Nowhere: the request needs a primary, and none serves.
+    /// The request needs a primary, and none serves requests.
     Rejected,
 }
 
@@ -42,27 +43,28 @@
         if consistency.needs_primary() {
             return self.select_primary(request, shard, now);
         }
-        let mut open = self.subset(shard_id, now);
+        let mut eligible = self.subset(shard_id, now);
         let request = &self.requests[id];
-        open.retain(|member| !request.tried(member.index) && self.is_open(request, member, now));
+        eligible.retain(|member| !request.tried(member.index) && self.is_eligible(request, member, now));
         let is_fresh = |member: &Member| self.is_fresh(member.index, consistency, request, now);
-        let fresh: Vec<Member> = open.iter().copied().filter(is_fresh).collect();
+        let fresh: Vec<Member> = eligible.iter().copied().filter(is_fresh).collect();
         if consistency == Consistency::Eventual
             && let Some(index) = self.most_stale_replica(request, &fresh, now)
         {
             return Selection::Host(index);
         }
-        let fallback = if fresh.is_empty() { self.fallback(request, &open, now) } else { None };
+        let fallback = if fresh.is_empty() { self.fallback(request, &eligible, now) } else { None };
         let weights: Vec<f64> =
             fresh.iter().map(|member| self.selection_weight(member, request_class)).collect();
-        let selected = self.random.pick(&weights).map(|nth| fresh[nth].index);
+        let selected = self.random.pick(&weights).map(|selected| fresh[selected].index);
         selected.or(fallback).map_or(Selection::Wait, Selection::Host)
     }
 
     fn select_primary(&self, request: &RequestState, shard: &Shard, now: Timestamp) -> Selection {
         let may_repeat = self.class_of(request).idempotency != Idempotency::NonIdempotent;
         match shard.primary {
-            // A router that has just started checks all hosts before it rejects requests for lack of a primary.
+            // A router that has just started waits for health checks of all hosts before it rejects requests
+            // for lack of a primary.
             None if shard.serial() == 0 => Selection::Wait,
             Some(primary) if self.primary_serves(primary, shard, now) => {
                 let member = Member::of_all_routers(primary);
@@ -73,25 +75,26 @@
                     Selection::Wait
                 }
             }
-            // Beyond the design: a keyed write that may have run waits for the next primary, as it may neither be
-            // throttled nor lost.
+            // Beyond the design: a keyed write that may have run waits for the next primary. Throttling it
+            // could make the client repeat its effect, and failing it would lose the write if it has not run.
             _ if request.maybe_ran() && may_repeat => Selection::Wait,
             _ => Selection::Rejected,
         }
     }
 
-    fn is_open(&self, request: &RequestState, member: &Member, now: Timestamp) -> bool {
+    fn is_eligible(&self, request: &RequestState, member: &Member, now: Timestamp) -> bool {
         self.is_usable(member.index, now)
             && self.has_capacity(member, request.request_class, now)
             && self.may_attempt(request, member.index, now)
     }
 
-    /// Returns the replica that a read of any age is sent to, if it need not be random.
+    /// Returns the replica that an eventual read is sent to; `None` if it is to be selected at random.
     ///
-    /// Beyond the design: the one furthest behind, to spare fresh replicas. If none is behind, long reads go to the one
-    /// that all routers agree on, the largest of lowest address, as they delay replication.
+    /// Beyond the design: this is the replica furthest behind, so that fresh replicas remain free for other
+    /// reads. If none is behind, long reads go to the replica with the largest capacity and, among these, the
+    /// lowest address. All routers select the same one, as long reads delay replication.
     fn most_stale_replica(
-        &self, request: &RequestState, open: &[Member], now: Timestamp,
+        &self, request: &RequestState, eligible: &[Member], now: Timestamp,
     ) -> Option<HostIndex> {
         let tightest = Consistency::BoundedStaleness(self.settings.tightest_bound());
         let rank = |index: HostIndex| {
@@ -101,43 +104,45 @@
             let by_descending_capacity = u64::MAX - host.listing.capacity().to_bits();
             (is_fresh, position, by_descending_capacity, host.host, index)
         };
-        let (is_fresh, .., index) = open.iter().map(|member| rank(member.index)).min()?;
+        let (is_fresh, .., index) = eligible.iter().map(|member| rank(member.index)).min()?;
         (!is_fresh || self.is_long(request.request_class)).then_some(index)
     }
 
-    /// Returns where a read goes if no open replica is fresh enough.
-    fn fallback(&self, request: &RequestState, open: &[Member], now: Timestamp) -> Option<HostIndex> {
-        let freshest = self.freshest_that_checks(request, open);
-        // A refresh in flight is waited for: the primary could not bear the reads that go there meanwhile.
+    /// Returns the host that a read is sent to if no eligible replica is fresh enough.
+    fn fallback(&self, request: &RequestState, eligible: &[Member], now: Timestamp) -> Option<HostIndex> {
+        let freshest = self.freshest_replica(request, eligible);
+        // Wait for a refresh in flight: sending all reads to the primary in the meantime would overload it.
         let is_refreshing = |member: &Member| self.hosts[member.index].checks.is_in_flight();
-        if freshest.is_some() || self.settings.refreshes_on_demand() && open.iter().any(is_refreshing) {
+        if freshest.is_some() || self.settings.refreshes_on_demand() && eligible.iter().any(is_refreshing) {
             return freshest;
         }
         let primary = self.shards[request.shard_id].primary;
-        primary.filter(|primary| self.primary_takes_read(request, *primary, now))
+        primary.filter(|primary| self.primary_accepts_read(request, *primary, now))
     }
 
-    /// Returns the freshest open replica, where replicas check staleness themselves.
+    /// Returns the freshest eligible replica, if replicas check staleness themselves.
     ///
-    /// Beyond the design: none, if that one would certainly reject the read.
-    fn freshest_that_checks(&self, request: &RequestState, open: &[Member]) -> Option<HostIndex> {
-        if self.settings.positions_guard_reads() {
+    /// Beyond the design: returns `None` if the reported lag of that replica exceeds the staleness bound, as
+    /// it would reject the read.
+    fn freshest_replica(&self, request: &RequestState, eligible: &[Member]) -> Option<HostIndex> {
+        if self.settings.router_enforces_staleness() {
             return None;
         }
         let position = |index: &HostIndex| self.hosts[*index].replication.position();
-        let freshest = open.iter().map(|member| member.index).rev().max_by_key(position)?;
+        let freshest = eligible.iter().map(|member| member.index).rev().max_by_key(position)?;
         match self.class_of(request).consistency {
             Consistency::BoundedStaleness(bound) if self.hosts[freshest].replication.lag() > bound => None,
             _ => Some(freshest),
         }
     }
 
-    /// Returns whether the primary takes a read that no replica is fresh enough for.
+    /// Returns whether the primary accepts a read that no replica is fresh enough for.
     ///
-    /// A quarter of its limit is reserved for its own requests. If that limit is less than one request it takes none,
-    /// as the single reads of many routers would crowd it; except reads of sessions, which may have no other host: it
-    /// takes these with the probability that the limit is of a request.
-    fn primary_takes_read(&self, request: &RequestState, primary: HostIndex, now: Timestamp) -> bool {
+    /// A quarter of the primary's concurrency limit is reserved for requests that need a primary. If the rest
+    /// is less than one request, the primary accepts no reads, as single reads of many routers would overload
+    /// it. Session reads are the exception, because no other host may have their data: if nothing is in
+    /// flight there, one is accepted with the probability (rest of the limit) / (work of the request).
+    fn primary_accepts_read(&self, request: &RequestState, primary: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[primary];
         let is_session_read = self.class_of(request).consistency == Consistency::Session;
         let mut work = self.work(request.request_class);
@@ -146,12 +151,12 @@
         }
         self.shard_of(primary).state() != ShardState::Failover
             && host.replication.role() != Some(Role::Replica)
-            && self.is_open(request, &Member::of_all_routers(primary), now)
-            && host.load.in_flight() + work <= host.load.limit().scaled(PRIMARY_READ_FRACTION)
+            && self.is_eligible(request, &Member::of_all_routers(primary), now)
+            && host.load.in_flight() + work <= host.load.limit().scaled(PRIMARY_READ_LIMIT_FRACTION)
     }
 
-    /// Returns a replica's weight in the random choice: its weight in the subset, reduced for a slow host, for requests
-    /// queued there and for the work that this router has in flight there.
+    /// Returns a replica's weight in the random choice: its weight in the subset, reduced if the host is
+    /// slow, has requests queued, or has work of this router in flight.
     fn selection_weight(&self, member: &Member, request_class: usize) -> f64 {
         let load = &self.hosts[member.index].load;
         let own_requests = load.in_flight().ratio(self.work(request_class));
@@ -159,7 +164,7 @@
         member.weight / crowding.powi(2) / load.slowness()
     }
 
-    /// Returns whether a host is neither draining nor ejected, and accepts a connection.
+    /// Returns whether a host is neither draining nor ejected, and has a free connection.
     pub(super) fn is_usable(&self, index: HostIndex, now: Timestamp) -> bool {
         let host = &self.hosts[index];
         !host.listing.is_draining() && !host.health.is_ejected(now) && host.load.has_free_connection(now)
@@ -167,7 +172,8 @@
 
     /// Returns the replicas of a shard that this router uses.
     ///
-    /// Beyond the design: few enough to know each of them well.
+    /// Beyond the design: a router uses only a few replicas, so that its requests suffice to keep their state
+    /// up to date.
     pub(super) fn subset(&mut self, shard_id: ShardId, now: Timestamp) -> Vec<Member> {
         self.renew_ranking(shard_id, now);
         let shard = &self.shards[shard_id];
@@ -182,7 +188,7 @@
         }
         let candidate = |index: &HostIndex| self.ranking_candidate(*index, now);
         let replicas: Vec<Candidate> = shard.members.iter().map(candidate).collect();
-        let drift = self.settings.slow_start().warmup * RANKING_DRIFT_WARMUPS;
+        let drift = self.settings.slow_start().warmup * RANKING_DRIFT_IN_WARMUPS;
         let hash_seed = self.random.hash_seed();
         let ranking = &mut self.shards[shard_id].ranking;
         ranking.renew(hash_seed, now, drift, RANKING_LIFETIME, replicas.into_iter());
@@ -194,8 +200,9 @@
         Candidate { index, host_key: host.host.number(), weight }
     }
 
-    /// Returns whether a host may be in the subset now. One that was just reported to be too far behind is replaced, until
-    /// it is time to ask it again.
+    /// Returns whether a host may be in the subset now. If positions are refreshed on demand, a host that was
+    /// recently reported to lag beyond the tightest staleness bound is left out for [`SILENCE_TIMEOUT`] after
+    /// the report.
     fn is_candidate(&self, index: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let replication = &self.hosts[index].replication;
         let is_behind = now - replication.lag_reported_at() < SILENCE_TIMEOUT
@@ -205,10 +212,12 @@
             && !(self.settings.refreshes_on_demand() && is_behind)
     }
 
-    /// Returns the number of replicas of a shard that this router uses, by its rate of requests there.
+    /// Returns the number of replicas of a shard that this router uses, which depends on its rate of requests
+    /// for the shard.
     pub(super) fn subset_size(&self, shard: &Shard, now: Timestamp) -> usize {
-        let fresh_for = freshness::refresh_after(self.settings.tightest_bound(), HEALTH_CHECK_RETRY_INTERVAL);
+        let refresh_age =
+            freshness::refresh_after(self.settings.tightest_bound(), HEALTH_CHECK_RETRY_INTERVAL);
         let rate = shard.recent_requests.rate(now, RECENT_REQUESTS_WINDOW);
-        subset::size(rate * fresh_for.ratio(RECENT_REQUESTS_WINDOW))
+        subset::size(rate * refresh_age.ratio(RECENT_REQUESTS_WINDOW))
     }
 }
--- a/crates/comethitch-policy/src/policy/send_guard.rs
+++ b/crates/comethitch-policy/src/policy/send_guard.rs
@@ -1,29 +1,30 @@
-//! The send guard: the check that every attempt passes right before it is written, whether it is the first, a retry or a
-//! hedged request; and the rules that hold for what was written.
+//! The send guard: checks every attempt (the first, a retry or a hedged request) right before it is written,
+//! and finds violations of the rules after it was written.
 //!
-//! An attempt is written some time after it was decided on: its connection may take long to establish, its host may read
-//! slowly, and the process may stall.
+//! An attempt may be written long after it was decided on, because its connection is slow to establish, its
+//! host reads slowly, or the process stalls.
 
 use super::router::{Handle, Router};
 use crate::time::Timestamp;
 use crate::{SendRefusal, SendViolation};
 
 impl Handle {
-    /// Checks whether an attempt may be written now. Meanwhile its request may have been rejected, its host may have
-    /// begun to drain, or the host's data may have become too old.
+    /// Checks whether an attempt may be written now. Since the attempt was decided on, its request may have
+    /// been rejected, its host may have begun to drain, or the host's data may have become too old.
     ///
     /// # Errors
-    /// Why it may not be written.
-    pub fn check_send(self, router: &Router, nth: u16, now: Timestamp) -> Result<(), SendRefusal> {
+    ///
+    /// Returns the reason if the attempt may not be written.
+    pub fn check_send(self, router: &Router, attempt_number: u16, now: Timestamp) -> Result<(), SendRefusal> {
         let request = router.requests.get(self.0).filter(|request| !request.finished);
         let request = request.ok_or(SendRefusal::RequestFinished)?;
-        let nth = usize::from(nth);
-        let attempt = request.attempts.get(nth).filter(|attempt| attempt.outcome.is_none());
+        let attempt_number = usize::from(attempt_number);
+        let attempt = request.attempts.get(attempt_number).filter(|attempt| attempt.outcome.is_none());
         let index = attempt.ok_or(SendRefusal::AttemptEnded)?.host;
         if now >= request.deadline {
             return Err(SendRefusal::DeadlinePassed);
         }
-        if router.guarded_bound(request, index).is_some()
+        if router.enforced_bound(request, index).is_some()
             && !router.is_fresh(index, router.class_of(request).consistency, request, now)
         {
             return Err(SendRefusal::DataTooOld);
@@ -31,18 +32,20 @@
         if router.is_past_drain_grace(index, now) {
             return Err(SendRefusal::HostDrains);
         }
-        if !router.may_follow_earlier(request, nth, index, now) {
+        if !router.is_repeat_allowed(request, attempt_number, index, now) {
             return Err(SendRefusal::MayNotRepeat);
         }
         Ok(())
     }
 
-    /// Returns the rule that an attempt breaks whose last byte was written now, if any. The margins of
-    /// [`Handle::check_send`] are there to prevent that.
-    pub fn violation_of_sent(self, router: &Router, nth: u16, now: Timestamp) -> Option<SendViolation> {
+    /// Returns the rule that is violated by an attempt whose last byte was written at `now`, if any. The
+    /// safety margins of [`Handle::check_send`] are meant to prevent violations.
+    pub fn violation_of_sent(
+        self, router: &Router, attempt_number: u16, now: Timestamp,
+    ) -> Option<SendViolation> {
         let request = router.requests.get(self.0)?;
-        let nth = usize::from(nth);
-        let index = request.attempts.get(nth)?.host;
+        let attempt_number = usize::from(attempt_number);
+        let index = request.attempts.get(attempt_number)?.host;
         let host = &router.hosts[index];
         let drain_grace = router.settings.deployment().drain_grace;
         if now > request.deadline {
@@ -53,12 +56,12 @@
         }
         let position = host.replication.position();
         let is_too_old = |bound| router.latest_host_time(now).is_none_or(|time| time - position > bound);
-        if router.guarded_bound(request, index).is_some_and(is_too_old) {
+        if router.enforced_bound(request, index).is_some_and(is_too_old) {
             return Some(SendViolation::DataTooOld);
         }
-        // The margin of a tick belongs to the check, not to the rule.
-        let may_follow =
-            router.may_follow_earlier(request, nth, index, now - router.settings.tick_interval());
-        (!may_follow).then_some(SendViolation::Repeated)
+        // The rule itself has no safety margin, so the margin of one tick in the check is taken back.
+        let is_allowed =
+            router.is_repeat_allowed(request, attempt_number, index, now - router.settings.tick_interval());
+        (!is_allowed).then_some(SendViolation::Repeated)
     }
 }
--- a/crates/comethitch-policy/src/policy/service_times.rs
+++ b/crates/comethitch-policy/src/policy/service_times.rs
@@ -1,24 +1,25 @@
-//! Service times by request class, and the estimates made from them.
+//! Service times by request class, and estimates based on them.
 
 use crate::RequestClass;
 use crate::histogram::Histogram;
 use crate::time::Duration;
 
-/// How a request class's service time is estimated.
+/// Parameters of an estimate of a request class's service time.
 struct Estimate {
     /// Quantile of the observed times, 0 to 1.
     quantile: f64,
-    /// The latency objective over this is the estimate before the first answer.
+    /// Divisor of the latency objective: the quotient is the estimate before the first answer.
     objective_divisor: u64,
 }
 
-/// Estimate of a request's work, low as most answers include time in the host's queue.
+/// Estimate of a request's work. The quantile is low because most answer times include time in the host's
+/// queue.
 const WORK: Estimate = Estimate { quantile: 0.3, objective_divisor: 8 };
 /// Estimate of the median answer time.
 const MEDIAN: Estimate = Estimate { quantile: 0.5, objective_divisor: 4 };
-/// Estimate of the time that a queued request must still have.
+/// Estimate of the time that must be left for a queued request to be answered.
 const CONSERVATIVE: Estimate = Estimate { quantile: 0.8, objective_divisor: 4 };
-/// The first histogram bin ends at the latency objective over this.
+/// Divisor of the latency objective: the lowest histogram bin ends at 1/64 of it.
 const LOWEST_BIN_DIVISOR: u64 = 64;
 /// Number of observations at which a histogram halves its counts.
 const HISTOGRAM_CAPACITY: u32 = 256;
@@ -44,12 +45,12 @@
         ServiceTimes { by_class: classes.iter().map(class_times).collect() }
     }
 
-    /// Records how long an answered attempt took.
-    pub(super) fn record(&mut self, request_class: usize, took: Duration) {
-        self.by_class[request_class].observed.add(took);
+    /// Records the time that an answered attempt took.
+    pub(super) fn record(&mut self, request_class: usize, service_time: Duration) {
+        self.by_class[request_class].observed.add(service_time);
     }
 
-    /// Estimates the work of a request: the time that a host needs for it without queueing.
+    /// Estimates the work of a request, which is the time that a host needs for it without queueing.
     pub(super) fn work(&self, request_class: usize) -> Duration {
         self.estimate(request_class, &WORK)
     }
--- a/crates/comethitch-policy/src/policy/settings.rs
+++ b/crates/comethitch-policy/src/policy/settings.rs
@@ -1,12 +1,12 @@
-//! The deployment's settings, and what is derived from them once at the start.
+//! The deployment's settings, and the values that are derived from them once at startup.
 
 use super::intervals::HEALTH_CHECK_INTERVAL;
 use crate::time::Duration;
 use crate::{Consistency, Deployment, RequestClass, SlowStart, StalenessCheck};
 
-/// Minimum tick interval: the shortest latency objective over this.
-const TICK_DIVISOR: u64 = 16;
-/// An attempt is late past its latency objective over this.
+/// Divisor of the shortest latency objective: the tick interval is at least a sixteenth of it.
+const MIN_TICK_DIVISOR: u64 = 16;
+/// Divisor of the latency objective: an attempt that takes longer than half of it is late.
 const LATE_DIVISOR: u64 = 2;
 
 /// Immutable settings of a router.
@@ -20,17 +20,17 @@
 }
 
 impl Settings {
-    /// Derives the settings of a router from its deployment's.
+    /// Derives a router's settings from the settings of its deployment.
     pub(super) fn new(deployment: Deployment) -> Settings {
         let objectives = || deployment.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = deployment.shortest_latency_objective().unwrap_or(HEALTH_CHECK_INTERVAL);
-        let positions_guard_reads = deployment.staleness_check == StalenessCheck::Off;
+        let router_enforces_staleness = deployment.staleness_check == StalenessCheck::Off;
         Settings {
             shortest_objective,
             longest_objective: objectives().max().unwrap_or(shortest_objective),
             tightest_bound: deployment.tightest_staleness_bound().unwrap_or(HEALTH_CHECK_INTERVAL),
-            tick_interval: deployment.tick.max(shortest_objective / TICK_DIVISOR),
-            refreshes_on_demand: positions_guard_reads && !deployment.serves(Consistency::Session),
+            tick_interval: deployment.tick.max(shortest_objective / MIN_TICK_DIVISOR),
+            refreshes_on_demand: router_enforces_staleness && !deployment.serves(Consistency::Session),
             deployment,
         }
     }
@@ -40,17 +40,17 @@
         &self.deployment
     }
 
-    /// Returns a request class by its number.
+    /// Returns the request class with this index.
     pub(super) fn class(&self, request_class: usize) -> &RequestClass {
         &self.deployment.classes[request_class]
     }
 
-    /// Returns how long an attempt of a request class may take before it counts as late.
+    /// Returns the time after which an attempt of a request class counts as late.
     pub(super) fn late_after(&self, request_class: usize) -> Duration {
         self.class(request_class).latency_objective / LATE_DIVISOR
     }
 
-    /// Returns the settings of hosts in slow start.
+    /// Returns the slow-start settings.
     pub(super) fn slow_start(&self) -> &SlowStart {
         &self.deployment.slow_start
     }
@@ -70,17 +70,19 @@
         self.tightest_bound
     }
 
-    /// Returns how often [`Router::tick`](crate::Router::tick) asks to be called.
+    /// Returns the interval between calls of [`Router::tick`](crate::Router::tick).
     pub(super) fn tick_interval(&self) -> Duration {
         self.tick_interval
     }
 
-    /// Returns whether nothing but the positions known to the router guards the staleness of reads at replicas.
-    pub(super) fn positions_guard_reads(&self) -> bool {
+    /// Returns whether the router alone enforces staleness bounds, by the positions that it knows: replicas
+    /// then answer reads from data of any age.
+    pub(super) fn router_enforces_staleness(&self) -> bool {
         self.deployment.staleness_check == StalenessCheck::Off
     }
 
-    /// Returns whether positions are refreshed as requests need them: they alone guard reads, and bounds alone need them.
+    /// Returns whether positions are refreshed only when a request needs them: the router alone enforces
+    /// staleness bounds, and no request class has session consistency.
     pub(super) fn refreshes_on_demand(&self) -> bool {
         self.refreshes_on_demand
     }
