--- a/crates/comethitch-policy/src/policy/admission.rs
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -39,7 +39,7 @@
     }
 
     fn enqueue(&mut self, id: RequestId, waiting_for: WaitingFor) {
-        let request = self.requests.get_mut(id).expect("a scheduled request is in progress");
+        let request = self.requests.get_mut(id).expect("a request to be queued is in progress");
         let shard_id = request.shard_id;
         if std::mem::replace(&mut request.queued, true) {
             return;
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -77,9 +77,9 @@
 
     fn update_endpoint(&mut self, endpoint: &Endpoint, actions: &mut dyn Actions) {
         let now = actions.now();
-        let known = self.hosts.index_of(endpoint.host);
-        let index = known.unwrap_or_else(|| self.add_host(endpoint, now));
-        let restarted = known.is_some() && self.has_restarted(index, endpoint);
+        let known_index = self.hosts.index_of(endpoint.host);
+        let index = known_index.unwrap_or_else(|| self.add_host(endpoint, now));
+        let has_restarted = known_index.is_some() && self.has_restarted(index, endpoint);
         self.hosts[index].listing.apply(endpoint, now);
         let Some(shard) = self.shards.get_mut(endpoint.shard_id) else { return };
         let newly_listed_primary = endpoint.is_primary && shard.listed_primary != Some(index);
@@ -93,7 +93,7 @@
         }
         let primary_lost = shard.primary.is_some_and(|primary| {
             if primary == index {
-                return restarted || endpoint.lifecycle == Lifecycle::Removed;
+                return has_restarted || endpoint.lifecycle == Lifecycle::Removed;
             }
             // The list lags by seconds, so it is not followed if the believed primary has just confirmed its
             // role.
--- a/crates/comethitch-policy/src/policy/outcomes.rs
+++ b/crates/comethitch-policy/src/policy/outcomes.rs
@@ -54,7 +54,7 @@
             host.health.record_answer(now);
             self.statistics.error_rate.record(attempt.ended_as(AttemptOutcome::Error));
         }
-        match attempt.outcome.expect("an attempt that ended") {
+        match attempt.outcome.expect("the attempt has ended") {
             AttemptOutcome::Error if !self.statistics.error_rate.is_widespread() => {
                 host.health.record_failure(connect_timeout, now);
             }
--- a/crates/comethitch-policy/src/policy/periodic_checks.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -31,7 +31,7 @@
                 return;
             }
             self.health_checks.record_visited(shard_id);
-            self.run_due_health_checks_of(shard_id, actions);
+            self.run_due_health_checks_of_shard(shard_id, actions);
             let next_review = self.next_review(shard_id, now);
             self.shards[shard_id].schedule_review(next_review);
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    fn run_due_health_checks_of(&mut self, shard_id: ShardId, actions: &mut dyn Actions) {
+    fn run_due_health_checks_of_shard(&mut self, shard_id: ShardId, actions: &mut dyn Actions) {
         let now = actions.now();
         let regular_interval =
             self.settings.tightest_bound().clamp(MIN_CHECK_INTERVAL, HEALTH_CHECK_INTERVAL);
--- a/crates/comethitch-policy/src/policy/position_refresh.rs
+++ b/crates/comethitch-policy/src/policy/position_refresh.rs
@@ -70,8 +70,8 @@
     ) -> bool {
         let host = &self.hosts[member.index];
         let wait = self.settings.shortest_objective() / REFRESH_WAIT_DIVISOR;
-        let just_asked = host.checks.sent_at().is_some_and(|sent_at| now - sent_at < wait);
-        just_asked
+        let is_check_pending = host.checks.sent_at().is_some_and(|sent_at| now - sent_at < wait);
+        is_check_pending
             || host.replication.position() >= threshold && self.has_capacity(member, request_class, now)
     }
 
@@ -87,7 +87,9 @@
         let host_time = self.latest_host_time(now).unwrap_or(now);
         match self.class_of(request).consistency {
             Consistency::BoundedStaleness(bound) => Some(host_time - refresh_age(bound)),
-            Consistency::Session => Some(request.required_position).filter(|past| *past > Timestamp::ZERO),
+            Consistency::Session => {
+                Some(request.required_position).filter(|position| *position > Timestamp::ZERO)
+            }
             Consistency::Eventual => None,
             // An Unhealthy shard's primary is kept while the positions of other members advance, so these
             // must be known.
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -160,8 +160,8 @@
     fn selection_weight(&self, member: &Member, request_class: usize) -> f64 {
         let load = &self.hosts[member.index].load;
         let own_requests = load.in_flight().ratio(self.work(request_class));
-        let crowding = (1.0 + load.queue_length()) * (1.0 + own_requests);
-        member.weight / crowding.powi(2) / load.slowness()
+        let load_factor = (1.0 + load.queue_length()) * (1.0 + own_requests);
+        member.weight / load_factor.powi(2) / load.slowness()
     }
 
     /// Returns whether a host is neither draining nor ejected, and has a free connection.
--- a/crates/comethitch-policy/tests/scenario_runner/base_settings.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/base_settings.rs
@@ -1,6 +1,6 @@
-//! The settings that scenarios start from.
+//! The settings that every scenario starts with, including its request classes.
 
-/// A request class, in the words of the settings.
+/// A request class. The fields hold the values of its settings; `name` is its name in scenario files.
 pub(super) struct ClassSettings {
     pub(super) name: &'static str,
     consistency: &'static str,
@@ -17,17 +17,18 @@
     ClassSettings { name, consistency, idempotency, deduplication_scope, latency_objective_ms, timeout_ms }
 }
 
+/// The request classes. Their indices in this array are those in the settings.
 pub(super) const CLASSES: [ClassSettings; 7] = [
     class("bounded", ["bounded", "repeatable", "all"], 250, 600),
-    class("fresh", ["fresh", "repeatable", "all"], 250, 750),
-    class("mutating", ["write", "once", "all"], 300, 3000),
-    class("keyed", ["write", "by_key", "cell"], 1000, 5000),
-    class("everywhere", ["write", "by_key", "all"], 1000, 5000),
-    class("any", ["any", "repeatable", "all"], 400, 1500),
+    class("strong", ["fresh", "repeatable", "all"], 250, 750),
+    class("write", ["write", "once", "all"], 300, 3000),
+    class("keyed_write", ["write", "by_key", "cell"], 1000, 5000),
+    class("global_keyed_write", ["write", "by_key", "all"], 1000, 5000),
+    class("eventual", ["any", "repeatable", "all"], 400, 1500),
     class("session", ["session", "repeatable", "all"], 400, 1500),
 ];
 
-/// Returns the lines of a start message.
+/// Returns the settings as the lines of a start message.
 pub(super) fn base_settings() -> String {
     let mut text = String::from(
         "domain.guards=off\ndomain.tokens=carried\nload_info.names=x0,x1\nsiblings=2\ntick_us=5000\n\
@@ -40,13 +41,13 @@
     let bounds = CLASSES.map(|class| if class.consistency == "bounded" { "1000000" } else { "0000000" });
     text += &format!("classes.count={}\ndomain.class_read={consistencies}\n", CLASSES.len());
     text += &format!("domain.oldest_data_us={}\n", bounds.join(","));
-    for (number, class) in CLASSES.iter().enumerate() {
+    for (index, class) in CLASSES.iter().enumerate() {
         let ClassSettings { idempotency, deduplication_scope, latency_objective_ms, timeout_ms, .. } = class;
         text += &format!(
-            "classes.{number}.effect={idempotency}\nclasses.{number}.group={deduplication_scope}\n\
-             classes.{number}.target_us={latency_objective_ms}000\n\
-             classes.{number}.deadline_us={timeout_ms}000\n\
-             classes.{number}.value=3\nclasses.{number}.window_us=2000000\n"
+            "classes.{index}.effect={idempotency}\nclasses.{index}.group={deduplication_scope}\n\
+             classes.{index}.target_us={latency_objective_ms}000\n\
+             classes.{index}.deadline_us={timeout_ms}000\n\
+             classes.{index}.value=3\nclasses.{index}.window_us=2000000\n"
         );
     }
     text
--- a/crates/comethitch-policy/tests/scenario_runner/mod.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/mod.rs
@@ -21,7 +21,7 @@
 /// The result of a step.
 pub(crate) type StepResult = Result<(), StepError>;
 
-/// The difference between the hosts' clock and the router's.
+/// The offset of the hosts' clocks from the router's clock. At most one of the fields is not zero.
 #[derive(Clone, Copy, Default)]
 struct HostClockOffset {
     ahead: Duration,
@@ -35,25 +35,25 @@
         match direction {
             "ahead" => HostClockOffset { ahead: duration, behind: Duration::ZERO },
             "behind" => HostClockOffset { ahead: Duration::ZERO, behind: duration },
-            other => panic!("no direction {other:?}"),
+            other => panic!("the direction of a clock offset is neither `ahead` nor `behind`: {other:?}"),
         }
     }
 
-    /// Returns the time at the hosts at `time` on the router's clock.
+    /// Converts a time on the router's clock to the time on the hosts' clocks.
     fn host_time(self, time: Timestamp) -> Timestamp {
         time + self.ahead - self.behind
     }
 }
 
-/// A scenario that is being played. Its router starts with the first step that needs it.
+/// A scenario that is being run. The router is started by the first step that needs it.
 pub(crate) struct Scenario {
     settings: String,
     router: Option<Router>,
-    out: RecordedActions,
-    /// Number of actions at the last `at`.
+    recorded: RecordedActions,
+    /// Number of actions recorded before the last `at` step.
     actions_before: usize,
-    /// Number of actions that `expect` has consumed.
-    actions_read: usize,
+    /// Number of actions up to and including the last one that an `expect` step matched.
+    actions_matched: usize,
     host_clock: HostClockOffset,
 }
 
@@ -62,16 +62,16 @@
         Scenario {
             settings: base_settings(),
             router: None,
-            out: RecordedActions::at(START),
+            recorded: RecordedActions::at(START),
             actions_before: 0,
-            actions_read: 0,
+            actions_matched: 0,
             host_clock: HostClockOffset::default(),
         }
     }
 
-    /// Returns a digest of all actions so far, with their times.
+    /// Returns a digest of all actions so far and their times.
     pub(crate) fn digest(&self) -> u64 {
-        self.out.digest
+        self.recorded.digest
     }
 
     /// Runs one step.
@@ -81,37 +81,42 @@
             [] => {}
             ["set", setting] => self.set(setting),
             ["list", ..] => self.list(line.trim_start_matches("list")),
-            ["pair"] => self.pair()?,
-            ["hosts", offset, direction] => self.host_clock = HostClockOffset::parse(offset, direction),
-            ["late", lag] => self.out.event_loop_lag = notation::duration(lag),
+            ["primary_and_replica"] => self.start_primary_and_replica()?,
+            ["host_clock", offset, direction] => self.host_clock = HostClockOffset::parse(offset, direction),
+            ["event_loop_lag", lag] => self.recorded.event_loop_lag = notation::duration(lag),
             ["at", time] => self.advance(START + notation::duration(time)),
-            ["checked", hosts, outcome, report @ ..] => self.check_health(hosts, outcome, report),
-            ["submit", id, class, "for", timeout, rest @ ..] => self.submit(id, class, timeout, rest),
-            ["ended", attempt, outcome, trailer @ ..] => self.end(attempt, outcome, trailer)?,
-            ["delayed", attempt, expected] => self.check_delayed(attempt, *expected == "may")?,
-            ["entries", max] => self.check_entries(notation::number(max))?,
+            ["health_checked", hosts, outcome, report @ ..] => {
+                self.report_health_check(hosts, outcome, report)
+            }
+            ["submit", id, class, "timeout", timeout, rest @ ..] => self.submit(id, class, timeout, rest),
+            ["attempt_ended", attempt, outcome, trailer @ ..] => {
+                self.end_attempt(attempt, outcome, trailer)?
+            }
+            ["check_send", attempt, expected] => self.check_send(attempt, *expected == "allowed")?,
+            ["max_host_entries", max] => self.check_host_entries(notation::number(max))?,
             ["disconnect", id] => self.disconnect(notation::number(id))?,
             ["expect", pattern @ ..] => self.expect(pattern)?,
-            ["never", pattern @ ..] => self.expect_none(pattern)?,
-            ["atmost", max, pattern @ ..] => self.expect_at_most(notation::number(max), pattern)?,
+            ["expect_none", pattern @ ..] => self.expect_none(pattern)?,
+            ["expect_at_most", max, pattern @ ..] => self.expect_at_most(notation::number(max), pattern)?,
             ["repeat", times, "{", .., "}"] => self.repeat(notation::number(times), line)?,
-            _ => panic!("no such step: {line:?}"),
+            _ => panic!("unknown step: {line:?}"),
         }
         Ok(())
     }
 
     fn router(&mut self) -> (&mut Router, &mut RecordedActions) {
         let router = self.router.get_or_insert_with(|| {
-            let deployment = Deployment::read(&self.settings).expect("valid settings");
-            Router::start(deployment, SEED, &mut self.out)
+            let deployment =
+                Deployment::read(&self.settings).expect("the settings of the scenario are valid");
+            Router::start(deployment, SEED, &mut self.recorded)
         });
-        (router, &mut self.out)
+        (router, &mut self.recorded)
     }
 
     fn request(&mut self, id: RequestId) -> Result<(Handle, &mut Router, &mut RecordedActions), StepError> {
-        let (router, out) = self.router();
+        let (router, recorded) = self.router();
         let handle = router.handle(id).ok_or(StepError::UnknownRequest)?;
-        Ok((handle, router, out))
+        Ok((handle, router, recorded))
     }
 
     fn load_report(&self, words: &[&str]) -> LoadReport {
@@ -121,120 +126,126 @@
             _ => None,
         });
         let age = words.iter().find(|word| word.starts_with('-'));
-        let now = self.host_clock.host_time(self.out.now);
+        let now = self.host_clock.host_time(self.recorded.now);
         let position = age.map(|word| now - notation::duration(word));
         let queue = words.iter().find_map(|word| word.strip_prefix('q')?.parse().ok());
         LoadReport { role, position, queue }
     }
 
     fn set(&mut self, setting: &str) {
-        let key = setting.split('=').next().expect("a key").to_owned() + "=";
+        let key = setting.split('=').next().expect("a setting begins with its key").to_owned() + "=";
         let others = self.settings.lines().filter(|line| !line.starts_with(&key));
         self.settings = others.fold(format!("{setting}\n"), |text, line| text + line + "\n");
     }
 
     fn list(&mut self, entries: &str) {
-        let now = self.host_clock.host_time(self.out.now);
+        let now = self.host_clock.host_time(self.recorded.now);
         let endpoints = entries.split(',').map(|entry| notation::endpoint(entry, now)).collect();
-        let (router, out) = self.router();
-        router.update_endpoints(&EndpointUpdate { complete: true, endpoints }, out);
+        let (router, recorded) = self.router();
+        router.update_endpoints(&EndpointUpdate { complete: true, endpoints }, recorded);
     }
 
-    fn pair(&mut self) -> StepResult {
-        for step in ["list a primary, b", "checked a ok primary -50ms", "at 10ms"] {
+    fn start_primary_and_replica(&mut self) -> StepResult {
+        for step in ["list a primary, b", "health_checked a ok primary -50ms", "at 10ms"] {
             self.step(step)?;
         }
         Ok(())
     }
 
     fn advance(&mut self, time: Timestamp) {
-        self.actions_before = self.out.actions.len();
-        self.actions_read = self.actions_before;
-        let (router, out) = self.router();
-        while let Some(tick) = out.next_tick(time) {
-            out.now = tick;
-            router.tick(out);
+        self.actions_before = self.recorded.actions.len();
+        self.actions_matched = self.actions_before;
+        let (router, recorded) = self.router();
+        while let Some(tick) = recorded.next_tick(time) {
+            recorded.now = tick;
+            router.tick(recorded);
         }
-        out.now = time;
+        recorded.now = time;
     }
 
-    fn check_health(&mut self, hosts: &str, outcome: &str, report: &[&str]) {
+    fn report_health_check(&mut self, hosts: &str, outcome: &str, report: &[&str]) {
         let outcome = notation::outcome(outcome);
         let report = self.load_report(report);
-        let (router, out) = self.router();
+        let (router, recorded) = self.router();
         for name in hosts.split(',') {
-            router.health_checked(notation::host(name), outcome, report, out);
+            router.health_checked(notation::host(name), outcome, report, recorded);
         }
     }
 
     fn submit(&mut self, id: &str, class: &str, timeout: &str, rest: &[&str]) {
         let host_clock = self.host_clock;
-        let (router, out) = self.router();
-        let written_at = |age: &&str| host_clock.host_time(out.now) - notation::duration(age);
+        let (router, recorded) = self.router();
+        let written_at = |age: &&str| host_clock.host_time(recorded.now) - notation::duration(age);
         let request = Request {
             id: notation::number(id),
-            class: CLASSES.iter().position(|other| other.name == class).expect("a request class"),
+            class: CLASSES.iter().position(|other| other.name == class).expect("a known request class"),
             shard_id: 0,
             session: 1,
             after: rest.last().map(written_at),
             timeout: notation::duration(timeout),
         };
-        router.submit(request, out);
+        router.submit(request, recorded);
     }
 
-    fn end(&mut self, attempt: &str, outcome: &str, trailer: &[&str]) -> StepResult {
+    fn end_attempt(&mut self, attempt: &str, outcome: &str, trailer: &[&str]) -> StepResult {
         let AttemptId { request, attempt } = AttemptId::parse(attempt);
         let outcome: AttemptOutcome = notation::outcome(outcome);
         let request_finished = trailer.contains(&"finished");
         let trailer = self.load_report(trailer);
         let report = LoadReport::default();
-        let (handle, router, out) = self.request(request)?;
-        handle.attempt_ended(router, AttemptEnd { attempt, outcome, request_finished, trailer, report }, out);
+        let (handle, router, recorded) = self.request(request)?;
+        handle.attempt_ended(
+            router,
+            AttemptEnd { attempt, outcome, request_finished, trailer, report },
+            recorded,
+        );
         Ok(())
     }
 
-    fn check_delayed(&mut self, attempt: &str, may_be_sent: bool) -> StepResult {
+    fn check_send(&mut self, attempt: &str, expects_allowed: bool) -> StepResult {
         let AttemptId { request, attempt } = AttemptId::parse(attempt);
-        let (handle, router, out) = self.request(request)?;
-        match handle.check_send(router, attempt, out.now) {
-            Ok(()) if !may_be_sent => Err(StepError::SendAllowed),
-            Err(refusal) if may_be_sent => Err(StepError::SendRefused(refusal)),
+        let (handle, router, recorded) = self.request(request)?;
+        match handle.check_send(router, attempt, recorded.now) {
+            Ok(()) if !expects_allowed => Err(StepError::SendAllowed),
+            Err(refusal) if expects_allowed => Err(StepError::SendRefused(refusal)),
             _ => Ok(()),
         }
     }
 
-    fn check_entries(&mut self, max: usize) -> StepResult {
+    fn check_host_entries(&mut self, max: usize) -> StepResult {
         let allocated = self.router().0.host_entries();
-        if allocated <= max { Ok(()) } else { Err(StepError::TooManyEntries { allocated }) }
+        if allocated <= max { Ok(()) } else { Err(StepError::TooManyHostEntries { allocated }) }
     }
 
     fn disconnect(&mut self, id: RequestId) -> StepResult {
-        let (handle, router, out) = self.request(id)?;
-        handle.client_disconnected(router, out);
+        let (handle, router, recorded) = self.request(id)?;
+        handle.client_disconnected(router, recorded);
         Ok(())
     }
 
     fn expect(&mut self, pattern: &[&str]) -> StepResult {
-        let unread = &self.out.actions[self.actions_read..];
-        let found = unread.iter().position(|action| matches(action, pattern));
-        self.actions_read += found.ok_or_else(|| StepError::NotSeen { unread: unread.to_vec() })? + 1;
+        let unmatched = &self.recorded.actions[self.actions_matched..];
+        let found = unmatched.iter().position(|action| matches(action, pattern));
+        self.actions_matched +=
+            found.ok_or_else(|| StepError::NoMatch { unmatched: unmatched.to_vec() })? + 1;
         Ok(())
     }
 
     fn expect_none(&self, pattern: &[&str]) -> StepResult {
-        let mut actions = self.out.actions[self.actions_before..].iter();
-        let seen = actions.find(|action| matches(action, pattern));
-        seen.map_or(Ok(()), |action| Err(StepError::Seen { action: action.clone() }))
+        let mut actions = self.recorded.actions[self.actions_before..].iter();
+        let unexpected = actions.find(|action| matches(action, pattern));
+        unexpected.map_or(Ok(()), |action| Err(StepError::UnexpectedMatch { action: action.clone() }))
     }
 
     fn expect_at_most(&self, max: usize, pattern: &[&str]) -> StepResult {
-        let actions = self.out.actions[self.actions_before..].iter();
+        let actions = self.recorded.actions[self.actions_before..].iter();
         let count = actions.filter(|action| matches(action, pattern)).count();
-        if count <= max { Ok(()) } else { Err(StepError::SeenTooOften { count }) }
+        if count <= max { Ok(()) } else { Err(StepError::TooManyMatches { count }) }
     }
 
     fn repeat(&mut self, times: u32, line: &str) -> StepResult {
-        let steps = &line[line.find('{').expect("{") + 1..line.rfind('}').expect("}")];
+        let steps = &line[line.find('{').expect("repeated steps begin with {") + 1
+            ..line.rfind('}').expect("repeated steps end with }")];
         for round in 1..=times {
             for step in steps.split(';') {
                 self.step(&step.replace('%', &round.to_string()))?;
--- a/crates/comethitch-policy/tests/scenario_runner/recorded_actions.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/recorded_actions.rs
@@ -1,13 +1,13 @@
-//! Records what the policy has its caller do.
+//! Records the actions that the policy decides on.
 
 use super::notation::host_letter;
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Actions, Host, RejectionReason, RequestId};
 
-/// FNV-1a's prime for 64 bits.
+/// The 64-bit prime of FNV-1a.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The numbers that stand for the kinds of actions in the digest.
+/// The numbers that identify the kinds of actions in the digest.
 mod kind {
     pub(super) const SEND_ATTEMPT: u64 = 80;
     pub(super) const CHECK_HEALTH: u64 = 81;
@@ -19,12 +19,13 @@
     pub(super) const CANCEL_ATTEMPT: u64 = 90;
 }
 
-/// Records actions as text, and digests them so that two versions of the policy can be compared to the bit.
+/// Records actions as text, and computes a digest of them by which the decisions of two versions of the
+/// policy can be compared.
 pub(super) struct RecordedActions {
     pub(super) now: Timestamp,
     pub(super) actions: Vec<String>,
     pub(super) digest: u64,
-    /// How late ticks are made.
+    /// Delay with which each tick runs.
     pub(super) event_loop_lag: Duration,
     ticks: Vec<Timestamp>,
 }
@@ -40,14 +41,14 @@
         }
     }
 
-    /// Removes and returns the next tick that is due by this time.
+    /// Removes and returns the earliest tick that is due by this time.
     pub(super) fn next_tick(&mut self, time: Timestamp) -> Option<Timestamp> {
         let next = self.ticks.iter().copied().filter(|tick| *tick <= time).min()?;
         self.ticks.retain(|other| *other != next);
         Some(next)
     }
 
-    /// Adds an action, as numbers, and its time to the digest (FNV-1a).
+    /// Adds an action, encoded as numbers, and its time to the FNV-1a digest.
     fn add_to_digest(&mut self, action: [u64; 4]) {
         for byte in action.into_iter().chain([self.now.as_micros()]).flat_map(u64::to_le_bytes) {
             self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
@@ -73,9 +74,9 @@
     fn throttle(&mut self, request: RequestId, retry_after: Option<Duration>, reason: RejectionReason) {
         let digested_retry_after = retry_after.map_or(0, |after| after.as_micros() + 1);
         self.add_to_digest([kind::THROTTLE, request.into(), digested_retry_after, 0]);
-        let advice =
-            retry_after.map_or("now".into(), |after| format!("later {}ms", after.as_micros() / 1000));
-        self.actions.push(format!("throttle {request} {} {advice}", reason.name()));
+        let retry_after = retry_after
+            .map_or("no_retry_after".into(), |after| format!("retry_after {}ms", after.as_micros() / 1000));
+        self.actions.push(format!("throttle {request} {} {retry_after}", reason.name()));
     }
 
     fn fail(&mut self, request: RequestId, reason: RejectionReason) {
@@ -85,12 +86,12 @@
 
     fn check_health(&mut self, host: Host) {
         self.add_to_digest([kind::CHECK_HEALTH, host.number(), 0, 0]);
-        self.actions.push(format!("check {}", host_letter(host)));
+        self.actions.push(format!("health_check {}", host_letter(host)));
     }
 
     fn close_idle_connections(&mut self, host: Host) {
         self.add_to_digest([kind::CLOSE_IDLE_CONNECTIONS, host.number(), 0, 0]);
-        self.actions.push(format!("close {}", host_letter(host)));
+        self.actions.push(format!("close_idle {}", host_letter(host)));
     }
 
     fn wake_after(&mut self, delay: Duration) {
@@ -100,6 +101,6 @@
 
     fn watch_endpoints(&mut self) {
         self.add_to_digest([kind::WATCH_ENDPOINTS, 0, 0, 0]);
-        self.actions.push("watch".into());
+        self.actions.push("watch_endpoints".into());
     }
 }
--- a/crates/comethitch-policy/tests/scenario_runner/step_error.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/step_error.rs
@@ -1,41 +1,41 @@
-//! Why a step of a scenario fails.
+//! The reasons why a step of a scenario fails.
 
 use comethitch_policy::SendRefusal;
 
-/// A step that did not see what it expects.
+/// An expectation of a step that is not met.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StepError {
-    /// The step names a request that the router does not know.
-    #[error("no such request is in progress")]
+    /// The step names a request that is not in progress.
+    #[error("the request is not in progress")]
     UnknownRequest,
-    /// The send guard refuses an attempt that may be sent.
-    #[error("the attempt may not be sent: {0}")]
+    /// The send guard refuses an attempt, but the step expects that it is allowed.
+    #[error("the send guard refuses the attempt: {0}")]
     SendRefused(SendRefusal),
-    /// The send guard passes an attempt that may not be sent.
-    #[error("the attempt may be sent")]
+    /// The send guard allows an attempt, but the step expects that it is refused.
+    #[error("the send guard allows the attempt")]
     SendAllowed,
     /// More host entries are allocated than allowed.
-    #[error("{allocated} entries are allocated")]
-    TooManyEntries {
-        /// Number of allocated entries.
+    #[error("{allocated} host entries are allocated")]
+    TooManyHostEntries {
+        /// Number of allocated host entries.
         allocated: usize,
     },
     /// No action matches the pattern.
-    #[error("not seen: {unread:?}")]
-    NotSeen {
-        /// The actions since the last one that was expected.
-        unread: Vec<String>,
+    #[error("no action matches the pattern; actions since the last match: {unmatched:?}")]
+    NoMatch {
+        /// The actions since the last match, or since the last `at` step if that is later.
+        unmatched: Vec<String>,
     },
-    /// An action matches a pattern that none may match.
-    #[error("seen: {action}")]
-    Seen {
+    /// An action matches a pattern that no action may match.
+    #[error("an action matches the pattern: {action}")]
+    UnexpectedMatch {
         /// The action.
         action: String,
     },
-    /// More actions match the pattern than allowed.
-    #[error("seen {count} times")]
-    SeenTooOften {
-        /// Number of actions.
+    /// More actions match the pattern than the step allows.
+    #[error("{count} actions match the pattern")]
+    TooManyMatches {
+        /// Number of actions that match.
         count: usize,
     },
 }
