--- a/crates/comethitch-policy/tests/scenario_runner/mod.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/mod.rs
@@ -86,11 +86,11 @@
             ["event_loop_lag", lag] => self.recorded.event_loop_lag = notation::duration(lag),
             ["at", time] => self.advance(START + notation::duration(time)),
             ["health_checked", hosts, outcome, report @ ..] => {
-                self.report_health_check(hosts, outcome, report)
+                self.report_health_check(hosts, outcome, report);
             }
             ["submit", id, class, "timeout", timeout, rest @ ..] => self.submit(id, class, timeout, rest),
             ["attempt_ended", attempt, outcome, trailer @ ..] => {
-                self.end_attempt(attempt, outcome, trailer)?
+                self.end_attempt(attempt, outcome, trailer)?;
             }
             ["check_send", attempt, expected] => self.check_send(attempt, *expected == "allowed")?,
             ["max_host_entries", max] => self.check_host_entries(notation::number(max))?,
--- a/crates/comethitch-policy/tests/scenarios.rs
+++ b/crates/comethitch-policy/tests/scenarios.rs
@@ -30,9 +30,9 @@
 //! disconnect 1
 //!     Reports that the client of the request 1 has disconnected.
 //! expect attempt 1 b|c
-//!     Expects an action after the one that the previous `expect` matched, or after the last `at`. The pattern
-//!     is compared with the first words of each action. A word may list alternatives, and `*` stands for any
-//!     word.
+//!     Expects an action after the one that the previous `expect` matched, or after the last `at`. The
+//!     pattern is compared with the first words of each action. A word may list alternatives, and `*` stands
+//!     for any word.
 //! expect_none throttle 1
 //!     Expects no such action since the last `at`.
 //! expect_at_most 9 attempt * b
