--- a/crates/comethitch-policy/src/policy/capacity.rs
+++ b/crates/comethitch-policy/src/policy/capacity.rs
@@ -43,8 +43,8 @@
     /// the shard have.
     ///
     /// The host is admitted with the probability quota / work: during an outage, all routers switch to it at
-    /// the same time. The quota is this router's share of one longest latency objective of work. Returns true
-    /// for all other hosts.
+    /// the same time. The quota is this router's share of one longest latency objective of work. Always
+    /// returns true for other hosts, for the primary, and if positions are not refreshed on demand.
     fn admits_first_use(&self, member: &Member, work: Duration, sample: f64) -> bool {
         let shard = self.shard_of(member.index);
         let is_first_use = self.settings.refreshes_on_demand()
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -15,8 +15,8 @@
 /// Minimum fraction of the attempts in flight at the first fault that must be lost before Failover if the
 /// primary is unreachable, as specified in `docs/design.md`.
 const FAILOVER_LOST_FRACTION: f64 = 0.6;
-/// Divisor of the drain grace: a draining primary gets new requests for at most half of it. The rest is left
-/// for requests in flight.
+/// Divisor of the drain grace: a draining primary gets new requests for at most half of it. The rest, which is
+/// at least [`STALL_ALLOWANCE`], is left for requests in flight.
 const DRAIN_GRACE_DIVISOR: u64 = 2;
 
 impl Router {
