--- a/crates/comethitch-lab/src/arguments.rs
+++ b/crates/comethitch-lab/src/arguments.rs
@@ -3,7 +3,7 @@
 use argh::FromArgs;
 use std::path::PathBuf;
 
-/// Plays fleets of routers, and prints how evenly the hosts were loaded and which rules were violated.
+/// Runs trials of router fleets, and prints how evenly the hosts were loaded and which rules were violated.
 #[derive(FromArgs)]
 pub(crate) struct Arguments {
     #[argh(subcommand)]
@@ -21,7 +21,8 @@
     Soak(Soak),
 }
 
-/// Plays one trial with the policy and with a baseline of perfect knowledge; exits with 1 if a rule was violated.
+/// Runs one trial in simulated time, with the policy and with a baseline that knows the hosts' capacities;
+/// exits with 1 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub(crate) struct Run {
@@ -33,7 +34,7 @@
     pub seed: Option<u64>,
 }
 
-/// Plays one trial with real processes in real time; exits with 1 if a rule was violated.
+/// Runs one trial with real processes in real time; exits with 1 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "live")]
 pub(crate) struct LiveRun {
@@ -46,10 +47,10 @@
     /// program of the routers; by default comethitchd in the folder of this program
     #[argh(option)]
     pub daemon: Option<PathBuf>,
-    /// file for the figures of each second, as CSV
+    /// file for the results of each second, as CSV
     #[argh(option)]
     pub seconds: Option<PathBuf>,
-    /// file for a chart of these figures, as SVG
+    /// file for a chart of the results of each second, as SVG
     #[argh(option)]
     pub chart: Option<PathBuf>,
     /// folder in which to keep the routers' files and logs
@@ -57,8 +58,8 @@
     pub logs: Option<PathBuf>,
 }
 
-/// Plays two trials with the same seeds, in simulated time or with real processes, and prints the mean differences
-/// between the second and the first, with their standard errors.
+/// Runs two trials with the same seeds, in simulated time or with real processes, and prints the mean
+/// differences between the second and the first, with their standard errors.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "compare")]
 pub(crate) struct Compare {
@@ -71,12 +72,13 @@
     /// seeds separated by commas
     #[argh(option, default = "String::from(\"1,2,3,4\")")]
     pub seeds: String,
-    /// play with real processes of this program
+    /// run with real processes of this router program; by default in simulated time
     #[argh(option)]
     pub daemon: Option<PathBuf>,
 }
 
-/// Plays one trial with 30, 100, 300 and 1,000 routers under the same load, and prints a table as CSV.
+/// Runs one trial in simulated time with 30, 100, 300 and 1,000 routers under the same total load, and prints
+/// the results as CSV.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sizes")]
 pub(crate) struct Sizes {
@@ -88,14 +90,14 @@
     pub chart: Option<PathBuf>,
 }
 
-/// Plays a random trial with real processes for each seed; exits with 1 if a rule was violated.
+/// Runs a random trial with real processes for each seed; exits with 1 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
 pub(crate) struct Soak {
     /// seeds separated by commas, or the first and the last one separated by two dots
     #[argh(option, default = "String::from(\"1..5\")")]
     pub seeds: String,
-    /// how many seconds clients send in each trial
+    /// how long clients send requests in each trial, in seconds
     #[argh(option, default = "8")]
     pub seconds: u64,
     /// program of the routers; by default comethitchd in the folder of this program
@@ -104,7 +106,7 @@
     /// folder in which to keep the routers' files and logs, by seed
     #[argh(option)]
     pub logs: Option<PathBuf>,
-    /// print the trials as files for `live` without playing them
+    /// print the trials, one per line, as trial files for `live`, without running them
     #[argh(switch)]
     pub print: bool,
 }
--- a/crates/comethitch-lab/src/chart.rs
+++ b/crates/comethitch-lab/src/chart.rs
@@ -12,16 +12,16 @@
 
 /// Width and height of a chart, in pixels.
 const SIZE_PIXELS: (u32, u32) = (760, 420);
-/// Ratio of the vertical axis to the maximum value.
+/// Ratio of the end of the vertical axis to the maximum value.
 const HEADROOM: f64 = 1.08;
-/// Minimum height of the vertical axis.
-const MIN_TOP: f64 = 1e-6;
+/// Minimum of the highest value that the vertical axis covers, so that its range is never empty.
+const MIN_AXIS_TOP: f64 = 1e-6;
 
 /// Why a chart cannot be drawn.
 #[derive(Debug, Error)]
 pub enum ChartError {
     /// No line has a finite point.
-    #[error("{title}: nothing to draw")]
+    #[error("chart {title:?} has no finite point to draw")]
     NoPoints {
         /// Title of the chart.
         title: String,
@@ -86,7 +86,7 @@
     }
     let left = points.iter().fold(f64::MAX, |left, (x, _)| left.min(*x));
     let right = points.iter().fold(f64::MIN, |right, (x, _)| right.max(*x));
-    let top = points.iter().fold(0.0, |top: f64, (_, y)| top.max(*y)).max(MIN_TOP);
+    let top = points.iter().fold(0.0, |top: f64, (_, y)| top.max(*y)).max(MIN_AXIS_TOP);
     Some(Axes { x: left..right.max(left + 1.0), y: 0.0..top * HEADROOM })
 }
 
--- a/crates/comethitch-lab/src/clients.rs
+++ b/crates/comethitch-lab/src/clients.rs
@@ -1,4 +1,4 @@
-//! Requests and retries of clients, common to simulated time and real processes.
+//! Requests and retries of clients, for both simulated time and real processes.
 
 use crate::ledger::Operation;
 use comethitch_policy::ShardId;
@@ -8,7 +8,8 @@
 pub const MAX_RETRIES: u8 = 2;
 /// Delay before a retry.
 pub const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Minimum rate of a router's clients, in requests per second, which keeps the time to the next request finite.
+/// Minimum rate of a router's clients, in requests per second, which keeps the time to the next request
+/// finite.
 pub const MIN_RATE: f64 = 1e-6;
 
 /// A request of a client, sent again for each retry.
@@ -16,7 +17,7 @@
 pub struct ClientRequest {
     /// Operation that the request belongs to.
     pub operation: Operation,
-    /// Shard with its data.
+    /// Shard that has the data of the request.
     pub shard: ShardId,
     /// Whether it is a write.
     pub write: bool,
--- a/crates/comethitch-lab/src/commands.rs
+++ b/crates/comethitch-lab/src/commands.rs
@@ -4,7 +4,7 @@
 use crate::output::{chart_by_second, print_header, print_recoveries, print_row, print_violations};
 use comethitch_lab::chart::{self, ChartError, Labels};
 use comethitch_lab::compare::{Row, compare};
-use comethitch_lab::error::PlayError;
+use comethitch_lab::error::RunError;
 use comethitch_lab::fleet;
 use comethitch_lab::ledger::Report;
 use comethitch_lab::live;
@@ -14,14 +14,14 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Program of the routers, in the folder of this program.
+/// File name of the router program, which is in the folder of this program.
 const DAEMON: &str = "comethitchd";
-/// Numbers of routers that `sizes` plays.
+/// Numbers of routers for which `sizes` runs the trial.
 const SIZES: [u16; 4] = [30, 100, 300, 1000];
-/// Name of the policy in tables.
-const MODULE: &str = "module";
-/// Name of the baseline in tables.
-const PERFECT: &str = "perfect";
+/// Name of routing by the policy, in CSV rows and charts.
+const POLICY_LABEL: &str = "module";
+/// Name of routing by the baseline, in CSV rows and charts.
+const BASELINE_LABEL: &str = "perfect";
 
 /// Why a subcommand failed.
 #[derive(Debug, Error)]
@@ -31,13 +31,13 @@
     #[error("{path}: {source}")]
     Trial { path: String, source: TrialError },
     #[error(transparent)]
-    Play(#[from] PlayError),
+    Run(#[from] RunError),
     #[error(transparent)]
     Chart(#[from] ChartError),
-    #[error("seeds: {text:?} is no number")]
+    #[error("seeds: {text:?} is not a number")]
     Seed { text: String },
-    #[error(transparent)]
-    OwnPath(io::Error),
+    #[error("cannot find the path of this program: {0}")]
+    OwnPath(#[source] io::Error),
     #[error(transparent)]
     Schema(#[from] serde_json::Error),
 }
@@ -57,19 +57,19 @@
 
 /// Reports of a trial in simulated time, with the policy and with the baseline.
 struct SimulatedReports {
-    module: Report,
-    perfect: Report,
+    policy: Report,
+    baseline: Report,
 }
 
 impl SimulatedReports {
-    fn play(trial: &Trial) -> Result<SimulatedReports, PlayError> {
-        let perfect = Trial { routing: Routing::Perfect, ..trial.clone() };
-        Ok(SimulatedReports { module: fleet::play(trial)?, perfect: fleet::play(&perfect)? })
+    fn run(trial: &Trial) -> Result<SimulatedReports, RunError> {
+        let baseline = Trial { routing: Routing::Perfect, ..trial.clone() };
+        Ok(SimulatedReports { policy: fleet::run_trial(trial)?, baseline: fleet::run_trial(&baseline)? })
     }
 
     fn print_rows(&self, trial: &Trial) {
-        print_row(MODULE, trial, &self.module);
-        print_row(PERFECT, trial, &self.perfect);
+        print_row(POLICY_LABEL, trial, &self.policy);
+        print_row(BASELINE_LABEL, trial, &self.baseline);
     }
 }
 
@@ -87,11 +87,11 @@
 
 fn run_trial(arguments: Run) -> Result<Verdict, CommandError> {
     let trial = read_trial(&arguments.file, arguments.seed)?;
-    let reports = SimulatedReports::play(&trial)?;
+    let reports = SimulatedReports::run(&trial)?;
     print_header();
     reports.print_rows(&trial);
-    print_violations(&reports.module);
-    Ok(Verdict::of(&reports.module))
+    print_violations(&reports.policy);
+    Ok(Verdict::of(&reports.policy))
 }
 
 fn run_live(arguments: LiveRun) -> Result<Verdict, CommandError> {
@@ -137,11 +137,11 @@
 fn run_compare(arguments: Compare) -> Result<Verdict, CommandError> {
     let Compare { one, other, seeds, daemon } = arguments;
     let seeds = parse_seeds(&seeds)?;
-    let mut play = |trial: &Trial| match &daemon {
+    let mut run = |trial: &Trial| match &daemon {
         Some(daemon) => live::play(trial, daemon, None),
-        None => fleet::play(trial),
+        None => fleet::run_trial(trial),
     };
-    let rows = compare(&read_trial(&one, None)?, &read_trial(&other, None)?, &seeds, &mut play)?;
+    let rows = compare(&read_trial(&one, None)?, &read_trial(&other, None)?, &seeds, &mut run)?;
     println!("column,{one},{other},difference,standard_error");
     for Row { column, first, second, difference, standard_error } in rows {
         println!("{column},{first:.4},{second:.4},{difference:+.4},{standard_error:.4}");
@@ -152,22 +152,22 @@
 fn run_sizes(arguments: Sizes) -> Result<Verdict, CommandError> {
     let trial = read_trial(&arguments.file, None)?;
     let mut verdict = Verdict::NoViolation;
-    let mut module = chart::Line { name: MODULE.into(), points: Vec::new() };
-    let mut perfect = chart::Line { name: PERFECT.into(), points: Vec::new() };
+    let mut policy = chart::Line { name: POLICY_LABEL.into(), points: Vec::new() };
+    let mut baseline = chart::Line { name: BASELINE_LABEL.into(), points: Vec::new() };
     print_header();
     for routers in SIZES {
         let trial = Trial { routers, ..trial.clone() };
-        let reports = SimulatedReports::play(&trial)?;
+        let reports = SimulatedReports::run(&trial)?;
         reports.print_rows(&trial);
-        module.points.push((f64::from(routers), reports.module.variation));
-        perfect.points.push((f64::from(routers), reports.perfect.variation));
-        if Verdict::of(&reports.module) == Verdict::RulesViolated {
+        policy.points.push((f64::from(routers), reports.policy.variation));
+        baseline.points.push((f64::from(routers), reports.baseline.variation));
+        if Verdict::of(&reports.policy) == Verdict::RulesViolated {
             verdict = Verdict::RulesViolated;
         }
     }
     if let Some(path) = arguments.chart {
         let labels = Labels { title: "Evenness of hosts", x: "routers", y: "variation of load" };
-        write_file(&path, &chart::svg(labels, &[module, perfect])?)?;
+        write_file(&path, &chart::svg(labels, &[policy, baseline])?)?;
     }
     Ok(verdict)
 }
@@ -198,7 +198,7 @@
     }
 }
 
-/// Reads numbers separated by commas, or a range such as `1..5`, which includes its last number.
+/// Parses numbers separated by commas, or a range such as `1..5`, which includes its last number.
 fn parse_seeds(text: &str) -> Result<Vec<u64>, CommandError> {
     let seed = |text: &str| text.trim().parse::<u64>().map_err(|_| CommandError::Seed { text: text.into() });
     if let Some((first, last)) = text.split_once("..") {
--- a/crates/comethitch-lab/src/compare.rs
+++ b/crates/comethitch-lab/src/compare.rs
@@ -1,6 +1,6 @@
 //! Compares two trials in pairs of runs with the same seed.
 
-use crate::error::PlayError;
+use crate::error::RunError;
 use crate::ledger::Report;
 use crate::trial::Trial;
 
@@ -42,21 +42,21 @@
     second: Report,
 }
 
-/// Plays both trials with each seed using `play`, and compares their reports.
+/// Runs both trials with each seed using `run`, and compares their reports.
 ///
 /// # Errors
 ///
-/// Returns an error if there are fewer than two seeds, or if `play` fails.
+/// Returns an error if there are fewer than two seeds, or if `run` fails.
 pub fn compare(
-    first: &Trial, second: &Trial, seeds: &[u64], play: &mut dyn FnMut(&Trial) -> Result<Report, PlayError>,
-) -> Result<Vec<Row>, PlayError> {
+    first: &Trial, second: &Trial, seeds: &[u64], run: &mut dyn FnMut(&Trial) -> Result<Report, RunError>,
+) -> Result<Vec<Row>, RunError> {
     if seeds.len() < 2 {
-        return Err(PlayError::TooFewSeeds);
+        return Err(RunError::TooFewSeeds);
     }
     let mut pairs = Vec::with_capacity(seeds.len());
     for seed in seeds {
         let seeded = |trial: &Trial| Trial { seed: *seed, ..trial.clone() };
-        pairs.push(Pair { first: play(&seeded(first))?, second: play(&seeded(second))? });
+        pairs.push(Pair { first: run(&seeded(first))?, second: run(&seeded(second))? });
     }
     Ok(COLUMNS.iter().map(|column| row(column, &pairs)).collect())
 }
--- a/crates/comethitch-lab/src/fleet/attempts.rs
+++ b/crates/comethitch-lab/src/fleet/attempts.rs
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, Exp};
 
 impl Fleet<'_> {
-    /// Sends an attempt on a separate connection, and draws its service time.
+    /// Sends an attempt on a connection of its own, and draws its service time.
     pub(super) fn send_attempt(&mut self, router: usize, id: RequestId, host: Host, timeout: Duration) {
         let host = self.host_index[&host];
         self.acquire_connection(router, host);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Passes a job to a host, and records the effect on a host in slow start.
+    /// Passes a job to a host, and records a crash or the load of a host in slow start.
     fn admit(&mut self, host: usize, job: Job) -> Admission {
         let crashed_before = self.hosts[host].crashed;
         let load_before = self.hosts[host].peak_warmup_load;
@@ -112,7 +112,8 @@
         self.attempt_ended(router, id.request, end);
     }
 
-    /// Passes the answer of an attempt to the client, unless the request is finished.
+    /// Passes the answer of an attempt to the client, unless the request is finished. Records a violation if
+    /// a read was answered from data past the staleness bound.
     fn answer(&mut self, router: usize, id: RequestId, attempt: Attempt) {
         let Some(in_flight) = self.routers[router].requests.get_mut(&id) else { return };
         if in_flight.finished {
@@ -144,7 +145,7 @@
         let lag = Duration::from_millis(self.trial.replication_lag_ms);
         let interval = Duration::from_millis(self.trial.report_interval_ms);
         let report = self.hosts[host].report(lag, interval, self.now);
-        let report = self.hosts[host].reachable().then_some(report);
+        let report = self.hosts[host].is_reachable().then_some(report);
         self.after_network_delay(Event::HealthCheckReturns { router, host, report });
     }
 
@@ -154,6 +155,6 @@
         let outcome =
             if report.is_some() { AttemptOutcome::Answered } else { AttemptOutcome::ConnectionReset };
         let report = report.unwrap_or_default();
-        self.call(router.index, |router, out| router.health_checked(host, outcome, report, out));
+        self.call_policy(router.index, |router, out| router.health_checked(host, outcome, report, out));
     }
 }
--- a/crates/comethitch-lab/src/fleet/baseline.rs
+++ b/crates/comethitch-lab/src/fleet/baseline.rs
@@ -12,8 +12,8 @@
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
 impl Fleet<'_> {
-    /// Sends a request to a usable host of its shard, drawn with the current capacities as weights. Throttles it if there
-    /// is none.
+    /// Sends a request to a usable host of its shard and role, drawn with the current capacities as weights.
+    /// Throttles it if there is none.
     pub(super) fn submit_to_baseline(&mut self, router: usize, id: RequestId, request: ClientRequest) {
         let timeout = Duration::from_millis(self.trial.timeout_ms);
         match self.draw_host_by_capacity(request) {
@@ -24,7 +24,7 @@
 
     fn draw_host_by_capacity(&mut self, request: ClientRequest) -> Option<usize> {
         let serves = |host: &SimulatedHost| {
-            host.shard == request.shard && host.usable() && host.primary == request.write
+            host.shard == request.shard && host.is_usable() && host.primary == request.write
         };
         let capacity = |host: &SimulatedHost| {
             f64::from(host.cores) * host.capacity_fraction(&self.slow_start, self.now) / host.slowdown
@@ -40,7 +40,7 @@
             remaining -= capacity;
             remaining < 0.0
         });
-        // A remainder due to rounding belongs to the last candidate.
+        // If no candidate is drawn because of rounding errors, the last one is used.
         drawn.or(candidates.last()).map(|(index, _)| *index)
     }
 }
--- a/crates/comethitch-lab/src/fleet/clients.rs
+++ b/crates/comethitch-lab/src/fleet/clients.rs
@@ -1,4 +1,5 @@
-//! Clients of a simulated fleet: they send requests to routers, receive final answers, and retry throttled requests.
+//! Clients of a simulated fleet: they send requests to routers, receive final answers, and retry throttled
+//! requests.
 
 use super::Fleet;
 use super::events::Event;
@@ -12,7 +13,7 @@
 use rand_distr::{Distribution, Exp};
 
 impl Fleet<'_> {
-    /// Draws the arrival of the next request of a router's own clients.
+    /// Draws and schedules the arrival of the next request of a router's own clients.
     pub(super) fn schedule_next_request(&mut self, router: usize) {
         let rate = self.routers[router].arrival_rate.max(MIN_RATE);
         let seconds = Exp::new(rate).expect("the rate is above 0").sample(&mut self.rng);
@@ -50,7 +51,7 @@
             after: None,
             timeout,
         };
-        self.call(router, |router, out| _ = router.submit(request, out));
+        self.call_policy(router, |router, out| _ = router.submit(request, out));
     }
 
     fn running_router(&mut self, own_router: usize) -> Option<usize> {
@@ -65,7 +66,7 @@
         Some(running[self.rng.random_range(0..running.len())])
     }
 
-    /// Passes a final answer of the router itself, throttled or failed, to the client.
+    /// Passes a final answer that the router gives itself, throttled or failed, to the client.
     pub(super) fn reject(&mut self, router: usize, id: RequestId, answer: Answer) {
         let Some(in_flight) = self.routers[router].requests.get_mut(&id) else { return };
         in_flight.finished = true;
--- a/crates/comethitch-lab/src/fleet/events.rs
+++ b/crates/comethitch-lab/src/fleet/events.rs
@@ -79,7 +79,7 @@
         router: RouterId,
         host: usize,
     },
-    /// The report is `None` if the host is unreachable.
+    /// A health check returns. The report is `None` if the host is unreachable.
     HealthCheckReturns {
         router: RouterId,
         host: usize,
@@ -114,7 +114,8 @@
 }
 
 impl Event {
-    /// Returns the router that an event is for. If that incarnation has ended, the event is discarded.
+    /// Returns the router incarnation that an event is for, or `None` if the event is for no certain
+    /// incarnation. An event whose recipient has ended is discarded.
     pub(super) fn recipient(&self) -> Option<RouterId> {
         match self {
             Event::AttemptReturns { attempt, .. } | Event::AttemptTimesOut { attempt } => {
--- a/crates/comethitch-lab/src/fleet/faults.rs
+++ b/crates/comethitch-lab/src/fleet/faults.rs
@@ -23,7 +23,7 @@
             FaultKind::Failover { fraction, promotion_after_ms } => {
                 self.fail_over(fraction, Duration::from_millis(promotion_after_ms));
             }
-            // Rejected by `check_playable`.
+            // Rejected by `check_supported`.
             FaultKind::PauseRouters { .. }
             | FaultKind::RestartRouters { .. }
             | FaultKind::SignalRouters { .. }
@@ -101,7 +101,7 @@
     /// Makes a usable replica the primary of its shard.
     pub(super) fn promote_replica(&mut self, shard: ShardId) {
         let mut hosts = self.hosts.iter_mut();
-        if let Some(replica) = hosts.find(|host| host.shard == shard && !host.primary && host.usable()) {
+        if let Some(replica) = hosts.find(|host| host.shard == shard && !host.primary && host.is_usable()) {
             replica.primary = true;
         }
         self.notify_all_routers();
--- a/crates/comethitch-lab/src/fleet/mod.rs
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -1,15 +1,17 @@
 //! A fleet in simulated time: a discrete-event simulation of routers, hosts, clients and the network.
 //!
-//! [`play`] takes events from the `events::EventQueue`, and `Fleet::handle` passes each to its handler, in the module of
-//! its concern:
+//! [`run_trial`] takes events from the `events::EventQueue`, and `Fleet::handle` passes each to its handler
+//! in one of these
+//! modules:
 //!
 //! - `clients`: requests, retries and final answers;
-//! - `routers`: routers, and the actions that they decide on;
+//! - `routers`: routers, and the actions that their policies return;
 //! - `attempts`: attempts and health checks on their way to hosts and back;
 //! - `faults`: faults, and the replacement, promotion and removal of hosts;
-//! - `baseline`: host selection with perfect knowledge.
+//! - `baseline`: host selection that knows the actual capacity of each host.
 //!
-//! All random draws come from one generator in the order of events, so that a trial and a seed determine the report.
+//! All random draws come from one generator in the order of events, so that a trial and a seed determine the
+//! report.
 
 mod attempts;
 mod baseline;
@@ -18,7 +20,7 @@
 mod faults;
 mod routers;
 
-use crate::error::PlayError;
+use crate::error::RunError;
 use crate::hosts::{SimulatedHost, SlowStart, replica_cores};
 use crate::ledger::{Ledger, Report};
 use crate::trial::{Fault, Trial};
@@ -57,28 +59,28 @@
     last_number: u64,
 }
 
-/// Plays a trial to its end.
+/// Runs a trial to its end.
 ///
 /// # Errors
 ///
-/// Returns an error if a key of the trial is out of bounds or has no effect in simulated time, or if there are too many
-/// events.
-pub fn play(trial: &Trial) -> Result<Report, PlayError> {
+/// Returns an error if a key of the trial is out of bounds or has no effect in simulated time, or if there
+/// are too many events.
+pub fn run_trial(trial: &Trial) -> Result<Report, RunError> {
     trial.check()?;
-    check_playable(trial)?;
+    check_supported(trial)?;
     let mut fleet = Fleet::new(trial)?;
     let end = START + Duration::from_secs(trial.seconds);
     fleet.run_until(end)?;
     let Fleet { ledger, usable, .. } = fleet;
-    let throughout = |second, host| usable.throughout(second, host, trial.seconds);
+    let throughout = |second, host| usable.is_usable_throughout(second, host, trial.seconds);
     Ok(ledger.close(end, &throughout))
 }
 
-/// Rejects a trial that only real processes can play.
-fn check_playable(trial: &Trial) -> Result<(), PlayError> {
+/// Rejects a trial that can only be run with real processes.
+fn check_supported(trial: &Trial) -> Result<(), RunError> {
     let needs_processes = |fault: &Fault| !fault.kind.is_simulated();
     if let Some(index) = trial.faults.iter().position(needs_processes) {
-        return Err(PlayError::FaultNeedsProcesses { index });
+        return Err(RunError::FaultNeedsProcesses { index });
     }
     let keys = [
         ("slots", trial.max_connections_per_host > 0),
@@ -86,15 +88,16 @@
         ("settings", !trial.settings.is_empty()),
     ];
     match keys.into_iter().find(|(_, set)| *set) {
-        Some((key, _)) => Err(PlayError::KeyNeedsProcesses { key }),
+        Some((key, _)) => Err(RunError::KeyNeedsProcesses { key }),
         None => Ok(()),
     }
 }
 
 impl<'a> Fleet<'a> {
-    fn new(trial: &'a Trial) -> Result<Fleet<'a>, PlayError> {
+    fn new(trial: &'a Trial) -> Result<Fleet<'a>, RunError> {
         let mut rng = ChaCha8Rng::seed_from_u64(trial.seed);
-        // Drawn first, so that a seed gives the same routers with any hosts.
+        // Drawn first, so that with the same seed the routers have the same rates per core whatever the hosts
+        // are.
         let rates_per_core = trial.arrival_rates(&mut rng, 1.0)?;
         let mut fleet = Fleet {
             deployment: trial.deployment()?,
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Handles events until one timeout after `end`, when clients stop sending.
-    fn run_until(&mut self, end: Timestamp) -> Result<(), PlayError> {
+    /// Handles events until one client timeout after `end`. Clients send no new requests after `end`.
+    fn run_until(&mut self, end: Timestamp) -> Result<(), RunError> {
         let last = end + Duration::from_millis(self.trial.timeout_ms);
         let mut count = 0;
         while let Some((at, event)) = self.events.pop() {
@@ -169,7 +172,7 @@
             }
             count += 1;
             if count > MAX_EVENTS {
-                return Err(PlayError::TooManyEvents { limit: MAX_EVENTS });
+                return Err(RunError::TooManyEvents { limit: MAX_EVENTS });
             }
             self.now = at;
             self.handle(event, at <= end);
@@ -198,7 +201,7 @@
             Event::HealthCheckReturns { router, host, report } => {
                 self.health_check_returns(router, host, report);
             }
-            Event::RouterTicks { router } => self.call(router.index, |router, out| router.tick(out)),
+            Event::RouterTicks { router } => self.call_policy(router.index, |router, out| router.tick(out)),
             Event::EndpointsReachRouter { router } => self.update_endpoints(router.index),
             Event::RouterRestarts { router } => self.start_router(router),
             Event::FaultBegins(index) => self.begin_fault(self.trial.faults[index].kind),
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -53,16 +53,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Connections {
     in_use: u32,
-    opened: u32,
+    /// Number of open connections, in use and idle.
+    open: u32,
 }
 
 impl Connections {
     /// Uses an idle connection or opens a new one. Returns whether it opened one.
     fn acquire(&mut self) -> bool {
         self.in_use += 1;
-        let opens = self.in_use > self.opened;
+        let opens = self.in_use > self.open;
         if opens {
-            self.opened = self.in_use;
+            self.open = self.in_use;
         }
         opens
     }
@@ -74,11 +75,11 @@
 
 /// A router, running or killed.
 pub(super) struct SimulatedRouter {
-    /// `None` while it is down.
-    router: Option<Router>,
+    /// The policy of the router, or `None` while the router is down.
+    policy: Option<Router>,
     /// Number of times that it was killed. Events for earlier incarnations are discarded.
     pub incarnation: u32,
-    /// Rate of its own clients, in requests per second.
+    /// Rate of the router's own clients, in requests per second.
     pub arrival_rate: f64,
     last_request: RequestId,
     pub requests: BTreeMap<RequestId, RequestInFlight>,
@@ -90,7 +91,7 @@
     /// Creates a router that does not run yet.
     pub(super) fn new(arrival_rate: f64) -> SimulatedRouter {
         SimulatedRouter {
-            router: None,
+            policy: None,
             incarnation: 0,
             arrival_rate,
             last_request: 0,
@@ -101,7 +102,7 @@
 
     /// Returns whether the router runs.
     pub(super) fn is_running(&self) -> bool {
-        self.router.is_some()
+        self.policy.is_some()
     }
 
     /// Adds a request and returns its id.
@@ -120,7 +121,7 @@
 
     /// Kills the router, and returns the requests that it had in flight.
     pub(super) fn kill(&mut self) -> BTreeMap<RequestId, RequestInFlight> {
-        self.router = None;
+        self.policy = None;
         self.incarnation += 1;
         self.connections.clear();
         std::mem::take(&mut self.requests)
@@ -132,7 +133,7 @@
     pub(super) fn start_router(&mut self, router: usize) {
         let seed = self.rng.next_u64();
         let mut out = ActionQueue::at(self.now);
-        self.routers[router].router = Some(Router::start(self.deployment.clone(), seed, &mut out));
+        self.routers[router].policy = Some(Router::start(self.deployment.clone(), seed, &mut out));
         self.execute_actions(router, out);
         self.update_endpoints(router);
     }
@@ -144,7 +145,7 @@
         }
         let endpoints = self.hosts.iter().filter(|host| !host.removed).map(endpoint).collect();
         let update = EndpointUpdate { complete: true, endpoints };
-        self.call(router, |router, out| router.update_endpoints(&update, out));
+        self.call_policy(router, |router, out| router.update_endpoints(&update, out));
     }
 
     /// Notifies every router of a change of the endpoint list, each after a random delay.
@@ -157,9 +158,9 @@
     }
 
     /// Calls the policy of a router, if it runs, and executes the resulting actions.
-    pub(super) fn call(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
+    pub(super) fn call_policy(&mut self, router: usize, call: impl FnOnce(&mut Router, &mut ActionQueue)) {
         let mut out = ActionQueue::at(self.now);
-        let Some(policy) = self.routers[router].router.as_mut() else { return };
+        let Some(policy) = self.routers[router].policy.as_mut() else { return };
         call(policy, &mut out);
         self.execute_actions(router, out);
     }
@@ -205,7 +206,7 @@
         }
         attempt.in_flight = false;
         simulated.connections.entry(attempt.host).or_default().release();
-        self.call(router, |router, out| {
+        self.call_policy(router, |router, out| {
             if let Some(handle) = router.handle(id) {
                 handle.attempt_ended(router, end, out);
             }
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -1,8 +1,8 @@
-//! Simulated database hosts: cores that serve a queue in order of arrival, slow start, crashes under overload, and
-//! replication lag.
+//! Simulated database hosts: cores that serve a queue in order of arrival, slow start, crashes under
+//! overload, and replication lag.
 //!
-//! The model has neither clock nor sockets: the time is an argument of each call. The simulated fleet calls it from
-//! events, the fleet of real processes from sockets.
+//! The model has neither clock nor sockets: the time is an argument of each call. The simulated fleet calls
+//! it from events, the fleet of real processes from sockets.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Host, LoadReport, Role, ShardId};
@@ -24,11 +24,11 @@
 /// How hosts behave in slow start: with reduced capacity, and crashing under overload.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Fraction of its capacity that a host has as it starts.
+    /// Fraction of its capacity that a host has when it starts.
     pub initial_capacity: f64,
-    /// Time until it reaches its full capacity.
+    /// Time from the start of a host until it has its full capacity.
     pub warmup: Duration,
-    /// Multiple of what a host can serve within `window` beyond which it crashes.
+    /// A host crashes if it receives more than this multiple of what it can serve within `window`.
     pub overload_multiple: f64,
     /// Length of the overload window.
     pub window: Duration,
@@ -37,10 +37,12 @@
 }
 
 impl SlowStart {
-    /// Returns the bound on the number of requests within `window` if the settings allow `allowed` requests of mean work.
+    /// Returns the bound on the number of requests within `window` if the settings allow `allowed` requests
+    /// of mean work.
     ///
-    /// Routers draw independently whether they send a request, so that the standard deviation of their sum is at most the
-    /// square root of the mean. The bound exceeds the mean by two of these and two requests.
+    /// Routers draw independently whether they send a request, so that the standard deviation of the number
+    /// of requests is at most the square root of its mean, which is `allowed`. The bound is the mean plus two
+    /// standard deviations plus two requests.
     ///
     /// ```
     /// assert_eq!(comethitch_lab::hosts::SlowStart::request_bound(25.0), 37.0);
@@ -75,9 +77,9 @@
     pub cores: u16,
     /// Whether it is the primary of its shard.
     pub primary: bool,
-    /// When its process started, or `None` if it is past its slow start.
+    /// When its process started, or `None` if the host is past its slow start.
     pub started: Option<Timestamp>,
-    /// When it began to drain.
+    /// When it began to drain, or `None` if it is not draining.
     pub draining: Option<Timestamp>,
     /// Whether it was removed from the fleet, or crashed in a failover.
     pub removed: bool,
@@ -87,7 +89,7 @@
     pub slowdown: f64,
     /// Maximum number of queued requests.
     pub queue_limit: usize,
-    /// When the replication to it stalled.
+    /// When the replication to it stalled, or `None` if it is not stalled.
     pub replication_stalled_since: Option<Timestamp>,
     /// Maximum number of requests that arrived within a window during slow start, as a fraction of
     /// [`SlowStart::request_bound`].
@@ -152,12 +154,12 @@
     }
 
     /// Returns whether new requests may be sent to the host.
-    pub fn usable(&self) -> bool {
-        self.reachable() && self.draining.is_none()
+    pub fn is_usable(&self) -> bool {
+        self.is_reachable() && self.draining.is_none()
     }
 
-    /// Returns whether the host answers at all.
-    pub fn reachable(&self) -> bool {
+    /// Returns whether the host answers connections and requests at all.
+    pub fn is_reachable(&self) -> bool {
         !self.removed && !self.crashed
     }
 
@@ -172,7 +174,7 @@
 
     /// Runs, queues or rejects a job that arrives.
     pub fn arrive(&mut self, job: Job, slow_start: &SlowStart, now: Timestamp) -> Admission {
-        if !self.reachable() {
+        if !self.is_reachable() {
             return Admission::Unreachable;
         }
         self.record_arrival(job.work, slow_start, now);
@@ -190,19 +192,20 @@
         Admission::Queued
     }
 
-    /// Counts work that arrives, even if it is rejected, and crashes a host in slow start under overload.
+    /// Counts work that arrives, even if it is rejected later, and crashes a host in slow start that is
+    /// overloaded.
     fn record_arrival(&mut self, work: Duration, slow_start: &SlowStart, now: Timestamp) {
         let capacity = self.capacity_fraction(slow_start, now);
         self.recent_arrivals.push_back(Arrival { at: now, work });
         while self.recent_arrivals.front().is_some_and(|arrival| now - arrival.at > slow_start.window) {
             self.recent_arrivals.pop_front();
         }
-        let sent: u64 = self.recent_arrivals.iter().map(|arrival| arrival.work.as_micros()).sum();
-        let window = slow_start.window.as_micros() as f64;
-        let allowed = slow_start.overload_multiple * capacity * f64::from(self.cores) * window;
-        self.crashed = capacity < 1.0 && sent as f64 > allowed;
+        let arrived_us: u64 = self.recent_arrivals.iter().map(|arrival| arrival.work.as_micros()).sum();
+        let window_us = slow_start.window.as_micros() as f64;
+        let allowed_us = slow_start.overload_multiple * capacity * f64::from(self.cores) * window_us;
+        self.crashed = capacity < 1.0 && arrived_us as f64 > allowed_us;
         if capacity < 1.0 {
-            let bound = SlowStart::request_bound(allowed / slow_start.mean_work.as_micros().max(1) as f64);
+            let bound = SlowStart::request_bound(allowed_us / slow_start.mean_work.as_micros().max(1) as f64);
             self.peak_warmup_load = self.peak_warmup_load.max(self.recent_arrivals.len() as f64 / bound);
         }
     }
@@ -215,7 +218,8 @@
         Some(StartedJob { job: next, duration: self.duration(&next, slow_start, now) })
     }
 
-    /// Removes a job from the queue. Returns `false` if it runs already or is finished.
+    /// Removes a job from the queue. Returns `false` if it was not in the queue: it runs already or is
+    /// finished.
     pub fn withdraw(&mut self, job: &Job) -> bool {
         let before = self.queue.len();
         self.queue.retain(|other| other != job);
@@ -227,7 +231,7 @@
         self.running.contains(job)
     }
 
-    /// Returns the staleness of its data, given the replication lag without a stall.
+    /// Returns the staleness of its data. `lag` is the replication lag without a stall.
     pub fn staleness(&self, lag: Duration, now: Timestamp) -> Duration {
         match self.replication_stalled_since {
             _ if self.primary => Duration::ZERO,
@@ -236,7 +240,8 @@
         }
     }
 
-    /// Returns its load report, which is measured again if `interval` has passed since the last measurement.
+    /// Returns its load report, whose values are measured again if `interval` has passed since the last
+    /// measurement.
     pub fn report(&mut self, lag: Duration, interval: Duration, now: Timestamp) -> LoadReport {
         if now - self.measured.at >= interval || self.measured.at == Timestamp::ZERO {
             self.measured = Measurement { at: now, queue: self.queue.len() };
@@ -250,17 +255,18 @@
     }
 }
 
-/// Returns the number of cores of all replicas.
+/// Returns the total number of cores of all replicas.
 pub fn replica_cores(hosts: &[SimulatedHost]) -> f64 {
     hosts.iter().filter(|host| !host.primary).map(|host| f64::from(host.cores)).sum()
 }
 
 /// Returns the indices of all usable replicas.
 pub fn usable_replicas(hosts: &[SimulatedHost]) -> Vec<usize> {
-    (0..hosts.len()).filter(|host| hosts[*host].usable() && !hosts[*host].primary).collect()
+    (0..hosts.len()).filter(|host| hosts[*host].is_usable() && !hosts[*host].primary).collect()
 }
 
-/// Returns the indices of this fraction of each shard's usable replicas, chosen without a random draw.
+/// Returns the indices of this fraction of each shard's usable replicas: those with the lowest indices,
+/// without a random draw.
 pub fn fraction_of_each_shard(hosts: &[SimulatedHost], fraction: f64) -> Vec<usize> {
     let mut by_shard: BTreeMap<ShardId, Vec<usize>> = BTreeMap::new();
     for host in usable_replicas(hosts) {
--- a/crates/comethitch-lab/src/ledger.rs
+++ b/crates/comethitch-lab/src/ledger.rs
@@ -1,7 +1,8 @@
 //! Records what happens in a trial, checks it against the rules, and summarizes it.
 //!
-//! Both fleets, in simulated time and of real processes, report to a [`Ledger`]. Requests are numbered over all
-//! routers; routers and hosts are identified by their index. [`Ledger::close`] returns the [`Report`].
+//! The fleet in simulated time and the fleet of real processes both report to a [`Ledger`]. Request numbers
+//! are unique over all routers; routers and hosts are identified by their index. [`Ledger::close`] returns
+//! the [`Report`].
 
 mod answers;
 mod evenness;
@@ -22,14 +23,14 @@
 pub use rule::{Rule, Violation};
 use std::collections::BTreeMap;
 
-/// Limit of a host's load during slow start, as a fraction of the bound on its requests.
-const WARMUP_LOAD_LIMIT: f64 = 1.0;
+/// Maximum load of a host during slow start, as a fraction of the bound on its requests.
+const MAX_WARMUP_LOAD: f64 = 1.0;
 
 /// The record of a trial in progress.
 #[derive(Debug)]
 pub struct Ledger {
     latency_objective: Duration,
-    /// Tolerance of all time limits, for observations that are later than what the router observed.
+    /// Tolerance of all time limits, because the ledger may observe an event later than the router.
     slack: Duration,
     /// How long a router may still send to a host after it was notified that the host is draining.
     drain_grace: Duration,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Returns the ledger with this slack, for real processes, which are observed from outside.
+    /// Returns the ledger with this slack. Real processes need one because they are observed from outside.
     pub fn with_slack(self, slack: Duration) -> Ledger {
         Ledger { slack, ..self }
     }
@@ -81,7 +82,7 @@
         self.slack = slack;
     }
 
-    /// Sets the start of the trial, which seconds are counted from.
+    /// Sets the start of the trial, from which seconds are counted.
     pub fn set_start(&mut self, start: Timestamp) {
         self.start = start;
     }
@@ -91,7 +92,8 @@
         self.violations.record(Violation { rule, description });
     }
 
-    /// Records that a client starts an operation, even if no router accepts it: then it is not answered in time.
+    /// Records that a client starts an operation. An operation that no router accepts counts as not answered
+    /// in time.
     pub fn operation_started(&mut self, operation: Operation) {
         self.operations.start(operation);
     }
@@ -119,17 +121,17 @@
             );
             self.record_violation(Rule::Drain, description);
         }
-        self.check_attempt_allowed(request, at);
+        self.check_attempt(request, at);
     }
 
-    fn check_attempt_allowed(&mut self, request: u64, at: Timestamp) {
+    fn check_attempt(&mut self, request: u64, at: Timestamp) {
         let Some(record) = self.requests.get(&request) else { return };
         for violation in record.check_attempt(at, self.slack) {
             self.violations.record(violation);
         }
     }
 
-    /// Records the remaining time of a request that a router forwarded to a host.
+    /// Records the timeout that a router forwarded to a host: the remaining time of the request.
     pub fn timeout_forwarded(&mut self, request: u64, timeout: Duration, at: Timestamp) {
         let Some(record) = self.requests.get(&request) else { return };
         if let Some(violation) = record.check_forwarded_timeout(timeout, at, self.slack) {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Records that the router of a request was killed or paused: it need not answer any more.
+    /// Records that the router of a request was killed or paused, so that no answer is required any more.
     pub fn router_lost(&mut self, request: u64) {
         if let Some(record) = self.requests.get_mut(&request) {
             record.router_lost();
@@ -189,7 +191,7 @@
     /// Records a change of a host's peak load during slow start, as a fraction of the bound on its requests.
     pub fn warmup_load_changed(&mut self, host: usize, before: f64, now: f64) {
         self.peak_warmup_load = self.peak_warmup_load.max(now);
-        if before <= WARMUP_LOAD_LIMIT && now > WARMUP_LOAD_LIMIT {
+        if before <= MAX_WARMUP_LOAD && now > MAX_WARMUP_LOAD {
             let description = format!("host {host} received {now:.2} times the bound on requests to it");
             self.record_violation(Rule::SlowStart, description);
         }
@@ -205,23 +207,24 @@
         self.loads.add(second, host, 1.0 / f64::from(cores));
     }
 
-    /// Ends the trial and summarizes it. `usable` returns whether a host was usable throughout a second.
-    pub fn close(mut self, end: Timestamp, usable: &dyn Fn(u64, usize) -> bool) -> Report {
+    /// Ends the trial and summarizes it. `is_usable_throughout` returns whether a host was usable throughout
+    /// a second.
+    pub fn close(mut self, end: Timestamp, is_usable_throughout: &dyn Fn(u64, usize) -> bool) -> Report {
         self.check_all_answered(end);
-        let evenness = self.loads.summary(usable);
+        let evenness = self.loads.summary(is_usable_throughout);
         let mut seconds = self.operations.by_second(self.start);
         for (second, spread) in &evenness.by_second {
             let entry = seconds.entry(*second).or_default();
             entry.variation = spread.variation;
             entry.peak_to_mean = spread.peak_to_mean;
         }
-        let of_requests = |count: u64| count as f64 / self.requests.len().max(1) as f64;
+        let per_request = |count: u64| count as f64 / self.requests.len().max(1) as f64;
         let per_answer = |count: u64| count as f64 / self.answers.answered.max(1) as f64;
         Report {
             operations: self.operations.count(),
             in_time: self.operations.in_time_fraction(),
-            throttled: of_requests(self.answers.throttled),
-            failed: of_requests(self.answers.failed),
+            throttled: per_request(self.answers.throttled),
+            failed: per_request(self.answers.failed),
             p50_ms: self.answers.latency_quantile_ms(0.5),
             p99_ms: self.answers.latency_quantile_ms(0.99),
             health_checks: per_answer(self.health_checks),
--- a/crates/comethitch-lab/src/ledger/answers.rs
+++ b/crates/comethitch-lab/src/ledger/answers.rs
@@ -4,12 +4,12 @@
 use comethitch_policy::time::Duration;
 use hdrhistogram::Histogram;
 
-/// Upper end of the latency histogram, in microseconds; longer latencies count as this.
+/// Maximum value of the latency histogram, in microseconds. Longer latencies are recorded as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of latencies.
+/// Number of significant decimal digits that the histogram keeps.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Numbers of final answers, and the latencies of answered requests.
+/// Numbers of final answers by kind, and the latencies of answered requests.
 #[derive(Debug)]
 pub(super) struct AnswerTotals {
     pub answered: u64,
--- a/crates/comethitch-lab/src/ledger/evenness.rs
+++ b/crates/comethitch-lab/src/ledger/evenness.rs
@@ -17,7 +17,7 @@
     pub peak_to_mean: f64,
 }
 
-/// Consecutive seconds in which a host received no read.
+/// Numbers of consecutive seconds in which a host received no read.
 #[derive(Clone, Copy, Debug, Default)]
 struct IdleSeconds {
     current: u64,
@@ -25,7 +25,7 @@
 }
 
 impl IdleSeconds {
-    fn next_second(&mut self, load: f64) {
+    fn record_second(&mut self, load: f64) {
         self.current = if load > 0.0 { 0 } else { self.current + 1 };
         self.longest = self.longest.max(self.current);
     }
@@ -34,7 +34,7 @@
 /// Spread of the load over a whole trial.
 #[derive(Debug, Default)]
 pub(super) struct Evenness {
-    /// Spread in each second with any load.
+    /// Spread in each second in which any host was loaded.
     pub by_second: Vec<(u64, Spread)>,
     /// Longest time that a usable host received no read, in seconds.
     pub longest_idle_s: u64,
@@ -47,14 +47,14 @@
     }
 
     /// Summarizes all seconds, each over the hosts that were usable throughout it.
-    pub(super) fn summary(&self, usable: &dyn Fn(u64, usize) -> bool) -> Evenness {
+    pub(super) fn summary(&self, is_usable_throughout: &dyn Fn(u64, usize) -> bool) -> Evenness {
         let mut evenness = Evenness::default();
         let mut idle: BTreeMap<usize, IdleSeconds> = BTreeMap::new();
         for (second, loads) in &self.by_second {
-            let usable_hosts = loads.iter().filter(|(host, _)| usable(*second, **host));
+            let usable_hosts = loads.iter().filter(|(host, _)| is_usable_throughout(*second, **host));
             let loads: Vec<(usize, f64)> = usable_hosts.map(|(host, load)| (*host, *load)).collect();
             for (host, load) in &loads {
-                idle.entry(*host).or_default().next_second(*load);
+                idle.entry(*host).or_default().record_second(*load);
             }
             if let Some(spread) = Spread::of(&loads) {
                 evenness.by_second.push((*second, spread));
@@ -66,7 +66,7 @@
 }
 
 impl Spread {
-    /// Returns `None` without any load.
+    /// Returns the spread of the loads of hosts, or `None` if there is no load.
     fn of(loads: &[(usize, f64)]) -> Option<Spread> {
         let mean = loads.iter().map(|(_, load)| load).sum::<f64>() / loads.len().max(1) as f64;
         if mean <= 0.0 {
--- a/crates/comethitch-lab/src/ledger/operations.rs
+++ b/crates/comethitch-lab/src/ledger/operations.rs
@@ -4,10 +4,10 @@
 use comethitch_policy::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// What a client wants to be done. It is sent as one request, or as several if the client retries.
+/// A unit of work of a client. It is sent as one request, or as several if the client retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// Number of the operation.
+    /// Number of the operation, unique over all clients.
     pub id: u64,
     /// When the client sent the first request.
     pub sent_at: Timestamp,
@@ -50,7 +50,7 @@
         in_time as f64 / self.count().max(1) as f64
     }
 
-    /// Returns the operations of each second since `start`, with no load of hosts yet.
+    /// Returns the numbers of operations in each second since `start`. The fields of the hosts' load are 0.
     pub(super) fn by_second(&self, start: Timestamp) -> BTreeMap<u64, Second> {
         let mut seconds: BTreeMap<u64, Second> = BTreeMap::new();
         for operation in self.records.values() {
--- a/crates/comethitch-lab/src/ledger/report.rs
+++ b/crates/comethitch-lab/src/ledger/report.rs
@@ -1,4 +1,4 @@
-//! The results of a trial: figures of the whole trial and of each second, as CSV and as a table.
+//! The results of a whole trial and of each of its seconds, as CSV and as a table.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,7 +10,7 @@
 pub struct Second {
     /// Operations started in it.
     pub operations: u64,
-    /// Number of them answered within the latency objective, retries included.
+    /// Number of these operations that were answered within the latency objective, retries included.
     pub in_time: u64,
     /// Coefficient of variation of the load over usable replicas, as in [`Report`].
     pub variation: f64,
@@ -37,7 +37,8 @@
     pub health_checks: f64,
     /// Opened connections per answered request, over the fleet.
     pub connections: f64,
-    /// Coefficient of variation of the reads per core over usable replicas in a second; mean over all seconds.
+    /// Coefficient of variation of the reads per core over usable replicas in a second; mean over all
+    /// seconds.
     pub variation: f64,
     /// Ratio of the maximum of these loads to their mean; mean over all seconds. CSV column `greatest`.
     pub peak_to_mean: f64,
@@ -45,12 +46,15 @@
     pub longest_idle_s: u64,
     /// Number of violations of rules. CSV column `breaks`.
     pub violation_count: u64,
-    /// Maximum number of requests that a host received during slow start within an overload window, from all routers
-    /// together, as a fraction of the bound on that number. Above 1 the rule is violated. CSV column `cold_most`.
+    /// Maximum number of requests that a host received during slow start within an overload window, from all
+    /// routers together, as a fraction of the bound on that number. A value above 1 violates
+    /// [`Rule::SlowStart`]. CSV column `cold_most`.
+    ///
+    /// [`Rule::SlowStart`]: super::Rule::SlowStart
     pub peak_warmup_load: f64,
     /// Descriptions of the first violations.
     pub violations: Vec<String>,
-    /// Figures by second since the start.
+    /// Results by second since the start.
     pub seconds: Vec<(u64, Second)>,
 }
 
@@ -58,9 +62,9 @@
     /// Names of the columns of [`Report::csv_row`].
     pub const CSV_HEADER: &str = "asked,in_time,throttled,failed,p50_ms,p99_ms,probes,connections,variation,greatest,idle_s,breaks,cold_most";
 
-    /// Returns the number of seconds from a fault at `second` until the in-time fraction has recovered: until it stays
-    /// within `tolerance` of its mean over the five seconds before the fault for five seconds. Returns `None` if it never
-    /// does.
+    /// Returns the number of seconds from a fault at `second` until the in-time fraction has recovered: until
+    /// it stays within `tolerance` of its mean over the five seconds before the fault for five seconds.
+    /// Returns `None` if it never does.
     ///
     /// ```
     /// use comethitch_lab::ledger::{Report, Second};
@@ -80,7 +84,7 @@
         Some(first as u64)
     }
 
-    /// Returns the figures of each second as CSV with a header.
+    /// Returns the results of each second as CSV with a header.
     pub fn csv_by_second(&self) -> String {
         let mut csv = String::from("second,asked,in_time,variation,greatest\n");
         for (index, second) in &self.seconds {
--- a/crates/comethitch-lab/src/ledger/requests.rs
+++ b/crates/comethitch-lab/src/ledger/requests.rs
@@ -4,9 +4,9 @@
 use super::rule::{Rule, Violation};
 use comethitch_policy::time::{Duration, Timestamp};
 
-/// Tolerance of the timeout forwarded to a host over the time that the client has left.
+/// Maximum time by which the timeout forwarded to a host may exceed the client's remaining time.
 const FORWARDED_TIMEOUT_TOLERANCE: Duration = Duration::from_millis(150);
-/// How long after its client disconnected an attempt may still start.
+/// How long an attempt may still start after its client has disconnected.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 
 /// A final answer.
@@ -32,9 +32,11 @@
     answered_at: Option<Timestamp>,
     /// Attempts that ran or may have run.
     possible_runs: u32,
-    /// The router was killed or paused while the request was in flight, so that no answer is required.
+    /// Whether the router was killed or paused while the request was in flight, so that no answer is
+    /// required.
     router_lost: bool,
-    /// When the client closed its connection. Then no answer is required, and no attempt may start soon after.
+    /// When the client closed its connection. Then no answer is required, and no attempt may start after a
+    /// grace.
     client_disconnected_at: Option<Timestamp>,
 }
 
@@ -66,7 +68,7 @@
         self.answered_at.is_none() && answer_required && self.deadline < end
     }
 
-    /// Returns the rules that an attempt sent now violates.
+    /// Returns the violations of an attempt that is sent at this time.
     pub(super) fn check_attempt(&self, at: Timestamp, slack: Duration) -> Vec<Violation> {
         let id = self.id;
         let mut violations = Vec::new();
@@ -77,9 +79,9 @@
                 format!("request {id} was sent at {at:?}, after its client disconnected at {disconnected:?}");
             add(Rule::ClientDisconnected, description);
         }
-        // Without slack the order of events is exact, even at the same time.
-        let exact = slack == Duration::ZERO;
-        if self.answered_at.is_some_and(|answered| exact || at > answered + slack) {
+        // Without slack the events are recorded in their exact order, even those at the same time.
+        let is_order_exact = slack == Duration::ZERO;
+        if self.answered_at.is_some_and(|answered| is_order_exact || at > answered + slack) {
             add(Rule::OneFinalAnswer, format!("request {id} was sent at {at:?}, after its final answer"));
         }
         if self.write && self.may_have_run() {
@@ -90,7 +92,7 @@
         violations
     }
 
-    /// Checks the remaining time of the client that was forwarded to a host.
+    /// Checks the timeout that was forwarded to a host against the client's remaining time.
     pub(super) fn check_forwarded_timeout(
         &self, timeout: Duration, at: Timestamp, slack: Duration,
     ) -> Option<Violation> {
@@ -112,12 +114,12 @@
         repeated.then_some(Violation { rule: Rule::NoDuplicateWrite, description })
     }
 
-    /// Discounts an attempt that was withdrawn before it ran.
+    /// Subtracts an attempt that was withdrawn before it ran.
     pub(super) fn remove_possible_run(&mut self) {
         self.possible_runs = self.possible_runs.saturating_sub(1);
     }
 
-    /// Records a final answer, and returns the rules that it violates.
+    /// Records a final answer, and returns its violations.
     pub(super) fn receive_answer(
         &mut self, answer: Answer, at: Timestamp, slack: Duration,
     ) -> Vec<Violation> {
--- a/crates/comethitch-lab/src/ledger/rule.rs
+++ b/crates/comethitch-lab/src/ledger/rule.rs
@@ -22,13 +22,13 @@
     ForwardedTimeout,
     /// No attempt starts for a client that has disconnected.
     ClientDisconnected,
-    /// A client that sends only a part of a request gets an error, or is disconnected, in time.
+    /// A client that sends only a part of a request is disconnected in time, with or without an error.
     IncompleteRequest,
     /// The routers' own checks find no violation.
     SelfCheck,
     /// Every process starts.
     ProcessStart,
-    /// No router process ends by itself.
+    /// No router process ends by itself, and each exits with success and in time after SIGTERM.
     ProcessCrash,
 }
 
--- a/crates/comethitch-lab/src/ledger/tests.rs
+++ b/crates/comethitch-lab/src/ledger/tests.rs
@@ -7,7 +7,7 @@
 fn violations_after(plant: impl Fn(&mut Ledger)) -> Vec<String> {
     let mut ledger = Ledger::new(Duration::from_micros(100), Duration::from_micros(40), Timestamp::ZERO);
     ledger.request_received(1, 0, OPERATION, true, Timestamp::from_millis(1));
-    ledger.check_attempt_allowed(1, Timestamp::from_micros(10));
+    ledger.check_attempt(1, Timestamp::from_micros(10));
     ledger.attempt_may_run(1);
     plant(&mut ledger);
     ledger.close(Timestamp::from_millis(5), &|_, _| true).violations
@@ -32,11 +32,11 @@
     found(
         &|l| {
             answer(l, 50);
-            l.check_attempt_allowed(1, Timestamp::from_micros(60));
+            l.check_attempt(1, Timestamp::from_micros(60));
         },
         "after its final answer",
     );
-    found(&|l| l.check_attempt_allowed(1, Timestamp::from_micros(60)), "sent again");
+    found(&|l| l.check_attempt(1, Timestamp::from_micros(60)), "sent again");
     found(&|l| l.attempt_may_run(1), "executed twice");
     let drained = |l: &mut Ledger, at| {
         l.drain_notified(3, 7, Timestamp::from_micros(10));
@@ -49,11 +49,11 @@
     found(&|l| l.answer_received(1, Timestamp::from_micros(50), Answer::Throttled), "was throttled");
     let unsent = violations_after(|l| {
         l.attempt_never_ran(1);
-        l.check_attempt_allowed(1, Timestamp::from_micros(60));
+        l.check_attempt(1, Timestamp::from_micros(60));
         l.attempt_may_run(1);
         answer(l, 90);
     });
-    assert_eq!(unsent, Vec::<String>::new(), "what did not run may be sent again");
+    assert_eq!(unsent, Vec::<String>::new(), "an attempt that did not run may be sent again");
     let forwarded = |l: &mut Ledger, ms| {
         l.timeout_forwarded(1, Duration::from_millis(ms), Timestamp::from_micros(500));
         answer(l, 90);
@@ -63,7 +63,7 @@
     let disconnected = |l: &mut Ledger, ms| {
         l.attempt_never_ran(1);
         l.client_disconnected(1, Timestamp::from_millis(2));
-        l.check_attempt_allowed(1, Timestamp::from_millis(ms));
+        l.check_attempt(1, Timestamp::from_millis(ms));
     };
     found(&|l| disconnected(l, 103), "after its client disconnected");
     assert_eq!(violations_after(|l| disconnected(l, 102)), Vec::<String>::new(), "within the grace");
@@ -74,6 +74,6 @@
     assert_eq!(
         violations_after(|l| l.router_lost(1)),
         Vec::<String>::new(),
-        "a killed router need not answer"
+        "no answer is required from a killed router"
     );
 }
--- a/crates/comethitch-lab/src/links.rs
+++ b/crates/comethitch-lab/src/links.rs
@@ -1,17 +1,18 @@
 //! Network faults on the links between routers and hosts: cut, delayed or reset, in either direction.
 //!
-//! The model has neither clock nor sockets. The fleet of real processes calls [`Links::fate`] for each message.
+//! The model has neither clock nor sockets: the fleet of real processes calls [`Links::outcome`] for each
+//! message.
 
 use crate::trial::{Direction, LinkFault};
 use comethitch_policy::time::Duration;
 use std::collections::BTreeSet;
 
-/// Fate of a message.
+/// What happens to a message on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It arrives after this additional delay.
+pub enum Outcome {
+    /// The message arrives after this additional delay.
     Delivered(Duration),
-    /// It is dropped without notice.
+    /// The message is dropped without notice.
     Dropped,
     /// The connection is reset.
     Reset,
@@ -59,7 +60,8 @@
 }
 
 impl Links {
-    /// Injects a fault into the links between these routers and these hosts, and returns its id for [`Links::clear`].
+    /// Injects a fault into the links between these routers and these hosts, and returns its id for
+    /// [`Links::clear`].
     pub fn inject(
         &mut self, routers: BTreeSet<usize>, hosts: BTreeSet<usize>, direction: Direction, fault: LinkFault,
     ) -> u64 {
@@ -73,23 +75,25 @@
         self.active.retain(|active| active.id != id);
     }
 
-    /// Returns the fate of a message. `draw` is a random number from 0 to 1.
+    /// Returns what happens to a message. `draw` is a random number from 0 to 1.
     ///
-    /// Of several faults of a link, a cut takes precedence over a reset, and a reset over delays, which add up.
-    pub fn fate(&self, router: usize, host: usize, destination: Destination, draw: f64) -> Fate {
+    /// If several faults affect a link, a cut takes precedence over a reset, and a reset over delays. Delays
+    /// add up.
+    pub fn outcome(&self, router: usize, host: usize, destination: Destination, draw: f64) -> Outcome {
         let mut delay = Duration::ZERO;
         let mut reset = false;
         for active in self.active.iter().filter(|active| active.affects(router, host, destination)) {
             match active.fault {
-                LinkFault::Cut => return Fate::Dropped,
+                LinkFault::Cut => return Outcome::Dropped,
                 LinkFault::DelayMs(ms) => delay += Duration::from_millis(ms),
                 LinkFault::Reset(probability) => reset |= draw < probability,
             }
         }
-        if reset { Fate::Reset } else { Fate::Delivered(delay) }
+        if reset { Outcome::Reset } else { Outcome::Delivered(delay) }
     }
 
-    /// Returns whether a router is cut off from some host in both directions, so that it receives no endpoint updates.
+    /// Returns whether a router is cut off from some host in both directions, so that it receives no endpoint
+    /// updates.
     pub fn is_partitioned(&self, router: usize) -> bool {
         self.active.iter().any(|active| active.is_partition() && active.routers.contains(&router))
     }
--- a/crates/comethitch-lab/src/live/adaptive_slack.rs
+++ b/crates/comethitch-lab/src/live/adaptive_slack.rs
@@ -1,7 +1,7 @@
 //! Adapts the slack of the ledger to the event-loop lag of the lab.
 //!
-//! The lab plays hosts and clients in one thread. On a busy machine it runs late and observes events late; a fixed slack
-//! that allows for this would hide short violations the rest of the time.
+//! The lab simulates hosts and clients in one thread. On a busy machine it runs late and observes events
+//! late. A fixed slack that allows for this would hide short violations the rest of the time.
 
 use super::network::sleep;
 use super::state::SharedFleet;
@@ -9,11 +9,11 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Slack of every time limit without any lag, as the rules allow.
+/// Slack of every time limit if there is no lag, as the rules allow it.
 const MIN_SLACK: Duration = Duration::from_millis(50);
 /// Interval between two measurements of the lag.
 const MEASUREMENT_INTERVAL: Duration = Duration::from_millis(5);
-/// Number of latest measurements whose maximum counts.
+/// Number of latest measurements whose maximum is used.
 const MEASUREMENT_COUNT: usize = 100;
 
 /// Measures the event-loop lag and sets the slack of the ledger until the trial ends.
--- a/crates/comethitch-lab/src/live/clients.rs
+++ b/crates/comethitch-lab/src/live/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a fleet of real processes: each router has its own, which send requests at a fixed mean rate and retry
-//! throttled ones.
+//! Clients of a fleet of real processes. Each router has its own clients, which send requests at a fixed mean
+//! rate and retry throttled ones.
 
 use super::exchange::{Exchange, IdleConnection, Pool};
 use super::network::{now, sleep, sleep_until};
@@ -23,7 +23,8 @@
     let interval = Exp::new(requests_per_second.max(MIN_RATE)).expect("the rate is above 0");
     let mut next_at = now();
     loop {
-        // Counted from the scheduled time of the last request, so that late timers do not lower the rate.
+        // The interval starts at the scheduled time of the last request, so that late timers do not lower the
+        // rate.
         let seconds = interval.sample(&mut *fleet.rng.borrow_mut());
         next_at = next_at + Duration::from_micros((seconds * 1e6) as u64);
         sleep_until(next_at).await;
@@ -80,7 +81,8 @@
     answer
 }
 
-/// Returns the clients' own router if it is shutting down and a connection to it is open, which is used until its end.
+/// Returns the clients' own router if it is shutting down and the pool has a connection to it. Clients use
+/// such connections until the router closes them.
 fn router_shutting_down(fleet: &LiveFleet, pool: &Pool, own_router: usize) -> Option<RouterIncarnation> {
     let processes = fleet.processes.borrow();
     let router = Some(processes.current(own_router)).filter(|_| processes.is_shutting_down(own_router))?;
@@ -91,8 +93,8 @@
 fn draw_disconnect(fleet: &LiveFleet) -> Option<Duration> {
     let probability = fleet.trial.disconnect_probability;
     let disconnects = probability > 0.0 && fleet.rng.borrow_mut().random_bool(probability);
-    let latest = Duration::from_millis(fleet.trial.latency_objective_ms);
-    disconnects.then(|| latest.scaled(fleet.draw()))
+    let max_delay = Duration::from_millis(fleet.trial.latency_objective_ms);
+    disconnects.then(|| max_delay.scaled(fleet.draw()))
 }
 
 /// Returns the clients' own router, or a random one that serves if their own does not.
@@ -109,7 +111,8 @@
     Some(processes.current(serving[drawn]))
 }
 
-/// Takes an idle connection to a router, and closes those to routers that were killed or paused.
+/// Takes an idle connection to a router out of the pool, and closes those to routers that were restarted,
+/// killed or paused.
 fn take_idle(fleet: &LiveFleet, pool: &Pool, router: RouterIncarnation) -> Option<Async<TcpStream>> {
     let processes = fleet.processes.borrow();
     let mut pool = pool.borrow_mut();
--- a/crates/comethitch-lab/src/live/discovery.rs
+++ b/crates/comethitch-lab/src/live/discovery.rs
@@ -1,8 +1,9 @@
-//! Service discovery on loopback: serves the endpoint list over HTTP, and delayed watch events to each router.
+//! Service discovery on loopback: serves the endpoint list over HTTP, and delayed watch events to each
+//! router.
 
 use super::network::{Listener, Purpose, address, connecting_router, listen, now, sleep};
 use super::state::{LiveFleet, SharedFleet};
-use crate::error::PlayError;
+use crate::error::RunError;
 use crate::hosts::SimulatedHost;
 use async_io::Async;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -11,9 +12,9 @@
 use std::io;
 use std::net::TcpStream;
 
-/// End of the head of a request.
+/// End of the head of an HTTP request.
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
-/// Maximum length of the head of a request.
+/// Maximum length of the head of an HTTP request.
 const MAX_HEAD_BYTES: usize = 4096;
 /// Query parameter of a watch request.
 const WATCH_PARAMETER: &str = "follow=1";
@@ -63,7 +64,7 @@
 }
 
 /// Serves the endpoint list, and returns the port, which is the same at each router's address.
-pub(super) fn start(fleet: &SharedFleet) -> Result<u16, PlayError> {
+pub(super) fn start(fleet: &SharedFleet) -> Result<u16, RunError> {
     let Listener { listener, port } = listen()?;
     let served = fleet.clone();
     fleet.spawn(async move {
@@ -107,12 +108,12 @@
     router: usize,
     sent_version: u64,
     last_sent: Timestamp,
-    /// When the next update arrives.
+    /// When the next update is to be sent, or `None` if no change is known that was not sent.
     update_due: Option<Timestamp>,
 }
 
-/// Sends the list in one line at once and after each change, until the router closes the connection. Withholds changes
-/// from a partitioned router.
+/// Sends the endpoint list, encoded in one line, at once and after each change, until the router closes the
+/// connection. Sends nothing to a partitioned router.
 async fn serve_watch(fleet: &LiveFleet, router: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
     stream.write_all(CHUNKED_HEAD).await?;
     let mut watch = Watch { fleet, router, sent_version: 0, last_sent: now(), update_due: None };
--- a/crates/comethitch-lab/src/live/exchange.rs
+++ b/crates/comethitch-lab/src/live/exchange.rs
@@ -14,9 +14,10 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// If a connection is closed this soon after the query, the router may have closed it before it read the query.
+/// Maximum time after the start of an exchange at which the close of its reused connection may be due to a
+/// race: the router may have closed the idle connection before it read the query.
 const CLOSE_RACE_LIMIT: Duration = Duration::from_millis(150);
-/// Code fields of errors that mean a throttle: `too_many_connections` and `cannot_connect_now`.
+/// Code fields of the errors that throttle a request: `too_many_connections` and `cannot_connect_now`.
 const THROTTLE_CODES: [&[u8]; 2] = [b"C53300\0", b"C57P03\0"];
 
 /// A connection without a request in flight.
@@ -33,6 +34,7 @@
 struct Reply {
     /// Whether anything was received.
     started: bool,
+    /// The final answer, or `None` if the connection ended before it.
     answer: Option<Answer>,
 }
 
@@ -42,6 +44,7 @@
     pool: &'a Pool,
     router: RouterIncarnation,
     request: ClientRequest,
+    /// Number of the request, unique over all routers.
     number: u64,
     /// Events on each connection, for the description of a violation.
     events: RefCell<Vec<String>>,
@@ -64,8 +67,9 @@
         Duration::from_millis(self.fleet.trial.timeout_ms)
     }
 
-    /// Sends the request on the idle connection or a new one, and waits for the answer. Sends it again on a new
-    /// connection if the router has closed the idle one before it read the request.
+    /// Sends the request on the idle connection or a new one, and waits for the answer. Sends it again on a
+    /// new connection if the router may have closed the idle one before it read the request. Returns `None`
+    /// if there is no answer.
     pub(super) async fn run(&self, idle: Option<Async<TcpStream>>) -> Option<Answer> {
         let started = now();
         let reused = idle.is_some();
@@ -81,11 +85,11 @@
             return reply.answer;
         }
         let connection = self.connect().await;
-        // The client's deadline is that of the first query.
+        // The second query has the deadline of the first one.
         let query = self.query(self.timeout() - (now() - first_sent));
         match connection {
             Some(stream) => self.execute(stream, &query).await.answer,
-            // The router has shut down meanwhile.
+            // The router has shut down in the meantime.
             None => self.execute_at_other_router(&query).await,
         }
     }
@@ -132,10 +136,10 @@
     async fn execute(&self, mut stream: Async<TcpStream>, query: &[u8]) -> Reply {
         let mut reply = Reply::default();
         if stream.write_all(query).await.is_err() {
-            self.add_event("not written");
+            self.add_event("query not written");
             return reply;
         }
-        self.add_event("written");
+        self.add_event("query written");
         while let Ok(Message { kind, body }) = read_message(&mut stream).await {
             reply.started = true;
             match kind {
@@ -149,7 +153,7 @@
                 _ => {}
             }
         }
-        self.add_event("closed");
+        self.add_event("connection closed");
         reply
     }
 
@@ -164,7 +168,7 @@
         self.fleet.ledger.borrow_mut().client_disconnected(self.number, now());
     }
 
-    /// Records the outcome. A router that was killed or paused meanwhile need not answer.
+    /// Records the outcome. No answer is required from a router that was killed or paused in the meantime.
     pub(super) fn record(&self, answer: Option<Answer>) {
         let processes = self.fleet.processes.borrow();
         let must_answer = processes.must_answer(self.router) && processes.must_answer(self.last_router.get());
@@ -179,7 +183,8 @@
     }
 }
 
-/// Returns the query of a request whose client waits for the remaining timeout, at least one millisecond.
+/// Returns the query of a request, with the remaining timeout of its client. The stated timeout is at least
+/// one millisecond, because 0 would mean no timeout.
 fn query_text(number: u64, request: ClientRequest, remaining_timeout: Duration) -> String {
     let statement = if request.write {
         format!(r"INSERT INTO facts (code, data) VALUES ('{number:016x}', '\x9f03') RETURNING data")
--- a/crates/comethitch-lab/src/live/exchange/tests.rs
+++ b/crates/comethitch-lab/src/live/exchange/tests.rs
@@ -13,5 +13,5 @@
     let text = |remaining| query_text(0x2a, READ, remaining);
     assert!(text(Duration::from_millis(500)).contains("id=000000000000002a,c=read,d=500,cluster=3"));
     assert!(text(Duration::from_millis(500) - Duration::from_micros(130_400)).contains(",d=369,"));
-    assert!(text(Duration::ZERO).contains(",d=1,"), "a timeout of zero is no timeout");
+    assert!(text(Duration::ZERO).contains(",d=1,"), "a timeout of 0 would mean no timeout");
 }
--- a/crates/comethitch-lab/src/live/faults.rs
+++ b/crates/comethitch-lab/src/live/faults.rs
@@ -9,11 +9,11 @@
 use comethitch_policy::time::Duration;
 use std::rc::Rc;
 
-/// Minimum time between the end of the longest timeout and SIGKILL: the limit for a graceful shutdown.
+/// How much longer than the clients' timeout a router may take to exit after SIGTERM.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
-/// Timeout beyond which SIGKILL is not deferred.
+/// Maximum timeout of clients that extends the time limit of a graceful shutdown.
 const MAX_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Number of signals of one kind in a series.
+/// Number of signals of the same kind in a series.
 const SIGNALS_IN_SERIES: u64 = 4;
 /// Interval of signals while a router shuts down.
 const SIGNAL_INTERVAL_DURING_SHUTDOWN: Duration = Duration::from_millis(60);
@@ -21,8 +21,8 @@
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl LiveFleet {
-    /// Injects a fault and waits until its end.
-    pub(super) async fn play_fault(self: Rc<LiveFleet>, fault: FaultKind) {
+    /// Injects a fault, and waits for the end of those that last for a time.
+    pub(super) async fn inject_fault(self: Rc<LiveFleet>, fault: FaultKind) {
         match fault {
             FaultKind::ReplaceReplicas { fraction, over_ms } => {
                 self.replace_replicas(fraction, over_ms).await;
@@ -114,7 +114,7 @@
         sleep(promotion_after).await;
         for shard in shards {
             let mut hosts = self.hosts.borrow_mut();
-            let mut candidates = hosts.iter_mut().filter(|host| !host.primary && host.usable());
+            let mut candidates = hosts.iter_mut().filter(|host| !host.primary && host.is_usable());
             if let Some(replica) = candidates.find(|host| is_in(host, shard)) {
                 replica.primary = true;
             }
@@ -177,7 +177,8 @@
     direction: Direction,
 }
 
-/// Sends a router a series of SIGHUP, then restarts it, and sends SIGHUP and SIGTERM several times during the shutdown.
+/// Sends a router a series of SIGHUP, then shuts it down and starts it again. Sends SIGHUP and SIGTERM
+/// several times during the shutdown.
 async fn signal_router(fleet: SharedFleet, router: usize, duration: Duration) {
     for _ in 0..SIGNALS_IN_SERIES {
         if !fleet.processes.borrow().is_undisturbed(router) {
@@ -203,8 +204,8 @@
     restart_router(fleet, router).await;
 }
 
-/// Shuts a router down gracefully and starts it again. It must exit with success within the clients' timeout and a
-/// grace; a router that does not is killed.
+/// Shuts a router down gracefully and starts it again. It must exit with success within the clients' timeout
+/// and a grace; a router that does not is killed.
 async fn restart_router(fleet: SharedFleet, router: usize) {
     fleet.processes.borrow_mut().terminate(router);
     let terminated = fleet.processes.borrow().current(router);
@@ -213,7 +214,7 @@
     let limit = timeout + SHUTDOWN_GRACE + SLACK;
     let status = loop {
         sleep(EXIT_POLL_INTERVAL).await;
-        // Another fault has killed or paused it meanwhile.
+        // Another fault has killed or paused it in the meantime.
         if !fleet.processes.borrow().is_current(terminated) {
             return;
         }
--- a/crates/comethitch-lab/src/live/hosts.rs
+++ b/crates/comethitch-lab/src/live/hosts.rs
@@ -1,10 +1,10 @@
-//! Database hosts on loopback: serves the simulated hosts over the PostgreSQL protocol.
+//! Database hosts on loopback, which serve the simulated hosts over the PostgreSQL protocol.
 
 use super::network::{
     Listener, Message, Purpose, address, connecting_router, listen, message_type, now, read_message,
 };
 use super::state::{JobId, LiveFleet, SharedFleet};
-use crate::error::PlayError;
+use crate::error::RunError;
 use crate::hosts::{Admission, Job, SimulatedHost, StartedJob};
 use crate::ledger::Rule;
 use crate::links::Destination;
@@ -19,11 +19,11 @@
 use std::io;
 use std::net::TcpStream;
 
-/// SQLSTATE of a full host.
+/// SQLSTATE of a host that has a full queue or too many connections.
 const TOO_MANY_CONNECTIONS: &str = "53300";
-/// SQLSTATE of a write at a replica.
+/// SQLSTATE of a replica that receives a write.
 const READ_ONLY_TRANSACTION: &str = "25006";
-/// SQLSTATE of a statement without a request number.
+/// SQLSTATE of a host that receives a statement without a request number.
 const PROTOCOL_VIOLATION: &str = "08P01";
 /// Query of a health check.
 const HEALTH_CHECK_QUERY: &str = "SHOW vitals";
@@ -44,7 +44,7 @@
 const AUTHENTICATION_OK: &[u8] = &[0; 4];
 
 /// Adds a host, serves it, and returns its index.
-pub(super) fn start(fleet: &SharedFleet, shard: ShardId, primary: bool) -> Result<usize, PlayError> {
+pub(super) fn start(fleet: &SharedFleet, shard: ShardId, primary: bool) -> Result<usize, RunError> {
     let Listener { listener, port } = listen()?;
     let index = fleet.hosts.borrow().len();
     let cores = fleet.trial.cores[index % fleet.trial.cores.len()];
@@ -71,12 +71,12 @@
     stream: Async<TcpStream>,
 }
 
-/// A request as read from its statement.
+/// A request, parsed from its statement.
 #[derive(Clone, Copy)]
 struct HostRequest {
     number: u64,
     write: bool,
-    /// Remaining time of the client, as forwarded by the router.
+    /// Remaining time of the client that the router forwarded, if any.
     forwarded_timeout: Option<Duration>,
     received_at: Timestamp,
 }
@@ -90,8 +90,8 @@
         *fleet.open_connections.borrow_mut().entry(self.host).or_default() -= 1;
     }
 
-    fn reachable(&self) -> bool {
-        self.fleet.hosts.borrow()[self.host].reachable()
+    fn is_reachable(&self) -> bool {
+        self.fleet.hosts.borrow()[self.host].is_reachable()
     }
 
     async fn transmit(&self, destination: Destination) -> bool {
@@ -100,7 +100,7 @@
 
     async fn serve(&mut self) -> io::Result<()> {
         let _ = self.stream.get_ref().set_nodelay(true);
-        if !self.reachable() {
+        if !self.is_reachable() {
             return Ok(());
         }
         self.fleet.ledger.borrow_mut().connections += 1;
@@ -109,11 +109,11 @@
         }
         while let Message { kind: message_type::QUERY, body } = read_message(&mut self.stream).await? {
             let received_at = now();
-            if !self.transmit(Destination::Host).await || !self.reachable() {
+            if !self.transmit(Destination::Host).await || !self.is_reachable() {
                 return Ok(());
             }
             let Some(reply) = self.reply(&body, received_at).await else { return Ok(()) };
-            if !self.reachable() || !self.transmit(Destination::Router).await {
+            if !self.is_reachable() || !self.transmit(Destination::Router).await {
                 return Ok(());
             }
             self.send_reply(reply).await?;
@@ -121,7 +121,8 @@
         Ok(())
     }
 
-    /// Reads the startup message and accepts the connection. Returns `false` if it closes the connection instead.
+    /// Reads the startup message and accepts the connection. Returns `false` if it closes the connection
+    /// instead.
     async fn start_session(&mut self) -> io::Result<bool> {
         let mut length = [0; LENGTH_FIELD_BYTES];
         self.stream.read_exact(&mut length).await?;
@@ -221,7 +222,7 @@
         self.fleet.job_waiters.borrow_mut().insert(id, waiter);
     }
 
-    /// Passes a job to the host, and records the effect on a host in slow start.
+    /// Passes a job to the host, and records a crash or the load of a host in slow start.
     fn admit(&self, job: Job, second: u64) -> Admission {
         let host = self.host;
         let mut hosts = self.fleet.hosts.borrow_mut();
--- a/crates/comethitch-lab/src/live/idle_clients.rs
+++ b/crates/comethitch-lab/src/live/idle_clients.rs
@@ -25,7 +25,7 @@
 async fn connect_in_sequence(fleet: SharedFleet, router: usize, clients: usize) {
     let address = fleet.processes.borrow().client_address(router);
     for _ in 0..clients {
-        // A router without descriptors closes the connection, and this client ends.
+        // A router without free file descriptors closes the connection, and this client gives up.
         if let Ok(stream) = connect_client(address).await {
             fleet.spawn(wait_until_closed(stream));
         }
--- a/crates/comethitch-lab/src/live/incomplete_requests.rs
+++ b/crates/comethitch-lab/src/live/incomplete_requests.rs
@@ -1,4 +1,5 @@
-//! Clients that send a part of a request and then nothing: routers must send an error or close the connection in time.
+//! Clients that send a part of a request and then nothing: routers must close the connection in time, with or
+//! without an error.
 
 use super::network::{now, sleep};
 use super::state::{SLACK, SharedFleet};
@@ -9,8 +10,8 @@
 use rand::RngExt;
 use std::net::TcpStream;
 
-/// How long a router may keep the connection open without an error.
-const TIME_LIMIT: Duration = Duration::from_secs(3);
+/// How long a router may keep the connection of an incomplete request open.
+const CLOSE_TIME_LIMIT: Duration = Duration::from_secs(3);
 /// A startup message and the beginning of a query, of which a random prefix is sent.
 const INCOMPLETE_REQUEST: &[u8] =
     b"\0\0\0\x22\0\x03\0\0user\0portal\0database\0crm\0\0Q\0\0\0\x60/* id=1,c=read,d=";
@@ -47,11 +48,11 @@
         true
     };
     let timed_out = async {
-        sleep(TIME_LIMIT + SLACK).await;
+        sleep(CLOSE_TIME_LIMIT + SLACK).await;
         false
     };
     let closed_in_time = future::or(closed, timed_out).await;
-    // A router that was killed or paused meanwhile need not react.
+    // A router that was restarted, killed or paused in the meantime need not close the connection.
     if !closed_in_time && fleet.processes.borrow().is_current(router) {
         let elapsed = now() - sent_at;
         let description = format!("router {} ignored an incomplete request for {elapsed:?}", router.router);
--- a/crates/comethitch-lab/src/live/mod.rs
+++ b/crates/comethitch-lab/src/live/mod.rs
@@ -1,13 +1,15 @@
 //! A fleet of real processes of `comethitchd` on loopback, in real time.
 //!
-//! One thread simulates everything outside the routers: database hosts (`hosts`, with the same model as in simulated
-//! time), service discovery (`discovery`), clients (`clients`, `exchange`), and the links between them. `startup`
-//! configures and starts the router processes, `process_table` owns and signals them. Each router connects to hosts at
-//! loopback addresses of its own (`network`), so that a connection identifies its router; [`crate::links`] decides the
-//! fate of each message. Observations are recorded in the same [`crate::ledger::Ledger`] as in simulated time.
+//! One thread simulates everything outside the routers: database hosts (`hosts`, with the same model as in
+//! simulated time), service discovery (`discovery`), clients (`clients`, `exchange`), and the links between
+//! them. `startup` configures and starts the router processes, `process_table` owns and signals them. Each
+//! router connects to hosts at loopback addresses of its own (`network`), so that a connection identifies its
+//! router; [`crate::links`] decides whether each message is delivered. Observations are recorded in the same
+//! [`crate::ledger::Ledger`] as in simulated time.
 //!
-//! Limits: 300 routers, 10 minutes, and the file descriptors that the system allows. Router processes end with the
-//! trial, also on SIGINT or SIGTERM.
+//! A trial has at most 300 routers and takes at most 10 minutes, and the number of connections is limited by
+//! the file descriptors that the system allows. Router processes end with the trial, also on SIGINT or
+//! SIGTERM.
 
 mod adaptive_slack;
 mod clients;
--- a/crates/comethitch-lab/src/live/network.rs
+++ b/crates/comethitch-lab/src/live/network.rs
@@ -1,6 +1,6 @@
 //! Loopback addresses, sockets, timers and PostgreSQL messages.
 
-use crate::error::PlayError;
+use crate::error::RunError;
 use async_io::{Async, Timer};
 use comethitch_policy::time::{Duration, Timestamp};
 pub(super) use comethitch_testkit::postgres::message_type;
@@ -11,13 +11,13 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::SystemTime;
 
-/// Maximum number of connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted by a listener.
 const BACKLOG: i32 = 1024;
 /// Maximum length of a message.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// Length of the length field of a message, which counts itself.
 const LENGTH_FIELD_BYTES: usize = 4;
-/// Second byte of the first router's addresses.
+/// Second byte of the addresses of the first 256 routers. Each further 256 routers use the next value.
 const FIRST_BLOCK: u8 = 64;
 
 /// A PostgreSQL message.
@@ -26,7 +26,7 @@
     pub body: Vec<u8>,
 }
 
-/// Purpose of a loopback address of a router: the last byte of the address.
+/// Purpose of a loopback address of a router. The value is the last byte of the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
     /// The router connects to hosts here.
@@ -58,7 +58,7 @@
     Ipv4Addr::new(127, FIRST_BLOCK + (router >> 8) as u8, router as u8, purpose as u8)
 }
 
-/// Returns the router with this address.
+/// Returns the router that has this address, or `None` if it is not an address of a router.
 fn router_at(address: Ipv4Addr) -> Option<usize> {
     match address.octets() {
         [127, block @ FIRST_BLOCK..=127, low, _] => {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns the router that opened this connection, by the address that it connected to.
+/// Returns the router that opened this connection, identified by the address that it connected to.
 pub(super) fn connecting_router(stream: &Async<TcpStream>) -> Option<usize> {
     match stream.get_ref().local_addr().ok()?.ip() {
         IpAddr::V4(address) => router_at(address),
@@ -83,13 +83,13 @@
 }
 
 /// Listens on all loopback addresses, and only on these, at a free port.
-pub(super) fn listen() -> Result<Listener, PlayError> {
-    bind().map_err(PlayError::Listen)
+pub(super) fn listen() -> Result<Listener, RunError> {
+    bind().map_err(RunError::Listen)
 }
 
 fn bind() -> io::Result<Listener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-    // Without the permission to do so, `connecting_router` still rejects other addresses.
+    // If this is not permitted, `connecting_router` still rejects connections to other addresses.
     let _ = socket.bind_device(Some(b"lo"));
     socket.bind(&SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)).into())?;
     socket.listen(BACKLOG)?;
--- a/crates/comethitch-lab/src/live/play.rs
+++ b/crates/comethitch-lab/src/live/play.rs
@@ -1,10 +1,11 @@
-//! Plays a trial with real processes: starts the fleet, its clients and faults, waits for the end, and summarizes.
+//! Runs a trial with real processes: starts the fleet, its clients and faults, waits for the end, and returns
+//! the report.
 
 use super::network::{now, sleep, sleep_until};
 use super::process_table::RouterProcesses;
 use super::state::{LiveFleet, SLACK, SharedFleet};
 use super::{adaptive_slack, clients, discovery, hosts, idle_clients, incomplete_requests, startup};
-use crate::error::PlayError;
+use crate::error::RunError;
 use crate::hosts::replica_cores;
 use crate::ledger::{Report, Rule};
 use crate::trial::Trial;
@@ -18,12 +19,13 @@
 
 /// Maximum number of routers, each of which is a process.
 const MAX_ROUTERS: u16 = 300;
-/// How long routers may take until all are ready, in seconds.
+/// How long it may take until all routers are ready, in seconds.
 const READY_TIMEOUT_S: u64 = 60;
 /// Interval at which the readiness of routers is checked.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ends all router processes when it is dropped, as tasks may not be dropped with the executor.
+/// Kills all router processes when it is dropped. Tasks share the ownership of the processes and may outlive
+/// the executor, so that dropping the executor is not enough.
 struct EndProcessesGuard(Rc<RefCell<RouterProcesses>>);
 
 impl Drop for EndProcessesGuard {
@@ -34,22 +36,23 @@
     }
 }
 
-/// Plays a trial with processes of the program at `daemon`. Keeps their files and logs in `logs`, if given.
+/// Runs a trial with router processes of the program at `daemon`. Keeps their files and logs in `logs`, if
+/// given.
 ///
 /// # Errors
 ///
-/// Returns an error if a key of the trial is out of bounds, the routers are not ready within 60 s, ports or file
-/// descriptors are exhausted, or a signal interrupts the trial.
-pub fn play(trial: &Trial, daemon: &Path, logs: Option<&Path>) -> Result<Report, PlayError> {
+/// Returns an error if a key of the trial is out of bounds, the routers are not ready within 60 s, ports or
+/// file descriptors are exhausted, or a signal interrupts the trial.
+pub fn play(trial: &Trial, daemon: &Path, logs: Option<&Path>) -> Result<Report, RunError> {
     trial.check()?;
     if trial.routers > MAX_ROUTERS {
-        return Err(PlayError::TooManyProcesses { limit: MAX_ROUTERS, routers: trial.routers });
+        return Err(RunError::TooManyProcesses { limit: MAX_ROUTERS, routers: trial.routers });
     }
     let executor = Rc::new(LocalExecutor::new());
-    let mut signals = Signals::new([Signal::Int, Signal::Term]).map_err(PlayError::Signals)?;
+    let mut signals = Signals::new([Signal::Int, Signal::Term]).map_err(RunError::Signals)?;
     let interrupted = async move {
         signals.next().await;
-        Err(PlayError::Interrupted)
+        Err(RunError::Interrupted)
     };
     let processes = Rc::new(RefCell::new(RouterProcesses::new(daemon, trial.routers.into(), logs)?));
     let _end_processes = EndProcessesGuard(processes.clone());
@@ -59,7 +62,7 @@
 
 async fn run(
     trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
-) -> Result<Report, PlayError> {
+) -> Result<Report, RunError> {
     let fleet = LiveFleet::new(trial, processes, executor);
     let rates_per_core = trial.arrival_rates(&mut fleet.rng.borrow_mut(), 1.0)?;
     start_hosts(&fleet)?;
@@ -82,18 +85,18 @@
     show_progress(trial.seconds, start).await;
     fleet.clients_send.set(false);
     let end = now();
-    // The last requests may take until their timeout.
+    // The last requests may take as long as their timeout.
     sleep(Duration::from_millis(trial.timeout_ms) + SLACK).await;
     for (router, line) in fleet.processes.borrow().self_check_violations() {
         fleet.record_violation(Rule::SelfCheck, format!("router {router}: {line}"));
     }
     fleet.processes.borrow_mut().end_all();
     let usable = fleet.usable.take();
-    let throughout = |second, host| usable.throughout(second, host, trial.seconds);
+    let throughout = |second, host| usable.is_usable_throughout(second, host, trial.seconds);
     Ok(fleet.take_ledger().close(end - SLACK, &throughout))
 }
 
-fn start_hosts(fleet: &SharedFleet) -> Result<(), PlayError> {
+fn start_hosts(fleet: &SharedFleet) -> Result<(), RunError> {
     for shard in 0..fleet.trial.shards {
         hosts::start(fleet, shard, true)?;
         for _ in 0..fleet.trial.replicas {
@@ -101,13 +104,13 @@
         }
     }
     if fleet.trial.all_hosts_warming_up {
-        // Before the routers start, so that their first endpoint list contains it.
+        // Set before the routers start, so that their first endpoint list contains the start times.
         fleet.hosts.borrow_mut().iter_mut().for_each(|host| host.started = Some(now()));
     }
     Ok(())
 }
 
-fn start_routers(fleet: &SharedFleet) -> Result<(), PlayError> {
+fn start_routers(fleet: &SharedFleet) -> Result<(), RunError> {
     for router in 0..usize::from(fleet.trial.routers) {
         startup::start_router(fleet, router)?;
         fleet.spawn(startup::wait_until_ready(fleet.clone(), router));
@@ -115,14 +118,14 @@
     Ok(())
 }
 
-async fn wait_until_ready(fleet: &SharedFleet) -> Result<(), PlayError> {
+async fn wait_until_ready(fleet: &SharedFleet) -> Result<(), RunError> {
     let started = now();
     while fleet.processes.borrow().serving().len() < usize::from(fleet.trial.routers) {
         if let Some(exit) = fleet.processes.borrow_mut().take_exits().first() {
-            return Err(PlayError::RouterEnded { router: exit.router, status: exit.status });
+            return Err(RunError::RouterEnded { router: exit.router, status: exit.status });
         }
         if now() - started > Duration::from_secs(READY_TIMEOUT_S) {
-            return Err(PlayError::NotReady { seconds: READY_TIMEOUT_S });
+            return Err(RunError::NotReady { seconds: READY_TIMEOUT_S });
         }
         sleep(READY_POLL_INTERVAL).await;
     }
@@ -141,12 +144,12 @@
         let affected = fleet.clone();
         fleet.spawn(async move {
             sleep(Duration::from_millis(fault.at_ms)).await;
-            affected.play_fault(fault.kind).await;
+            affected.inject_fault(fault.kind).await;
         });
     }
 }
 
-/// Records in each second which replicas are usable, and which routers have ended by themselves.
+/// Records in each second which replicas are usable, and which routers have exited by themselves.
 async fn observe_each_second(fleet: SharedFleet) {
     for second in 0.. {
         sleep_until(fleet.start.get() + Duration::from_secs(second)).await;
@@ -154,7 +157,7 @@
             fleet.ledger.borrow_mut().host_usable(second, *host);
         }
         for exit in fleet.processes.borrow_mut().take_exits() {
-            let description = format!("router {} ended by itself: {}", exit.router, exit.status);
+            let description = format!("router {} exited by itself: {}", exit.router, exit.status);
             fleet.record_violation(Rule::ProcessCrash, description);
         }
     }
--- a/crates/comethitch-lab/src/live/process_table.rs
+++ b/crates/comethitch-lab/src/live/process_table.rs
@@ -1,7 +1,8 @@
-//! The table of router processes: spawns, signals and kills them, and knows which requests each has in flight.
+//! The table of router processes: spawns, signals and kills them, and records which requests each has in
+//! flight.
 
 use super::network::{Purpose, address};
-use crate::error::PlayError;
+use crate::error::RunError;
 use crate::system_calls::{FaultLibrary, SystemCallFaults};
 use comethitch_policy::time::Duration;
 use rustix::process::{Pid, Signal, kill_process};
@@ -15,17 +16,18 @@
 
 /// Environment variable with the path of a router's configuration file.
 const CONFIGURATION_VARIABLE: &str = "RELAY_CONFIG";
-/// Delay after the deadline up to which an answer is late but not lost, as the rules define it.
-const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// Log message of a router whose own checks find a violation.
+/// Maximum delay after the deadline at which an answer counts as late and not as missing, as the rules define
+/// it.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// Log message of a router whose self-checks find a violation.
 const SELF_CHECK_MESSAGE: &str = "rule broken";
 
-/// A router between two restarts or pauses.
+/// A router process between two restarts or pauses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RouterIncarnation {
     pub router: usize,
     pub incarnation: u32,
-    /// How often it was killed or paused before.
+    /// Number of times that the router was killed or paused before.
     pub interruptions: u32,
 }
 
@@ -39,10 +41,10 @@
 #[derive(Default)]
 struct RouterProcess {
     child: Option<Child>,
-    /// Whether it has answered a client.
+    /// Whether the process has answered a client.
     ready: bool,
     paused: bool,
-    /// Whether it was sent SIGTERM.
+    /// Whether the process was sent SIGTERM and has not exited.
     shutting_down: bool,
     incarnation: u32,
     interruptions: u32,
@@ -54,7 +56,8 @@
         self.ready && !self.paused && !self.shutting_down
     }
 
-    /// Begins a new incarnation, and returns the requests that the last one had in flight.
+    /// Begins a new incarnation after a kill or pause, and returns the requests that the last one had in
+    /// flight.
     fn interrupt(&mut self) -> BTreeSet<u64> {
         self.incarnation += 1;
         self.interruptions += 1;
@@ -65,7 +68,7 @@
 /// All router processes.
 pub(super) struct RouterProcesses {
     pub daemon: PathBuf,
-    /// Folder of their configuration files and logs.
+    /// Folder of the routers' configuration files and logs.
     folder: PathBuf,
     /// Whether to keep the folder at the end.
     keeps_folder: bool,
@@ -84,15 +87,14 @@
     /// Creates a table of routers that do not run yet. Keeps files and logs in `logs`, if given.
     pub(super) fn new(
         daemon: &Path, routers: usize, logs: Option<&Path>,
-    ) -> Result<RouterProcesses, PlayError> {
-        let reservation = TcpListener::bind("127.0.0.1:0").map_err(PlayError::ClientPort)?;
-        let client_port = reservation.local_addr().map_err(PlayError::ClientPort)?.port();
+    ) -> Result<RouterProcesses, RunError> {
+        let reservation = TcpListener::bind("127.0.0.1:0").map_err(RunError::ClientPort)?;
+        let client_port = reservation.local_addr().map_err(RunError::ClientPort)?.port();
         let folder = match logs {
             Some(logs) => logs.to_path_buf(),
             None => temporary_folder(client_port),
         };
-        std::fs::create_dir_all(&folder)
-            .map_err(|source| PlayError::File { path: folder.clone(), source })?;
+        std::fs::create_dir_all(&folder).map_err(|source| RunError::File { path: folder.clone(), source })?;
         Ok(RouterProcesses {
             daemon: daemon.into(),
             folder,
@@ -107,20 +109,21 @@
     }
 
     /// Injects faults of system calls into the routers that are started from now on.
-    pub(super) fn inject_system_call_faults(&mut self, faults: &[SystemCallFaults]) -> Result<(), PlayError> {
+    pub(super) fn inject_system_call_faults(&mut self, faults: &[SystemCallFaults]) -> Result<(), RunError> {
         if faults.iter().any(|faults| !faults.is_empty()) {
-            let library = FaultLibrary::compile(&self.folder).map_err(PlayError::SystemCalls)?;
+            let library = FaultLibrary::compile(&self.folder).map_err(RunError::SystemCalls)?;
             self.fault_library = Some(library);
             self.system_call_faults = faults.to_vec();
         }
         Ok(())
     }
 
-    /// Returns how late a router may answer because its writes are delayed, several of which may be in a row.
+    /// Returns how long after the deadline a router may answer. This is above zero for a router whose writes
+    /// are delayed, because several delays may add up.
     pub(super) fn answer_delay_tolerance(&self, router: usize) -> Duration {
         let count = self.system_call_faults.len().max(1);
         let faults = self.system_call_faults.get(router % count);
-        if faults.is_some_and(SystemCallFaults::delay_writes) { LATE_ANSWER_LIMIT } else { Duration::ZERO }
+        if faults.is_some_and(SystemCallFaults::delay_writes) { MAX_ANSWER_DELAY } else { Duration::ZERO }
     }
 
     /// Returns the address that a router listens on for clients.
@@ -139,12 +142,14 @@
         RouterIncarnation { router, incarnation, interruptions }
     }
 
-    /// Returns whether a router was not restarted, killed or paused since.
+    /// Returns whether this is still the current incarnation: the router was not restarted, killed or paused
+    /// since.
     pub(super) fn is_current(&self, router: RouterIncarnation) -> bool {
         self.current(router.router) == router
     }
 
-    /// Returns whether a router must answer the requests that this incarnation received: it was not killed or paused.
+    /// Returns whether a router must answer the requests that this incarnation received: it was not killed or
+    /// paused.
     pub(super) fn must_answer(&self, router: RouterIncarnation) -> bool {
         self.processes[router.router].interruptions == router.interruptions
     }
@@ -182,7 +187,8 @@
         self.processes[router].shutting_down = true;
     }
 
-    /// Returns the exit status of a router that was shutting down, once it has exited. Its requests must be answered.
+    /// Returns the exit status of a router that was shutting down, or `None` if it has not exited. The router
+    /// must have answered all requests that it received.
     pub(super) fn take_shutdown_status(&mut self, router: usize) -> Option<ExitStatus> {
         let process = &mut self.processes[router];
         let status = process.child.as_mut()?.try_wait().ok()??;
@@ -199,7 +205,8 @@
         self.processes[router].child.is_some()
     }
 
-    /// Returns whether a router serves clients, and is neither paused nor shutting down.
+    /// Returns whether the process of a router runs and serves clients, and is neither paused nor shutting
+    /// down.
     pub(super) fn is_undisturbed(&self, router: usize) -> bool {
         let process = &self.processes[router];
         process.child.is_some() && process.is_serving()
@@ -210,7 +217,7 @@
         self.signal(router, Signal::HUP);
     }
 
-    /// Returns the log lines of violations that the routers' own checks found, with the index of the router.
+    /// Returns the log lines of violations that the routers' self-checks found, with the index of the router.
     pub(super) fn self_check_violations(&self) -> Vec<(usize, String)> {
         let mut found = Vec::new();
         for router in 0..self.processes.len() {
@@ -272,7 +279,7 @@
         self.processes[router.router].ready = self.is_current(router);
     }
 
-    /// Writes the configuration file of a router, and starts its process with the log in a file.
+    /// Writes the configuration file of a router, and starts its process, which logs to a file.
     pub(super) fn spawn(&mut self, router: usize, configuration: &Value) -> io::Result<()> {
         let path = self.folder.join(format!("r{router}.json"));
         let log = self.folder.join(format!("r{router}.log"));
--- a/crates/comethitch-lab/src/live/startup.rs
+++ b/crates/comethitch-lab/src/live/startup.rs
@@ -3,7 +3,7 @@
 use super::discovery;
 use super::network::{Purpose, address, connect_client, message_type, read_message, sleep};
 use super::state::{LiveFleet, SharedFleet};
-use crate::error::PlayError;
+use crate::error::RunError;
 use crate::trial::Trial;
 use comethitch_policy::time::Duration;
 use comethitch_testkit::postgres::message;
@@ -13,12 +13,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Configuration that the routers' are derived from.
+/// Sample configuration from which the configurations of the routers are derived.
 const SAMPLE: &str = include_str!("../../../../deploy/configuration.json");
 /// Interval at which a starting router is polled until it is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A router's configuration.
+/// Returns the configuration of a router.
 fn configuration(fleet: &LiveFleet, router: usize) -> Value {
     let trial = &fleet.trial;
     let processes = fleet.processes.borrow();
@@ -37,7 +37,7 @@
     configuration
 }
 
-/// Applies the values of the trial, and then the settings that it overrides.
+/// Applies the values of the trial, and then the settings with which the trial overrides them.
 fn apply_settings(settings: &mut Value, trial: &Trial) {
     let micros = |ms: u64| Value::from(ms * 1000);
     settings["siblings"] = trial.routers.into();
@@ -62,8 +62,8 @@
 }
 
 /// Starts a router that is not running.
-pub(super) fn start_router(fleet: &LiveFleet, router: usize) -> Result<(), PlayError> {
-    // Faults overlap: another one may have restarted it already.
+pub(super) fn start_router(fleet: &LiveFleet, router: usize) -> Result<(), RunError> {
+    // Faults may overlap: another one may have restarted the router already.
     if fleet.processes.borrow().is_running(router) {
         return Ok(());
     }
@@ -71,7 +71,7 @@
     let mut processes = fleet.processes.borrow_mut();
     processes
         .spawn(router, &configuration)
-        .map_err(|source| PlayError::File { path: processes.daemon.clone(), source })
+        .map_err(|source| RunError::File { path: processes.daemon.clone(), source })
 }
 
 /// Waits until a router answers an empty query, and marks it as ready.
--- a/crates/comethitch-lab/src/live/state.rs
+++ b/crates/comethitch-lab/src/live/state.rs
@@ -1,10 +1,10 @@
-//! The state of a fleet of real processes, shared by all tasks of the thread that plays a trial.
+//! The state of a fleet of real processes, shared by all tasks of the thread that runs a trial.
 
 use super::network::{now, sleep};
 use super::process_table::RouterProcesses;
 use crate::hosts::{Job, SimulatedHost, StartedJob};
 use crate::ledger::{Ledger, Rule};
-use crate::links::{Destination, Fate, Links};
+use crate::links::{Destination, Links, Outcome};
 use crate::trial::Trial;
 use crate::usable::UsableReplicas;
 use async_executor::LocalExecutor;
@@ -15,9 +15,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
 
-/// How much later than the router the lab may observe an event, as many processes share few cores.
+/// How much later than the router the lab may observe an event, because many processes share few cores.
 pub(super) const SLACK: Duration = Duration::from_millis(300);
-/// Combined with the trial's seed to the seed of the draws for faults.
+/// Combined with the trial's seed by exclusive or to get the seed of the random draws for faults.
 const FAULT_SEED: u64 = 0x66_61_75_6c_74;
 /// Interval at which a message on a cut link checks whether the cut has ended.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -32,7 +32,8 @@
 /// A fleet of real processes. Tasks share it through an [`Rc`].
 pub(super) struct LiveFleet {
     pub trial: Trial,
-    /// Weak, as the tasks of the executor own the fleet: a cycle would keep their sockets open.
+    /// A weak reference, because the tasks of the executor own the fleet: a reference cycle would keep their
+    /// sockets open.
     executor: Weak<LocalExecutor<'static>>,
     pub start: Cell<Timestamp>,
     pub ledger: RefCell<Ledger>,
@@ -44,9 +45,10 @@
     pub links: RefCell<Links>,
     pub processes: Rc<RefCell<RouterProcesses>>,
     pub rng: RefCell<ChaCha8Rng>,
-    /// Used for faults only, so that a seed affects the same routers and hosts in every run.
+    /// Generator for faults only, so that with the same seed faults affect the same routers and hosts in
+    /// every run.
     fault_rng: RefCell<ChaCha8Rng>,
-    /// Notified when a job is finished.
+    /// Channels that are notified when a job is finished.
     pub job_waiters: RefCell<BTreeMap<JobId, async_channel::Sender<()>>>,
     last_job: Cell<u32>,
     last_number: Cell<u64>,
@@ -61,7 +63,7 @@
 pub(super) type SharedFleet = Rc<LiveFleet>;
 
 impl LiveFleet {
-    /// Creates a fleet without hosts and running routers.
+    /// Creates a fleet that has no hosts and no running routers yet.
     pub(super) fn new(
         trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
     ) -> SharedFleet {
@@ -110,20 +112,21 @@
         (0..count).map(|_| candidates.swap_remove(rng.random_range(0..candidates.len()))).collect()
     }
 
-    /// Waits while a message is on its link. Returns `false` if the connection breaks instead.
+    /// Waits for the delay of a message on its link. Returns `false` if the message is lost and the
+    /// connection is to be closed.
     pub(super) async fn transmit(&self, router: usize, host: usize, destination: Destination) -> bool {
         let draw = self.draw();
-        let fate = || self.links.borrow().fate(router, host, destination, draw);
-        match fate() {
-            Fate::Delivered(Duration::ZERO) => true,
-            Fate::Delivered(delay) => {
+        let outcome = || self.links.borrow().outcome(router, host, destination, draw);
+        match outcome() {
+            Outcome::Delivered(Duration::ZERO) => true,
+            Outcome::Delivered(delay) => {
                 sleep(delay).await;
                 true
             }
-            Fate::Reset => false,
+            Outcome::Reset => false,
             // The connection hangs until the cut has ended, and is then closed without the message.
-            Fate::Dropped => {
-                while fate() == Fate::Dropped {
+            Outcome::Dropped => {
+                while outcome() == Outcome::Dropped {
                     sleep(CUT_POLL_INTERVAL).await;
                 }
                 false
@@ -160,7 +163,7 @@
     fn finish_job(self: &Rc<LiveFleet>, host: usize, job: Job) {
         let waiter = self.job_waiters.borrow_mut().remove(&JobId { host, job: job.request });
         if let Some(waiter) = waiter {
-            // The waiting task may have ended meanwhile.
+            // The waiting task may have ended in the meantime.
             let _ = waiter.try_send(());
         }
         let next = self.hosts.borrow_mut()[host].finish(&job, &self.trial.slow_start(), now());
--- a/crates/comethitch-lab/src/main.rs
+++ b/crates/comethitch-lab/src/main.rs
@@ -1,4 +1,5 @@
-//! `comethitch-lab`: plays trials of fleets, in simulated time or with real processes, and prints the results.
+//! `comethitch-lab`: runs trials of router fleets, in simulated time or with real processes, and prints the
+//! results.
 
 mod arguments;
 mod commands;
@@ -7,7 +8,7 @@
 use commands::Verdict;
 use std::process::ExitCode;
 
-/// Exit code of a subcommand that failed. A violated rule ends with 1.
+/// Exit code of a subcommand that failed. A violated rule results in exit code 1.
 const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/comethitch-lab/src/output.rs
+++ b/crates/comethitch-lab/src/output.rs
@@ -4,7 +4,8 @@
 use comethitch_lab::ledger::{Report, Second};
 use comethitch_lab::trial::Trial;
 
-/// Tolerance of the in-time fraction within which a fleet counts as recovered from a fault.
+/// Maximum decrease of the in-time fraction, compared with the time before a fault, at which a fleet counts
+/// as recovered.
 const RECOVERY_TOLERANCE: f64 = 0.02;
 
 /// Prints the header of the CSV.
@@ -12,7 +13,7 @@
     println!("routing,seed,routers,{}", Report::CSV_HEADER);
 }
 
-/// Prints the figures of a trial as a row of the CSV.
+/// Prints the results of a trial as a row of the CSV.
 pub(crate) fn print_row(routing: &str, trial: &Trial, report: &Report) {
     println!("{routing},{},{},{}", trial.seed, trial.routers, report.csv_row());
 }
@@ -35,7 +36,7 @@
     }
 }
 
-/// Returns an SVG chart of the figures of each second.
+/// Returns an SVG chart of the results of each second.
 pub(crate) fn chart_by_second(trial: &Trial, report: &Report) -> Result<String, ChartError> {
     let line = |name: &str, value: fn(&Second) -> f64| chart::Line {
         name: name.into(),
--- a/crates/comethitch-lab/src/soak.rs
+++ b/crates/comethitch-lab/src/soak.rs
@@ -7,15 +7,17 @@
 use rand_chacha::ChaCha8Rng;
 use std::ops::RangeInclusive;
 
-/// Number of routers of a trial.
+/// Range of the number of routers of a trial.
 const ROUTERS: RangeInclusive<u16> = 10..=24;
-/// Number of faults of a trial. Most last for seconds, so that two or three overlap.
+/// Range of the number of faults of a trial. Most last for seconds, so that two or three overlap.
 const FAULTS: RangeInclusive<usize> = 5..=8;
-/// Earliest start of a fault, when routers have found their hosts.
-const FIRST_FAULT_MS: u64 = 800;
+/// Earliest start of a fault, in milliseconds after the start of the trial. Routers have found their hosts by
+/// then.
+const MIN_FAULT_START_MS: u64 = 800;
 const HOUR_MS: i64 = 3_600_000;
 
-/// Faults of system calls, of which each router gets one entry.
+/// Combinations of system call faults, one of which is drawn for each router. Two are empty, so that some
+/// routers have none.
 const SYSTEM_CALL_FAULTS: [&[SystemCallFault]; 15] = [
     &[],
     &[],
@@ -47,16 +49,17 @@
     &[SystemCallFault::LimitedProcessor { one_in: 10 }, SystemCallFault::InterruptedTransfers { one_in: 50 }],
 ];
 
-/// Timeouts of clients.
+/// Timeouts of clients, one of which is drawn for a trial, in milliseconds.
 const TIMEOUTS_MS: [u64; 5] = [500, 1_200, 1_200, 3_000, 5_000];
-/// Numbers of shards, with one so large that each shard gets little traffic.
+/// Numbers of shards, one of which is drawn for a trial. One is so large that each shard gets little traffic.
 const SHARDS: [u16; 5] = [1, 2, 3, 3, 40];
-/// Number of shards up to which the traffic grows with them.
+/// Maximum number of shards up to which the total traffic grows with the number of shards.
 const MAX_SHARDS_WITH_FULL_LOAD: u16 = 3;
-/// Idle clients that connect to each router at once. The larger number fills a router's descriptors.
+/// Numbers of idle clients that connect to each router at once, one of which is drawn for a trial. The
+/// largest exhausts a router's file descriptors.
 const IDLE_CLIENTS: [u16; 4] = [0, 0, 0, 720];
 
-/// Returns the trial of a seed, in which clients send for this many seconds.
+/// Returns the random trial of a seed, in which clients send requests for this many seconds.
 pub fn trial(seed: u64, seconds: u64) -> Trial {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let routers = rng.random_range(ROUTERS);
@@ -94,8 +97,8 @@
 }
 
 fn fault(rng: &mut ChaCha8Rng, seconds: u64) -> Fault {
-    let last_ms = (seconds * 1_000).saturating_sub(2_000).max(FIRST_FAULT_MS + 1);
-    let at_ms = rng.random_range(FIRST_FAULT_MS..last_ms);
+    let last_ms = (seconds * 1_000).saturating_sub(2_000).max(MIN_FAULT_START_MS + 1);
+    let at_ms = rng.random_range(MIN_FAULT_START_MS..last_ms);
     let fraction = rng.random_range(0.2..0.8);
     let duration_ms = rng.random_range(300..4_000);
     let kind = match rng.random_range(0..11) {
--- a/crates/comethitch-lab/src/system_calls.rs
+++ b/crates/comethitch-lab/src/system_calls.rs
@@ -1,7 +1,8 @@
-//! Faults of system calls in a process under test: interrupted, short, delayed or failing calls, a wrong wall clock and
-//! a limited processor.
+//! Faults of system calls in a process under test: interrupted, short, delayed or failing calls, a wrong wall
+//! clock and limited processor time.
 //!
-//! [`SystemCallFaults`] describes the faults of one process. [`FaultLibrary`] injects them: a small library in C,
+//! [`SystemCallFaults`] describes the faults of one process. [`FaultLibrary`] injects them: a small library
+//! in C,
 //! loaded in front of the C library.
 
 mod library;
@@ -12,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display, Formatter};
 
-/// A fault of the system calls of a process. `one_in` is the mean number of calls for each one that fails.
+/// A fault of the system calls of a process. `one_in` is the mean number of calls per failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCallFault {
     /// Reads and writes of sockets fail with EINTR.
@@ -25,27 +26,27 @@
         /// Maximum length of a transfer.
         max_bytes: u32,
     },
-    /// Sockets cannot be created: ENFILE, ENOBUFS, EMFILE or ENOMEM.
+    /// Calls that create a socket fail with ENFILE, ENOBUFS, EMFILE or ENOMEM.
     FailedSockets {
         /// Calls per failure.
         one_in: u32,
     },
-    /// The first sockets of the process cannot be created, with the same errors.
+    /// The first calls of the process that create a socket fail with the same errors.
     FailedFirstSockets {
         /// Number of failures.
         count: u32,
     },
-    /// Connections cannot be accepted: ECONNABORTED, ENFILE, ENOBUFS or EMFILE.
+    /// Calls that accept a connection fail with ECONNABORTED, ENFILE, ENOBUFS or EMFILE.
     FailedAccepts {
         /// Calls per failure.
         one_in: u32,
     },
-    /// Connections cannot be opened: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS or EINTR.
+    /// Calls that open a connection fail with EADDRNOTAVAIL, ENETUNREACH, ENOBUFS or EINTR.
     FailedConnects {
         /// Calls per failure.
         one_in: u32,
     },
-    /// Waits for events fail with EINTR.
+    /// Calls that wait for events fail with EINTR.
     InterruptedWaits {
         /// Calls per failure.
         one_in: u32,
@@ -62,21 +63,21 @@
         /// Calls per failure.
         one_in: u32,
     },
-    /// The wall clock is wrong.
+    /// The wall clock is wrong by an offset.
     WrongWallClock {
         /// Error of the wall clock, in milliseconds.
         offset_ms: i64,
-        /// When it is corrected, in milliseconds since the start of the process; `None` for never.
+        /// When it is corrected, in milliseconds since the start of the process. `None` means never.
         corrected_after_ms: Option<u32>,
     },
-    /// The wall clock is stepped forth and back.
+    /// The wall clock is stepped by an offset and back, alternately.
     SteppedWallClock {
-        /// Length of a step, in milliseconds.
+        /// Offset of a step, in milliseconds.
         step_ms: i64,
         /// Time between two steps, in milliseconds.
         interval_ms: u32,
     },
-    /// The process has a fraction of one core.
+    /// The process has only a fraction of the time of one core.
     LimitedProcessor {
         /// Reciprocal of the fraction.
         one_in: u32,
@@ -126,7 +127,8 @@
 
 /// The faults of the system calls of one process, with the seed of their random draws.
 ///
-/// In text, as in trial files, they are settings of `shim/system_calls.c`; an empty text stands for no faults.
+/// In text form, as in trial files, they are settings of `shim/system_calls.c`. An empty text means no
+/// faults.
 ///
 /// ```
 /// use comethitch_lab::system_calls::{SystemCallFault, SystemCallFaults};
@@ -138,7 +140,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SystemCallFaults {
-    /// Seed of the draws of failing calls.
+    /// Seed of the random draws of failing calls.
     pub seed: Option<u64>,
     /// The faults.
     pub faults: Vec<SystemCallFault>,
--- a/crates/comethitch-lab/src/system_calls/library.rs
+++ b/crates/comethitch-lab/src/system_calls/library.rs
@@ -10,13 +10,13 @@
 const SOURCE: &str = include_str!("../../shim/system_calls.c");
 /// Environment variable with the settings of the library.
 const SETTINGS_VARIABLE: &str = "COMETHITCH_FAULTS";
-/// Environment variable with the libraries to load first.
+/// Environment variable with the libraries that the dynamic linker loads first.
 const PRELOAD_VARIABLE: &str = "LD_PRELOAD";
 
 /// The compiled library, for tests and tools only.
 ///
-/// System calls that the async layer makes without the C library do not pass through it, unless the program is built
-/// with `--cfg rustix_use_libc`.
+/// System calls that the async layer makes without the C library do not pass through it, unless the program
+/// is built with `--cfg rustix_use_libc`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultLibrary {
     path: PathBuf,
@@ -29,7 +29,7 @@
     ///
     /// Returns an error if the folder is not writable, or if the C compiler is missing or fails.
     pub fn compile(folder: &Path) -> io::Result<FaultLibrary> {
-        // The process id keeps apart processes that compile into one folder at the same time.
+        // The process id keeps the files of processes apart that compile into one folder at the same time.
         let path = folder.join(format!("system_calls-{}.so", std::process::id()));
         let source = path.with_extension("c");
         std::fs::write(&source, SOURCE)?;
@@ -39,7 +39,7 @@
             .args([&path, &source])
             .status()?;
         if !status.success() {
-            return Err(io::Error::other(format!("the C compiler ended with {status}")));
+            return Err(io::Error::other(format!("the C compiler failed with {status}")));
         }
         Ok(FaultLibrary { path })
     }
--- a/crates/comethitch-lab/src/system_calls/parse.rs
+++ b/crates/comethitch-lab/src/system_calls/parse.rs
@@ -1,27 +1,27 @@
-//! Reads faults of system calls from the settings of `shim/system_calls.c`.
+//! Parses faults of system calls from the settings of `shim/system_calls.c`.
 
 use super::{SystemCallFault, SystemCallFaults};
 use std::iter::Peekable;
 use std::str::{FromStr, Split};
 use thiserror::Error;
 
-/// Why a text describes no faults of system calls.
+/// Why a text cannot be parsed as faults of system calls.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseFaultsError {
-    /// A setting that the library does not have, or that only follows another one.
-    #[error("unknown setting of system calls {name:?}")]
+    /// A setting that the library does not have, or that is only allowed right after another one.
+    #[error("unknown setting of system call faults: {name:?}")]
     UnknownSetting {
         /// Name of the setting.
         name: String,
     },
     /// A setting without a number, or with one out of range.
-    #[error("setting of system calls without a valid number: {setting:?}")]
+    #[error("setting of system call faults without a valid number: {setting:?}")]
     InvalidNumber {
         /// The setting.
         setting: String,
     },
     /// A setting that needs a second one right after it.
-    #[error("setting of system calls {name:?} is missing")]
+    #[error("setting of system call faults {name:?} is missing")]
     MissingSetting {
         /// Name of the missing setting.
         name: &'static str,
@@ -53,13 +53,13 @@
     }
 }
 
-/// The settings that are not read yet, each `name=number`.
+/// The settings that are not parsed yet, each `name=number`.
 struct Settings<'a> {
     remaining: Peekable<Split<'a, char>>,
 }
 
 impl Settings<'_> {
-    /// Reads a fault from its setting, and from the one that follows if the fault has two.
+    /// Parses a fault from its setting, and from the next one if the fault has two settings.
     fn fault(&mut self, setting: &str) -> Result<SystemCallFault, ParseFaultsError> {
         let name = setting.split('=').next().unwrap_or_default();
         Ok(match name {
@@ -90,13 +90,13 @@
         })
     }
 
-    /// Reads the next setting if it has this name.
+    /// Parses the next setting if it has this name.
     fn optional(&mut self, name: &str) -> Result<Option<u32>, ParseFaultsError> {
         let is_named = |setting: &&str| setting.split_once('=').is_some_and(|(key, _)| key == name);
         self.remaining.next_if(is_named).map(number).transpose()
     }
 
-    /// Reads the next setting, which must have this name.
+    /// Parses the next setting, which must have this name.
     fn required(&mut self, name: &'static str) -> Result<u32, ParseFaultsError> {
         self.optional(name)?.ok_or(ParseFaultsError::MissingSetting { name })
     }
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -1,7 +1,7 @@
 //! Trials: a fleet, its load and its faults, as read from a JSON file.
 //!
-//! The keys of the file are a stable format: fields and variants with other names here carry the file's key in a
-//! `serde` attribute.
+//! The keys of the file are a stable format. A field or variant whose name differs from its key has the key
+//! in a `serde` attribute.
 
 mod faults;
 
@@ -24,7 +24,7 @@
 /// Why a trial is unusable.
 #[derive(Debug, Error)]
 pub enum TrialError {
-    /// The text is not the JSON of a trial.
+    /// The text is not valid JSON, or not that of a trial.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A number is out of its bounds.
@@ -40,10 +40,10 @@
         value: f64,
     },
     /// A host has no cores.
-    #[error("cores must name at least one number of cores, none of them 0")]
+    #[error("cores must list at least one number of cores, and none of them may be 0")]
     NoCores,
-    /// There is no distribution of traffic with this skew.
-    #[error("skew is unusable")]
+    /// There is no log-normal distribution of traffic with this skew.
+    #[error("skew is not a valid standard deviation of a log-normal distribution")]
     Skew,
     /// The policy rejects the routers' settings.
     #[error(transparent)]
@@ -57,12 +57,12 @@
     /// The policy, one instance for each router.
     #[default]
     Module,
-    /// A baseline that sends each read to a usable replica, drawn with the hosts' actual capacities as weights, without
-    /// health checks, concurrency limits or retries.
+    /// A baseline that sends each read to a usable replica, drawn with the hosts' actual capacities as
+    /// weights, without health checks, concurrency limits or retries.
     Perfect,
 }
 
-/// A trial. Keys that are left out of the file are as in [`Trial::default`].
+/// A trial. Keys that are missing from the file have the values of [`Trial::default`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Trial {
@@ -86,7 +86,8 @@
     pub mean_work_ms: f64,
     /// Mean utilization of all replicas' cores by reads.
     pub load: f64,
-    /// Inequality of the routers' traffic: the standard deviation of its logarithm.
+    /// Inequality of the routers' traffic: the standard deviation of the natural logarithm of a router's
+    /// traffic.
     pub skew: f64,
     /// Fraction of requests that write.
     #[serde(rename = "writes")]
@@ -108,53 +109,55 @@
     /// Mean one-way network delay between routers and hosts, in microseconds.
     #[serde(rename = "net_us")]
     pub network_delay_us: u64,
-    /// Fraction of its capacity that a host has as it starts.
+    /// Fraction of its capacity that a host has when it starts.
     #[serde(rename = "cold_from")]
     pub initial_capacity: f64,
     /// Length of a host's slow start, in milliseconds.
     #[serde(rename = "warm_within_ms")]
     pub warmup_ms: u64,
-    /// A host crashes in slow start if it receives more than this multiple of what it can serve within the overload
-    /// window (`fall_ms`).
+    /// A host crashes in slow start if it receives more than this multiple of what it can serve within the
+    /// overload window (`fall_ms`).
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// Length of the overload window, in milliseconds.
     #[serde(rename = "fall_ms")]
     pub overload_window_ms: u64,
-    /// How long a router may still send to a host after it was notified that the host drains, in milliseconds.
+    /// How long a router may still send to a host after it was notified that the host is draining, in
+    /// milliseconds.
     pub drain_grace_ms: u64,
     /// Maximum number of requests queued at a host per core.
     pub queue_per_core: u16,
-    /// Maximum number of connections that a host accepts, 0 for no limit. Real processes only.
+    /// Maximum number of connections that a host accepts. 0 means no limit. Real processes only.
     #[serde(rename = "slots")]
     pub max_connections_per_host: u32,
     /// Number of routers that share one name and one random seed. Real processes only.
     #[serde(rename = "namesakes")]
     pub routers_sharing_name: u16,
-    /// Faults of system calls (settings of `shim/system_calls.c`), assigned to the routers in turn; an empty text stands
-    /// for none. Real processes only.
+    /// Faults of system calls (settings of `shim/system_calls.c`), assigned to the routers in turn. An empty
+    /// text means no faults. Real processes only.
     #[schemars(with = "Vec<String>")]
     pub system_calls: Vec<SystemCallFaults>,
     /// Fraction of requests whose client closes its connection before the answer. Real processes only.
     #[serde(rename = "leave")]
     pub disconnect_probability: f64,
-    /// Number of clients that connect to each router at once in the middle of the trial and stay idle. Real processes
-    /// only.
+    /// Number of clients that connect to each router at once in the middle of the trial and stay idle. Real
+    /// processes only.
     #[serde(rename = "crowd")]
     pub idle_clients: u16,
     /// Number of clients over the trial that send only a part of a request. Real processes only.
     #[serde(rename = "stalled_clients")]
     pub incomplete_requests: u16,
-    /// Whether the slack of time limits follows the measured lag of the lab, in place of a fixed slack. Real processes
-    /// only.
+    /// Whether the slack of time limits follows the measured lag of the lab, instead of being fixed. Real
+    /// processes only.
     #[serde(rename = "sharp")]
     pub adaptive_slack: bool,
-    /// Whether all hosts are in slow start as the trial begins.
+    /// Whether all hosts are in slow start when the trial begins.
     #[serde(rename = "all_cold")]
     pub all_hosts_warming_up: bool,
     /// Faults and planned changes, with their times.
     pub faults: Vec<Fault>,
-    /// Settings of the routers that replace the trial's own, for example to disable a protection. Real processes only.
+    /// Settings of the routers that override those derived from the trial, for example to disable a
+    /// protection. Real processes only.
     pub settings: BTreeMap<String, Value>,
 }
 
@@ -206,11 +209,12 @@
 }
 
 impl Trial {
-    /// Reads a trial from the text of its file.
+    /// Parses and checks a trial from the text of its file.
     ///
     /// # Errors
     ///
-    /// Returns an error if the text is not a trial, or names the first key that is out of bounds.
+    /// Returns an error if the text is not a trial, or if a key is out of bounds; the error names the first
+    /// such key.
     ///
     /// ```
     /// use comethitch_lab::trial::Trial;
@@ -231,7 +235,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error with the first key that is out of bounds.
+    /// Returns an error that names the first key that is out of bounds.
     pub fn check(&self) -> Result<(), TrialError> {
         self.check_size()?;
         self.check_load()?;
@@ -276,8 +280,8 @@
         }
     }
 
-    /// Draws the rates of the routers' clients, in requests per second, whose reads add up to the trial's load on this
-    /// many cores.
+    /// Draws the rates of the routers' clients, in requests per second. Their reads add up to the trial's
+    /// load on this many cores.
     ///
     /// # Errors
     ///
--- a/crates/comethitch-lab/src/trial/faults.rs
+++ b/crates/comethitch-lab/src/trial/faults.rs
@@ -1,4 +1,4 @@
-//! The faults and planned changes of a trial, and their times.
+//! The faults and planned changes of a trial, with their start times.
 
 use super::{MAX_DURATION_MS, TrialError, check_range};
 use schemars::JsonSchema;
@@ -20,7 +20,8 @@
         /// Time over which the replacements are spread, in milliseconds.
         over_ms: u64,
     },
-    /// Kills routers at once and restarts them later, with only the endpoint list.
+    /// Kills routers at once and restarts them later. They keep no state, and start with only the endpoint
+    /// list.
     #[serde(rename = "herd")]
     KillRouters {
         /// Fraction of the routers.
@@ -69,8 +70,8 @@
         #[serde(rename = "for_ms")]
         duration_ms: u64,
     },
-    /// Shuts routers down gracefully (SIGTERM), one after the other, and starts each again once it has ended. They must
-    /// answer all requests that they have received. Real processes only.
+    /// Shuts routers down gracefully (SIGTERM), one after the other, and starts each again once it has ended.
+    /// They must answer all requests that they have received. Real processes only.
     #[serde(rename = "restart")]
     RestartRouters {
         /// Fraction of the routers.
@@ -86,8 +87,8 @@
         #[serde(rename = "part")]
         fraction: f64,
     },
-    /// Sends routers a series of signals: SIGHUP several times, then SIGTERM, and both several times while they shut
-    /// down. Each is started again once it has ended. Real processes only.
+    /// Sends routers a series of signals: SIGHUP several times, then SIGTERM, and both several times while
+    /// they shut down. Each is started again once it has ended. Real processes only.
     #[serde(rename = "signals")]
     SignalRouters {
         /// Fraction of the routers.
@@ -96,8 +97,8 @@
         /// Time over which the signals before the shutdown are spread, in milliseconds.
         over_ms: u64,
     },
-    /// Disturbs the links between some routers and some hosts. Routers cut off in both directions receive endpoint
-    /// updates only afterwards. Real processes only.
+    /// Disturbs the links between some routers and some hosts. Routers cut off in both directions receive
+    /// endpoint updates only afterwards. Real processes only.
     #[serde(rename = "links")]
     DisturbLinks {
         /// Fraction of the routers.
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Returns whether the fault can be played in simulated time, and not with real processes only.
+    /// Returns whether the fault can be injected in simulated time. Other faults need real processes.
     pub(crate) fn is_simulated(self) -> bool {
         match self {
             FaultKind::ReplaceReplicas { .. }
@@ -209,7 +210,7 @@
     }
 }
 
-/// A fault and its time.
+/// A fault and its start time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -221,11 +222,11 @@
 }
 
 impl Fault {
-    /// Checks the times and values of the fault; `index` is its place in the file.
+    /// Checks the times and values of the fault. `index` is its index in the file's list of faults.
     pub(super) fn check(&self, index: usize) -> Result<(), TrialError> {
         let duration_ms = self.kind.duration_ms();
         check_range(&format!("faults[{index}].at_ms"), self.at_ms as f64, 0.0, MAX_DURATION_MS)?;
-        check_range(&format!("faults[{index}]: its span in ms"), duration_ms as f64, 0.0, MAX_DURATION_MS)?;
+        check_range(&format!("faults[{index}]: duration in ms"), duration_ms as f64, 0.0, MAX_DURATION_MS)?;
         self.kind.check(index)
     }
 }
--- a/crates/comethitch-lab/src/usable.rs
+++ b/crates/comethitch-lab/src/usable.rs
@@ -1,4 +1,5 @@
-//! Records which replicas were usable for reads in each second, over which the evenness of load is measured.
+//! Records which replicas were usable for reads in each second. The evenness of load is measured over these
+//! replicas.
 
 use crate::hosts::SimulatedHost;
 use std::collections::BTreeMap;
@@ -12,16 +13,17 @@
 impl UsableReplicas {
     /// Records the replicas that are usable at the start of a second, and returns their indices.
     pub fn record(&mut self, second: u64, hosts: &[SimulatedHost]) -> &[usize] {
-        let serves_reads =
-            |host: &SimulatedHost| host.usable() && !host.primary && host.replication_stalled_since.is_none();
+        let serves_reads = |host: &SimulatedHost| {
+            host.is_usable() && !host.primary && host.replication_stalled_since.is_none()
+        };
         let usable = hosts.iter().enumerate().filter(|(_, host)| serves_reads(host)).map(|(index, _)| index);
         self.by_second.entry(second).insert_entry(usable.collect()).into_mut()
     }
 
-    /// Returns whether a host was usable at the start and at the end of a second. Returns `false` from second `limit` on,
-    /// as the load of an incomplete second cannot be compared.
-    pub fn throughout(&self, second: u64, host: usize, limit: u64) -> bool {
-        second < limit && self.contains(second, host) && self.contains(second + 1, host)
+    /// Returns whether a host was usable at the start and at the end of a second. Returns `false` for
+    /// `end_second` and later ones, because the load of an incomplete second cannot be compared.
+    pub fn is_usable_throughout(&self, second: u64, host: usize, end_second: u64) -> bool {
+        second < end_second && self.contains(second, host) && self.contains(second + 1, host)
     }
 
     fn contains(&self, second: u64, host: usize) -> bool {
