--- a/crates/comethitch-adapter/src/error.rs
+++ b/crates/comethitch-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of reading batches and writing replies.
+//! Errors of reading and decoding batches, and of writing replies.
 
 use comethitch_policy::DeploymentError;
 use std::io;
@@ -37,21 +37,21 @@
 #[derive(Debug, Error)]
 pub(crate) enum ShortFrame {
     /// The input ends within the header.
-    #[error("{found} bytes of a header of {header}")]
+    #[error("the input ends after {found} bytes of a header of {header} bytes")]
     Header {
         /// Number of bytes read.
         found: usize,
         /// Size of a header in bytes.
         header: usize,
     },
-    /// The length field is less than the header's length.
-    #[error("its length field says {length} bytes")]
+    /// The length field is less than the size of the header.
+    #[error("its length field is {length}, which is less than the size of a header")]
     LengthField {
         /// Value of the field.
         length: usize,
     },
     /// The input ends within the frame.
-    #[error("{found} bytes of {length}")]
+    #[error("the input ends after {found} bytes of a frame of {length} bytes")]
     Body {
         /// Number of bytes read.
         found: usize,
@@ -72,7 +72,7 @@
 #[derive(Debug, Error)]
 pub(crate) enum RecordError {
     /// A field lies past the end of its record or entry.
-    #[error("a field at byte {offset} lies past the end")]
+    #[error("a field at byte {offset} lies past the end of its record or entry")]
     PastEnd {
         /// Byte offset of the field.
         offset: usize,
@@ -97,18 +97,18 @@
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
     /// No record has defined the endpoint list with this number.
-    #[error("list {0} was never given")]
+    #[error("endpoint list {0} is not defined")]
     UnknownList(u32),
     /// The scope of an endpoint update is unknown.
-    #[error("unknown list scope {0}")]
+    #[error("unknown endpoint list scope {0}")]
     UnknownListScope(u8),
     /// The lifecycle state of an endpoint is unknown.
-    #[error("unknown lifecycle {0} in a list")]
+    #[error("unknown lifecycle {0} in an endpoint list")]
     UnknownLifecycle(u8),
     /// The deployment has no request class with this index.
-    #[error("unknown command group {0}")]
+    #[error("unknown request class {0}")]
     UnknownRequestClass(usize),
     /// The outcome of an attempt or a health check is unknown.
-    #[error("unknown ending {0}")]
+    #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
 }
--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -1,7 +1,7 @@
 //! Decodes the records of a batch, each an event, into the types of the policy.
 //!
-//! A record of [`RECORD_BYTES`] has an event code, the instance that it concerns, and fields whose offsets depend on the
-//! code. Each decoding function begins with the offsets that it reads.
+//! A record of [`RECORD_BYTES`] has an event code, the instance that it concerns, and fields whose offsets
+//! depend on the code. Each decoding function begins with the offsets that it reads.
 
 use crate::error::RecordError;
 use crate::record::RecordReader;
@@ -10,9 +10,9 @@
     AttemptEnd, AttemptOutcome, Deployment, Endpoint, Host, Lifecycle, LoadReport, Request, RequestId,
 };
 
-/// Size of a record.
+/// Size of a record, in bytes.
 pub(crate) const RECORD_BYTES: usize = 48;
-/// Size of an entry of an endpoint list.
+/// Size of an entry of an endpoint list, in bytes.
 pub(crate) const ENTRY_BYTES: usize = 27;
 
 /// Offset of the event code in every record.
@@ -22,7 +22,7 @@
 
 /// Maximum number of values in a load report.
 const MAX_REPORT_VALUES: usize = 4;
-/// Size of a value in a load report.
+/// Size of a value in a load report, in bytes.
 const REPORT_VALUE_BYTES: usize = 4;
 
 /// The codes of events.
@@ -32,13 +32,13 @@
     InstanceStopped,
     /// A request's client has disconnected.
     ClientDisconnected,
-    /// The endpoint list has changed, or cannot be read.
+    /// The endpoint list has changed, or is unavailable.
     EndpointsChanged,
     /// A health check has ended.
     HealthChecked,
     /// A request is submitted.
     RequestSubmitted,
-    /// The time at which the policy asked to be called is reached.
+    /// The wake-up time that the policy requested is reached.
     Ticked,
     /// An instance starts.
     InstanceStarted,
@@ -191,8 +191,9 @@
     })
 }
 
-/// Converts the time since a session's last write from milliseconds; `None` if it never wrote. The time is rounded down,
-/// because a later write requires newer data, which is the safe direction.
+/// Converts the time since a session's last write from milliseconds. Returns `None` if the session never wrote.
+/// The time is rounded down: a later write requires newer data, so that a rounding error never allows a read to
+/// miss the write.
 fn since_write(milliseconds: f32) -> Option<Duration> {
     let micros = || (f64::from(milliseconds.next_down()) * 1000.0) as u64;
     (milliseconds > 0.0).then(|| Duration::from_micros(micros()))
--- a/crates/comethitch-adapter/src/main.rs
+++ b/crates/comethitch-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! Connects the policy of the `comethitch-policy` package to a simulator that speaks a binary protocol on standard input
-//! and output.
+//! Connects the policy of the `comethitch-policy` package to a simulator that speaks a binary protocol on
+//! standard input and output.
 //!
-//! The input is a sequence of frames, each a batch of events. For each of them, the output has one frame of actions.
+//! The input is a sequence of frames, each a batch of events. For each of them, the output has one frame of
+//! actions.
 
 mod error;
 mod event;
@@ -15,7 +16,7 @@
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
-/// Size of the buffer of standard input.
+/// Size of the buffer for standard input, in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> ExitCode {
@@ -41,7 +42,7 @@
     Ok(())
 }
 
-/// Reads the next complete frame into `frame`. Returns false at the end of the input.
+/// Reads the next complete frame into `frame`. Returns `false` at the end of the input.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, AdapterError> {
     frame.clear();
     read_up_to(input, frame, HEADER_BYTES)?;
--- a/crates/comethitch-adapter/src/record.rs
+++ b/crates/comethitch-adapter/src/record.rs
@@ -1,11 +1,12 @@
-//! Reads little-endian fields at fixed offsets of a record, and the slices of a frame's tail that records refer to.
+//! Reads little-endian fields at fixed offsets of a record, and the slices of a frame's tail that records
+//! refer to.
 
 use crate::error::RecordError;
 use comethitch_policy::Host;
 
-/// Offset of the port in a host, after the address.
+/// Offset of the port in an encoded host, after the address.
 const PORT_OFFSET: usize = 4;
-/// Offset of the length in a reference to the tail, after the start.
+/// Offset of the length in an encoded reference to the tail, after the start.
 const LENGTH_OFFSET: usize = 4;
 
 /// The bytes of a header, a record, a list entry or a tail.
@@ -48,8 +49,8 @@
         Ok(Host { address: self.bytes(offset)?, port: self.u16(offset + PORT_OFFSET)? })
     }
 
-    /// Returns the slice of this tail that a record refers to. At `offset` the record has the start in bytes, then the
-    /// length in items of `item_bytes`.
+    /// Returns the slice of this tail that a record refers to. At `offset` the record has the start in bytes,
+    /// then the length in items of `item_bytes`.
     pub(crate) fn slice_referenced_by(
         self, record: RecordReader, offset: usize, item_bytes: usize,
     ) -> Result<&'a [u8], RecordError> {
--- a/crates/comethitch-adapter/src/reply.rs
+++ b/crates/comethitch-adapter/src/reply.rs
@@ -3,13 +3,13 @@
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Actions, Host, RejectionReason, RequestId};
 
-/// Size of a reply's header: the length of the frame, and the number of records.
+/// Size of a reply's header in bytes: the length of the frame, and the number of records.
 const HEADER_BYTES: usize = 8;
-/// Size of a record.
+/// Size of a record, in bytes.
 const RECORD_BYTES: usize = 24;
 /// Offset in the header of the number of records.
 const COUNT_OFFSET: usize = 4;
-/// The scope of `watch_endpoints`: all changes.
+/// The scope in a record of [`ActionCode::WatchEndpoints`]: all changes of the endpoint list.
 const WATCH_ALL: u8 = 1;
 
 /// The codes of the records in a reply.
@@ -38,7 +38,7 @@
 }
 
 impl Reply {
-    /// Begins the reply to a batch that happens at `now`.
+    /// Begins the reply to a batch whose events happen at `now`.
     pub(crate) fn start(&mut self, now: Timestamp) {
         self.frame.clear();
         self.frame.resize(HEADER_BYTES, 0);
@@ -62,7 +62,8 @@
         &self.frame
     }
 
-    /// Reports that the current instance has failed and accepts no more events.
+    /// Adds a record that the current instance has failed and accepts no more events. The message is in the
+    /// tail.
     pub(crate) fn instance_failed(&mut self, message: &str) {
         let start = self.tail.len() as u32;
         let length = message.len() as u32;
@@ -84,7 +85,7 @@
     }
 }
 
-/// Encodes a duration in microseconds, saturating at the largest possible value.
+/// Encodes a duration in microseconds. Longer durations are encoded as the maximum value.
 fn encode_micros(duration: Duration) -> [u8; 4] {
     u32::try_from(duration.as_micros()).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/crates/comethitch-adapter/src/session.rs
+++ b/crates/comethitch-adapter/src/session.rs
@@ -1,4 +1,5 @@
-//! Dispatches the events of a batch to the routers of their instances, and collects the routers' actions in a reply.
+//! Dispatches the events of a batch to the routers of their instances, and collects the routers' actions in a
+//! reply.
 
 use crate::error::{AdapterError, RecordError, ShortFrame};
 use crate::event::{
@@ -13,7 +14,8 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Size of a batch's header: the number of records, the length of the frame, and the time in microseconds.
+/// Size of a batch's header in bytes: the number of records, the length of the frame, and the time in
+/// microseconds.
 pub(crate) const HEADER_BYTES: usize = 16;
 /// Offset in the header of the number of records.
 const COUNT_OFFSET: usize = 0;
@@ -37,7 +39,8 @@
     /// Handles the records of a batch in order, and returns the frame of the reply.
     ///
     /// # Errors
-    /// If the header or a record cannot be decoded. There is no reply then.
+    ///
+    /// Returns an error if the header or a record cannot be decoded. Then there is no reply.
     pub(crate) fn reply_to(&mut self, frame: &[u8]) -> Result<&[u8], AdapterError> {
         let header = RecordReader(frame);
         let count = header.u32(COUNT_OFFSET).map_err(AdapterError::Header)? as usize;
@@ -80,8 +83,8 @@
         self.routers.insert(instance, Router::start(start.deployment, start.seed, out));
     }
 
-    /// Passes an event to its router. Events of an instance that is not running are ignored. An instance that panics is
-    /// reported as failed and removed.
+    /// Passes an event to its router. Events of an instance that is not running are ignored. An instance that
+    /// panics is reported as failed and removed.
     fn dispatch(&mut self, instance: u16, code: EventCode, record: RecordReader) -> Result<(), RecordError> {
         let Some(router) = self.routers.get_mut(&instance) else { return Ok(()) };
         let out = self.reply.for_instance(instance);
--- a/crates/comethitch-adapter/src/tests.rs
+++ b/crates/comethitch-adapter/src/tests.rs
@@ -40,8 +40,8 @@
     (fields, text.as_bytes().to_vec())
 }
 
-/// Returns the records and the tail of a batch that starts instance 3 with the two hosts of one shard, as in the protocol
-/// description's example.
+/// Returns the records and the tail of a batch that starts instance 3 with the two hosts of one shard, as in
+/// the protocol description's example.
 fn started_with_endpoints() -> (Vec<Vec<u8>>, Vec<u8>) {
     let (start, mut tail) = start(DEPLOYMENT);
     let mut list =
@@ -70,7 +70,7 @@
     let (mut records, tail) = started_with_endpoints();
     records.push(record(SUBMITTED));
     let reply = session.reply_to(&batch(&records, &tail)).expect("a reply").to_vec();
-    // The wake-up, then the attempt with the request's whole timeout of 240 ms.
+    // The wake-up time, then the attempt with the request's whole timeout of 240 ms.
     assert_eq!(reply[..8], bytes("38000000 02000000"));
     assert_eq!(reply[8..11], bytes("52 0300"));
     assert_eq!(reply[32..], bytes("50 0300 c4913a5d 0a124a07 2b23 80a90300 00000000000000"));
@@ -125,16 +125,22 @@
     unknown_class[7] = 4;
     let after_start = |last: Vec<u8>| batch(&[start.clone(), last], &tail);
     let cases = [
-        (bytes("00000000 1000"), "short frame: 6 bytes of a header of 16"),
-        (bytes("01000000 40000000 5a5c800000000000 18"), "short frame: 17 bytes of 64"),
-        (bytes("00000000 08000000 5a5c800000000000"), "short frame: its length field says 8 bytes"),
+        (bytes("00000000 1000"), "short frame: the input ends after 6 bytes of a header of 16 bytes"),
+        (
+            bytes("01000000 40000000 5a5c800000000000 18"),
+            "short frame: the input ends after 17 bytes of a frame of 64 bytes",
+        ),
+        (
+            bytes("00000000 08000000 5a5c800000000000"),
+            "short frame: its length field is 8, which is less than the size of a header",
+        ),
         (bytes("02000000 10000000 5a5c800000000000"), "short frame: 2 records do not fit into 16 bytes"),
         (after_start(record("63 0300")), "record 1 (code 99, byte 64): unknown event code"),
         (batch(&[out_of_range], &tail), "lies outside the tail"),
-        (after_start(record("12 0300 02 2900000000000000 05000000")), "list 5 was never given"),
-        (after_start(record("12 0300 07")), "unknown list scope 7"),
-        (after_start(unknown_class), "unknown command group 4"),
-        (after_start(record("1a 0300 c4913a5d 0000 44480000 0a124a07 2b23 00 0c00")), "unknown ending 12"),
+        (after_start(record("12 0300 02 2900000000000000 05000000")), "endpoint list 5 is not defined"),
+        (after_start(record("12 0300 07")), "unknown endpoint list scope 7"),
+        (after_start(unknown_class), "unknown request class 4"),
+        (after_start(record("1a 0300 c4913a5d 0000 44480000 0a124a07 2b23 00 0c00")), "unknown outcome 12"),
         (restart(without("rules.cold_from")), "rules.cold_from is missing"),
         (restart(DEPLOYMENT.replace("siblings=1", "siblings=many")), "siblings is unreadable: \"many\""),
         (restart(DEPLOYMENT.replace("=once", "=twice")), "classes.0.effect is unreadable: \"twice\""),
