--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -191,9 +191,9 @@
     })
 }
 
-/// Converts the time since a session's last write from milliseconds. Returns `None` if the session never wrote.
-/// The time is rounded down: a later write requires newer data, so that a rounding error never allows a read to
-/// miss the write.
+/// Converts the time since a session's last write from milliseconds. Returns `None` if the session never
+/// wrote. The time is rounded down: a later write requires newer data, so that a rounding error never allows
+/// a read to miss the write.
 fn since_write(milliseconds: f32) -> Option<Duration> {
     let micros = || (f64::from(milliseconds.next_down()) * 1000.0) as u64;
     (milliseconds > 0.0).then(|| Duration::from_micros(micros()))
--- a/crates/comethitch-lab/src/fleet/events.rs
+++ b/crates/comethitch-lab/src/fleet/events.rs
@@ -109,12 +109,12 @@
     ReplicationResumes {
         host: usize,
     },
-    /// The second with this number begins.
+    /// The second with this number begins, counted from the start of the trial.
     SecondBegins(u64),
 }
 
 impl Event {
-    /// Returns the router incarnation that an event is for, or `None` if the event is for no certain
+    /// Returns the router incarnation that an event is for, or `None` if the event is for no particular
     /// incarnation. An event whose recipient has ended is discarded.
     pub(super) fn recipient(&self) -> Option<RouterId> {
         match self {
--- a/crates/comethitch-lab/src/fleet/mod.rs
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -1,8 +1,7 @@
 //! A fleet in simulated time: a discrete-event simulation of routers, hosts, clients and the network.
 //!
 //! [`run_trial`] takes events from the `events::EventQueue`, and `Fleet::handle` passes each to its handler
-//! in one of these
-//! modules:
+//! in one of these modules:
 //!
 //! - `clients`: requests, retries and final answers;
 //! - `routers`: routers, and the actions that their policies return;
@@ -33,7 +32,7 @@
 use routers::SimulatedRouter;
 use std::collections::BTreeMap;
 
-/// Start of every trial. It is after 0, so that positions can be before it.
+/// Start of every trial. It is after 0, so that replication positions can be before it.
 const START: Timestamp = Timestamp::from_millis(1_000_000);
 /// Maximum number of events of a trial.
 const MAX_EVENTS: u64 = 60_000_000;
--- a/crates/comethitch-lab/src/fleet/routers.rs
+++ b/crates/comethitch-lab/src/fleet/routers.rs
@@ -28,7 +28,7 @@
 /// A request at a router.
 #[derive(Debug)]
 pub(super) struct RequestInFlight {
-    /// Number of the request over all routers.
+    /// Number of the request, unique over all routers.
     pub number: u64,
     pub request: ClientRequest,
     /// Number of retries before this request.
--- a/crates/comethitch-lab/src/ledger/requests.rs
+++ b/crates/comethitch-lab/src/ledger/requests.rs
@@ -35,8 +35,8 @@
     /// Whether the router was killed or paused while the request was in flight, so that no answer is
     /// required.
     router_lost: bool,
-    /// When the client closed its connection. Then no answer is required, and no attempt may start after a
-    /// grace.
+    /// When the client closed its connection. Then no answer is required, and no attempt may start
+    /// once [`DISCONNECT_GRACE`] has passed.
     client_disconnected_at: Option<Timestamp>,
 }
 
--- a/crates/comethitch-lab/src/ledger/rule.rs
+++ b/crates/comethitch-lab/src/ledger/rule.rs
@@ -24,7 +24,7 @@
     ClientDisconnected,
     /// A client that sends only a part of a request is disconnected in time, with or without an error.
     IncompleteRequest,
-    /// The routers' own checks find no violation.
+    /// The routers' self-checks find no violation.
     SelfCheck,
     /// Every process starts.
     ProcessStart,
--- a/crates/comethitch-lab/src/soak.rs
+++ b/crates/comethitch-lab/src/soak.rs
@@ -53,7 +53,7 @@
 const TIMEOUTS_MS: [u64; 5] = [500, 1_200, 1_200, 3_000, 5_000];
 /// Numbers of shards, one of which is drawn for a trial. One is so large that each shard gets little traffic.
 const SHARDS: [u16; 5] = [1, 2, 3, 3, 40];
-/// Maximum number of shards up to which the total traffic grows with the number of shards.
+/// Number of shards up to which the total traffic grows. With more shards, each gets a smaller part of it.
 const MAX_SHARDS_WITH_FULL_LOAD: u16 = 3;
 /// Numbers of idle clients that connect to each router at once, one of which is drawn for a trial. The
 /// largest exhausts a router's file descriptors.
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -154,7 +154,7 @@
     /// Whether all hosts are in slow start when the trial begins.
     #[serde(rename = "all_cold")]
     pub all_hosts_warming_up: bool,
-    /// Faults and planned changes, with their times.
+    /// Faults and planned changes, with their start times.
     pub faults: Vec<Fault>,
     /// Settings of the routers that override those derived from the trial, for example to disable a
     /// protection. Real processes only.
