--- a/crates/comethitch-lab/src/fleet/events.rs
+++ b/crates/comethitch-lab/src/fleet/events.rs
@@ -79,7 +79,7 @@
         router: RouterId,
         host: usize,
     },
-    /// The report is `None` if the host is unreachable.
+    /// A health check returns. The report is `None` if the host is unreachable.
     HealthCheckReturns {
         router: RouterId,
         host: usize,
@@ -109,12 +109,13 @@
     ReplicationResumes {
         host: usize,
     },
-    /// The second with this number begins.
+    /// The second with this number begins, counted from the start of the trial.
     SecondBegins(u64),
 }
 
 impl Event {
-    /// Returns the router that an event is for. If that incarnation has ended, the event is discarded.
+    /// Returns the router incarnation that an event is for, or `None` if the event is for no particular
+    /// incarnation. An event whose recipient has ended is discarded.
     pub(super) fn recipient(&self) -> Option<RouterId> {
         match self {
             Event::AttemptReturns { attempt, .. } | Event::AttemptTimesOut { attempt } => {
