--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -1,6 +1,6 @@
-//! The configuration of a router: read, checked and completed with defaults here and nowhere else.
+//! The configuration of a router. Files are read and checked and defaults are applied only here.
 //!
-//! The rules for statements, which are a file of their own, are added to it.
+//! The rules for statements are read from a separate file and added to the configuration.
 
 mod error;
 mod json;
@@ -57,17 +57,17 @@
     pub zone_names: Vec<String>,
     /// The time after which a host closes an idle connection.
     pub host_idle_timeout: Duration,
-    /// The rules by which statements are classified by their text; without them, by their comments alone.
+    /// The rules for classifying statements by their text, or `None` if only their comments are used.
     pub statements: Option<Rules>,
 }
 
 impl Config {
-    /// Reads a file. The environment variables that `variable` returns replace a name or an address that the file
-    /// lacks.
+    /// Reads a file. A name or an address that is missing from the file is taken from an environment
+    /// variable, whose value `variable` returns.
     ///
     /// # Errors
     ///
-    /// If the file can't be read, or a key is missing or has a value that is not accepted.
+    /// If the file can't be read or is not JSON, or a key is missing or has a value that is not accepted.
     pub fn load(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         in_file(path, |text| Config::read(text, variable))
     }
@@ -76,18 +76,18 @@
     ///
     /// # Errors
     ///
-    /// If a key is missing or has a value that is not accepted.
+    /// If the text is not JSON, or a key is missing or has a value that is not accepted.
     pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let document: Value = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let reader = ConfigReader { keys: JsonKeys(&document), variable };
         let keys = &reader.keys;
         let deployment = reader.deployment()?;
-        let seed = keys.text(keys::SEED)?;
-        let zone_names = keys.texts(keys::ZONES)?;
+        let seed = keys.string(keys::SEED)?;
+        let zone_names = keys.strings(keys::ZONES)?;
         let initial_endpoints = reader.initial_endpoints(&zone_names)?;
         let class_names = reader.class_names()?;
         Ok(Config {
-            name: reader.text(keys::NAME)?,
+            name: reader.string(keys::NAME)?,
             listen: reader.address(keys::LISTEN)?,
             discovery: reader.address(keys::DISCOVERY)?,
             seed: parse_seed(&seed)?,
@@ -119,7 +119,7 @@
         self.deployment.classes.iter().map(|class| class.timeout).max().unwrap_or_default()
     }
 
-    /// Returns the keys that differ in another configuration and can't be changed in a running router.
+    /// Returns the keys whose values differ in `other` and take effect only after a restart of the router.
     pub fn fixed_keys_changed(&self, other: &Config) -> Vec<&'static str> {
         let classes_changed =
             self.class_names != other.class_names || self.deployment.classes != other.deployment.classes;
@@ -137,7 +137,8 @@
         changes.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
     }
 
-    /// Adds the rules for statements from a file, checked against the request classes and the memory limit.
+    /// Adds the rules for statements from a file, after checking them against the request classes and the
+    /// memory limit.
     ///
     /// # Errors
     ///
@@ -162,7 +163,7 @@
         Ok(self)
     }
 
-    /// Creates the admission of statements by their text, if there are rules for it.
+    /// Creates the admission of statements by their text, or `None` if there are no rules for statements.
     ///
     /// # Errors
     ///
@@ -171,7 +172,7 @@
         self.statements.clone().map(|rules| self.admission_by(rules, now)).transpose()
     }
 
-    /// Creates the admission by other rules, for the request classes of this configuration.
+    /// Creates the admission of statements by the given rules, for the request classes of this configuration.
     ///
     /// # Errors
     ///
@@ -182,7 +183,7 @@
     }
 }
 
-/// Reads a file's text with `read`; an error names the file.
+/// Passes the text of a file to `read`. Errors name the file.
 ///
 /// # Errors
 ///
--- a/crates/comethitchd/src/state/config/error.rs
+++ b/crates/comethitchd/src/state/config/error.rs
@@ -6,21 +6,21 @@
 use std::io;
 use std::path::PathBuf;
 
-/// What a key of the configuration accepts.
+/// The kind or range of values that a key of the configuration accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExpectedValue {
     /// An IP address with a port.
-    #[error("an address with a port")]
+    #[error("an IP address with a port")]
     SocketAddress,
-    /// A seed.
+    /// A seed of 64 bits in hexadecimal digits.
     #[error("up to 16 hexadecimal digits")]
     Seed,
     /// A JSON string.
-    #[error("a text")]
-    Text,
+    #[error("a string")]
+    String,
     /// A JSON array.
-    #[error("a list")]
-    List,
+    #[error("an array")]
+    Array,
     /// An integer of at least this minimum.
     #[error("a whole number of {0} or more")]
     IntegerOfAtLeast(u64),
@@ -28,22 +28,22 @@
     #[error("1 or more")]
     Positive,
     /// A number from 0 to 1.
-    #[error("0 to 1")]
+    #[error("a number from 0 to 1")]
     Fraction,
 }
 
 /// What is wrong with a configuration or with the rules for statements.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No file is named.
-    #[error("no configuration: give --configuration, or set RELAY_CONFIG")]
+    /// Neither the command line nor the environment names a configuration file.
+    #[error("no configuration file: pass --configuration or set the environment variable RELAY_CONFIG")]
     NoFile,
     /// A file can't be read.
     #[error("{} can't be read: {source}", path.display())]
     UnreadableFile {
         /// The file.
         path: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The contents of a file are not valid.
@@ -55,7 +55,7 @@
         source: Box<ConfigError>,
     },
     /// The text is not JSON.
-    #[error("this is no JSON: {0}")]
+    #[error("not valid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     /// A key is missing.
     #[error("{key} is missing")]
@@ -64,7 +64,7 @@
         key: String,
     },
     /// A key is missing, and so is the environment variable that may replace it.
-    #[error("{key} is missing, and {variable} is not set")]
+    #[error("{key} is missing, and the environment variable {variable} is not set")]
     MissingWithVariable {
         /// The path of the key.
         key: &'static str,
@@ -78,10 +78,10 @@
         key: String,
         /// What is accepted.
         expected: ExpectedValue,
-        /// The value as it stands in the file.
+        /// The value that was found, as it is written in the file.
         found: String,
     },
-    /// A key has a value of the wrong kind or range.
+    /// A key has a value of the wrong kind or range, which the message does not repeat.
     #[error("{key} must be {expected}")]
     Required {
         /// The path of the key.
@@ -90,7 +90,7 @@
         expected: ExpectedValue,
     },
     /// The list of request classes is empty.
-    #[error("settings.classes must name one command group or more")]
+    #[error("settings.classes must name at least one request class")]
     NoRequestClasses,
     /// The policy does not accept its settings; its error begins with the key.
     #[error("settings.{0}")]
@@ -98,7 +98,7 @@
     /// The initial endpoint list is not valid; its error begins with the key.
     #[error("known.{0}")]
     InitialEndpoints(#[source] EndpointListError),
-    /// A key of the rules for statements has a value that is not accepted.
+    /// A key of the rules for statements is missing or unknown, or has a value that is not accepted.
     #[error("{key}: {source}")]
     RulesKey {
         /// The path of the key.
@@ -106,14 +106,14 @@
         /// Why the value is not accepted.
         source: serde_json::Error,
     },
-    /// The rules for statements are followed by something else.
-    #[error("behind the rules: {0}")]
+    /// The text of the rules for statements continues after the end of the JSON value.
+    #[error("unexpected text after the rules: {0}")]
     AfterRules(#[source] serde_json::Error),
     /// The rules for statements do not fit the request classes; the error begins with the key.
     #[error("{0}")]
     Rules(#[source] RulesError),
     /// The cache of statement shapes is too large for the memory limit.
-    #[error("cache.kib is more than a quarter of {memory_limit_mb} MB, the limit")]
+    #[error("cache.kib must be at most a quarter of the memory limit, limits.memory_mb={memory_limit_mb}")]
     CacheTooLarge {
         /// The memory limit in MB.
         memory_limit_mb: u64,
@@ -121,17 +121,17 @@
 }
 
 impl ConfigError {
-    /// Returns the error of a required key that is missing.
+    /// Returns the error for a required key that is missing.
     pub(super) fn missing(key: &str) -> ConfigError {
         ConfigError::Missing { key: key.to_string() }
     }
 
-    /// Returns the error of a key with a value of the wrong kind.
+    /// Returns the error for a key whose value is not accepted; the message repeats the value.
     pub(super) fn unexpected(key: &str, expected: ExpectedValue, found: impl ToString) -> ConfigError {
         ConfigError::Unexpected { key: key.to_string(), expected, found: found.to_string() }
     }
 
-    /// Returns the error of a key that must have a value of a certain kind.
+    /// Returns the error for a key whose value is not accepted; the message does not repeat the value.
     pub(super) fn required(key: impl ToString, expected: ExpectedValue) -> ConfigError {
         ConfigError::Required { key: key.to_string(), expected }
     }
--- a/crates/comethitchd/src/state/config/keys.rs
+++ b/crates/comethitchd/src/state/config/keys.rs
@@ -1,7 +1,9 @@
-//! The keys of the configuration file, and the environment variables that may replace some of them. This is where the
-//! file's words are mapped to the terms of the code; the keys below `settings` that are not here are the policy's.
+//! The keys of the configuration file, and the environment variables that may replace some of them.
+//!
+//! The constants are named by the terms of the code, which differ from some keys. Keys below `settings` that
+//! are not listed here are used only by the policy.
 
-/// A key that may be left out if an environment variable is set.
+/// A key that may be omitted if an environment variable is set.
 #[derive(Clone, Copy)]
 pub(super) struct ReplaceableKey {
     /// The path of the key.
@@ -45,7 +47,7 @@
 pub(super) const MAX_ATTEMPTS: &str = "settings.permissions.max_attempts";
 /// Time in microseconds after which a host closes an idle connection.
 pub(super) const HOST_IDLE_TIMEOUT: &str = "settings.permissions.conn_idle_us";
-/// Window in microseconds over which a host that is warming up is measured for overload.
+/// Window in microseconds over which the overload of a host in slow start is measured.
 pub(super) const SLOW_START_WINDOW: &str = "settings.rules.fall_us";
-/// Fraction of its capacity that a host starts with.
+/// Fraction of its capacity with which a host begins slow start.
 pub(super) const INITIAL_CAPACITY: &str = "settings.rules.cold_from";
--- a/crates/comethitchd/src/state/config/reader.rs
+++ b/crates/comethitchd/src/state/config/reader.rs
@@ -17,24 +17,24 @@
 }
 
 impl<F: Fn(&str) -> Option<String>> ConfigReader<'_, F> {
-    /// Returns the text of a key, or else of its environment variable.
-    pub(super) fn text(&self, key: ReplaceableKey) -> Result<String, ConfigError> {
+    /// Returns the string at a key, or the value of the environment variable if the key is missing.
+    pub(super) fn string(&self, key: ReplaceableKey) -> Result<String, ConfigError> {
         if self.keys.get(key.path).is_some() {
-            return self.keys.text(key.path);
+            return self.keys.string(key.path);
         }
         let ReplaceableKey { path, variable } = key;
         (self.variable)(variable).ok_or(ConfigError::MissingWithVariable { key: path, variable })
     }
 
-    /// Returns the address of a key, or else of its environment variable.
+    /// Returns the address at a key, or in the environment variable if the key is missing.
     pub(super) fn address(&self, key: ReplaceableKey) -> Result<SocketAddr, ConfigError> {
-        let text = self.text(key)?;
+        let text = self.string(key)?;
         let unexpected =
             |_| ConfigError::unexpected(key.path, ExpectedValue::SocketAddress, format!("{text:?}"));
         text.parse().map_err(unexpected)
     }
 
-    /// Returns the settings of the policy, within their ranges.
+    /// Returns the settings of the policy, and checks their ranges.
     pub(super) fn deployment(&self) -> Result<Deployment, ConfigError> {
         let settings = self.keys.required(keys::SETTINGS)?;
         let deployment = Deployment::read(&settings_lines(settings)).map_err(ConfigError::Settings)?;
@@ -43,7 +43,7 @@
         Ok(deployment)
     }
 
-    /// Returns the initial endpoint list: a complete list of no host if there is none.
+    /// Returns the initial endpoint list, or a complete list without hosts if the key is missing.
     pub(super) fn initial_endpoints(&self, zone_names: &[String]) -> Result<EndpointList, ConfigError> {
         match self.keys.get(keys::INITIAL_ENDPOINTS) {
             Some(list) => endpoint_list_from_json(list, zone_names).map_err(ConfigError::InitialEndpoints),
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Returns the names of the request classes, of which there must be one or more.
+    /// Returns the names of the request classes, of which there must be at least one.
     pub(super) fn class_names(&self) -> Result<Vec<String>, ConfigError> {
-        let names = self.keys.texts_under(keys::REQUEST_CLASSES, keys::REQUEST_CLASS_NAME)?;
+        let names = self.keys.strings_under(keys::REQUEST_CLASSES, keys::REQUEST_CLASS_NAME)?;
         if names.is_empty() {
             return Err(ConfigError::NoRequestClasses);
         }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Parses a seed.
+/// Parses a seed in hexadecimal digits.
 pub(super) fn parse_seed(text: &str) -> Result<u64, ConfigError> {
     u64::from_str_radix(text, 16)
         .map_err(|_| ConfigError::unexpected(keys::SEED, ExpectedValue::Seed, format!("{text:?}")))
--- a/crates/comethitchd/src/state/config/statement_rules_file.rs
+++ b/crates/comethitchd/src/state/config/statement_rules_file.rs
@@ -1,15 +1,16 @@
-//! Reads the rules for statements, which are a file of their own.
+//! Reads the rules for statements, which have a file of their own.
 
 use super::error::ConfigError;
 use comethitch_statement::{Rules, Secret};
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 
-/// Reads the rules for statements.
+/// Reads the rules for statements from the text of their file.
 ///
 /// # Errors
 ///
-/// If they can't be read; the error names the key.
+/// If the text is not JSON, or a key is missing, unknown or has a value that is not accepted; the error names
+/// the key.
 pub fn read_rules(text: &str) -> Result<Rules, ConfigError> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let rules = serde_path_to_error::deserialize(&mut reader).map_err(|error| ConfigError::RulesKey {
@@ -20,13 +21,13 @@
     Ok(rules)
 }
 
-/// Draws a new secret from the operating system's random numbers.
+/// Returns a new secret from the operating system's random numbers.
 pub fn random_secret() -> Secret {
-    // Each state is seeded by the system, so that the hash of nothing is a random number.
-    let draw = || RandomState::new().build_hasher().finish().to_le_bytes();
+    // `RandomState` is keyed by the system's random numbers, so that even the hash of no input is random.
+    let random_bytes = || RandomState::new().build_hasher().finish().to_le_bytes();
     let mut secret = [0; 16];
     let (first, second) = secret.split_at_mut(8);
-    first.copy_from_slice(&draw());
-    second.copy_from_slice(&draw());
+    first.copy_from_slice(&random_bytes());
+    second.copy_from_slice(&random_bytes());
     Secret(secret)
 }
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -347,14 +347,14 @@
 fn configuration_errors_name_the_key() {
     let without = |path: &str| changed(path, Value::Null);
     let cases = [
-        ("{".to_string(), "this is no JSON"),
+        ("{".to_string(), "not valid JSON"),
         (without("settings"), "settings is missing"),
         (without("settings.tick_us"), "settings.tick_us"),
         (without("settings.domain.class_read"), "settings.domain.class_read is missing"),
         (without("seed"), "seed is missing"),
-        (without("listen"), "listen is missing, and RELAY_LISTEN is not set"),
-        (changed("listen", json!("here")), "listen must be an address with a port, not \"here\""),
-        (changed("discovery", json!(80)), "discovery must be a text"),
+        (without("listen"), "listen is missing, and the environment variable RELAY_LISTEN is not set"),
+        (changed("listen", json!("here")), "listen must be an IP address with a port, not \"here\""),
+        (changed("discovery", json!(80)), "discovery must be a string"),
         (changed("seed", json!("xyz")), "seed must be up to 16 hexadecimal digits"),
         (changed("limits.sockets", json!(3)), "limits.sockets must be a whole number of 64 or more, not 3"),
         (changed("limits.memory_mb", json!("much")), "limits.memory_mb must be a whole number"),
@@ -362,7 +362,10 @@
         (changed("settings.classes", json!([])), "settings.classes"),
         (changed("known.hosts", json!([{"host": "a"}])), "known.hosts.0.dial is missing"),
         (changed("settings.rules.cold_from", json!("low")), "settings.rules.cold_from is unreadable"),
-        (changed("settings.rules.cold_from", json!(1.5)), "settings.rules.cold_from must be 0 to 1"),
+        (
+            changed("settings.rules.cold_from", json!(1.5)),
+            "settings.rules.cold_from must be a number from 0 to 1",
+        ),
         (changed("settings.permissions.max_attempts", json!(0)), "settings.permissions.max_attempts must be"),
     ];
     for (text, wanted) in cases {
