--- a/crates/comethitchd/src/state/buffer.rs
+++ b/crates/comethitchd/src/state/buffer.rs
@@ -1,4 +1,5 @@
-//! The read buffer of a connection, which grows on demand within the shared memory budget and is compacted in place.
+//! The read buffer of a connection, which grows on demand within the shared memory budget and is compacted in
+//! place.
 
 use crate::state::memory_budget::MemoryBudget;
 use futures_lite::{AsyncRead, AsyncReadExt};
@@ -6,8 +7,8 @@
 
 /// Minimum free space before a read.
 const MIN_FREE_BYTES: usize = 1024;
-/// Maximum size of an empty buffer; larger ones release their memory.
-const MAX_IDLE_BYTES: usize = 8 * MIN_FREE_BYTES;
+/// Maximum size of a buffer that keeps its memory when it becomes empty.
+const MAX_EMPTY_BYTES: usize = 8 * MIN_FREE_BYTES;
 
 /// The bytes read from a connection and not consumed yet.
 pub struct Buffer {
@@ -24,7 +25,7 @@
         Buffer { budget: budget.clone(), bytes: Vec::new(), start: 0, end: 0, max_bytes }
     }
 
-    /// Returns the bytes that were read and not consumed.
+    /// Returns the bytes that were read and not consumed yet.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
@@ -35,19 +36,19 @@
         if self.start == self.end {
             self.start = 0;
             self.end = 0;
-            if self.bytes.len() > MAX_IDLE_BYTES {
+            if self.bytes.len() > MAX_EMPTY_BYTES {
                 self.release();
             }
         }
     }
 
-    /// Reads once, and returns the number of bytes read; 0 is the end of the stream. Cancel safe: dropping the future
-    /// loses no data.
+    /// Reads once, and returns the number of bytes read, which is 0 at the end of the stream. This is cancel
+    /// safe: dropping the future loses no data.
     ///
     /// # Errors
     ///
-    /// `OutOfMemory` if the memory budget is exhausted, `InvalidData` if the buffer is full at its largest size, and
-    /// the reader's own errors.
+    /// `OutOfMemory` if the memory budget is exhausted, `InvalidData` if the buffer is full at its maximum
+    /// size, and the reader's own errors.
     pub async fn fill(&mut self, mut reader: impl AsyncRead + Unpin) -> io::Result<usize> {
         if self.free() < MIN_FREE_BYTES && self.start > 0 {
             self.compact();
@@ -58,7 +59,7 @@
         if self.end == self.bytes.len() {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "a message larger than its buffer may be",
+                "the message exceeds the maximum size of its buffer",
             ));
         }
         let length = reader.read(&mut self.bytes[self.end..]).await?;
@@ -70,14 +71,14 @@
         self.bytes.len() - self.end
     }
 
-    /// Moves the unread bytes to the front.
+    /// Moves the unread bytes to the start of the buffer.
     fn compact(&mut self) {
         self.bytes.copy_within(self.start..self.end, 0);
         self.end -= self.start;
         self.start = 0;
     }
 
-    /// Doubles the buffer, up to its largest size.
+    /// Doubles the size of the buffer, up to its maximum.
     fn grow(&mut self) -> io::Result<()> {
         let new_length = (self.bytes.len() * 2).clamp(MIN_FREE_BYTES, self.max_bytes.max(MIN_FREE_BYTES));
         if !self.budget.exchange(self.bytes.len(), new_length) {
--- a/crates/comethitchd/src/state/client_registry.rs
+++ b/crates/comethitchd/src/state/client_registry.rs
@@ -1,5 +1,5 @@
-//! The registry of open client connections: their phases, their idle timeouts, the descriptors that they use, and which
-//! one is evicted first when descriptors run short.
+//! The registry of open client connections: their phases, their idle timeouts, the descriptors that they use,
+//! and which one is evicted first when descriptors run short.
 
 use crate::state::descriptors::{DescriptorLimit, DescriptorPermit};
 use crate::state::signals::{CloseRequest, ConnectionSignal};
@@ -10,30 +10,32 @@
 use std::hash::{BuildHasher, Hasher};
 use std::rc::Rc;
 
-/// Timeout for reading a complete request, and for discarding input after an error. A connection that is idle for as
-/// long may be evicted. With the interval of the sweep, incomplete requests end their connections within 3 s.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for receiving a complete request, and for discarding input after an error. A connection that has
+/// been idle for as long may be evicted. Expired connections are closed by a periodic sweep, so that a
+/// connection with an incomplete request ends within 3 s.
+const INPUT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of idle connections.
-const IDLE_TIMEOUT: Duration = Duration::from_micros(REQUEST_TIMEOUT.as_micros() * 5);
-/// Replaces [`REQUEST_TIMEOUT`] while descriptors run short or the router shuts down.
-const SHORTENED_REQUEST_TIMEOUT: Duration = Duration::from_micros(REQUEST_TIMEOUT.as_micros() / 32);
-/// Minimum age of a connection that is evicted before its first request, while no descriptor is free.
-const LAST_RESORT_TIMEOUT: Duration = Duration::from_micros(SHORTENED_REQUEST_TIMEOUT.as_micros() / 8);
-/// Fraction of the descriptors whose connections may have a request in progress.
-const BUSY_DESCRIPTORS_PART: (usize, usize) = (4, 5);
-/// Idle connections are evicted while fewer than one in this many descriptors is free.
+const IDLE_TIMEOUT: Duration = Duration::from_micros(INPUT_TIMEOUT.as_micros() * 5);
+/// Replaces [`INPUT_TIMEOUT`] while descriptors run short or the router shuts down.
+const SHORTENED_INPUT_TIMEOUT: Duration = Duration::from_micros(INPUT_TIMEOUT.as_micros() / 32);
+/// Minimum time that a connection gets to send a request before it may be evicted while no descriptor is
+/// free.
+const MIN_INPUT_TIMEOUT: Duration = Duration::from_micros(SHORTENED_INPUT_TIMEOUT.as_micros() / 8);
+/// Maximum number of requests in progress as a fraction of the descriptors: numerator and denominator.
+const MAX_BUSY_FRACTION: (usize, usize) = (4, 5);
+/// Connections are evicted before the limit is reached, once at most one in this many descriptors is free.
 const FREE_DESCRIPTORS_DIVISOR: usize = 8;
-/// Bytes of discarded input that are read at once.
+/// Size of the buffer that discarded input is read into.
 const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPhase {
-    /// It was sent an error that ends it, and its further input is discarded.
+    /// The client was sent an error that ends the connection. Further input is discarded.
     Closing,
-    /// It is expected to send its first request, or the rest of a request.
+    /// The client is expected to send its first request, or the rest of a request.
     Reading,
-    /// Its last request was answered, and no other has begun.
+    /// The last request was answered, and the next has not begun.
     Idle,
     /// A request of the client is in progress.
     Busy,
@@ -51,13 +53,14 @@
     signal: Rc<ConnectionSignal>,
 }
 
-/// The open connections, indexed so that the next one to close is found without a scan.
+/// The open connections, with an index that finds the next one to close without a scan.
 #[derive(Default)]
 struct OpenConnections {
     by_number: BTreeMap<u32, OpenConnection>,
-    /// Connections that were not asked to close at once, by phase and by when the phase began.
+    /// The connections that were not asked to close immediately, ordered by phase and by the start of the
+    /// phase.
     by_phase: BTreeSet<(ConnectionPhase, Timestamp, u32)>,
-    /// Number of connections that await input, including those that were asked to close.
+    /// The number of connections that await input, including those that were asked to close.
     awaiting_input: usize,
 }
 
@@ -80,22 +83,23 @@
         if connection.phase == phase {
             return;
         }
-        let may_be_closed = self.by_phase.remove(&(connection.phase, connection.since, number));
+        let is_evictable = self.by_phase.remove(&(connection.phase, connection.since, number));
         self.awaiting_input -= usize::from(connection.phase.awaits_input());
         self.awaiting_input += usize::from(phase.awaits_input());
         connection.phase = phase;
         connection.since = now;
-        if may_be_closed {
+        if is_evictable {
             self.by_phase.insert((phase, now, number));
         }
     }
 
-    /// Returns the connection that has been in a phase the longest, and since when.
+    /// Returns the connection that has been in a phase the longest, and when the phase began.
     fn longest_in(&self, phase: ConnectionPhase) -> Option<(Timestamp, u32)> {
         let (found, since, number) = self.by_phase.range((phase, Timestamp::ZERO, 0)..).next()?;
         (*found == phase).then_some((*since, *number))
     }
 
+    /// Asks a connection to close immediately. It is not selected for eviction again.
     fn close_now(&mut self, number: u32) {
         if let Some(connection) = self.by_number.get(&number) {
             connection.signal.request_close(CloseRequest::Now);
@@ -125,8 +129,9 @@
         }
     }
 
-    /// Acquires a descriptor for one more connection; none at the limit. When few descriptors are left, a connection
-    /// that has been idle for long is evicted first.
+    /// Acquires a descriptor for one more connection, or returns `None` at the limit. If few descriptors are
+    /// free, a connection that has been idle, or has not sent a complete request, for too long is first asked
+    /// to close.
     pub fn acquire_descriptor(&self, now: Timestamp) -> Option<DescriptorPermit> {
         let limit = self.descriptors.limit();
         if self.descriptors.in_use() >= limit - limit / FREE_DESCRIPTORS_DIVISOR {
@@ -135,7 +140,7 @@
         self.descriptors.acquire()
     }
 
-    /// Evicts one connection for a client that waits to be accepted, if no descriptor is free.
+    /// If no descriptor is free, evicts one connection for a client that waits to be accepted.
     pub fn make_room_for_waiting_client(&self, now: Timestamp) {
         if self.descriptors.is_exhausted() {
             self.evict_one(now, true);
@@ -144,17 +149,19 @@
 
     /// Returns the maximum number of requests in progress.
     pub fn max_requests(&self) -> usize {
-        self.descriptors.limit() * BUSY_DESCRIPTORS_PART.0 / BUSY_DESCRIPTORS_PART.1
+        self.descriptors.limit() * MAX_BUSY_FRACTION.0 / MAX_BUSY_FRACTION.1
     }
 
-    /// Returns the buffer that all connections read discarded input to. Its contents have no meaning.
+    /// Returns the buffer that all connections read discarded input into. Its contents are never used.
     pub fn discard_buffer(&self) -> &RefCell<Vec<u8>> {
         &self.discard_buffer
     }
 
-    /// Registers a connection; returns its number, and the signal that asks it to close.
+    /// Registers a connection. Returns its number, and the signal that requests to close or to cancel are
+    /// sent through.
     pub fn register(&self, now: Timestamp) -> (u32, Rc<ConnectionSignal>) {
-        // The hasher's seed comes from the operating system's random numbers: no other client can guess the key.
+        // The hasher is seeded by the operating system's random numbers, so that no other client can guess
+        // the key.
         let cancel_key = RandomState::new().build_hasher().finish() as u32;
         let signal = Rc::new(ConnectionSignal::new(cancel_key));
         let number = self.next_number.get();
@@ -165,11 +172,11 @@
         (number, signal)
     }
 
-    /// Cancels the request in progress on a connection, if `cancel_key` is the connection's.
+    /// Cancels the request in progress on a connection if `cancel_key` is the connection's key.
     pub fn cancel_request(&self, number: u32, cancel_key: u32) {
         let open = self.open.borrow();
         let connection = open.by_number.get(&number);
-        if let Some(connection) = connection.filter(|open| open.signal.cancel_key == cancel_key) {
+        if let Some(connection) = connection.filter(|connection| connection.signal.cancel_key == cancel_key) {
             connection.signal.cancel();
         }
     }
@@ -179,7 +186,7 @@
         self.open.borrow_mut().remove(number);
     }
 
-    /// Sets what a connection is doing. Setting the same phase again does not restart its timeout.
+    /// Sets the phase of a connection. Setting the same phase again does not restart its timeout.
     pub fn set_phase(&self, number: u32, phase: ConnectionPhase, now: Timestamp) {
         self.open.borrow_mut().set_phase(number, phase, now);
     }
@@ -191,13 +198,12 @@
         }
     }
 
-    /// Asks connections to close that have exceeded the timeout of their phase.
+    /// Asks all connections that have exceeded the timeout of their phase to close.
     pub fn close_expired(&self, now: Timestamp) {
-        let request_timeout =
-            if self.shutting_down.get() { SHORTENED_REQUEST_TIMEOUT } else { REQUEST_TIMEOUT };
+        let input_timeout = if self.shutting_down.get() { SHORTENED_INPUT_TIMEOUT } else { INPUT_TIMEOUT };
         let timeouts = [
-            (ConnectionPhase::Closing, request_timeout),
-            (ConnectionPhase::Reading, request_timeout),
+            (ConnectionPhase::Closing, input_timeout),
+            (ConnectionPhase::Reading, input_timeout),
             (ConnectionPhase::Idle, IDLE_TIMEOUT),
         ];
         let mut open = self.open.borrow_mut();
@@ -209,7 +215,8 @@
         }
     }
 
-    /// Asks every connection to close once it has no request in progress, as the router shuts down.
+    /// Asks every connection to close once it has no request in progress, because the router is shutting
+    /// down.
     pub fn close_all(&self) {
         self.shutting_down.set(true);
         let open = self.open.borrow();
@@ -228,23 +235,24 @@
     }
 }
 
-/// Returns the connection to evict first; none if no connection may be evicted.
+/// Returns the connection to evict, or `None` if no connection may be evicted.
 ///
-/// Candidates are connections that were sent an error, that have sent no complete request for a while, or that have
-/// been idle for long. If descriptors are `exhausted`, connections that had little time to send a request follow, and
-/// then any idle one, unless a connection still awaits input.
+/// The order is: connections that were sent an error, connections that have not sent a complete request
+/// within the shortened timeout, and connections that have been idle for long. If descriptors are
+/// `exhausted`, connections that had less time to send a request follow, and then any idle one, unless a
+/// connection still awaits input.
 fn next_to_evict(open: &OpenConnections, now: Timestamp, exhausted: bool) -> Option<u32> {
     let longest_in = |phase, min_duration: Duration| {
         let (since, number) = open.longest_in(phase)?;
         (now - since >= min_duration).then_some(number)
     };
-    let candidate = longest_in(ConnectionPhase::Closing, SHORTENED_REQUEST_TIMEOUT)
-        .or_else(|| longest_in(ConnectionPhase::Reading, SHORTENED_REQUEST_TIMEOUT))
-        .or_else(|| longest_in(ConnectionPhase::Idle, REQUEST_TIMEOUT));
+    let candidate = longest_in(ConnectionPhase::Closing, SHORTENED_INPUT_TIMEOUT)
+        .or_else(|| longest_in(ConnectionPhase::Reading, SHORTENED_INPUT_TIMEOUT))
+        .or_else(|| longest_in(ConnectionPhase::Idle, INPUT_TIMEOUT));
     if candidate.is_some() || !exhausted {
         return candidate;
     }
-    let last_resort = longest_in(ConnectionPhase::Reading, LAST_RESORT_TIMEOUT);
+    let reading = longest_in(ConnectionPhase::Reading, MIN_INPUT_TIMEOUT);
     let any_idle = || longest_in(ConnectionPhase::Idle, Duration::ZERO);
-    last_resort.or_else(|| if open.awaiting_input > 0 { None } else { any_idle() })
+    reading.or_else(|| if open.awaiting_input > 0 { None } else { any_idle() })
 }
--- a/crates/comethitchd/src/state/clock.rs
+++ b/crates/comethitchd/src/state/clock.rs
@@ -1,4 +1,4 @@
-//! Unix time that never goes back: the wall clock as read at the start, advanced by the monotonic clock.
+//! A clock of Unix time that never goes back: the wall clock at the start, advanced by the monotonic clock.
 
 use async_io::Timer;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -18,13 +18,13 @@
         Clock { wall_start: Timestamp::from_micros(unix.as_micros() as u64), monotonic_start: Instant::now() }
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.wall_start + Duration::from_micros(self.monotonic_start.elapsed().as_micros() as u64)
     }
 }
 
-/// Waits, then returns `value`. With [`futures_lite::FutureExt::or`] this is a timeout.
+/// Returns `value` after waiting for `wait`. Used with [`futures_lite::FutureExt::or`] as a timeout.
 pub async fn after<T>(wait: StdDuration, value: T) -> T {
     Timer::after(wait).await;
     value
--- a/crates/comethitchd/src/state/connection_pool.rs
+++ b/crates/comethitchd/src/state/connection_pool.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LastUse {
     at: Timestamp,
-    /// Orders connections that were last used at the same time.
+    /// Distinguishes connections that were last used at the same time.
     sequence: u64,
 }
 
@@ -20,13 +20,14 @@
     connection: HostConnection,
 }
 
-/// Fraction of the hosts' idle timeout after which connections are no longer used, so that no host closes one in use.
-const IDLE_TIMEOUT_PART: (u64, u64) = (3, 4);
+/// Fraction of the hosts' idle timeout after which connections are no longer used, so that no host closes one
+/// in use: numerator and denominator.
+const IDLE_TIMEOUT_FRACTION: (u64, u64) = (3, 4);
 
 /// The idle connections of all hosts.
 pub struct ConnectionPool {
     idle_timeout: Duration,
-    /// When a host last rejected a connection for lack of slots.
+    /// The last time that a host rejected a connection for lack of slots, or `None` if none has.
     last_no_slot: Option<Timestamp>,
     /// The idle connections of each host, most recently used last.
     idle: BTreeMap<Host, Vec<IdleConnection>>,
@@ -36,10 +37,10 @@
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool; hosts close connections that are idle for `host_idle_timeout`.
+    /// Creates an empty pool for hosts that close connections after `host_idle_timeout`.
     pub fn new(host_idle_timeout: Duration) -> ConnectionPool {
         ConnectionPool {
-            idle_timeout: host_idle_timeout / IDLE_TIMEOUT_PART.1 * IDLE_TIMEOUT_PART.0,
+            idle_timeout: host_idle_timeout / IDLE_TIMEOUT_FRACTION.1 * IDLE_TIMEOUT_FRACTION.0,
             last_no_slot: None,
             idle: BTreeMap::new(),
             by_last_use: BTreeMap::new(),
@@ -47,20 +48,20 @@
         }
     }
 
-    /// Records that a host rejected a connection for lack of slots; idle ones are then closed sooner.
+    /// Records that a host rejected a connection for lack of slots. Idle connections are then closed sooner.
     pub fn record_no_slot(&mut self, now: Timestamp) {
         self.last_no_slot = Some(now);
     }
 
-    /// Takes the host's most recently used connection, so that the others expire. Connections that turn out to be
-    /// expired, broken or open to another address are closed.
+    /// Takes the host's most recently used connection, so that the others can expire. Connections that are
+    /// found to be expired, broken or opened to another address are closed.
     pub fn take(&mut self, host: Host, address: SocketAddr, now: Timestamp) -> Option<HostConnection> {
         let idle = self.idle.get_mut(&host)?;
         let mut usable = None;
         while let Some(IdleConnection { last_use, connection }) = idle.pop() {
             self.by_last_use.remove(&last_use);
-            let fresh = now - last_use.at < self.idle_timeout;
-            if fresh && connection.address == address && connection.is_quiet() {
+            let is_fresh = now - last_use.at < self.idle_timeout;
+            if is_fresh && connection.address == address && connection.has_nothing_to_read() {
                 usable = Some(connection);
                 break;
             }
--- a/crates/comethitchd/src/state/descriptors.rs
+++ b/crates/comethitchd/src/state/descriptors.rs
@@ -1,25 +1,27 @@
-//! Limits on file descriptors: how many connections of clients and to hosts may be open at a time.
+//! Limits on file descriptors: how many connections of clients and to hosts may be open at the same time.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that are no connections of clients or hosts: standard streams, poller, signals, listener, discovery.
+/// Number of descriptors for everything but connections of clients and to hosts: standard streams, poller,
+/// signals, listener and discovery.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Fraction of the other descriptors for clients; hosts get the rest, so that neither side can starve the other.
-const CLIENT_DESCRIPTORS_PART: (usize, usize) = (5, 8);
+/// Fraction of the other descriptors for clients: numerator and denominator. Hosts get the rest, so that
+/// neither side can starve the other.
+const CLIENT_FRACTION: (usize, usize) = (5, 8);
 
 /// The descriptor limits of both kinds of connection.
 pub struct DescriptorLimits {
-    /// The limit of connections of clients.
+    /// The limit on connections of clients.
     pub clients: DescriptorLimit,
-    /// The limit of connections to hosts.
+    /// The limit on connections to hosts.
     pub hosts: DescriptorLimit,
 }
 
 /// Divides the descriptors that the process may use between clients and hosts.
 pub fn divide_descriptors(descriptors: usize) -> DescriptorLimits {
     let connections = descriptors - RESERVED_DESCRIPTORS;
-    let clients = connections * CLIENT_DESCRIPTORS_PART.0 / CLIENT_DESCRIPTORS_PART.1;
+    let clients = connections * CLIENT_FRACTION.0 / CLIENT_FRACTION.1;
     DescriptorLimits {
         clients: DescriptorLimit::new(clients),
         hosts: DescriptorLimit::new(connections - clients),
@@ -47,7 +49,7 @@
         DescriptorLimit { limit, in_use: Rc::default() }
     }
 
-    /// Acquires a permit for one more descriptor; none at the limit.
+    /// Acquires a permit for one more descriptor, or returns `None` at the limit.
     pub fn acquire(&self) -> Option<DescriptorPermit> {
         if self.is_exhausted() {
             return None;
@@ -56,7 +58,7 @@
         Some(DescriptorPermit(self.in_use.clone()))
     }
 
-    /// Returns the maximum number of descriptors in use.
+    /// Returns the maximum number of descriptors that may be in use.
     pub fn limit(&self) -> usize {
         self.limit
     }
--- a/crates/comethitchd/src/state/discovery_state.rs
+++ b/crates/comethitchd/src/state/discovery_state.rs
@@ -1,4 +1,4 @@
-//! The discovery service that is followed, whether its watch is alive, and whether clients may be served.
+//! The discovery service in use, when its watch last sent something, and whether clients may be served.
 
 use crate::state::signals::OneShotEvent;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -9,16 +9,16 @@
 /// Initial and minimum timeout of connections to discovery and of its responses.
 pub const MIN_RESPONSE_TIMEOUT: StdDuration = StdDuration::from_millis(750);
 
-/// The discovery service that is followed.
+/// A discovery service that the router gets endpoint lists from.
 #[derive(Clone)]
 pub struct DiscoveryService {
     /// The address of the service.
     pub address: SocketAddr,
-    /// Set when another service is followed instead.
+    /// Set when the router switches to another service.
     pub replaced: OneShotEvent,
 }
 
-/// Owns what is known about the discovery service.
+/// The state of the connection to discovery.
 pub struct DiscoveryState {
     service: RefCell<DiscoveryService>,
     last_watch_event: Cell<Timestamp>,
@@ -27,7 +27,7 @@
 }
 
 impl DiscoveryState {
-    /// Starts to follow the service at `address`.
+    /// Starts with the service at `address`.
     pub fn new(address: SocketAddr, now: Timestamp) -> DiscoveryState {
         let service = DiscoveryService { address, replaced: OneShotEvent::default() };
         DiscoveryState {
@@ -38,18 +38,19 @@
         }
     }
 
-    /// Returns the service that is followed now.
+    /// Returns the service in use.
     pub fn service(&self) -> DiscoveryService {
         self.service.borrow().clone()
     }
 
-    /// Follows the service at `address` instead of the current one.
+    /// Switches to the service at `address`.
     pub fn replace(&self, address: SocketAddr) {
         let service = DiscoveryService { address, replaced: OneShotEvent::default() };
         self.service.replace(service).replaced.set();
     }
 
-    /// Lets clients be served: there is an endpoint list, or the wait for the first one has ended.
+    /// Allows clients to be served, because an endpoint list was received or the wait for the first one has
+    /// ended.
     pub fn set_ready(&self) {
         self.ready.set();
     }
@@ -69,12 +70,12 @@
         self.response_timeout.set(timeout);
     }
 
-    /// Records that the watch sent a line; empty lines are keep-alives.
+    /// Records that the watch sent a line. Empty lines, which are keep-alives, count.
     pub fn record_watch_event(&self, now: Timestamp) {
         self.last_watch_event.set(now);
     }
 
-    /// Returns how long the watch has sent nothing.
+    /// Returns the time since the watch last sent a line.
     pub fn watch_silence(&self, now: Timestamp) -> Duration {
         now - self.last_watch_event.get()
     }
--- a/crates/comethitchd/src/state/dropped_log_lines.rs
+++ b/crates/comethitchd/src/state/dropped_log_lines.rs
@@ -1,4 +1,4 @@
-//! Counts the log lines that could not be written. The count is global, as the logger is.
+//! Counts the log lines that could not be written. The count is global because the logger is global.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
--- a/crates/comethitchd/src/state/endpoints.rs
+++ b/crates/comethitchd/src/state/endpoints.rs
@@ -1,12 +1,12 @@
-//! The endpoint directory: names and addresses of the hosts on the endpoint list. Everything else about hosts belongs to
-//! the policy.
+//! The endpoint directory: names and addresses of the hosts on the endpoint list. All other state of hosts
+//! belongs to the policy.
 
 use crate::wire::discovery::EndpointList;
 use comethitch_policy::{Host, Lifecycle, Role};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Maximum number of removed hosts that are still known.
+/// Maximum number of removed hosts whose names and addresses are kept.
 const MAX_REMOVED_HOSTS: usize = 32;
 
 struct KnownHost {
@@ -21,7 +21,8 @@
     hosts: BTreeMap<Host, KnownHost>,
     /// The role that each host last reported, for the log.
     roles: BTreeMap<Host, Role>,
-    /// Removed hosts in the order of removal. They stay known for a while, as attempts to them may be in flight.
+    /// Removed hosts in the order of removal. They stay known for a while because attempts to them may be in
+    /// flight.
     removed: VecDeque<Host>,
 }
 
@@ -32,9 +33,9 @@
         let mut removed_or_moved = self.missing_from(list);
         for entry in &list.entries {
             let known = KnownHost { name: entry.name.clone(), address: entry.address };
-            let before = self.hosts.insert(entry.endpoint.host, known);
-            let moved = before.as_ref().is_some_and(|known| known.address != entry.address);
-            if let Some(hidden) = before.filter(|known| known.name != entry.name) {
+            let previous = self.hosts.insert(entry.endpoint.host, known);
+            let moved = previous.as_ref().is_some_and(|known| known.address != entry.address);
+            if let Some(hidden) = previous.filter(|known| known.name != entry.name) {
                 log::error!(host = entry.name.as_str(), hidden_host = hidden.name.as_str(); "host id collision");
             }
             if moved || entry.endpoint.lifecycle == Lifecycle::Removed {
@@ -50,11 +51,11 @@
         if !list.complete {
             return Vec::new();
         }
-        let named: BTreeSet<Host> = list.entries.iter().map(|entry| entry.endpoint.host).collect();
-        self.hosts.keys().copied().filter(|host| !named.contains(host)).collect()
+        let listed: BTreeSet<Host> = list.entries.iter().map(|entry| entry.endpoint.host).collect();
+        self.hosts.keys().copied().filter(|host| !listed.contains(host)).collect()
     }
 
-    /// Updates the removed hosts, and drops the ones removed longest ago.
+    /// Updates the removed hosts, and forgets the ones that were removed first if there are too many.
     fn update_removed(&mut self, list: &EndpointList, removed_or_moved: &[Host]) {
         let endpoints = list.entries.iter().map(|entry| &entry.endpoint);
         let present = endpoints.filter(|endpoint| endpoint.lifecycle != Lifecycle::Removed);
@@ -70,12 +71,13 @@
         }
     }
 
-    /// Returns the version of the list last received from the current discovery service.
+    /// Returns the version of the list last received from the current discovery service, or `None` before the
+    /// first.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Forgets the version, as another discovery service counts its own.
+    /// Forgets the version, because another discovery service has version numbers of its own.
     pub fn forget_version(&mut self) {
         self.version = None;
     }
@@ -95,7 +97,7 @@
         self.address(host) == Some(address) && !self.removed.contains(&host)
     }
 
-    /// Records the role that a host reported; returns whether a known host's role has changed.
+    /// Records the role that a known host reported. Returns whether it has changed.
     pub fn record_role(&mut self, host: Host, role: Role) -> bool {
         self.hosts.contains_key(&host) && self.roles.insert(host, role) != Some(role)
     }
@@ -105,7 +107,7 @@
         self.hosts.get(&host).map(|known| known.address)
     }
 
-    /// Returns the name of a host for the log.
+    /// Returns the name of a host for the log, or `unlisted` if the host is not known.
     pub fn name(&self, host: Host) -> &str {
         self.hosts.get(&host).map_or("unlisted", |known| &known.name)
     }
--- a/crates/comethitchd/src/state/event_loop_clock.rs
+++ b/crates/comethitchd/src/state/event_loop_clock.rs
@@ -1,4 +1,4 @@
-//! The router's clock together with what its readings reveal about the event loop.
+//! The router's clock, with the detection of event loop stalls by its readings.
 
 use crate::state::clock::Clock;
 use crate::state::stall_detector::StallDetector;
@@ -11,27 +11,27 @@
 }
 
 impl EventLoopClock {
-    /// Starts to observe the event loop.
+    /// Creates a clock whose first observation is now.
     pub fn new(clock: Clock) -> EventLoopClock {
         EventLoopClock { clock, stalls: StallDetector::new(clock.now()) }
     }
 
-    /// Returns the present time. Stalls are neither detected nor logged.
+    /// Returns the current time, without detecting or logging stalls.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Returns the present time; logs and records a stall of the event loop since the last observation.
+    /// Returns the current time. Records and logs a stall if there was one since the last observation.
     pub fn observe(&self) -> Timestamp {
         let now = self.clock.now();
         self.stalls.observe(now);
         now
     }
 
-    /// Observes the event loop, and returns the earliest time at which bytes that are read now may have arrived, see
-    /// [`StallDetector::earliest_arrival`].
-    pub fn earliest_arrival(&self, recent: Duration) -> Timestamp {
-        self.stalls.earliest_arrival(self.observe(), recent)
+    /// Observes the event loop, and returns the earliest time at which bytes that are read now may have
+    /// arrived. See [`StallDetector::earliest_arrival`].
+    pub fn earliest_arrival(&self, max_stall_age: Duration) -> Timestamp {
+        self.stalls.earliest_arrival(self.observe(), max_stall_age)
     }
 
     /// Records that the next tick is due after `interval`.
@@ -44,7 +44,7 @@
         self.stalls.record_tick(self.clock.now());
     }
 
-    /// Returns whether the event loop has stalled since the last observation, without observing it.
+    /// Returns whether the event loop has stalled since the last observation, without making one.
     pub fn has_just_stalled(&self) -> bool {
         self.stalls.has_just_stalled(self.clock.now())
     }
--- a/crates/comethitchd/src/state/host_connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -1,4 +1,5 @@
-//! A connection to a host, the errors that it can end with, and the [`AttemptOutcome`] that the policy gets for each.
+//! A connection to a host, the errors that can end its use, and the [`AttemptOutcome`] that is reported to
+//! the policy for each of them.
 
 use crate::state::buffer::Buffer;
 use crate::state::descriptors::DescriptorPermit;
@@ -6,7 +7,7 @@
 use comethitch_policy::AttemptOutcome;
 use std::net::SocketAddr;
 
-/// SQLSTATE of a write in a read-only transaction, as on a replica.
+/// SQLSTATE of a write in a read-only transaction, which is what a replica answers to a write.
 const READ_ONLY_TRANSACTION: &str = "25006";
 const SNAPSHOT_TOO_OLD: &str = "72000";
 const TOO_MANY_CONNECTIONS: &str = "53300";
@@ -21,7 +22,7 @@
 pub struct HostConnection {
     /// The socket.
     pub stream: Socket,
-    /// The bytes that were read and not consumed.
+    /// The bytes that were read and not consumed yet.
     pub buffer: Buffer,
     /// The address that the connection was opened to.
     pub address: SocketAddr,
@@ -34,17 +35,17 @@
 /// The state of a protocol's session that outlasts one use of the connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionState {
-    /// The negotiated packet size in bytes, in protocols with packets.
+    /// The negotiated packet size in bytes, for protocols with packets.
     pub packet_size: usize,
-    /// Whether the connection was used before: the session must be reset before the next request.
+    /// Whether the connection was used before, so that its session must be reset before the next request.
     pub reused: bool,
 }
 
 impl HostConnection {
-    /// Returns whether nothing was received while the connection was idle. The end of the stream, an error or an
-    /// unexpected message make it unusable.
-    pub fn is_quiet(&self) -> bool {
-        self.buffer.unread().is_empty() && self.stream.is_quiet()
+    /// Returns whether nothing was received while the connection was idle. After the end of the stream, an
+    /// error or an unexpected message, the connection can't be used again.
+    pub fn has_nothing_to_read(&self) -> bool {
+        self.buffer.unread().is_empty() && self.stream.has_nothing_to_read()
     }
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl HostErrorCode {
-    /// Returns the outcome that the policy gets for an attempt that ended with this error.
+    /// Returns the outcome that is reported to the policy for an attempt that ended with this error.
     fn outcome(&self) -> AttemptOutcome {
         match self {
             HostErrorCode::Postgres(sqlstate) => postgres_outcome(sqlstate),
@@ -83,7 +84,7 @@
 }
 
 fn tds_outcome(number: i32, class: u8, first: bool) -> AttemptOutcome {
-    // An error after another statement of the batch does not show that nothing ran.
+    // If the error follows the result of another statement of the batch, that statement has been executed.
     if first && TDS_NOT_PRIMARY.contains(&number) {
         return AttemptOutcome::NotPrimary;
     }
@@ -102,10 +103,11 @@
     /// The host answered with an error.
     #[error("the host answered with the error {0:?}")]
     HostError(HostErrorCode),
-    /// The request was not sent: for lack of time or descriptors, an unknown host, or a refusal right before the send.
+    /// The request was not sent, because time or descriptors ran out, the host is unknown, or a check right
+    /// before the send refused it.
     #[error("the request was not sent")]
     NotSent,
-    /// The host rejected the connection for lack of slots.
+    /// The host rejected the connection because it has no free connection slot.
     #[error("the host has no free connection slot")]
     NoConnectionSlot,
     /// The connection was refused, or broke before it could be used.
@@ -132,7 +134,8 @@
 }
 
 impl ConnectionError {
-    /// Returns the outcome that the policy gets for an attempt or a health check that ended with this error.
+    /// Returns the outcome that is reported to the policy for an attempt or a health check that ended with
+    /// this error.
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             ConnectionError::HostError(code) => code.outcome(),
@@ -149,7 +152,8 @@
     }
 }
 
-/// Returns the outcome that the policy gets for an attempt or a health check; only a complete answer is a success.
+/// Returns the outcome that is reported to the policy for an attempt or a health check. Only a complete
+/// answer is a success.
 pub fn attempt_outcome(completion: &Result<(), ConnectionError>) -> AttemptOutcome {
     match completion {
         Ok(()) => AttemptOutcome::Answered,
--- a/crates/comethitchd/src/state/hosts.rs
+++ b/crates/comethitchd/src/state/hosts.rs
@@ -1,4 +1,4 @@
-//! Everything the daemon keeps about hosts: their addresses, the idle connections to them, and the descriptors that
+//! What the daemon knows of hosts: their addresses, the idle connections to them, and the descriptors that
 //! connections to hosts use.
 
 use crate::state::connection_pool::ConnectionPool;
@@ -11,7 +11,8 @@
 use std::cell::{Ref, RefCell};
 use std::net::SocketAddr;
 
-/// Owns the endpoint directory, the pool of idle connections and the descriptor limit of connections to hosts.
+/// Owns the endpoint directory, the pool of idle connections and the descriptor limit of connections to
+/// hosts.
 pub struct Hosts {
     directory: RefCell<EndpointDirectory>,
     pool: RefCell<ConnectionPool>,
@@ -19,7 +20,8 @@
 }
 
 impl Hosts {
-    /// Creates the state for a router that knows no hosts yet; hosts close connections idle for `host_idle_timeout`.
+    /// Creates the state for a router that knows no hosts yet. Hosts close connections that are idle for
+    /// `host_idle_timeout`.
     pub fn new(host_idle_timeout: Duration, descriptors: DescriptorLimit) -> Hosts {
         Hosts {
             directory: RefCell::default(),
@@ -28,13 +30,13 @@
         }
     }
 
-    /// Returns the endpoint directory, which must not be kept across an await.
+    /// Returns the endpoint directory. The borrow must not be kept across an await.
     pub fn directory(&self) -> Ref<'_, EndpointDirectory> {
         self.directory.borrow()
     }
 
-    /// Applies an endpoint list or an update to the directory, and closes idle connections to hosts that it removes or
-    /// moves to another address.
+    /// Applies an endpoint list or an update to the directory, and closes idle connections to hosts that it
+    /// removes or moves to another address.
     pub fn apply_endpoint_list(&self, list: &EndpointList) {
         let removed_or_moved = self.directory.borrow_mut().apply(list);
         removed_or_moved.into_iter().for_each(|host| self.close_idle(host));
@@ -45,7 +47,7 @@
         self.directory.borrow_mut().forget_version();
     }
 
-    /// Records the role that a host reported, and logs it if it has changed.
+    /// Records the role that a host reported, and logs a change.
     pub fn record_role(&self, host: Host, role: Role) {
         let mut directory = self.directory.borrow_mut();
         if directory.record_role(host, role) {
@@ -53,13 +55,13 @@
         }
     }
 
-    /// Takes an idle connection to a host out of the pool, see [`ConnectionPool::take`].
+    /// Takes an idle connection to a host out of the pool. See [`ConnectionPool::take`].
     pub fn take_idle(&self, host: Host, address: SocketAddr, now: Timestamp) -> Option<HostConnection> {
         self.pool.borrow_mut().take(host, address, now)
     }
 
-    /// Returns a connection to the pool; closes it instead if the host is no longer listed at its address or bytes are
-    /// left to read.
+    /// Returns a connection to the pool, or closes it if the host is no longer listed at its address or the
+    /// buffer holds unread bytes.
     pub fn release(&self, host: Host, connection: HostConnection, now: Timestamp) {
         let is_listed = self.directory().is_listed_at(host, connection.address);
         if is_listed && connection.buffer.unread().is_empty() {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Records that a host had no slot for one more connection; idle connections are then closed sooner.
+    /// Records that a host had no slot for one more connection. Idle connections are then closed sooner.
     pub fn record_no_slot(&self, now: Timestamp) {
         self.pool.borrow_mut().record_no_slot(now);
     }
@@ -82,7 +84,8 @@
         self.pool.borrow_mut().close_expired(now);
     }
 
-    /// Acquires a descriptor for one more connection, if necessary by closing the connection that has been idle longest.
+    /// Acquires a descriptor for one more connection. If none is free, the connection that has been idle for
+    /// the longest time is closed first. Returns `None` if no connection is idle either.
     pub fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         self.descriptors.acquire().or_else(|| {
             self.pool.borrow_mut().evict_longest_idle();
--- a/crates/comethitchd/src/state/log_fields.rs
+++ b/crates/comethitchd/src/state/log_fields.rs
@@ -8,7 +8,7 @@
     value: u64,
 }
 
-/// The key-values of a log line, in their order.
+/// The key-values of a log line, in the order in which they were added.
 #[derive(Default)]
 pub struct LogFields(Vec<LogField>);
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Logs a line with such key-values, as of the module `target`.
+/// Logs a line with these key-values and the module `target`.
 pub fn log_with_fields(level: Level, target: &str, message: &str, fields: &LogFields) {
     let arguments = format_args!("{message}");
     log::logger()
--- a/crates/comethitchd/src/state/memory_budget.rs
+++ b/crates/comethitchd/src/state/memory_budget.rs
@@ -1,9 +1,10 @@
-//! The memory budget that all connection buffers share: it bounds memory use whatever the number of connections.
+//! The memory budget that all connection buffers share, which bounds memory use for any number of
+//! connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The bytes that are not reserved yet. Clones share one budget.
+/// The number of bytes that can still be reserved. Clones share one budget.
 #[derive(Clone)]
 pub struct MemoryBudget(Rc<Cell<usize>>);
 
@@ -18,8 +19,8 @@
         self.0.get()
     }
 
-    /// Replaces a reservation of `reserved` bytes by one of `requested` bytes. Returns false and changes nothing if the
-    /// budget does not allow it.
+    /// Replaces a reservation of `reserved` bytes by one of `requested` bytes. Returns false and changes
+    /// nothing if the budget does not suffice.
     pub(super) fn exchange(&self, reserved: usize, requested: usize) -> bool {
         let allowed = self.0.get() + reserved >= requested;
         if allowed {
@@ -41,7 +42,8 @@
         Reservation { budget: budget.clone(), bytes: 0 }
     }
 
-    /// Grows or shrinks the reservation to `bytes`. Returns false and changes nothing if the budget is exhausted.
+    /// Grows or shrinks the reservation to `bytes`. Returns false and changes nothing if the budget does not
+    /// suffice.
     pub fn resize_to(&mut self, bytes: usize) -> bool {
         let allowed = self.budget.exchange(self.bytes, bytes);
         if allowed {
--- a/crates/comethitchd/src/state/metrics.rs
+++ b/crates/comethitchd/src/state/metrics.rs
@@ -6,7 +6,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// Counts events since the counter was last taken.
+/// Counts events since the last call of [`Counter::take`].
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Counts events by kind.
+/// Counts events by kind since the last call of [`CounterByKind::take`].
 pub struct CounterByKind<K>(RefCell<BTreeMap<K, u64>>);
 
 impl<K> Default for CounterByKind<K> {
@@ -54,13 +54,13 @@
     pub answered: Counter,
     /// Requests answered as throttled by the policy or by a client's budget for parsing statements.
     pub throttled: Counter,
-    /// Requests throttled at the limit of requests in progress, and connections ended for lack of memory.
+    /// Requests throttled at the limit of requests in progress, and connections closed for lack of memory.
     pub throttled_at_limit: Counter,
     /// Requests answered as failed.
     pub failed: Counter,
     /// Clients that disconnected with a request in progress, or cancelled it.
     pub clients_disconnected: Counter,
-    /// Statements that are no valid request, and protocol violations of clients.
+    /// Statements that are not valid requests, and protocol violations of clients.
     pub invalid_requests: Counter,
     /// Health checks sent.
     pub health_checks: Counter,
@@ -68,13 +68,14 @@
     pub health_checks_failed: Counter,
     /// Connections opened to hosts.
     pub connections_opened: Counter,
-    /// Failed calls to accept a connection of a client.
+    /// Failed calls to accept a client connection.
     pub accepts_failed: Counter,
     /// Attempts that have ended, by outcome.
     pub attempts: CounterByKind<AttemptOutcome>,
-    /// Attempts that were not sent although a connection was available, by the name of the reason.
+    /// Attempts that were refused right before the send, with a connection available, by the name of the
+    /// reason.
     pub sends_refused: CounterByKind<&'static str>,
-    /// Violations of rules that the router detected itself, by the name of the rule.
+    /// Violations of the router's own rules that its checks found, by the name of the rule.
     pub violations: CounterByKind<&'static str>,
     /// Requests that the policy rejected, by the name of its reason.
     pub rejections: CounterByKind<&'static str>,
@@ -83,7 +84,8 @@
 }
 
 impl Metrics {
-    /// Returns the nonzero counts since the last call, by name. Step times and faults by host are taken separately.
+    /// Returns the nonzero counts since the last call, by name. Step times and faults by host are taken
+    /// separately.
     pub fn take_counts(&self) -> LogFields {
         let mut counts = LogFields::default();
         counts.push_nonzero("requests_received", self.requests_received.take());
--- a/crates/comethitchd/src/state/metrics_report.rs
+++ b/crates/comethitchd/src/state/metrics_report.rs
@@ -1,5 +1,5 @@
-//! The periodic log lines of a router: its counts, the time that its event loop took, what was done with statements, and
-//! the faults of hosts.
+//! The periodic log lines of a router: its counters, the times of its event loop's steps, how statements were
+//! classified, and the faults of hosts.
 
 use crate::state::dropped_log_lines::take_dropped_lines;
 use crate::state::log_fields::{LogFields, log_with_fields};
@@ -8,10 +8,11 @@
 use log::Level;
 use std::cmp::Reverse;
 
-/// Maximum number of faults by host and outcome that are logged one by one; the rest are summed up.
+/// Maximum number of combinations of host and outcome whose faults are logged separately. The rest are added
+/// up.
 const MAX_HOST_FAULTS_LOGGED: usize = 32;
 
-/// Logs what was counted since the last call. Nothing is logged for what did not happen.
+/// Logs what was counted since the last call. A line without any event to report is not logged.
 pub fn log_metrics(state: &RouterState) {
     log_counts(state);
     log_steps(state);
@@ -52,7 +53,8 @@
     }
 }
 
-/// Returns what was done with statements since the last call, and the state of the cache; empty if nothing was done.
+/// Returns how statements were classified since the last call, and the state of the cache. Empty if there
+/// were none.
 fn take_statement_counts(admission: &mut StatementAdmission) -> LogFields {
     let counts = admission.take_counts();
     let mut fields = LogFields::default();
@@ -74,7 +76,7 @@
     fields
 }
 
-/// Logs the most frequent faults by host, and the number of the others.
+/// Logs the most frequent faults by host and outcome, and the total of the others.
 fn log_host_faults(state: &RouterState) {
     let mut faults = state.metrics.host_faults.take();
     faults.sort_unstable_by_key(|(_, count)| Reverse(*count));
--- a/crates/comethitchd/src/state/mod.rs
+++ b/crates/comethitchd/src/state/mod.rs
@@ -1,6 +1,7 @@
-//! The state of a running router: configuration, connections, requests in progress, endpoint list, memory and metrics.
+//! The state of a running router: configuration, connections, requests in progress, endpoint list, memory and
+//! metrics.
 //!
-//! [`router_state::RouterState`] joins the owners of each.
+//! [`router_state::RouterState`] owns all of it.
 
 pub mod arrivals;
 pub mod buffer;
--- a/crates/comethitchd/src/state/pending_requests.rs
+++ b/crates/comethitchd/src/state/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The requests in progress: not yet answered, or with an attempt still in flight.
+//! The requests in progress, which are not yet answered or have an attempt in flight.
 
 use crate::state::socket::Socket;
 use async_channel::{Receiver, Sender};
@@ -15,17 +15,18 @@
 pub struct Statement {
     /// The statement in the encoding of the backend protocol.
     pub text: Vec<u8>,
-    /// The type of the message that it was received in, in protocols with several.
+    /// The type of the message that carried the statement, for protocols with several types.
     pub message_kind: u8,
     /// The id that the client gave the request, or a generated one.
     pub client_id: String,
-    /// The position of the client's timeout in the text, if there is one; each attempt replaces it by its own.
+    /// The position of the client's timeout in the text, if there is one. Each attempt replaces it with its
+    /// own timeout.
     pub timeout_range: Option<Range<usize>>,
     /// The statement's shape, if statements are classified by their text.
     pub shape: Option<Rc<KnownShape>>,
 }
 
-/// The three kinds of final answers.
+/// The kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     /// Answered with a value.
@@ -52,9 +53,9 @@
 pub enum Reply {
     /// Answered with a host's value.
     Value(Vec<u8>),
-    /// Answered with a large value: its first part, and the channel of the further parts.
+    /// Answered with a large value: the first part of it, and the channel that the other parts are sent to.
     Streaming(Vec<u8>, Receiver<ValuePart>),
-    /// Throttled: nothing was executed, and the client may retry after the given time, if any.
+    /// Throttled. Nothing was executed, and the client may retry after the given time, if there is one.
     Throttled(Option<Duration>),
     /// Failed, with an unknown effect.
     Failed,
@@ -75,7 +76,8 @@
     }
 }
 
-/// A further part of a streamed value, which is incomplete if the channel closes without [`ValuePart::End`].
+/// A later part of a streamed value. The value is incomplete if the channel closes without
+/// [`ValuePart::End`].
 #[derive(Debug)]
 pub enum ValuePart {
     /// The next bytes of the value.
@@ -86,13 +88,13 @@
 
 struct PendingRequest {
     statement: Rc<Statement>,
-    /// The client's connection, while it is open.
+    /// The client's connection, which can be upgraded while it is open.
     client: Weak<Socket>,
-    /// The channel of the final answer; none once it was given.
+    /// The channel that the final answer is sent to, or `None` once the request is answered or abandoned.
     reply: Option<Sender<Reply>>,
-    /// The task of each attempt by number; none once the attempt has ended.
+    /// The task of each attempt by number, or `None` once the attempt has ended.
     attempts: Vec<Option<Task<()>>>,
-    /// The host's error response to the latest attempt.
+    /// The host's error response to the latest attempt, if it ended with one.
     host_error: Option<Vec<u8>>,
 }
 
@@ -107,12 +109,12 @@
     last_id: RequestId,
     generated_ids: u64,
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Client ids of the requests that are not answered yet.
+    /// The client ids of the requests that are not answered yet.
     unanswered: BTreeSet<String>,
 }
 
 impl RequestTable {
-    /// Takes the channel of the final answer; the client may use the request's id again.
+    /// Takes the channel of the final answer. The client may then use the request's id again.
     fn take_reply_sender(&mut self, id: RequestId) -> Option<Sender<Reply>> {
         let request = self.requests.get_mut(&id)?;
         let sender = request.reply.take()?;
@@ -127,12 +129,13 @@
     }
 }
 
-/// All requests in progress, by the id that the policy knows them under.
+/// All requests in progress, by the id that identifies them to the policy.
 #[derive(Default)]
 pub struct PendingRequests(RefCell<RequestTable>);
 
 impl PendingRequests {
-    /// Registers a request of a client; returns its id, and the channel that its final answer is sent to.
+    /// Registers a request of a client. Returns its id, and the channel that its final answer is received
+    /// from.
     pub fn register(&self, statement: Statement, client: Weak<Socket>) -> (RequestId, Receiver<Reply>) {
         let mut table = self.0.borrow_mut();
         let id = table.last_id.wrapping_add(1);
@@ -150,7 +153,7 @@
         (id, receiver)
     }
 
-    /// Generates an id for a request whose client gave it none; no client can give the same.
+    /// Generates an id for a request that its client gave no id. No client can use the same one.
     pub fn generate_id(&self) -> String {
         let mut table = self.0.borrow_mut();
         table.generated_ids += 1;
@@ -172,12 +175,12 @@
         self.0.borrow().requests.get(&id).map(|request| request.client.clone()).unwrap_or_default()
     }
 
-    /// Returns the number of the request's next attempt, counted from 0.
+    /// Returns the number of the request's next attempt, starting at 0.
     pub fn next_attempt(&self, id: RequestId) -> u16 {
         self.0.borrow().requests.get(&id).map_or(0, |request| request.attempts.len() as u16)
     }
 
-    /// Records the request's next attempt; without a task the attempt has ended already.
+    /// Records the request's next attempt. `task` is `None` if the attempt has already ended.
     pub fn record_attempt(&self, id: RequestId, task: Option<Task<()>>) {
         if let Some(request) = self.0.borrow_mut().requests.get_mut(&id) {
             request.attempts.push(task);
@@ -185,19 +188,20 @@
         }
     }
 
-    /// Records the error that a host answered the latest attempt with.
+    /// Records the error with which a host answered the latest attempt.
     pub fn record_host_error(&self, id: RequestId, error: Vec<u8>) {
         if let Some(request) = self.0.borrow_mut().requests.get_mut(&id) {
             request.host_error = Some(error);
         }
     }
 
-    /// Takes the host's error of the latest attempt, if it ended in one.
+    /// Takes the host's error response to the latest attempt, if it ended with one.
     pub fn take_host_error(&self, id: RequestId) -> Option<Vec<u8>> {
         self.0.borrow_mut().requests.get_mut(&id)?.host_error.take()
     }
 
-    /// Gives the final answer. Returns false if the request was answered before or its client has disconnected.
+    /// Sends the final answer. Returns false if the request was answered before or its client has
+    /// disconnected.
     pub fn answer(&self, id: RequestId, reply: Reply) -> bool {
         let mut table = self.0.borrow_mut();
         let sender = table.take_reply_sender(id);
@@ -206,19 +210,19 @@
         delivered
     }
 
-    /// Gives up the final answer, as the client has disconnected or cancelled the request.
+    /// Drops the channel of the final answer, because the client has disconnected or cancelled the request.
     pub fn abandon(&self, id: RequestId) {
         let mut table = self.0.borrow_mut();
         table.take_reply_sender(id);
         table.remove_if_finished(id);
     }
 
-    /// Returns whether the request has its final answer, or is not in progress at all.
+    /// Returns whether the request has its final answer, or is not in progress.
     pub fn is_answered(&self, id: RequestId) -> bool {
         self.0.borrow().requests.get(&id).is_none_or(|request| request.reply.is_none())
     }
 
-    /// Takes the task of an attempt in flight, to cancel it or because it has ended.
+    /// Takes the task of an attempt in flight, either to cancel it or because it has ended.
     pub fn take_attempt(&self, id: RequestId, attempt: u16) -> Option<Task<()>> {
         let mut table = self.0.borrow_mut();
         table.requests.get_mut(&id)?.attempts.get_mut(usize::from(attempt))?.take()
--- a/crates/comethitchd/src/state/protocol.rs
+++ b/crates/comethitchd/src/state/protocol.rs
@@ -1,7 +1,7 @@
 //! The interface between the router and a wire protocol.
 //!
-//! A client protocol turns clients' messages into requests and writes their answers; a backend protocol sends attempts
-//! to hosts and checks their health. Neither makes decisions.
+//! A client protocol turns clients' messages into requests and writes their answers; a backend protocol sends
+//! attempts to hosts and checks their health. Neither makes decisions.
 
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::host_connection::{ConnectionError, attempt_outcome};
@@ -13,39 +13,41 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// The task that serves one client's connection to its end.
+/// The task that serves one client connection until it ends.
 pub type ClientSession = Pin<Box<dyn Future<Output = ()>>>;
 
-/// A protocol spoken with clients, in a router with this state.
+/// A protocol spoken with clients. `State` is the state of the router.
 pub trait ClientProtocol<State> {
-    /// Returns a task that serves a client's connection to its end. The client is registered by the call itself, before
-    /// the first poll.
+    /// Returns a task that serves a client connection until it ends. The call itself registers the client,
+    /// before the task is first polled.
     fn serve(&self, state: Rc<State>, stream: Async<TcpStream>, permit: DescriptorPermit) -> ClientSession;
 }
 
-/// A protocol spoken with hosts, in a router with this state.
+/// A protocol spoken with hosts. `State` is the state of the router.
 pub trait BackendProtocol<State> {
-    /// Starts the request's next attempt, whose end is reported to [`crate::stages::policy_driver::attempt_ended`].
+    /// Starts the request's next attempt, whose end is reported to
+    /// [`crate::stages::policy_driver::attempt_ended`], and returns `None`.
     ///
-    /// An attempt whose timeout has already expired, as after a stall of the event loop, is not sent; its number is
-    /// returned, so that its end is not counted against the host.
+    /// An attempt whose timeout has already expired, as after a stall of the event loop, is not sent. Its
+    /// number is returned instead, so that the caller can end it without counting it against the host.
     fn send_attempt(&self, state: &Rc<State>, id: RequestId, host: Host, timeout: Duration) -> Option<u16>;
 
-    /// Starts a health check of a host; its outcome and the host's load report go to the policy.
+    /// Starts a health check of a host, whose outcome and load report are passed to the policy.
     fn check_health(&self, state: &Rc<State>, host: Host);
 }
 
-/// The end of an attempt, with the contents of its answer.
+/// How an attempt ended, and the contents of its answer.
 pub struct AttemptResult {
-    /// Whether a complete answer was received, or why not.
+    /// `Ok` if a complete answer was received, or else the error that ended the attempt.
     pub completion: Result<(), ConnectionError>,
     /// The response trailer: the role and position that came with the answer.
     pub trailer: LoadReport,
     /// The load report that came with the answer.
     pub report: LoadReport,
-    /// The value as the client protocol forwards it, or the host's error.
+    /// The value in the form that the client protocol forwards, or the host's error.
     pub payload: Vec<u8>,
-    /// Whether the end was already reported to the policy, when the answer began to be streamed.
+    /// Whether the end was already reported to the policy, which happens when an answer begins to be
+    /// streamed.
     pub already_reported: bool,
 }
 
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -22,17 +22,18 @@
 
 /// Memory reserved for everything but connection buffers and the cache of statement shapes.
 const OTHER_MEMORY_BYTES: u64 = 12 << 20;
-/// Divisor of the remaining memory for buffers: their contents are copied once.
+/// Divisor of the remaining memory that buffers may use. Their contents are copied once, which takes as much
+/// memory again.
 const BUFFER_MEMORY_DIVISOR: usize = 2;
 
-/// The state of one running router: one owner with a narrow interface for each concern. No borrow from any
-/// of them may be kept across an await.
+/// The state of one running router. Each field owns the state of one concern. No borrow from any of them may
+/// be kept across an await.
 pub struct RouterState {
     /// The configuration that the router was started with.
     pub(crate) config: Config,
     /// The clock, which also observes the event loop.
     pub(crate) clock: EventLoopClock,
-    /// Runs all other tasks; it is itself run by the task that serves.
+    /// The executor of all other tasks. The serving task runs it.
     pub(crate) tasks: LocalExecutor<'static>,
     /// The protocol spoken with hosts.
     pub(crate) backend: Box<dyn BackendProtocol<RouterState>>,
@@ -44,9 +45,9 @@
     pub(crate) clients: ClientRegistry,
     /// The memory that buffers may use.
     pub(crate) memory: MemoryBudget,
-    /// The discovery service that is followed, and whether there is an endpoint list to serve with.
+    /// The discovery service in use, and whether clients may be served.
     pub(crate) discovery: DiscoveryState,
-    /// The rules by which statements are classified by their text.
+    /// The rules for classifying statements by their text.
     pub(crate) statement_rules: StatementRules,
     /// Counters and step times for the log.
     pub(crate) metrics: Metrics,
@@ -55,7 +56,7 @@
 }
 
 impl RouterState {
-    /// Creates the state around a policy that has been started and knows no hosts yet.
+    /// Creates the state for a policy that has been started and knows no hosts yet.
     ///
     /// # Errors
     ///
@@ -82,12 +83,13 @@
         }))
     }
 
-    /// Returns the policy for reading, which must not be kept across an await.
+    /// Returns the policy for reading. The borrow must not be kept across an await.
     pub(crate) fn policy(&self) -> Ref<'_, Router> {
         self.policy.borrow()
     }
 
-    /// Calls the policy, measured as `step`, and returns the actions that it decided on.
+    /// Calls the policy, records the time that it took under `step`, and returns the actions that it decided
+    /// on.
     pub(crate) fn call_policy(
         &self, step: EventLoopStep, call: impl FnOnce(&mut Router, &mut ActionQueue),
     ) -> ActionQueue {
@@ -96,7 +98,8 @@
         queue
     }
 
-    /// Returns when bytes that are read now may have arrived at the earliest, see [`EventLoopClock::earliest_arrival`].
+    /// Returns the earliest time at which bytes that are read now may have arrived. See
+    /// [`EventLoopClock::earliest_arrival`].
     pub(crate) fn arrival_time(&self) -> Timestamp {
         self.clock.earliest_arrival(self.config.deployment.tick)
     }
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Counts and logs the violation of a rule that a check found after the fact.
+    /// Counts and logs the violation of one of the router's own rules, which a check has found afterwards.
     pub(crate) fn record_violation(&self, rule: &'static str, subject: &str) {
         self.metrics.violations.increment(rule);
         log::error!(rule, subject; "rule broken");
@@ -122,14 +125,14 @@
         self.transitions.log_changes(&self.policy());
     }
 
-    /// Returns whether as many requests are in progress as connections allow. Clients' connections are still accepted
-    /// beyond that, and their requests throttled at once.
+    /// Returns whether the maximum number of requests is in progress. Connections of clients are still
+    /// accepted then, and their requests are throttled immediately.
     pub(crate) fn at_request_limit(&self) -> bool {
         self.requests.len() >= self.clients.max_requests()
     }
 }
 
-/// Returns the memory that the cache of statement shapes and everything else leave to buffers.
+/// Returns the memory that buffers may use, after the cache of statement shapes and all other uses.
 fn buffer_memory_bytes(config: &Config) -> usize {
     let shape_cache_bytes = config.statements.as_ref().map_or(0, |rules| rules.cache.kib as u64) << 10;
     let limit_bytes = config.memory_limit_mb << 20;
--- a/crates/comethitchd/src/state/signals.rs
+++ b/crates/comethitchd/src/state/signals.rs
@@ -1,5 +1,5 @@
-//! Signals between tasks of the same thread: one-shot events, and requests to close a client's connection or to cancel
-//! its request.
+//! Signals between tasks of the same thread: one-shot events, and requests to close a client's connection or
+//! to cancel its request.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
@@ -37,21 +37,22 @@
     }
 }
 
-/// How urgently a connection was asked to close, in ascending order.
+/// How urgently a connection is asked to close, in ascending order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseRequest {
-    /// Not at all.
+    /// No close is requested.
     #[default]
     Never,
-    /// Once no request is in progress or partly received.
+    /// Close once no request is in progress or partly received.
     WhenIdle,
-    /// Immediately.
+    /// Close immediately.
     Now,
 }
 
 /// Requests to one client connection to close or to cancel its request.
 ///
-/// Only the connection's own task may wait on it: there is a single waker, so that waiting allocates nothing.
+/// Only the connection's own task may wait on it. There is only one waker, so that waiting allocates no
+/// memory.
 #[derive(Default)]
 pub struct ConnectionSignal {
     /// The key that a client must present to cancel the connection's request.
@@ -67,13 +68,13 @@
         ConnectionSignal { cancel_key, ..ConnectionSignal::default() }
     }
 
-    /// Requests a close. A more urgent earlier request stays in effect.
+    /// Requests a close. An earlier request that is more urgent stays in effect.
     pub fn request_close(&self, close: CloseRequest) {
         self.close.set(self.close.get().max(close));
         self.wake();
     }
 
-    /// Clears the cancellation of an earlier request, as a new one begins.
+    /// Clears the cancellation of an earlier request when a new one begins.
     pub fn reset_cancel(&self) {
         self.cancelled.set(false);
     }
@@ -89,7 +90,7 @@
         self.wait_until(|| self.cancelled.get()).await;
     }
 
-    /// Returns the most urgent close requested so far.
+    /// Returns the most urgent close that was requested so far.
     pub fn close_requested(&self) -> CloseRequest {
         self.close.get()
     }
--- a/crates/comethitchd/src/state/socket.rs
+++ b/crates/comethitchd/src/state/socket.rs
@@ -1,7 +1,9 @@
-//! A TCP connection that retries interrupted system calls, and connection attempts that failed for a local shortage.
+//! A TCP connection that retries interrupted system calls, and connection attempts that failed for lack of
+//! local resources.
 //!
-//! Linux may return `EINTR` from any read, write, peek or poll, and a new socket may meet a shortage of descriptors,
-//! buffers or ports. Such errors are no fault of the peer, so that they are retried here before they are returned.
+//! Linux may return `EINTR` from any read, write, peek or poll, and descriptors, buffers or ports may run
+//! short when a connection is opened. Such errors are not caused by the peer, so they are retried here before
+//! they are returned.
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -16,11 +18,11 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// Maximum size of a request that surely fits into the receive buffer of its host.
+/// Maximum size of a request that is certain to fit into the receive buffer of its host.
 const MAX_BUFFERED_REQUEST_BYTES: usize = 4096;
 /// Size of the send buffer of connections to hosts.
 const SEND_BUFFER_BYTES: usize = 16 * 1024;
-/// Wait before each retry of a connection attempt that failed for a transient local error.
+/// Delay before each retry of a connection attempt that failed for a transient local error.
 const CONNECT_BACKOFF: [Duration; 5] = [
     Duration::from_millis(1),
     Duration::from_millis(2),
@@ -29,9 +31,10 @@
     Duration::from_millis(16),
 ];
 
-/// Retries a call while it is interrupted.
+/// Repeats a call for as long as it fails with `EINTR`.
 ///
 /// # Errors
+///
 /// Any other error of the call.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
@@ -42,7 +45,7 @@
     }
 }
 
-/// Polls again while the call is interrupted.
+/// Repeats a poll for as long as it fails with `EINTR`.
 fn poll_uninterrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match poll() {
@@ -52,7 +55,8 @@
     }
 }
 
-/// Returns whether an error is a shortage of the local machine (descriptors, buffers, ports) and no fault of a peer.
+/// Returns whether an error was caused by a shortage of the local machine (descriptors, buffers, ports) and
+/// not by the peer.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     let shortages = [
         Errno::INTR,
@@ -83,40 +87,44 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: Async<TcpStream>,
-    /// A large request was written, and nothing was read since: a part of it may still be in the send buffer.
-    unconfirmed: Cell<bool>,
+    /// Whether a large request was written and nothing has been read since. A part of it may still be in the
+    /// send buffer.
+    may_have_unsent_bytes: Cell<bool>,
 }
 
 impl Socket {
-    /// Wraps an open connection, and disables the delay of small writes.
+    /// Wraps an open connection, and disables the delay of small writes (Nagle's algorithm).
     pub fn new(stream: Async<TcpStream>) -> Socket {
-        // A failure would only delay answers.
+        // If this fails, answers are only delayed.
         let _ = stream.get_ref().set_nodelay(true);
-        Socket { stream, unconfirmed: Cell::new(false) }
+        Socket { stream, may_have_unsent_bytes: Cell::new(false) }
     }
 
     /// Connects to an address.
     ///
     /// # Errors
+    ///
     /// If the connection is refused or fails, or a transient local error persists.
     pub async fn connect(address: SocketAddr) -> io::Result<Socket> {
-        for wait in CONNECT_BACKOFF {
+        for delay in CONNECT_BACKOFF {
             match Async::<TcpStream>::connect(address).await {
-                Err(error) if is_transient(&error) => Timer::after(wait).await,
+                Err(error) if is_transient(&error) => Timer::after(delay).await,
                 result => return result.map(Socket::new),
             };
         }
         Async::<TcpStream>::connect(address).await.map(Socket::new)
     }
 
-    /// Returns the IP address of the peer.
+    /// Returns the IP address of the peer, or `None` if it can't be determined.
     pub fn peer_ip(&self) -> Option<IpAddr> {
         self.stream.get_ref().peer_addr().ok().map(|address| address.ip())
     }
 
-    /// Copies received bytes without consuming them or waiting for any; 0 is the end of the stream.
+    /// Copies received bytes without consuming them, and does not wait for any. Returns 0 at the end of the
+    /// stream.
     ///
     /// # Errors
+    ///
     /// `WouldBlock` if there are none, and the connection's own errors.
     pub fn peek(&self, buffer: &mut [u8]) -> io::Result<usize> {
         retry_interrupted(|| self.stream.get_ref().peek(buffer))
@@ -127,13 +135,13 @@
         self.peek(&mut [0]).is_ok_and(|length| length > 0)
     }
 
-    /// Returns whether there is nothing to read, neither bytes nor the end of the stream nor an error.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether there is nothing to read: no bytes, no end of the stream and no error.
+    pub fn has_nothing_to_read(&self) -> bool {
         self.peek(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Returns whether the peer has closed the connection or its sending half, or the connection was reset, even if
-    /// there are bytes to read before that.
+    /// Returns whether the peer has closed the connection or its sending half, or the connection was reset,
+    /// even if bytes that arrived before are still unread.
     pub fn has_ended(&self) -> bool {
         match self.peek(&mut [0]) {
             Ok(0) => true,
@@ -151,10 +159,11 @@
         ready.is_ok_and(|number| number > 0) && polled[0].revents().intersects(hang_up)
     }
 
-    /// Waits for bytes and reads them into a buffer that is borrowed only for the system call; 0 is the end of the
-    /// stream.
+    /// Waits for bytes and reads them into a buffer, which is borrowed only for the system call. Returns 0 at
+    /// the end of the stream.
     ///
     /// # Errors
+    ///
     /// The connection's own error.
     pub async fn read_into(&self, buffer: &RefCell<Vec<u8>>) -> io::Result<usize> {
         loop {
@@ -166,10 +175,11 @@
         }
     }
 
-    /// Writes all bytes, and calls `check` right before each system call that may write the last one, as a peer that
-    /// reads slowly can delay a write for long.
+    /// Writes all bytes. Calls `check` right before each system call that may write the last byte, because a
+    /// peer that reads slowly can delay a write for a long time.
     ///
     /// # Errors
+    ///
     /// The refusal of `check`, or the connection's own error. In both cases the last byte was not written.
     pub async fn write_checked<R>(
         &self, bytes: &[u8], check: impl Fn() -> Result<(), R>,
@@ -183,19 +193,21 @@
             })
             .await?;
         }
-        self.unconfirmed.set(bytes.len() > MAX_BUFFERED_REQUEST_BYTES);
+        self.may_have_unsent_bytes.set(bytes.len() > MAX_BUFFERED_REQUEST_BYTES);
         Ok(())
     }
 
     /// Limits how many written bytes the system buffers for a peer that reads slowly.
     pub fn limit_send_buffer(&self) {
-        // A failure would only let more time pass between the check of a write and the last byte's departure.
+        // If this fails, only more time may pass between the check before a write and the sending of the last
+        // byte.
         let _ = sockopt::set_socket_send_buffer_size(&self.stream, SEND_BUFFER_BYTES);
     }
 
-    /// Shuts down the sending half.
+    /// Shuts down the sending half of the connection.
     ///
     /// # Errors
+    ///
     /// If the connection is broken.
     pub fn shut_down_write(&self) -> io::Result<()> {
         self.stream.get_ref().shutdown(Shutdown::Write)
@@ -207,15 +219,16 @@
         self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let result = ready!(poll_uninterrupted(|| Pin::new(&mut &self.stream).poll_read(context, buffer)));
-        self.unconfirmed.set(false);
+        self.may_have_unsent_bytes.set(false);
         Poll::Ready(result)
     }
 }
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        // An abandoned request must not be delivered after the close: discard what the send buffer holds of it.
-        if self.unconfirmed.get() {
+        // An abandoned request must not be delivered after the close, so the rest of it in the send buffer is
+        // discarded.
+        if self.may_have_unsent_bytes.get() {
             let _ = sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO));
         }
     }
--- a/crates/comethitchd/src/state/stall_detector.rs
+++ b/crates/comethitchd/src/state/stall_detector.rs
@@ -1,16 +1,16 @@
-//! Detects stalls of the event loop: periods in which the router's only thread did not run because the process was
-//! stopped or starved of CPU time.
+//! Detects stalls of the event loop: periods in which the router's only thread did not run because the
+//! process was stopped or starved of CPU time.
 //!
-//! The policy has a measurement of its own, the event-loop lag: the scheduling delay of ticks, as a maximum that decays
-//! and is capped, by which it answers earlier. The two are not shared. The policy reads no clock and also runs in
-//! simulations, so that it can only use the times of its ticks; a stall is the exact period of one interruption, which
-//! any reading of the clock can reveal, and decides when buffered bytes may have arrived.
+//! A stall is the exact period of one interruption. It determines when buffered bytes may have arrived, and
+//! any reading of the clock can reveal it. The policy's event-loop lag is a separate measurement: a capped
+//! and decaying maximum of the scheduling delay of ticks, which makes the policy answer earlier. The policy
+//! reads no clock and also runs in simulations, so that it can measure only the times of its ticks.
 
 use comethitch_policy::time::{Duration, Timestamp};
 use std::cell::Cell;
 
-/// Longest interval between two observations that is no stall, in ticks.
-const MAX_QUIET_TICKS: u64 = 2;
+/// Maximum interval between two observations, in ticks, that does not count as a stall.
+const MAX_INTERVAL_TICKS: u64 = 2;
 
 /// A period in which the event loop did not run.
 #[derive(Clone, Copy, Default)]
@@ -19,8 +19,8 @@
     until: Timestamp,
 }
 
-/// Observes readings of the clock. As the policy is called at every tick, a gap of more than two ticks between two
-/// readings is a stall.
+/// Detects stalls from the intervals between observed readings of the clock. As the clock is read at every
+/// tick, an interval of more than two ticks is a stall.
 pub struct StallDetector {
     last_observation: Cell<Timestamp>,
     last_stall: Cell<Stall>,
@@ -31,7 +31,7 @@
 }
 
 impl StallDetector {
-    /// Creates a detector that has seen no stall.
+    /// Creates a detector that has detected no stall yet.
     pub fn new(now: Timestamp) -> StallDetector {
         StallDetector {
             last_observation: Cell::new(now),
@@ -53,12 +53,12 @@
         self.last_tick_delay.set(now - self.next_tick_due.get());
     }
 
-    /// Returns whether a stall lies between the last observation and `now`, which is not observed by this.
+    /// Returns whether the event loop has stalled since the last observation, without observing `now`.
     pub fn has_just_stalled(&self, now: Timestamp) -> bool {
-        now - self.last_observation.get() > self.tick_interval.get() * MAX_QUIET_TICKS
+        now - self.last_observation.get() > self.tick_interval.get() * MAX_INTERVAL_TICKS
     }
 
-    /// Observes a reading of the clock; records and logs a stall before it.
+    /// Observes a reading of the clock. Records and logs a stall if there was one since the last observation.
     pub fn observe(&self, now: Timestamp) {
         let from = self.last_observation.get();
         if self.has_just_stalled(now) {
@@ -68,13 +68,15 @@
         self.last_observation.set(now);
     }
 
-    /// Returns the earliest time at which bytes that are read `now` may have arrived: when a stall began that ended
-    /// within the last `recent`, or else as long ago as the last tick was delayed or the next one is overdue.
-    pub fn earliest_arrival(&self, now: Timestamp, recent: Duration) -> Timestamp {
+    /// Returns the earliest time at which bytes that are read `now` may have arrived.
+    ///
+    /// Bytes may have waited for as long as the last tick was delayed, or as long as the next one is overdue.
+    /// If the last stall ended less than `max_stall_age` ago, they may also have arrived when it began.
+    pub fn earliest_arrival(&self, now: Timestamp, max_stall_age: Duration) -> Timestamp {
         let Stall { from, until } = self.last_stall.get();
         let delay = self.last_tick_delay.get().max(now - self.next_tick_due.get());
         let queued_since = now - delay;
-        if now - until < recent { from.min(queued_since) } else { queued_since }
+        if now - until < max_stall_age { from.min(queued_since) } else { queued_since }
     }
 }
 
--- a/crates/comethitchd/src/state/stall_detector/tests.rs
+++ b/crates/comethitchd/src/state/stall_detector/tests.rs
@@ -2,13 +2,13 @@
 use comethitch_policy::time::{Duration, Timestamp};
 
 const TICK: Duration = Duration::from_millis(10);
-const RECENT: Duration = Duration::from_millis(20);
+const MAX_STALL_AGE: Duration = Duration::from_millis(20);
 
 fn at_ms(ms: u64) -> Timestamp {
     Timestamp::from_millis(1_000 + ms)
 }
 
-/// A detector that was last observed at 0 ms, where a tick was scheduled.
+/// Returns a detector that made its last observation at 0 ms, when a tick was scheduled.
 fn detector() -> StallDetector {
     let detector = StallDetector::new(at_ms(0));
     detector.schedule_tick(TICK, at_ms(0));
@@ -30,7 +30,7 @@
     detector.observe(at_ms(100));
     detector.record_tick(at_ms(100));
     detector.schedule_tick(TICK, at_ms(100));
-    assert_eq!(detector.earliest_arrival(at_ms(105), RECENT), at_ms(0));
+    assert_eq!(detector.earliest_arrival(at_ms(105), MAX_STALL_AGE), at_ms(0));
 }
 
 #[test]
@@ -40,6 +40,14 @@
     detector.schedule_tick(TICK, at_ms(100));
     detector.record_tick(at_ms(113));
     detector.schedule_tick(TICK, at_ms(113));
-    assert_eq!(detector.earliest_arrival(at_ms(121), RECENT), at_ms(118), "the last tick ran 3 ms late");
-    assert_eq!(detector.earliest_arrival(at_ms(130), RECENT), at_ms(123), "the next tick is 7 ms overdue");
+    assert_eq!(
+        detector.earliest_arrival(at_ms(121), MAX_STALL_AGE),
+        at_ms(118),
+        "the last tick ran 3 ms late"
+    );
+    assert_eq!(
+        detector.earliest_arrival(at_ms(130), MAX_STALL_AGE),
+        at_ms(123),
+        "the next tick is 7 ms overdue"
+    );
 }
--- a/crates/comethitchd/src/state/step_times.rs
+++ b/crates/comethitchd/src/state/step_times.rs
@@ -1,10 +1,11 @@
-//! Measures how long the event loop's steps take. A router has one thread, so that a long step delays every answer.
+//! Measures how long the event loop's steps take. A router has a single thread, so a long step delays every
+//! answer.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Work that the event loop does without interruption.
+/// A kind of work that the event loop does without interruption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventLoopStep {
     /// Submits a request to the policy.
@@ -58,7 +59,7 @@
     pub max: Duration,
 }
 
-/// The times of steps by kind, since they were last taken.
+/// The times of steps by kind since the last call of [`StepTimes::take`].
 #[derive(Default)]
 pub struct StepTimes(RefCell<BTreeMap<EventLoopStep, StepTime>>);
 
--- a/crates/comethitchd/src/state/transition_log.rs
+++ b/crates/comethitchd/src/state/transition_log.rs
@@ -1,11 +1,11 @@
-//! Logs changes in the policy's view of the fleet: the states of shards, and the offset between the router's clock and
-//! the hosts'.
+//! Logs changes in the policy's view of the fleet: the states of shards, and the offset between the router's
+//! clock and the hosts'.
 
 use comethitch_policy::{ClockState, Router, ShardId, ShardState};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// What was last logged of a shard.
+/// The state of a shard as it was last logged.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct LoggedShard {
     state: ShardState,
@@ -13,7 +13,7 @@
     failovers: u32,
 }
 
-/// The view of the fleet that was last logged.
+/// The policy's view of the fleet as it was last logged.
 #[derive(Default)]
 pub struct TransitionLog {
     shards: RefCell<BTreeMap<ShardId, LoggedShard>>,
@@ -21,7 +21,7 @@
 }
 
 impl TransitionLog {
-    /// Logs what has changed since the last call. A change that was reverted in between is not noticed.
+    /// Logs what has changed since the last call. A change that was reverted between two calls is not logged.
     pub fn log_changes(&self, policy: &Router) {
         self.log_shards(policy);
         self.log_clock(policy.clock_state());
