--- a/crates/comethitchd/src/state/arrivals.rs
+++ b/crates/comethitchd/src/state/arrivals.rs
@@ -8,8 +8,7 @@
 use comethitch_policy::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Bytes that arrive less than this time after the latest record are added to it, and so get its earlier
-/// time.
+/// Bytes that arrive within this time after the latest record are added to it, and so get its earlier time.
 const RESOLUTION: Duration = Duration::from_millis(1);
 /// Maximum number of records per connection, which take 1 KiB of memory. At the maximum, the two records
 /// closest in time are merged, which makes some arrival times slightly earlier and none later.
--- a/crates/comethitchd/src/state/connection_pool.rs
+++ b/crates/comethitchd/src/state/connection_pool.rs
@@ -37,7 +37,7 @@
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool for hosts that close connections after `host_idle_timeout`.
+    /// Creates an empty pool for hosts that close connections that are idle for `host_idle_timeout`.
     pub fn new(host_idle_timeout: Duration) -> ConnectionPool {
         ConnectionPool {
             idle_timeout: host_idle_timeout / IDLE_TIMEOUT_FRACTION.1 * IDLE_TIMEOUT_FRACTION.0,
--- a/crates/comethitchd/src/state/host_connection.rs
+++ b/crates/comethitchd/src/state/host_connection.rs
@@ -84,7 +84,8 @@
 }
 
 fn tds_outcome(number: i32, class: u8, first: bool) -> AttemptOutcome {
-    // If the error follows the result of another statement of the batch, that statement has been executed.
+    // `first` is false if another statement of the batch has already been executed. The attempt must then not
+    // be reported as one that had no effect.
     if first && TDS_NOT_PRIMARY.contains(&number) {
         return AttemptOutcome::NotPrimary;
     }
--- a/crates/comethitchd/src/state/socket.rs
+++ b/crates/comethitchd/src/state/socket.rs
@@ -18,7 +18,8 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// Maximum size of a request that is certain to fit into the receive buffer of its host.
+/// Maximum size of a request that is certain to fit into the receive buffer of its host. A part of a larger
+/// one may remain in the send buffer.
 const MAX_BUFFERED_REQUEST_BYTES: usize = 4096;
 /// Size of the send buffer of connections to hosts.
 const SEND_BUFFER_BYTES: usize = 16 * 1024;
