--- a/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
+++ b/crates/comethitch-tds/fuzz/fuzz_targets/codec.rs
@@ -1,5 +1,5 @@
-//! Feeds arbitrary bytes to every decoder: none may panic or exceed its limits, and a token that is cut off must never
-//! be read as complete.
+//! Feeds arbitrary bytes to every decoder: none may panic or exceed its limits, and a token that is cut off
+//! must never be read as complete.
 #![no_main]
 
 use comethitch_tds::login::{Login, Prelogin};
@@ -8,7 +8,7 @@
 use comethitch_tds::token::{ParsedToken, TokenReader};
 use libfuzzer_sys::fuzz_target;
 
-const MAX_PAYLOAD: usize = 1_000;
+const MAX_PAYLOAD_BYTES: usize = 1_000;
 
 fuzz_target!(|bytes: &[u8]| {
     assemble(bytes);
@@ -20,9 +20,9 @@
 });
 
 fn assemble(bytes: &[u8]) {
-    let mut message = MessageAssembler::new(MAX_PAYLOAD);
+    let mut message = MessageAssembler::new(MAX_PAYLOAD_BYTES);
     let _ = message.accept(bytes);
-    assert!(message.payload().len() <= MAX_PAYLOAD);
+    assert!(message.payload().len() <= MAX_PAYLOAD_BYTES);
 }
 
 fn read_tokens(bytes: &[u8]) {
--- a/crates/comethitch-tds/src/error.rs
+++ b/crates/comethitch-tds/src/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// The input ends within a field. Not a fault while more may arrive.
+/// The input ends within a field. Not an error as long as more input may arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("more bytes are needed")]
 pub struct Incomplete;
@@ -36,8 +36,9 @@
 }
 
 impl ReadError {
-    /// Converts the error for input to which nothing will be added: incomplete input is malformed for the given reason.
-    pub fn at_end(self, if_incomplete: &'static str) -> MalformedMessage {
+    /// Converts the error for input to which nothing will be added: incomplete input is malformed for the
+    /// given reason.
+    pub fn at_end_of_input(self, if_incomplete: &'static str) -> MalformedMessage {
         match self {
             ReadError::NeedMoreInput => MalformedMessage(if_incomplete),
             ReadError::Malformed(reason) => MalformedMessage(reason),
--- a/crates/comethitch-tds/src/lib.rs
+++ b/crates/comethitch-tds/src/lib.rs
@@ -1,11 +1,11 @@
-//! A codec for the parts of TDS 7.4, the protocol of SQL Server, that a router needs: packets and messages, logins,
-//! batches, procedure calls, and the tokens of a response. It follows the public specification (\[MS-TDS\]: Tabular
-//! Data Stream Protocol); the modules cite its section titles and names.
+//! A codec for the parts of TDS 7.4, the protocol of SQL Server, that a router needs: packets and messages,
+//! logins, batches, procedure calls, and the tokens of a response. It follows the public specification
+//! (\[MS-TDS\]: Tabular Data Stream Protocol); the modules cite its section titles and names.
 //!
-//! The codec performs no I/O and reads no clock. Decoders are functions over the bytes received so far: if more bytes are
-//! needed they return [`Incomplete`] or [`ReadError::NeedMoreInput`], and if no further bytes can make the input valid,
-//! [`MalformedMessage`] with the reason. Lengths stated by a peer are checked before use and never determine the size of
-//! an allocation.
+//! The codec performs no I/O and reads no clock. Decoders are functions over the bytes received so far: if
+//! more bytes are needed they return [`Incomplete`] or [`ReadError::NeedMoreInput`], and if no further bytes
+//! can make the input valid, [`MalformedMessage`] with the reason. Lengths stated by a peer are checked
+//! before use and never determine the size of an allocation.
 //!
 //! ```
 //! use comethitch_tds::packet::{self, MessageKind};
--- a/crates/comethitch-tds/src/login/login7.rs
+++ b/crates/comethitch-tds/src/login/login7.rs
@@ -1,4 +1,5 @@
-//! LOGIN7 (\[MS-TDS\], "LOGIN7"): a fixed part with flags and the offsets and lengths of texts, followed by the texts.
+//! LOGIN7 (\[MS-TDS\], "LOGIN7"): a fixed part with flags and the offsets and lengths of texts, followed by
+//! the texts.
 
 use super::MAX_LOGIN_BYTES;
 use crate::error::{Incomplete, MalformedMessage};
@@ -10,18 +11,20 @@
 /// Size of the fixed part.
 const FIXED_BYTES: usize = 94;
 /// Size of the client's program version, process id and connection id.
-const CLIENT_IDS_BYTES: usize = 12;
+const CLIENT_PROCESS_BYTES: usize = 12;
 /// Size of the client's time zone and locale.
 const LOCALE_BYTES: usize = 8;
-/// Size of the client's network address.
+/// Size of `ClientID`, the client's network address.
 const CLIENT_ID_BYTES: usize = 6;
-/// The mask combined by exclusive or with each byte of a password after swapping its halves.
+/// The mask that is combined by exclusive or with each byte of a password, after the upper and lower four
+/// bits of the byte were swapped.
 const PASSWORD_MASK: u8 = 0xa5;
 const FEATURE_TERMINATOR: u8 = 0xff;
 
-/// The flag bits that are read or written.
+/// The flag bits that the codec reads or writes.
 mod flags {
-    /// `OptionFlags1`: notify of database changes, fail if the database cannot be changed, notify of language changes.
+    /// `OptionFlags1`: notify of database changes, fail if the database cannot be changed, notify of language
+    /// changes.
     pub(super) const NOTIFY_OF_CHANGES: u8 = 0xe0;
     /// `OptionFlags2`: fail if the language cannot be changed, and the client is ODBC.
     pub(super) const ODBC: u8 = 0x03;
@@ -66,7 +69,7 @@
 #[derive(Clone, Copy)]
 struct Field {
     offset: usize,
-    /// In UTF-16 code units for texts, and in bytes for the extension.
+    /// Length in UTF-16 code units for a text, and in bytes for the extension.
     length: u16,
 }
 
@@ -75,8 +78,8 @@
     ///
     /// # Errors
     ///
-    /// If the message is too large or differs from its stated length, or a field lies outside of the message, is too long
-    /// or is not well-formed UTF-16.
+    /// If the message is too large or differs from its stated length, or a field lies outside of the message,
+    /// is too long or is not well-formed UTF-16.
     pub fn read(payload: &[u8]) -> Result<Login, MalformedMessage> {
         if payload.len() > MAX_LOGIN_BYTES {
             return Err(MalformedMessage("a login is larger than it may be"));
@@ -92,7 +95,7 @@
     fn read_parts(reader: &mut Reader<'_>, payload: &[u8]) -> Result<Login, MalformedMessage> {
         let version = reader.u32().map_err(too_short)?;
         let packet_size = reader.u32().map_err(too_short)?;
-        reader.take(CLIENT_IDS_BYTES).map_err(too_short)?;
+        reader.take(CLIENT_PROCESS_BYTES).map_err(too_short)?;
         let _option_flags1 = reader.u8().map_err(too_short)?;
         let option_flags2 = reader.u8().map_err(too_short)?;
         let type_flags = reader.u8().map_err(too_short)?;
@@ -132,7 +135,7 @@
         out.extend(length_placeholder);
         out.extend(self.version.to_le_bytes());
         out.extend(self.packet_size.to_le_bytes());
-        out.extend([0; CLIENT_IDS_BYTES]);
+        out.extend([0; CLIENT_PROCESS_BYTES]);
         out.extend(self.flags());
         out.extend([0; LOCALE_BYTES]);
         let texts = self.put_text_fields(out);
@@ -149,7 +152,7 @@
         [flags::NOTIFY_OF_CHANGES, flags::ODBC | integrated, read_only, 0]
     }
 
-    /// Writes the offsets and lengths of the texts and the client's id, and returns the texts.
+    /// Writes the offsets and lengths of the texts and the `ClientID`, and returns the encoded texts.
     fn put_text_fields(&self, out: &mut Vec<u8>) -> Vec<u8> {
         let extension = "";
         let language = "";
@@ -204,24 +207,25 @@
     text::decode(bytes).ok_or(MalformedMessage("a text of a login is no UTF-16"))
 }
 
-/// Reads the ids of the requested features. The extension field points to an offset, which points to the features.
+/// Reads the ids of the requested features. The extension field locates a four-byte offset in the message,
+/// and the list of features begins at that offset.
 fn read_features(payload: &[u8], extension: Field) -> Result<Vec<u8>, MalformedMessage> {
-    let missing = MalformedMessage("a login names bytes that it does not have");
+    let out_of_bounds = MalformedMessage("a login names bytes that it does not have");
     if extension.length != 4 {
         return Err(MalformedMessage("a login's extension is no offset"));
     }
     let pointer = payload.get(extension.offset..extension.offset + 4);
-    let pointer = pointer.and_then(<[u8]>::first_chunk).ok_or(missing)?;
+    let pointer = pointer.and_then(<[u8]>::first_chunk).ok_or(out_of_bounds)?;
     let offset = u32::from_le_bytes(*pointer) as usize;
-    let mut reader = Reader::new(payload.get(offset..).ok_or(missing)?);
+    let mut reader = Reader::new(payload.get(offset..).ok_or(out_of_bounds)?);
     let mut features = Vec::new();
     loop {
-        let id = reader.u8().map_err(|_| missing)?;
+        let id = reader.u8().map_err(|_| out_of_bounds)?;
         if id == FEATURE_TERMINATOR {
             return Ok(features);
         }
-        let length = reader.u32().map_err(|_| missing)? as usize;
-        reader.take(length).map_err(|_| missing)?;
+        let length = reader.u32().map_err(|_| out_of_bounds)? as usize;
+        reader.take(length).map_err(|_| out_of_bounds)?;
         features.push(id);
     }
 }
@@ -232,7 +236,8 @@
     bytes
 }
 
-/// Obfuscates a password as the protocol requires, by swapping the halves of each byte and applying a mask.
+/// Obfuscates a password as the protocol requires: swaps the upper and lower four bits of each byte and
+/// applies the mask.
 fn scramble_password(plain: &[u8]) -> Vec<u8> {
     plain.iter().map(|byte| byte.rotate_left(4) ^ PASSWORD_MASK).collect()
 }
@@ -248,13 +253,14 @@
     texts.extend_from_slice(text);
 }
 
-/// Writes the empty fields of the SSPI message, the database file and the new password, and the length of a long SSPI
-/// message, which is 0.
-fn put_unused_fields(out: &mut Vec<u8>, end: usize) {
+/// Writes the fields of the SSPI message, the database file and the new password, all empty at `offset`, and
+/// a length of 0 for a long SSPI message.
+fn put_unused_fields(out: &mut Vec<u8>, offset: usize) {
     for _ in 0..3 {
         let length = [0; 2];
-        out.extend((end as u16).to_le_bytes());
+        out.extend((offset as u16).to_le_bytes());
         out.extend(length);
     }
-    out.extend([0; 4]);
+    let long_sspi_length = [0; 4];
+    out.extend(long_sspi_length);
 }
--- a/crates/comethitch-tds/src/login/prelogin.rs
+++ b/crates/comethitch-tds/src/login/prelogin.rs
@@ -3,12 +3,12 @@
 use crate::error::{Incomplete, MalformedMessage};
 use crate::read::Reader;
 
-/// Size of an entry in the list of options: a code, and the offset and the length of the data.
+/// Size of an entry in the list of options: the option's code, and the offset and the length of its data.
 const ENTRY_BYTES: usize = 1 + 2 + 2;
 /// The bits of the encryption option that hold its value; the other bits request client certificates.
 const ENCRYPTION_MASK: u8 = 0b11;
 
-/// Whether a connection is encrypted.
+/// The encryption of a connection, as offered or required by one side.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Encryption {
     /// `ENCRYPT_OFF`: only the login is encrypted.
@@ -63,19 +63,20 @@
     pub(super) const TERMINATOR: u8 = 0xff;
 }
 
-/// An option in a message.
+/// An option with its data not decoded.
 struct RawOption<'a> {
     code: u8,
     data: &'a [u8],
 }
 
 impl Prelogin {
-    /// Decodes the payload of a complete message.
+    /// Decodes the payload of a complete message. If it does not state the encryption, [`Encryption::Off`] is
+    /// assumed.
     ///
     /// # Errors
     ///
-    /// If the list of options is not terminated, an option's data lies outside of the message or is too short, or the
-    /// version is missing.
+    /// If the list of options is not terminated, an option's data lies outside of the message or is too
+    /// short, or the version is missing.
     pub fn read(payload: &[u8]) -> Result<Prelogin, MalformedMessage> {
         let mut reader = Reader::new(payload);
         let mut prelogin = Prelogin { encryption: Encryption::Off, ..Prelogin::default() };
@@ -132,7 +133,7 @@
     }
 }
 
-/// Reads the next option of the list; `None` at the terminator.
+/// Reads the next option of the list, or returns `None` at the terminator.
 fn read_option<'a>(
     reader: &mut Reader<'_>, payload: &'a [u8],
 ) -> Result<Option<RawOption<'a>>, MalformedMessage> {
--- a/crates/comethitch-tds/src/packet/assembler.rs
+++ b/crates/comethitch-tds/src/packet/assembler.rs
@@ -11,8 +11,8 @@
     kind: Option<MessageKind>,
     status: u8,
     /// Number of payload bytes of the current packet that have not arrived yet.
-    remaining: usize,
-    /// The received part of the next packet's header.
+    packet_remaining: usize,
+    /// The part of the next packet's header that has arrived.
     header: Vec<u8>,
     is_last_packet: bool,
     is_complete: bool,
@@ -26,7 +26,7 @@
             payload: Vec::new(),
             kind: None,
             status: 0,
-            remaining: 0,
+            packet_remaining: 0,
             header: Vec::with_capacity(HEADER_BYTES),
             is_last_packet: false,
             is_complete: false,
@@ -37,26 +37,26 @@
     ///
     /// # Errors
     ///
-    /// If a header is invalid, the message exceeds the limit, its packets differ in type, or a packet other than the last
-    /// one is empty.
+    /// If a header is invalid, the message exceeds the limit, its packets differ in type, or a packet other
+    /// than the last one is empty.
     pub fn accept(&mut self, bytes: &[u8]) -> Result<usize, MalformedMessage> {
         let mut position = 0;
         while !self.is_complete && position < bytes.len() {
-            if self.remaining == 0 {
-                let missing = (HEADER_BYTES - self.header.len()).min(bytes.len() - position);
-                self.header.extend_from_slice(&bytes[position..position + missing]);
-                position += missing;
+            if self.packet_remaining == 0 {
+                let header_part = (HEADER_BYTES - self.header.len()).min(bytes.len() - position);
+                self.header.extend_from_slice(&bytes[position..position + header_part]);
+                position += header_part;
                 match Header::read(&self.header) {
                     Ok(header) => self.begin_packet(header)?,
                     Err(ReadError::NeedMoreInput) => break,
                     Err(ReadError::Malformed(reason)) => return Err(MalformedMessage(reason)),
                 }
             }
-            let available = self.remaining.min(bytes.len() - position);
-            self.payload.extend_from_slice(&bytes[position..position + available]);
-            self.remaining -= available;
-            position += available;
-            self.is_complete = self.remaining == 0 && self.is_last_packet && self.header.is_empty();
+            let payload_part = self.packet_remaining.min(bytes.len() - position);
+            self.payload.extend_from_slice(&bytes[position..position + payload_part]);
+            self.packet_remaining -= payload_part;
+            position += payload_part;
+            self.is_complete = self.packet_remaining == 0 && self.is_last_packet && self.header.is_empty();
         }
         Ok(position)
     }
@@ -67,18 +67,19 @@
                 self.kind = Some(header.kind);
                 self.status = header.status;
             }
-            // A client that abandons a message sends an attention only after the message's last packet.
+            // Not even an attention may interrupt a message: a client that abandons one sends its attention
+            // after the message's last packet.
             Some(kind) if kind != header.kind => {
                 return Err(MalformedMessage("a packet of another message's type"));
             }
             Some(_) => self.status |= header.status & status::IGNORE,
         }
-        self.remaining = header.length - HEADER_BYTES;
-        if self.payload.len() + self.remaining > self.max_payload_bytes {
+        self.packet_remaining = header.length - HEADER_BYTES;
+        if self.payload.len() + self.packet_remaining > self.max_payload_bytes {
             return Err(MalformedMessage("a message is larger than it may be"));
         }
-        // With empty packets a peer could keep a message open forever.
-        if self.remaining == 0 && header.status & status::END == 0 {
+        // Empty packets never reach the size limit, so a peer could keep a message open forever with them.
+        if self.packet_remaining == 0 && header.status & status::END == 0 {
             return Err(MalformedMessage("an empty packet within a message"));
         }
         self.is_last_packet = header.status & status::END != 0;
--- a/crates/comethitch-tds/src/packet/mod.rs
+++ b/crates/comethitch-tds/src/packet/mod.rs
@@ -1,5 +1,5 @@
-//! Packets and their headers (\[MS-TDS\], "Packet Header"). A message consists of one or more packets of the same type:
-//! [`MessageAssembler`] joins received packets, [`put_message`] splits a payload into packets.
+//! Packets and their headers (\[MS-TDS\], "Packet Header"). A message consists of one or more packets of the
+//! same type: [`MessageAssembler`] joins received packets, [`put_message`] splits a payload into packets.
 
 mod assembler;
 mod write;
@@ -10,13 +10,13 @@
 use crate::error::{MalformedMessage, ReadError};
 use crate::read::Reader;
 
-/// Size of a packet header.
+/// Size of a packet header in bytes.
 pub const HEADER_BYTES: usize = 8;
-/// Packet size until the login has negotiated another one.
+/// Packet size in bytes until the login has negotiated another one.
 pub const INITIAL_PACKET_BYTES: usize = 4096;
-/// Minimum packet size that can be negotiated.
+/// Minimum packet size in bytes that can be negotiated.
 pub const MIN_PACKET_BYTES: usize = 512;
-/// Maximum packet size that can be negotiated.
+/// Maximum packet size in bytes that can be negotiated.
 pub const MAX_PACKET_BYTES: usize = 32_767;
 
 /// The type of a message, stated in the header of each of its packets.
@@ -101,8 +101,8 @@
     ///
     /// # Errors
     ///
-    /// [`ReadError::Malformed`] if the bytes cannot be the start of a header; [`ReadError::NeedMoreInput`] if the header
-    /// is incomplete.
+    /// [`ReadError::Malformed`] if the bytes cannot be the start of a header; [`ReadError::NeedMoreInput`] if
+    /// the header is incomplete.
     pub fn read(bytes: &[u8]) -> Result<Header, ReadError> {
         let mut reader = Reader::new(bytes);
         let kind =
--- a/crates/comethitch-tds/src/read.rs
+++ b/crates/comethitch-tds/src/read.rs
@@ -102,7 +102,8 @@
         self.array().map(u64::from_le_bytes)
     }
 
-    /// Reads a `B_VARCHAR`, a one-byte length in UTF-16 code units and the text, and returns the encoded text.
+    /// Reads a `B_VARCHAR`, a one-byte length in UTF-16 code units and the text, and returns the encoded
+    /// text.
     ///
     /// # Errors
     ///
@@ -112,7 +113,8 @@
         self.take(usize::from(length) * 2)
     }
 
-    /// Reads a `US_VARCHAR`, a two-byte length in UTF-16 code units and the text, and returns the encoded text.
+    /// Reads a `US_VARCHAR`, a two-byte length in UTF-16 code units and the text, and returns the encoded
+    /// text.
     ///
     /// # Errors
     ///
--- a/crates/comethitch-tds/src/request/call_writer.rs
+++ b/crates/comethitch-tds/src/request/call_writer.rs
@@ -11,7 +11,8 @@
 const NO_COLLATION: [u8; 5] = [0; 5];
 const INTEGER_BYTES: u8 = 4;
 
-/// Appends a procedure call to a buffer, parameter by parameter. Parameters with an empty name are bound by position.
+/// Appends a procedure call to a buffer, parameter by parameter. Parameters with an empty name are bound by
+/// position.
 pub struct CallWriter<'a>(&'a mut Vec<u8>);
 
 impl<'a> CallWriter<'a> {
@@ -34,7 +35,7 @@
 
     /// Appends a text as an `nvarchar`.
     pub fn text(mut self, name: &str, value: &str) -> CallWriter<'a> {
-        let out = self.begin(name, BY_VALUE, code::NVARCHAR);
+        let out = self.begin_parameter(name, BY_VALUE, code::NVARCHAR);
         let bytes = value.encode_utf16().count() * 2;
         if bytes > usize::from(MAX_SHORT_BYTES) {
             out.extend(UNLIMITED.to_le_bytes());
@@ -51,7 +52,7 @@
 
     /// Appends a nullable four-byte integer.
     pub fn integer(mut self, name: &str, value: Option<i32>) -> CallWriter<'a> {
-        let out = self.begin(name, BY_VALUE, code::INTN);
+        let out = self.begin_parameter(name, BY_VALUE, code::INTN);
         out.push(INTEGER_BYTES);
         match value {
             Some(value) => {
@@ -69,16 +70,16 @@
         self
     }
 
-    /// Appends an integer output parameter.
+    /// Appends an output parameter: a nullable four-byte integer, passed as null.
     pub fn out(mut self, name: &str) -> CallWriter<'a> {
-        let out = self.begin(name, BY_REFERENCE, code::INTN);
+        let out = self.begin_parameter(name, BY_REFERENCE, code::INTN);
         let null = 0;
         out.extend([INTEGER_BYTES, null]);
         self
     }
 
-    /// Writes a parameter's name, status and type.
-    fn begin(&mut self, name: &str, status: u8, type_code: u8) -> &mut Vec<u8> {
+    /// Appends the start of a parameter: its name, its status and the code of its type.
+    fn begin_parameter(&mut self, name: &str, status: u8, type_code: u8) -> &mut Vec<u8> {
         text::put_b_varchar(self.0, name);
         self.0.extend([status, type_code]);
         self.0
--- a/crates/comethitch-tds/src/request/headers.rs
+++ b/crates/comethitch-tds/src/request/headers.rs
@@ -3,10 +3,11 @@
 use crate::error::{Incomplete, MalformedMessage};
 use crate::read::Reader;
 
-/// Size of the length and the type before each header's data.
+/// Size of the length and the type that precede each header's data.
 const HEADER_PREFIX_BYTES: usize = 4 + 2;
-const TRANSACTION_DESCRIPTOR: u16 = 2;
-/// Size of the descriptor and the number of outstanding requests.
+/// The type of the header that holds the transaction descriptor and the number of outstanding requests.
+const TRANSACTION_DESCRIPTOR_TYPE: u16 = 2;
+/// Size of that header's data.
 const TRANSACTION_DESCRIPTOR_BYTES: usize = 8 + 4;
 
 /// The headers of a batch or a call.
@@ -14,7 +15,7 @@
 pub struct Headers {
     /// Descriptor of the client's current transaction, or 0.
     pub transaction: u64,
-    /// Total length of the headers in bytes.
+    /// Total length of the headers in bytes, including the four bytes that state it.
     pub length: usize,
 }
 
@@ -40,21 +41,21 @@
             }
             let header_type = reader.u16().map_err(cut_off)?;
             let data = reader.take(header_bytes - HEADER_PREFIX_BYTES).map_err(cut_off)?;
-            if header_type == TRANSACTION_DESCRIPTOR {
+            if header_type == TRANSACTION_DESCRIPTOR_TYPE {
                 headers.transaction = Reader::new(data).u64().map_err(cut_off)?;
             }
         }
         Ok(headers)
     }
 
-    /// Writes headers as a client does: only a transaction descriptor.
+    /// Writes headers as a client does, with a transaction descriptor only.
     pub fn put(out: &mut Vec<u8>, transaction: u64) {
         let header_bytes = HEADER_PREFIX_BYTES + TRANSACTION_DESCRIPTOR_BYTES;
         let total_bytes = 4 + header_bytes;
         let outstanding_requests = 1_u32;
         out.extend((total_bytes as u32).to_le_bytes());
         out.extend((header_bytes as u32).to_le_bytes());
-        out.extend(TRANSACTION_DESCRIPTOR.to_le_bytes());
+        out.extend(TRANSACTION_DESCRIPTOR_TYPE.to_le_bytes());
         out.extend(transaction.to_le_bytes());
         out.extend(outstanding_requests.to_le_bytes());
     }
--- a/crates/comethitch-tds/src/request/mod.rs
+++ b/crates/comethitch-tds/src/request/mod.rs
@@ -1,5 +1,5 @@
-//! The requests of clients: [`Batch`] for SQL text, and [`Call`] for remote procedure calls, which drivers also use to
-//! prepare and run parameterized statements.
+//! The requests of clients: [`Batch`] for SQL text, and [`Call`] for remote procedure calls, which drivers
+//! also use to prepare and run parameterized statements.
 
 mod batch;
 mod call;
@@ -15,7 +15,7 @@
 pub use headers::Headers;
 pub use procedure::{Procedure, SystemProcedure};
 
-/// The name length that stands for a procedure id in place of a name.
+/// The length of a procedure's name that announces a procedure id in place of the name.
 const PROCEDURE_ID_FOLLOWS: u16 = u16::MAX;
 /// The status bit of a parameter that the server returns (fByRefValue).
 const BY_REFERENCE: u8 = 1;
--- a/crates/comethitch-tds/src/request/procedure.rs
+++ b/crates/comethitch-tds/src/request/procedure.rs
@@ -17,7 +17,7 @@
     Cursor,
 }
 
-/// The procedure that a call executes.
+/// The procedure that a call names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Procedure {
     /// A system procedure, named by its id or by its name.
@@ -27,7 +27,7 @@
 }
 
 impl SystemProcedure {
-    /// Returns the system procedure with this id.
+    /// Returns the system procedure with this id, or `None` if the id is unknown.
     pub(super) fn from_id(id: u16) -> Option<SystemProcedure> {
         Some(match id {
             1..=9 => SystemProcedure::Cursor,
@@ -40,8 +40,8 @@
         })
     }
 
-    /// Returns the system procedure with this name, unqualified or in the schema `sys`. In any other schema, the name
-    /// belongs to a user's procedure.
+    /// Returns the system procedure with this name, unqualified or in the schema `sys`. In any other schema,
+    /// the name belongs to a user's procedure.
     pub(super) fn from_name(name: &str) -> Option<SystemProcedure> {
         let name = name.to_ascii_lowercase();
         let unqualified = name.strip_prefix("sys.").or_else(|| name.strip_prefix("[sys].")).unwrap_or(&name);
--- a/crates/comethitch-tds/src/text.rs
+++ b/crates/comethitch-tds/src/text.rs
@@ -9,7 +9,8 @@
     char::decode_utf16(units.iter().map(|unit| u16::from_le_bytes(*unit))).collect::<Result<_, _>>().ok()
 }
 
-/// Decodes UTF-16 bytes, replacing what is not well formed. For text that is only displayed.
+/// Decodes UTF-16 bytes, replacing unpaired surrogates with U+FFFD and ignoring an odd last byte. For text
+/// that is only displayed.
 pub fn decode_lossy(bytes: &[u8]) -> String {
     let units = bytes.as_chunks::<2>().0.iter().map(|unit| u16::from_le_bytes(*unit));
     char::decode_utf16(units).map(|character| character.unwrap_or(char::REPLACEMENT_CHARACTER)).collect()
@@ -20,22 +21,22 @@
     out.extend(text.encode_utf16().flat_map(u16::to_le_bytes));
 }
 
-/// Writes a `B_VARCHAR`: a one-byte length in code units and the text, truncated to the longest possible length.
+/// Writes a `B_VARCHAR`: a one-byte length in code units and the text, truncated to 255 code units.
 pub fn put_b_varchar(out: &mut Vec<u8>, text: &str) {
     let units = truncated_units(text, usize::from(u8::MAX));
     out.push(units.len() as u8);
     out.extend(units.into_iter().flat_map(u16::to_le_bytes));
 }
 
-/// Writes a `US_VARCHAR`: a two-byte length in code units and the text, truncated so that its size in bytes fits in two
-/// bytes too.
+/// Writes a `US_VARCHAR`: a two-byte length in code units and the text, truncated to 32767 code units so that
+/// its size in bytes also fits in two bytes.
 pub fn put_us_varchar(out: &mut Vec<u8>, text: &str) {
     let units = truncated_units(text, usize::from(u16::MAX) / 2);
     out.extend((units.len() as u16).to_le_bytes());
     out.extend(units.into_iter().flat_map(u16::to_le_bytes));
 }
 
-/// Returns the first code units of a text without splitting a surrogate pair.
+/// Returns at most `max_units` code units from the start of a text, without splitting a surrogate pair.
 fn truncated_units(text: &str, max_units: usize) -> Vec<u16> {
     let mut units = Vec::new();
     for character in text.chars() {
--- a/crates/comethitch-tds/src/token/change_type.rs
+++ b/crates/comethitch-tds/src/token/change_type.rs
@@ -12,7 +12,7 @@
 pub const ROLLBACK_TRANSACTION: u8 = 10;
 /// The session left a distributed transaction.
 pub const DEFECT_TRANSACTION: u8 = 12;
-/// A transaction ended otherwise.
+/// A transaction ended in another way.
 pub const TRANSACTION_ENDED: u8 = 17;
 /// The session was reset at the client's request.
 pub const RESET_ACKNOWLEDGED: u8 = 18;
--- a/crates/comethitch-tds/src/token/code.rs
+++ b/crates/comethitch-tds/src/token/code.rs
@@ -1,4 +1,5 @@
-//! The codes of tokens (\[MS-TDS\], "Packet Data Token Stream Definition"), each documented with its name there.
+//! The codes of tokens (\[MS-TDS\], "Packet Data Token Stream Definition"), each documented with its name
+//! there.
 
 /// RETURNSTATUS: the status of a procedure.
 pub const RETURN_STATUS: u8 = 0x79;
@@ -25,7 +26,7 @@
 /// NBCROW: a row with a bitmap of its null values.
 pub const ROW_WITH_NULLS: u8 = 0xd2;
 /// ENVCHANGE: a change of the session's environment.
-pub const CHANGE: u8 = 0xe3;
+pub const ENV_CHANGE: u8 = 0xe3;
 /// SESSIONSTATE: session state for the recovery of a connection.
 pub const SESSION_STATE: u8 = 0xe4;
 /// SSPI: an authentication message.
--- a/crates/comethitch-tds/src/token/decode.rs
+++ b/crates/comethitch-tds/src/token/decode.rs
@@ -9,9 +9,9 @@
 
 /// Maximum number of columns that servers allow.
 const MAX_COLUMNS: u16 = 4096;
-/// The column count that stands for "no new description".
+/// The column count that means that the token contains no new description (`NoMetaData`).
 const NO_METADATA: u16 = u16::MAX;
-/// Maximum size that is accepted of a token body with a four-byte length.
+/// Maximum accepted size of a token body, or of a feature's data, with a four-byte length.
 const MAX_LONG_BODY_BYTES: u32 = 1 << 20;
 /// Size of the user type and the flags of a column or an output parameter.
 const USER_TYPE_AND_FLAGS_BYTES: usize = 4 + 2;
@@ -23,23 +23,25 @@
     Ok(Reader::new(reader.take(usize::from(length))?))
 }
 
-/// Reads a token body with a four-byte length.
+/// Reads a token body, or a feature's data, with a four-byte length.
 pub(super) fn long_body<'a>(reader: &mut Reader<'a>) -> Result<Reader<'a>, ReadError> {
     let length = reader.u32()?;
     if length > MAX_LONG_BODY_BYTES {
-        return Err(ReadError::Malformed("a token longer than it may be"));
+        return Err(ReadError::Malformed(
+            "the body of a token or the data of a feature is longer than 1 MiB",
+        ));
     }
     Ok(Reader::new(reader.take(length as usize)?))
 }
 
-/// Decodes COLMETADATA; `None` if it contains no new description.
+/// Decodes COLMETADATA, or returns `None` if it contains no new description of columns.
 pub(super) fn columns(reader: &mut Reader<'_>) -> Result<Option<Vec<Type>>, ReadError> {
     let count = reader.u16()?;
     if count == NO_METADATA {
         return Ok(None);
     }
     if count > MAX_COLUMNS {
-        return Err(ReadError::Malformed("more columns than there may be"));
+        return Err(ReadError::Malformed("COLMETADATA describes more than 4096 columns"));
     }
     let mut columns = Vec::new();
     for _ in 0..count {
@@ -58,6 +60,7 @@
     Ok(column_type)
 }
 
+/// Skips the parts of the table name that follows the type of a text or image column.
 fn skip_table_name(reader: &mut Reader<'_>) -> Result<(), Incomplete> {
     let parts = reader.u8()?;
     for _ in 0..parts {
@@ -78,7 +81,9 @@
 pub(super) fn message(reader: &mut Reader<'_>) -> Result<Message, ReadError> {
     let mut body = short_body(reader)?;
     let message = message_body(&mut body);
-    Ok(message.map_err(|error| ReadError::from(error).at_end("a message shorter than it says"))?)
+    Ok(message.map_err(|error| {
+        ReadError::from(error).at_end_of_input("an ERROR or INFO token ends before its last field")
+    })?)
 }
 
 fn message_body(body: &mut Reader<'_>) -> Result<Message, Incomplete> {
@@ -97,11 +102,11 @@
     let mut body = short_body(reader)?;
     match login_ack_version(&mut body) {
         Ok(version) => Ok(Token::LoginAck { version }),
-        Err(Incomplete) => Err(ReadError::Malformed("a login's answer shorter than it says")),
+        Err(Incomplete) => Err(ReadError::Malformed("a LOGINACK token ends before its TDS version")),
     }
 }
 
-/// Reads the version, which unlike the other integers in tokens is big-endian.
+/// Reads the TDS version. It is big-endian, unlike the other integers in tokens.
 fn login_ack_version(body: &mut Reader<'_>) -> Result<u32, Incomplete> {
     let _interface = body.u8()?;
     let version = body.take(4)?;
@@ -111,7 +116,8 @@
 /// Decodes ENVCHANGE.
 pub(super) fn change(reader: &mut Reader<'_>) -> Result<Change, ReadError> {
     let mut body = short_body(reader)?;
-    Ok(change_body(&mut body).map_err(|error| error.at_end("a change shorter than it says"))?)
+    Ok(change_body(&mut body)
+        .map_err(|error| error.at_end_of_input("an ENVCHANGE token ends within a field"))?)
 }
 
 fn change_body(body: &mut Reader<'_>) -> Result<Change, ReadError> {
@@ -131,21 +137,21 @@
 
 fn packet_size(body: &mut Reader<'_>) -> Result<usize, ReadError> {
     let size = text::decode_lossy(body.b_varchar()?).parse::<usize>();
-    let size = size.map_err(|_| MalformedMessage("a size of packets that is no number"))?;
+    let size = size.map_err(|_| MalformedMessage("the packet size in ENVCHANGE is not a number"))?;
     if !(MIN_PACKET_BYTES..=MAX_PACKET_BYTES).contains(&size) {
-        return Err(ReadError::Malformed("an impossible size of packets"));
+        return Err(ReadError::Malformed("the packet size in ENVCHANGE is out of range"));
     }
     Ok(size)
 }
 
-/// Decodes RETURNVALUE.
+/// Decodes RETURNVALUE, whose value is skipped.
 pub(super) fn return_value(reader: &mut Reader<'_>) -> Result<Token, ReadError> {
     let _ordinal = reader.u16()?;
     let _name = reader.b_varchar()?;
     let _status = reader.u8()?;
     reader.take(USER_TYPE_AND_FLAGS_BYTES)?;
     let value_type = Type::read(reader)?;
-    value_type.value(reader)?;
+    value_type.read_value(reader)?;
     Ok(Token::ReturnValue)
 }
 
--- a/crates/comethitch-tds/src/token/mod.rs
+++ b/crates/comethitch-tds/src/token/mod.rs
@@ -1,6 +1,6 @@
-//! The tokens of a server's response (\[MS-TDS\], "Packet Data Token Stream Definition"). A router needs their
-//! boundaries, errors, changes of the session, and the end of the response. [`TokenReader`] reads the tokens one by one;
-//! the values of rows are decoded only on request.
+//! The tokens of a server's response (\[MS-TDS\], "Packet Data Token Stream Definition"). A router needs
+//! their boundaries, errors, changes of the session, and the end of the response. [`TokenReader`] reads the
+//! tokens one by one; the values of rows are decoded only on request.
 
 pub mod change_type;
 pub mod code;
@@ -15,9 +15,9 @@
 pub struct Message {
     /// The number that identifies the error.
     pub number: i32,
-    /// Distinguishes the sources of the same error.
+    /// The state, which distinguishes the sources of the same error.
     pub state: u8,
-    /// The severity class: an error from 11, one that ends the connection from 20.
+    /// The severity class: 11 or higher for errors, and 20 or higher for errors that end the connection.
     pub class: u8,
     /// The human-readable text.
     pub text: String,
@@ -71,7 +71,7 @@
     Change(Change),
     /// The status of a procedure.
     ReturnStatus(i32),
-    /// An output parameter.
+    /// The value of an output parameter.
     ReturnValue,
     /// Any other token, by its code.
     Other(u8),
--- a/crates/comethitch-tds/src/token/reader.rs
+++ b/crates/comethitch-tds/src/token/reader.rs
@@ -3,14 +3,14 @@
 use super::{Token, code, decode};
 use crate::error::ReadError;
 use crate::read::Reader;
-use crate::types::{Raw, Type, Value};
+use crate::types::{RawValue, Type, Value};
 
 /// A token and its length.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedToken {
     /// The token.
     pub token: Token,
-    /// Number of bytes that the token occupies.
+    /// Length of the encoded token in bytes.
     pub length: usize,
 }
 
@@ -20,7 +20,7 @@
     /// The type of the column.
     pub column_type: Type,
     /// The encoded value; `None` if it is null.
-    pub raw: Option<Raw<'a>>,
+    pub raw: Option<RawValue<'a>>,
 }
 
 impl RowValue<'_> {
@@ -30,7 +30,8 @@
     }
 }
 
-/// Reads the tokens of one response. Keeps the last description of columns, which determines the length of rows.
+/// Reads the tokens of one response. Keeps the last description of columns, which determines the length of
+/// rows.
 #[derive(Clone, Debug, Default)]
 pub struct TokenReader {
     columns: Vec<Type>,
@@ -52,11 +53,12 @@
     ///
     /// # Errors
     ///
-    /// [`ReadError::NeedMoreInput`] if the token is incomplete: the caller must retry from the token's first byte.
-    /// [`ReadError::Malformed`] for an unknown or invalid token, and for any token after the end of the response.
+    /// [`ReadError::NeedMoreInput`] if the token is incomplete: the caller must retry from the token's first
+    /// byte. [`ReadError::Malformed`] for an unknown or invalid token, and for any token after the end of the
+    /// response.
     pub fn next(&mut self, bytes: &[u8]) -> Result<ParsedToken, ReadError> {
         if self.is_complete {
-            return Err(ReadError::Malformed("a token behind the end of an answer"));
+            return Err(ReadError::Malformed("a token follows the end of the response"));
         }
         let mut reader = Reader::new(bytes);
         let token = self.read_token(&mut reader)?;
@@ -74,7 +76,7 @@
             code::ERROR => decode::message(reader).map(Token::Error),
             code::INFO => decode::message(reader).map(Token::Info),
             code::LOGIN_ACK => decode::login_ack(reader),
-            code::CHANGE => decode::change(reader).map(Token::Change),
+            code::ENV_CHANGE => decode::change(reader).map(Token::Change),
             code::RETURN_STATUS => Ok(Token::ReturnStatus(reader.i32()?)),
             code::RETURN_VALUE => decode::return_value(reader),
             code::TABLE_NAMES | code::COLUMN_INFO | code::ORDER | code::SSPI => {
@@ -89,7 +91,7 @@
                 decode::skip_features(reader)?;
                 Ok(Token::Other(code))
             }
-            _ => Err(ReadError::Malformed("a token that is not spoken")),
+            _ => Err(ReadError::Malformed("a token of unknown type")),
         }
     }
 
@@ -101,27 +103,27 @@
     }
 
     fn skip_row(&self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
-        self.check_described()?;
+        self.check_columns_known()?;
         for column in &self.columns {
-            column.value(reader)?;
+            column.read_value(reader)?;
         }
         Ok(Token::Row)
     }
 
     fn skip_row_with_nulls(&self, reader: &mut Reader<'_>) -> Result<Token, ReadError> {
-        self.check_described()?;
-        let nulls = reader.take(self.null_bitmap_bytes())?;
+        self.check_columns_known()?;
+        let null_bitmap = reader.take(self.null_bitmap_bytes())?;
         for (index, column) in self.columns.iter().enumerate() {
-            if !is_null(nulls, index) {
-                column.value(reader)?;
+            if !is_marked_null(null_bitmap, index) {
+                column.read_value(reader)?;
             }
         }
         Ok(Token::Row)
     }
 
-    fn check_described(&self) -> Result<(), ReadError> {
+    fn check_columns_known(&self) -> Result<(), ReadError> {
         if self.columns.is_empty() {
-            return Err(ReadError::Malformed("a row without a description of its columns"));
+            return Err(ReadError::Malformed("a row without a preceding COLMETADATA"));
         }
         Ok(())
     }
@@ -130,18 +132,19 @@
         self.columns.len().div_ceil(8)
     }
 
-    /// Returns the values of a row token, which must match the last description of columns; `None` for any other token.
+    /// Returns the values of a row token, which must match the last description of columns. Returns
+    /// `None` if it does not, or if the token is of another type.
     pub fn values<'a>(&self, token: &'a [u8]) -> Option<Vec<RowValue<'a>>> {
         let mut reader = Reader::new(token);
-        let nulls = match reader.u8().ok()? {
+        let null_bitmap = match reader.u8().ok()? {
             code::ROW => None,
             code::ROW_WITH_NULLS => Some(reader.take(self.null_bitmap_bytes()).ok()?),
             _ => return None,
         };
         let mut values = Vec::new();
         for (index, column) in self.columns.iter().enumerate() {
-            let null = nulls.is_some_and(|nulls| is_null(nulls, index));
-            let raw = if null { None } else { column.value(&mut reader).ok()? };
+            let is_null = null_bitmap.is_some_and(|null_bitmap| is_marked_null(null_bitmap, index));
+            let raw = if is_null { None } else { column.read_value(&mut reader).ok()? };
             values.push(RowValue { column_type: *column, raw });
         }
         Some(values)
@@ -149,6 +152,6 @@
 }
 
 /// Returns whether a bitmap of null values marks the column as null.
-fn is_null(nulls: &[u8], column: usize) -> bool {
-    nulls[column / 8] >> (column % 8) & 1 == 1
+fn is_marked_null(null_bitmap: &[u8], column: usize) -> bool {
+    null_bitmap[column / 8] >> (column % 8) & 1 == 1
 }
--- a/crates/comethitch-tds/src/types/code.rs
+++ b/crates/comethitch-tds/src/types/code.rs
@@ -2,9 +2,9 @@
 
 /// NULLTYPE: always null.
 pub const NULL: u8 = 0x1f;
-/// IMAGETYPE: long binary data behind a text pointer.
+/// IMAGETYPE: long binary data, preceded by a text pointer.
 pub const IMAGE: u8 = 0x22;
-/// TEXTTYPE: long text of a code page behind a text pointer.
+/// TEXTTYPE: long text of a code page, preceded by a text pointer.
 pub const TEXT: u8 = 0x23;
 /// GUIDTYPE: a GUID or null.
 pub const GUID: u8 = 0x24;
@@ -48,9 +48,9 @@
 pub const FLT8: u8 = 0x3e;
 /// NUMERICTYPE: the legacy numeric.
 pub const OLD_NUMERIC: u8 = 0x3f;
-/// SSVARIANTTYPE: a value with a type of its own.
+/// SSVARIANTTYPE: a value that contains its own type description.
 pub const VARIANT: u8 = 0x62;
-/// NTEXTTYPE: long UTF-16 text behind a text pointer.
+/// NTEXTTYPE: long UTF-16 text, preceded by a text pointer.
 pub const NTEXT: u8 = 0x63;
 /// BITNTYPE: a bit or null.
 pub const BITN: u8 = 0x68;
--- a/crates/comethitch-tds/src/types/type_info.rs
+++ b/crates/comethitch-tds/src/types/type_info.rs
@@ -77,18 +77,19 @@
 /// Reads a nullable type with a few possible sizes.
 fn read_nullable(code: u8, reader: &mut Reader<'_>) -> Result<Type, ReadError> {
     let bytes = reader.u8()?;
-    let possible = match code {
+    let is_valid_size = match code {
         GUID => bytes == 16 || bytes == 0,
         BITN => bytes == 1,
         INTN => matches!(bytes, 1 | 2 | 4 | 8),
         _ => matches!(bytes, 4 | 8),
     };
-    if !possible {
+    if !is_valid_size {
         return Err(IMPOSSIBLE_LENGTH);
     }
     Ok(Type::plain(code, Length::Byte, u32::from(bytes)))
 }
 
+/// Reads a type with a time of day, whose scale determines the size of its values.
 fn read_time(code: u8, reader: &mut Reader<'_>) -> Result<Type, ReadError> {
     let scale = reader.u8()?;
     if scale > MAX_TIME_SCALE {
@@ -117,7 +118,8 @@
     Ok(Type { precision, scale, ..Type::plain(code, Length::Byte, u32::from(max_bytes)) })
 }
 
-/// Returns a type whose values have a two-byte length, or are partially length-prefixed if the size is unlimited.
+/// Returns a type whose values have a two-byte length, or are partially length-prefixed if `max_bytes` is
+/// [`UNLIMITED`].
 fn short_or_unlimited(code: u8, max_bytes: u16) -> Result<Type, ReadError> {
     match max_bytes {
         UNLIMITED => Ok(Type::plain(code, Length::Chunks, MAX_BYTES)),
@@ -128,8 +130,8 @@
 
 /// Skips the database, owner and collection names of the optional schema collection.
 fn skip_xml_schema(reader: &mut Reader<'_>) -> Result<(), Incomplete> {
-    let schema_present = reader.u8()? != 0;
-    if schema_present {
+    let has_schema = reader.u8()? != 0;
+    if has_schema {
         reader.b_varchar()?;
         reader.b_varchar()?;
         reader.us_varchar()?;
@@ -137,7 +139,8 @@
     Ok(())
 }
 
-/// Skips the size of a user-defined type, its database, schema and type names, and its assembly-qualified name.
+/// Skips the size of a user-defined type, its database, schema and type names, and its assembly-qualified
+/// name.
 fn skip_udt_names(reader: &mut Reader<'_>) -> Result<(), Incomplete> {
     reader.u16()?;
     reader.b_varchar()?;
--- a/crates/comethitch-tds/src/types/value.rs
+++ b/crates/comethitch-tds/src/types/value.rs
@@ -9,12 +9,13 @@
 use crate::read::Reader;
 use crate::text;
 
-/// The total length of a null value in chunks (`PLP_NULL`).
-const CHUNKS_NULL: u64 = u64::MAX;
-/// The total length of chunks whose sum is unknown (`UNKNOWN_PLP_LEN`).
-const CHUNKS_OF_UNKNOWN_TOTAL: u64 = u64::MAX - 1;
-/// Lower bound of the size limit of values with a four-byte length, for types that state less: 8000 bytes, and the type
-/// description that a variant contains.
+/// The total length that marks a partially length-prefixed value as null.
+const PLP_NULL: u64 = u64::MAX;
+/// The total length of a partially length-prefixed value that states only the lengths of its chunks
+/// (`UNKNOWN_PLP_LEN`).
+const UNKNOWN_PLP_LENGTH: u64 = u64::MAX - 1;
+/// Size limit of a value with a four-byte length if its type states a smaller one: a variant holds up to 8000
+/// bytes of data and its own type description.
 const MIN_LONG_LIMIT_BYTES: u32 = 8016;
 const TIMESTAMP_BYTES: usize = 8;
 
@@ -22,19 +23,19 @@
 
 /// An encoded value without its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Raw<'a> {
-    /// The value in one piece.
+pub enum RawValue<'a> {
+    /// The value as one contiguous slice.
     Whole(&'a [u8]),
-    /// Chunks with their lengths, up to and including the empty one.
+    /// The chunks with their lengths, up to and including the empty chunk that ends the value.
     Chunks(&'a [u8]),
 }
 
-impl Raw<'_> {
-    /// Returns the value in one piece.
+impl RawValue<'_> {
+    /// Returns a copy of the value, with its chunks joined.
     pub fn bytes(&self) -> Vec<u8> {
         match self {
-            Raw::Whole(bytes) => bytes.to_vec(),
-            Raw::Chunks(chunks) => join_chunks(chunks),
+            RawValue::Whole(bytes) => bytes.to_vec(),
+            RawValue::Chunks(chunks) => join_chunks(chunks),
         }
     }
 }
@@ -66,15 +67,15 @@
 }
 
 impl Type {
-    /// Reads the encoded bytes of a value of this type; `None` if it is null.
+    /// Reads the encoded bytes of a value of this type, or `None` if the value is null.
     ///
     /// # Errors
     ///
-    /// [`ReadError::Malformed`] if the value is longer than its type allows, or its chunks do not add up to its total
-    /// length; [`ReadError::NeedMoreInput`] if it is incomplete.
-    pub fn value<'a>(&self, reader: &mut Reader<'a>) -> Result<Option<Raw<'a>>, ReadError> {
+    /// [`ReadError::Malformed`] if the value is longer than its type allows, or its chunks do not add up to
+    /// its total length; [`ReadError::NeedMoreInput`] if it is incomplete.
+    pub fn read_value<'a>(&self, reader: &mut Reader<'a>) -> Result<Option<RawValue<'a>>, ReadError> {
         match self.length {
-            Length::Fixed(bytes) => Ok(Some(Raw::Whole(reader.take(usize::from(bytes))?))),
+            Length::Fixed(bytes) => Ok(Some(RawValue::Whole(reader.take(usize::from(bytes))?))),
             Length::Byte => match reader.u8()? {
                 0 => Ok(None),
                 bytes => read_whole(reader, u32::from(bytes), self.max_bytes),
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Decodes a value of this type; `None` is null.
-    pub fn decode(&self, raw: Option<Raw<'_>>) -> Value {
+    /// Decodes a value of this type, as returned by [`Type::read_value`]. `None` decodes to [`Value::Null`].
+    pub fn decode(&self, raw: Option<RawValue<'_>>) -> Value {
         let Some(raw) = raw else { return Value::Null };
         let bytes = raw.bytes();
         let decoded = match self.code {
@@ -118,19 +119,21 @@
     }
 }
 
-fn read_whole<'a>(reader: &mut Reader<'a>, bytes: u32, max_bytes: u32) -> Result<Option<Raw<'a>>, ReadError> {
+fn read_whole<'a>(
+    reader: &mut Reader<'a>, bytes: u32, max_bytes: u32,
+) -> Result<Option<RawValue<'a>>, ReadError> {
     if bytes > max_bytes {
         return Err(LONGER_THAN_TYPE);
     }
-    Ok(Some(Raw::Whole(reader.take(bytes as usize)?)))
+    Ok(Some(RawValue::Whole(reader.take(bytes as usize)?)))
 }
 
-fn read_chunks<'a>(reader: &mut Reader<'a>) -> Result<Option<Raw<'a>>, ReadError> {
+fn read_chunks<'a>(reader: &mut Reader<'a>) -> Result<Option<RawValue<'a>>, ReadError> {
     let total = reader.u64()?;
-    if total == CHUNKS_NULL {
+    if total == PLP_NULL {
         return Ok(None);
     }
-    let total_known = total != CHUNKS_OF_UNKNOWN_TOTAL;
+    let is_total_known = total != UNKNOWN_PLP_LENGTH;
     let chunks = reader.remaining();
     let start = reader.position();
     let mut sum = 0_u64;
@@ -140,15 +143,15 @@
             break;
         }
         sum += u64::from(chunk_bytes);
-        if chunk_bytes > MAX_BYTES || total_known && sum > total {
+        if chunk_bytes > MAX_BYTES || is_total_known && sum > total {
             return Err(ReadError::Malformed("a value's chunks are longer than it is"));
         }
         reader.take(chunk_bytes as usize)?;
     }
-    if total_known && sum != total {
+    if is_total_known && sum != total {
         return Err(ReadError::Malformed("a value's chunks are shorter than it is"));
     }
-    Ok(Some(Raw::Chunks(&chunks[..reader.position() - start])))
+    Ok(Some(RawValue::Chunks(&chunks[..reader.position() - start])))
 }
 
 /// Decodes an integer of 1, 2, 4 or 8 bytes. Only the one-byte integer is unsigned.
@@ -168,7 +171,8 @@
     bytes.first_chunk().map(|eight| f64::from_le_bytes(*eight))
 }
 
-/// Decodes a decimal: a sign byte, 0 for negative numbers, and a little-endian magnitude scaled by a power of ten.
+/// Decodes a decimal: a sign byte, 0 for negative numbers, and a little-endian magnitude scaled by a power of
+/// ten.
 fn decode_decimal(bytes: &[u8], scale: u8) -> Option<f64> {
     let (sign, magnitude) = bytes.split_first()?;
     let unscaled = magnitude.iter().rev().fold(0.0, |sum, byte| sum * 256.0 + f64::from(*byte));
--- a/crates/comethitch-tds/src/write.rs
+++ b/crates/comethitch-tds/src/write.rs
@@ -8,37 +8,43 @@
 const MAX_INFO_CLASS: u8 = 10;
 /// Maximum length of a message's text in characters, so that the token's length fits in two bytes.
 const MAX_MESSAGE_CHARACTERS: usize = 4000;
-/// LOGINACK: the T-SQL interface.
+/// The interface stated in LOGINACK: T-SQL.
 const SQL_TSQL: u8 = 1;
-/// LOGINACK: the version of the server program.
+/// The version of the server program stated in LOGINACK.
 const PROGRAM_VERSION: [u8; 4] = [16, 0, 0, 0];
-/// COLMETADATA: no user type, and a nullable, updatable column.
+/// A column's user type and flags in COLMETADATA: no user type, nullable, not known to be updatable.
 const USER_TYPE_AND_FLAGS: [u8; 6] = [0, 0, 0, 0, 9, 0];
-/// The collation in `TYPE_INFO`: locale, flags and sort order.
+/// The collation of text columns: locale 0x0409, comparison flags, and sort order 52
+/// (`SQL_Latin1_General_CP1_CI_AS`).
 const COLLATION: [u8; 5] = [9, 4, 0xd0, 0, 0x34];
-const NULL_SHORT: u16 = u16::MAX;
-const NULL_CHUNKS: u64 = u64::MAX;
-const CHUNK_TERMINATOR: [u8; 4] = [0; 4];
-/// RETURNVALUE: the status of an output parameter.
+/// The length that marks a value with a two-byte length as null (`CHARBIN_NULL`).
+const CHARBIN_NULL: u16 = u16::MAX;
+/// The total length that marks a partially length-prefixed value as null.
+const PLP_NULL: u64 = u64::MAX;
+/// The length of the empty chunk that ends a partially length-prefixed value.
+const PLP_TERMINATOR: [u8; 4] = [0; 4];
+/// The status in RETURNVALUE that marks an output parameter.
 const OUTPUT_PARAMETER: u8 = 1;
 
 /// Writes a token's code, a two-byte length and the body.
-fn put_sized(out: &mut Vec<u8>, code: u8, body: impl FnOnce(&mut Vec<u8>)) {
+fn put_with_length(out: &mut Vec<u8>, code: u8, body: impl FnOnce(&mut Vec<u8>)) {
     out.push(code);
     let start = out.len();
-    out.extend([0; 2]);
+    let length_placeholder = [0; 2];
+    out.extend(length_placeholder);
     body(out);
     let length = (out.len() - start - 2) as u16;
     out[start..start + 2].copy_from_slice(&length.to_le_bytes());
 }
 
-/// Writes an ERROR token, or an INFO token if the class is below 11. A long text is truncated.
+/// Writes an ERROR token, or an INFO token if the message's class is at most 10. A text of more than 4000
+/// characters is truncated.
 pub fn put_message(out: &mut Vec<u8>, message: &Message, server: &str) {
     let code = if message.class > MAX_INFO_CLASS { code::ERROR } else { code::INFO };
     let text: String = message.text.chars().take(MAX_MESSAGE_CHARACTERS).collect();
     let procedure = "";
     let line = 1_u32;
-    put_sized(out, code, |out| {
+    put_with_length(out, code, |out| {
         out.extend(message.number.to_le_bytes());
         out.extend([message.state, message.class]);
         text::put_us_varchar(out, &text);
@@ -48,7 +54,8 @@
     });
 }
 
-/// Writes a DONE, DONEPROC or DONEINPROC token, by its `code`, with status bits from [`crate::token::done`].
+/// Writes the DONE, DONEPROC or DONEINPROC token that has this `code`. `status` holds bits of
+/// [`crate::token::done`], and `count` is the number of affected rows.
 pub fn put_done(out: &mut Vec<u8>, code: u8, status: u16, count: u64) {
     let current_command = [0; 2];
     out.push(code);
@@ -59,7 +66,7 @@
 
 /// Writes a LOGINACK token with the TDS version and the name of the server program.
 pub fn put_login_ack(out: &mut Vec<u8>, version: u32, program: &str) {
-    put_sized(out, code::LOGIN_ACK, |out| {
+    put_with_length(out, code::LOGIN_ACK, |out| {
         out.push(SQL_TSQL);
         out.extend(version.to_be_bytes());
         text::put_b_varchar(out, program);
@@ -70,7 +77,7 @@
 /// Writes an ENVCHANGE token with text values, for the types 2 (language),
 /// [`crate::token::change_type::DATABASE`] and [`crate::token::change_type::PACKET_SIZE`].
 pub fn put_change(out: &mut Vec<u8>, change_type: u8, new: &str, old: &str) {
-    put_sized(out, code::CHANGE, |out| {
+    put_with_length(out, code::ENV_CHANGE, |out| {
         out.push(change_type);
         text::put_b_varchar(out, new);
         text::put_b_varchar(out, old);
@@ -80,7 +87,7 @@
 /// Writes an ENVCHANGE token with binary values, for the types 7 (collation),
 /// [`crate::token::change_type::BEGIN_TRANSACTION`] and [`crate::token::change_type::RESET_ACKNOWLEDGED`].
 pub fn put_change_bytes(out: &mut Vec<u8>, change_type: u8, new: &[u8], old: &[u8]) {
-    put_sized(out, code::CHANGE, |out| {
+    put_with_length(out, code::ENV_CHANGE, |out| {
         out.push(change_type);
         for bytes in [new, old] {
             out.push(bytes.len() as u8);
@@ -111,11 +118,11 @@
     Integer(i64),
     /// A value of [`Column::Text`] or [`Column::LongText`].
     Text(String),
-    /// The encoded value, including its length.
+    /// A value of any column, encoded with its length if its type has one.
     Raw(Vec<u8>),
 }
 
-/// Writes a COLMETADATA token: the name and the type of each column.
+/// Writes a COLMETADATA token with the name and the type of each column.
 pub fn put_columns(out: &mut Vec<u8>, columns: &[(&str, Column)]) {
     out.push(code::COLUMNS);
     out.extend((columns.len() as u16).to_le_bytes());
@@ -152,8 +159,8 @@
                 text::put(out, value);
             }
             (Column::LongText, Cell::Text(value)) => put_chunked_text(out, value),
-            (Column::Text, _) => out.extend(NULL_SHORT.to_le_bytes()),
-            (Column::LongText, _) => out.extend(NULL_CHUNKS.to_le_bytes()),
+            (Column::Text, _) => out.extend(CHARBIN_NULL.to_le_bytes()),
+            (Column::LongText, _) => out.extend(PLP_NULL.to_le_bytes()),
             _ => out.push(0),
         }
     }
@@ -167,7 +174,7 @@
         out.extend((bytes as u32).to_le_bytes());
         text::put(out, value);
     }
-    out.extend(CHUNK_TERMINATOR);
+    out.extend(PLP_TERMINATOR);
 }
 
 /// Writes a RETURNSTATUS token: the status of a procedure.
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Tests of the codec: round trips of every message and token at every split of the input, rejection of invalid input,
-//! and arbitrary bytes, on which nothing may panic.
+//! Tests of the codec: round trips of every message and token at every split of the input, rejection of
+//! invalid input, and arbitrary bytes, on which nothing may panic.
 
 use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
 use comethitch_tds::packet::{
@@ -8,17 +8,20 @@
 };
 use comethitch_tds::request::{Batch, Call, CallWriter, Headers, Procedure, SystemProcedure};
 use comethitch_tds::token::{Change, Message, ParsedToken, RowValue, Token, TokenReader, code, done};
-use comethitch_tds::types::{Value, code as kind};
-use comethitch_tds::write::{self, *};
+use comethitch_tds::types::{Value, code as type_code};
+use comethitch_tds::write::{
+    self, Cell, Column, put_change, put_change_bytes, put_columns, put_done, put_login_ack, put_row,
+};
 use comethitch_tds::{MalformedMessage, ReadError};
-use proptest::prelude::*;
+use proptest::prelude::{ProptestConfig, any, prop, prop_assert, prop_assert_eq, proptest};
 
-fn assembled(wire: &[u8], parts: &[usize]) -> Result<(Option<MessageKind>, Vec<u8>), MalformedMessage> {
+/// Passes `wire` to an assembler in parts of the given sizes, repeated in turn, and returns the message.
+fn assembled(wire: &[u8], part_sizes: &[usize]) -> Result<(Option<MessageKind>, Vec<u8>), MalformedMessage> {
     let mut assembler = MessageAssembler::new(1 << 20);
-    let (mut at, mut sizes) = (0, parts.iter().cycle());
-    while at < wire.len() && !assembler.is_complete() {
-        let until = (at + sizes.next().copied().unwrap_or(1).max(1)).min(wire.len());
-        at += assembler.accept(&wire[at..until])?;
+    let (mut position, mut sizes) = (0, part_sizes.iter().cycle());
+    while position < wire.len() && !assembler.is_complete() {
+        let end = (position + sizes.next().copied().unwrap_or(1).max(1)).min(wire.len());
+        position += assembler.accept(&wire[position..end])?;
     }
     assert!(assembler.is_complete(), "the message must be complete");
     let kind = assembler.kind();
@@ -82,9 +85,10 @@
     for length in 0..wire.len() {
         assert!(Login::read(&wire[..length]).is_err());
     }
-    for at in 36..94 {
+    // The part of the message that holds the offsets and lengths of its fields.
+    for position in 36..94 {
         let mut corrupted = wire.clone();
-        corrupted[at] = 0xff;
+        corrupted[position] = 0xff;
         let _ = Login::read(&corrupted);
     }
     let mut prelogin = Vec::new();
@@ -120,7 +124,8 @@
         assert_eq!(arguments, [("a", &Value::Integer(-7)), ("b", &Value::Null), ("c", &Value::Null)]);
         assert!(call.parameters[4].by_reference && !call.has_more_calls);
         for length in Headers::read(&wire).expect("headers").length..wire.len() {
-            // Truncated between parameters, the message is a call with fewer of them; anywhere else it is invalid.
+            // Truncated between parameters, the message is a call with fewer of them; anywhere else it is
+            // invalid.
             if let Ok(cut) = Call::read(&wire[..length]) {
                 assert!(cut.parameters.len() < 5);
             }
@@ -129,12 +134,12 @@
         wire.push(1);
         assert!(Call::read(&wire).expect("a call").has_more_calls);
     }
-    for (name, known) in
+    for (name, expected) in
         [("sp_executesql", SystemProcedure::ExecuteSql), ("sys.[SP_Unprepare]", SystemProcedure::Unprepare)]
     {
         let mut wire = Vec::new();
         CallWriter::named(&mut wire, name);
-        assert_eq!(Call::read(&wire).expect("a call").procedure, Procedure::System(known));
+        assert_eq!(Call::read(&wire).expect("a call").procedure, Procedure::System(expected));
     }
     let mut wire = Vec::new();
     CallWriter::named(&mut wire, "dbo.cobrar").integer("@x", Some(1));
@@ -148,8 +153,8 @@
     let short = |bytes: &[u8]| [&(bytes.len() as u16).to_le_bytes()[..], bytes].concat();
     let byte = |bytes: &[u8]| [&[bytes.len() as u8][..], bytes].concat();
     let chunks = |parts: &[&[u8]]| {
-        let all: usize = parts.iter().map(|part| part.len()).sum();
-        let mut out = (all as u64).to_le_bytes().to_vec();
+        let total_bytes: usize = parts.iter().map(|part| part.len()).sum();
+        let mut out = (total_bytes as u64).to_le_bytes().to_vec();
         parts.iter().for_each(|part| out.extend([&(part.len() as u32).to_le_bytes()[..], part].concat()));
         out.extend([0; 4]);
         out
@@ -159,49 +164,49 @@
     let utf16 = |text: &str| text.encode_utf16().flat_map(u16::to_le_bytes).collect::<Vec<u8>>();
     let text = |text: &str| Value::Text(text.into());
     vec![
-        (vec![kind::INT1], vec![200], Value::Integer(200)),
-        (vec![kind::BIT], vec![1], Value::Integer(1)),
-        (vec![kind::INT2], (-3_i16).to_le_bytes().to_vec(), Value::Integer(-3)),
-        (vec![kind::INT4], (-3_i32).to_le_bytes().to_vec(), Value::Integer(-3)),
-        (vec![kind::INT8], (-3_i64).to_le_bytes().to_vec(), Value::Integer(-3)),
-        (vec![kind::FLT4], 1.5_f32.to_le_bytes().to_vec(), Value::Float(1.5)),
-        (vec![kind::FLT8], 1.5_f64.to_le_bytes().to_vec(), Value::Float(1.5)),
-        (vec![kind::MONEY], vec![0; 8], Value::Other),
-        (vec![kind::MONEY4], vec![0; 4], Value::Other),
-        (vec![kind::DATETIME], vec![0; 8], Value::Other),
-        (vec![kind::DATETIM4], vec![0; 4], Value::Other),
-        (vec![kind::INTN, 8], byte(&7_i64.to_le_bytes()), Value::Integer(7)),
-        (vec![kind::INTN, 4], byte(&[]), Value::Null),
-        (vec![kind::BITN, 1], byte(&[0]), Value::Integer(0)),
-        (vec![kind::FLTN, 8], byte(&2.5_f64.to_le_bytes()), Value::Float(2.5)),
-        (vec![kind::MONEYN, 8], byte(&[1; 8]), Value::Other),
-        (vec![kind::DATETIMN, 8], byte(&[1; 8]), Value::Other),
-        (vec![kind::GUID, 16], byte(&[7; 16]), Value::Other),
-        (vec![kind::DATEN], byte(&[1; 3]), Value::Other),
-        (vec![kind::TIMEN, 7], byte(&[1; 5]), Value::Other),
-        (vec![kind::DATETIME2N, 3], byte(&[1; 7]), Value::Other),
-        (vec![kind::DATETIMEOFFSETN, 0], byte(&[1; 8]), Value::Other),
-        (vec![kind::DECIMALN, 5, 9, 2], byte(&[0, 0x39, 0x30, 0, 0]), Value::Float(-123.45)),
-        (vec![kind::NUMERICN, 17, 38, 0], byte(&[]), Value::Null),
-        (chars(kind::NVARCHAR, 40), short(&utf16("año")), text("año")),
-        (chars(kind::NVARCHAR, 40), vec![0xff, 0xff], Value::Null),
-        (chars(kind::NCHAR, 6), short(&utf16("abc")), text("abc")),
-        (chars(kind::VARCHAR, 40), short(b"abc"), text("abc")),
-        (chars(kind::VARCHAR, 40), short(b"a\xf1o"), Value::Other),
-        (chars(kind::CHAR, 3), short(b"abc"), text("abc")),
-        (vec![kind::VARBINARY, 10, 0], short(&[1, 2, 3]), Value::Other),
-        (vec![kind::BINARY, 3, 0], short(&[1, 2, 3]), Value::Other),
-        (chars(kind::NVARCHAR, 0xffff), chunks(&[&utf16("lu"), &utf16("na")]), text("luna")),
-        (chars(kind::NVARCHAR, 0xffff), vec![0xff; 8], Value::Null),
-        (chars(kind::VARCHAR, 0xffff), chunks(&[]), text("")),
-        (vec![kind::VARBINARY, 0xff, 0xff], chunks(&[&[1; 300]]), Value::Other),
-        (vec![kind::XML, 0], chunks(&[b"<a/>"]), Value::Other),
-        ([&[kind::TEXT, 0xff, 0xff, 0, 0][..], &collation].concat(), pointer(b"abc"), text("abc")),
-        ([&[kind::NTEXT, 0xff, 0xff, 0, 0][..], &collation].concat(), vec![0], Value::Null),
-        (vec![kind::IMAGE, 0xff, 0xff, 0, 0], pointer(&[1, 2]), Value::Other),
+        (vec![type_code::INT1], vec![200], Value::Integer(200)),
+        (vec![type_code::BIT], vec![1], Value::Integer(1)),
+        (vec![type_code::INT2], (-3_i16).to_le_bytes().to_vec(), Value::Integer(-3)),
+        (vec![type_code::INT4], (-3_i32).to_le_bytes().to_vec(), Value::Integer(-3)),
+        (vec![type_code::INT8], (-3_i64).to_le_bytes().to_vec(), Value::Integer(-3)),
+        (vec![type_code::FLT4], 1.5_f32.to_le_bytes().to_vec(), Value::Float(1.5)),
+        (vec![type_code::FLT8], 1.5_f64.to_le_bytes().to_vec(), Value::Float(1.5)),
+        (vec![type_code::MONEY], vec![0; 8], Value::Other),
+        (vec![type_code::MONEY4], vec![0; 4], Value::Other),
+        (vec![type_code::DATETIME], vec![0; 8], Value::Other),
+        (vec![type_code::DATETIM4], vec![0; 4], Value::Other),
+        (vec![type_code::INTN, 8], byte(&7_i64.to_le_bytes()), Value::Integer(7)),
+        (vec![type_code::INTN, 4], byte(&[]), Value::Null),
+        (vec![type_code::BITN, 1], byte(&[0]), Value::Integer(0)),
+        (vec![type_code::FLTN, 8], byte(&2.5_f64.to_le_bytes()), Value::Float(2.5)),
+        (vec![type_code::MONEYN, 8], byte(&[1; 8]), Value::Other),
+        (vec![type_code::DATETIMN, 8], byte(&[1; 8]), Value::Other),
+        (vec![type_code::GUID, 16], byte(&[7; 16]), Value::Other),
+        (vec![type_code::DATEN], byte(&[1; 3]), Value::Other),
+        (vec![type_code::TIMEN, 7], byte(&[1; 5]), Value::Other),
+        (vec![type_code::DATETIME2N, 3], byte(&[1; 7]), Value::Other),
+        (vec![type_code::DATETIMEOFFSETN, 0], byte(&[1; 8]), Value::Other),
+        (vec![type_code::DECIMALN, 5, 9, 2], byte(&[0, 0x39, 0x30, 0, 0]), Value::Float(-123.45)),
+        (vec![type_code::NUMERICN, 17, 38, 0], byte(&[]), Value::Null),
+        (chars(type_code::NVARCHAR, 40), short(&utf16("año")), text("año")),
+        (chars(type_code::NVARCHAR, 40), vec![0xff, 0xff], Value::Null),
+        (chars(type_code::NCHAR, 6), short(&utf16("abc")), text("abc")),
+        (chars(type_code::VARCHAR, 40), short(b"abc"), text("abc")),
+        (chars(type_code::VARCHAR, 40), short(b"a\xf1o"), Value::Other),
+        (chars(type_code::CHAR, 3), short(b"abc"), text("abc")),
+        (vec![type_code::VARBINARY, 10, 0], short(&[1, 2, 3]), Value::Other),
+        (vec![type_code::BINARY, 3, 0], short(&[1, 2, 3]), Value::Other),
+        (chars(type_code::NVARCHAR, 0xffff), chunks(&[&utf16("lu"), &utf16("na")]), text("luna")),
+        (chars(type_code::NVARCHAR, 0xffff), vec![0xff; 8], Value::Null),
+        (chars(type_code::VARCHAR, 0xffff), chunks(&[]), text("")),
+        (vec![type_code::VARBINARY, 0xff, 0xff], chunks(&[&[1; 300]]), Value::Other),
+        (vec![type_code::XML, 0], chunks(&[b"<a/>"]), Value::Other),
+        ([&[type_code::TEXT, 0xff, 0xff, 0, 0][..], &collation].concat(), pointer(b"abc"), text("abc")),
+        ([&[type_code::NTEXT, 0xff, 0xff, 0, 0][..], &collation].concat(), vec![0], Value::Null),
+        (vec![type_code::IMAGE, 0xff, 0xff, 0, 0], pointer(&[1, 2]), Value::Other),
         (
-            vec![kind::VARIANT, 0x50, 0x1f, 0, 0],
-            [&6_u32.to_le_bytes()[..], &[kind::INT4, 0, 1, 0, 0, 0]].concat(),
+            vec![type_code::VARIANT, 0x50, 0x1f, 0, 0],
+            [&6_u32.to_le_bytes()[..], &[type_code::INT4, 0, 1, 0, 0, 0]].concat(),
             Value::Other,
         ),
     ]
@@ -218,7 +223,7 @@
     write::put_message(&mut wire, &message(10), "srv");
     write::put_message(&mut wire, &message(13), "srv");
     for (description, value, _) in types() {
-        let pointer = matches!(description[0], kind::TEXT | kind::NTEXT | kind::IMAGE);
+        let pointer = matches!(description[0], type_code::TEXT | type_code::NTEXT | type_code::IMAGE);
         let description = if pointer { [description, vec![1, 1, 0, b't', 0]].concat() } else { description };
         let columns = [("a", Column::Raw(description)), ("b", Column::Integer)];
         put_columns(&mut wire, &columns);
@@ -230,7 +235,10 @@
     }
     wire.extend([code::ORDER, 2, 0, 1, 0]);
     wire.extend([code::RETURN_STATUS, 0, 0, 0, 0]);
-    wire.extend([code::RETURN_VALUE, 1, 0, 1, b'x', 0, 1, 0, 0, 0, 0, 0, 0, kind::INTN, 4, 4, 5, 0, 0, 0]);
+    // The ordinal, the name `x`, the status, the user type and flags, the type, and the value 5.
+    wire.extend([code::RETURN_VALUE, 1, 0, 1, b'x', 0, 1]);
+    wire.extend([0; 4 + 2]);
+    wire.extend([type_code::INTN, 4, 4, 5, 0, 0, 0]);
     wire.extend([code::FEATURE_ACK, 1, 2, 0, 0, 0, 9, 9, 0xff]);
     put_done(&mut wire, code::DONE_PROCEDURE, 0, 0);
     wire
@@ -239,29 +247,29 @@
 #[test]
 fn tokens_of_every_type_parse_at_every_split() {
     let wire = response();
-    let (mut tokens, mut at, mut rows, mut seen) = (TokenReader::new(), 0, 0, Vec::new());
+    let (mut tokens, mut position, mut rows, mut seen) = (TokenReader::new(), 0, 0, Vec::new());
     let mut values = types().into_iter().map(|(_, _, value)| value).flat_map(|value| [value.clone(), value]);
     while !tokens.is_complete() {
-        let ParsedToken { token, length } = tokens.clone().next(&wire[at..]).expect("a token");
+        let ParsedToken { token, length } = tokens.clone().next(&wire[position..]).expect("a token");
         // An incomplete token must be neither parsed nor rejected.
-        for cut in at..at + length {
+        for cut in position..position + length {
             assert_eq!(
-                tokens.clone().next(&wire[at..cut]),
+                tokens.clone().next(&wire[position..cut]),
                 Err(ReadError::NeedMoreInput),
                 "{token:?} cut at {}",
-                cut - at
+                cut - position
             );
         }
-        assert_eq!(tokens.next(&wire[at..]), Ok(ParsedToken { token: token.clone(), length }));
-        if let Some(row) = tokens.values(&wire[at..at + length]) {
+        assert_eq!(tokens.next(&wire[position..]), Ok(ParsedToken { token: token.clone(), length }));
+        if let Some(row) = tokens.values(&wire[position..position + length]) {
             assert_eq!(Some(row[0].decode()), values.next());
             assert_eq!(row[1].raw, None);
             rows += 1;
         }
         seen.push(token);
-        at += length;
+        position += length;
     }
-    assert_eq!((at, rows), (wire.len(), types().len() * 2));
+    assert_eq!((position, rows), (wire.len(), types().len() * 2));
     assert!(
         seen.contains(&Token::Change(Change::PacketSize(8000)))
             && seen.contains(&Token::Change(Change::Reset))
@@ -280,59 +288,68 @@
 #[test]
 fn impossible_lengths_are_rejected_before_the_rest_arrives() {
     let columns = |description: &[u8]| [&[code::COLUMNS, 1, 0, 0, 0, 0, 0, 0, 0], description, &[0]].concat();
-    let faults: [(Vec<u8>, &str); 8] = [
-        (vec![0x42], "a token that is not spoken"),
+    let invalid_responses: [(Vec<u8>, &str); 8] = [
+        (vec![0x42], "a token of unknown type"),
         (columns(&[0x99]), "a type that is not spoken"),
-        (columns(&[kind::INTN, 3]), "a type has an impossible length"),
-        (columns(&[kind::TIMEN, 8]), "a type has an impossible scale"),
-        (columns(&[kind::DECIMALN, 17, 39, 0]), "a decimal type with impossible digits"),
-        ([columns(&[kind::INTN, 4]), vec![code::ROW, 5]].concat(), "a value is longer than its type"),
-        (vec![code::ROW], "a row without a description of its columns"),
-        (vec![code::COLUMNS, 0xfe, 0xff], "more columns than there may be"),
+        (columns(&[type_code::INTN, 3]), "a type has an impossible length"),
+        (columns(&[type_code::TIMEN, 8]), "a type has an impossible scale"),
+        (columns(&[type_code::DECIMALN, 17, 39, 0]), "a decimal type with impossible digits"),
+        ([columns(&[type_code::INTN, 4]), vec![code::ROW, 5]].concat(), "a value is longer than its type"),
+        (vec![code::ROW], "a row without a preceding COLMETADATA"),
+        (vec![code::COLUMNS, 0xfe, 0xff], "COLMETADATA describes more than 4096 columns"),
     ];
-    for (wire, expected) in faults {
-        let (mut tokens, mut at) = (TokenReader::new(), 0);
-        let why = loop {
-            match tokens.next(&wire[at..]) {
-                Ok(ParsedToken { length, .. }) => at += length,
-                Err(why) => break why,
+    for (wire, expected) in invalid_responses {
+        let (mut tokens, mut position) = (TokenReader::new(), 0);
+        let error = loop {
+            match tokens.next(&wire[position..]) {
+                Ok(ParsedToken { length, .. }) => position += length,
+                Err(error) => break error,
             }
         };
-        assert_eq!(why, ReadError::Malformed(expected));
+        assert_eq!(error, ReadError::Malformed(expected));
     }
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(17), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 300,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(17),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
     fn messages_round_trip_through_packets(
-        payload in prop::collection::vec(any::<u8>(), 0..20_000), size in 0_usize..40_000,
-        parts in prop::collection::vec(1_usize..5_000, 1..8), first in prop::sample::select(vec![0, status::RESET]),
+        payload in prop::collection::vec(any::<u8>(), 0..20_000), packet_bytes in 0_usize..40_000,
+        part_sizes in prop::collection::vec(1_usize..5_000, 1..8),
+        first_status in prop::sample::select(vec![0, status::RESET]),
     ) {
         let mut wire = Vec::new();
-        put_packets(&mut wire, MessageKind::Rpc, size, &payload, first, true);
+        put_packets(&mut wire, MessageKind::Rpc, packet_bytes, &payload, first_status, true);
         let mut assembler = MessageAssembler::new(1 << 20);
         assembler.accept(&wire).expect("a message");
-        prop_assert_eq!(assembler.status() & status::RESET, first);
-        prop_assert_eq!(assembled(&wire, &parts), Ok((Some(MessageKind::Rpc), payload)));
+        prop_assert_eq!(assembler.status() & status::RESET, first_status);
+        prop_assert_eq!(assembled(&wire, &part_sizes), Ok((Some(MessageKind::Rpc), payload)));
     }
 
     #[test]
-    fn arbitrary_and_mutated_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), corrupted in any::<(prop::sample::Index, u8)>()) {
+    fn arbitrary_and_mutated_bytes_never_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..300),
+        (corrupted_index, corrupted_byte) in any::<(prop::sample::Index, u8)>(),
+    ) {
         let mut assembler = MessageAssembler::new(1_000);
         let _ = assembler.accept(&bytes);
         prop_assert!(assembler.payload().len() <= 1_000);
         let _ = (Login::read(&bytes), Prelogin::read(&bytes), Batch::read(&bytes), Call::read(&bytes));
         // A valid response with one byte changed, and arbitrary bytes.
         let mut wire = response();
-        let at = corrupted.0.index(wire.len());
-        wire[at] = corrupted.1;
+        let corrupted_position = corrupted_index.index(wire.len());
+        wire[corrupted_position] = corrupted_byte;
         for wire in [wire, bytes] {
-            let (mut tokens, mut at) = (TokenReader::new(), 0);
-            while let Ok(ParsedToken { length, .. }) = tokens.next(&wire[at..]) {
+            let (mut tokens, mut position) = (TokenReader::new(), 0);
+            while let Ok(ParsedToken { length, .. }) = tokens.next(&wire[position..]) {
                 prop_assert!(length > 0);
-                at += length;
+                position += length;
                 if tokens.is_complete() { break; }
             }
         }
@@ -344,18 +361,20 @@
         let mut wire = Vec::new();
         put_columns(&mut wire, &columns);
         for text in &texts {
-            put_row(&mut wire, &columns, &[Cell::Text(text.clone()), Cell::Text(text.clone()), Cell::Integer(9)]);
+            let cells = [Cell::Text(text.clone()), Cell::Text(text.clone()), Cell::Integer(9)];
+            put_row(&mut wire, &columns, &cells);
         }
         let mut tokens = TokenReader::new();
-        let mut at = tokens.next(&wire).expect("columns").length;
+        let mut position = tokens.next(&wire).expect("columns").length;
         for text in &texts {
-            let length = tokens.next(&wire[at..]).expect("a row").length;
-            let row = tokens.values(&wire[at..at + length]).expect("values");
+            let length = tokens.next(&wire[position..]).expect("a row").length;
+            let row = tokens.values(&wire[position..position + length]).expect("values");
             let decoded: Vec<Value> = row.iter().map(RowValue::decode).collect();
-            prop_assert_eq!(decoded, vec![Value::Text(text.clone()), Value::Text(text.clone()), Value::Integer(9)]);
-            at += length;
+            let expected = vec![Value::Text(text.clone()), Value::Text(text.clone()), Value::Integer(9)];
+            prop_assert_eq!(decoded, expected);
+            position += length;
         }
-        prop_assert_eq!(at, wire.len());
+        prop_assert_eq!(position, wire.len());
     }
 }
 
@@ -380,7 +399,7 @@
         let mut wire = Vec::new();
         CallWriter::named(&mut wire, name).text("", "SELECT 1");
         let call = Call::read(&wire).expect("a call");
-        assert_eq!(call.procedure, Procedure::Named(name.into()), "a user's own procedure");
+        assert_eq!(call.procedure, Procedure::Named(name.into()), "{name} is a user's own procedure");
     }
 }
 
