--- a/crates/comethitch-tds/src/text.rs
+++ b/crates/comethitch-tds/src/text.rs
@@ -10,7 +10,7 @@
 }
 
 /// Decodes UTF-16 bytes, replacing unpaired surrogates with U+FFFD and ignoring an odd last byte. For text
-/// that is only displayed.
+/// that is only displayed, or parsed into a value that is checked.
 pub fn decode_lossy(bytes: &[u8]) -> String {
     let units = bytes.as_chunks::<2>().0.iter().map(|unit| u16::from_le_bytes(*unit));
     char::decode_utf16(units).map(|character| character.unwrap_or(char::REPLACEMENT_CHARACTER)).collect()
