--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -48,8 +48,8 @@
     pub may_cancel: bool,
     /// Whether health checks may be sent.
     pub may_check_health: bool,
-    /// Price of one health check per request, in points of service. Each request adds a fixed number of
-    /// points to the budget for health checks.
+    /// Price of one health check, in abstract cost units. Each request adds a fixed number of these units to
+    /// the budget for health checks.
     pub health_check_price: f64,
     /// Whether hedged requests are allowed: a second attempt that is sent while another one is in flight.
     pub hedging_allowed: bool,
--- a/crates/comethitch-policy/src/health_check_budget.rs
+++ b/crates/comethitch-policy/src/health_check_budget.rs
@@ -19,7 +19,7 @@
     }
 
     /// Charges one health check if the budget covers it, and returns whether it does.
-    pub(crate) fn withdraw(&mut self) -> bool {
+    pub(crate) fn try_withdraw(&mut self) -> bool {
         let is_covered = self.available_checks >= 1.0;
         if is_covered {
             self.available_checks -= 1.0;
--- a/crates/comethitch-policy/src/health_check_state.rs
+++ b/crates/comethitch-policy/src/health_check_state.rs
@@ -46,7 +46,7 @@
     }
 
     /// Sets when the next periodic health check is due.
-    pub(crate) fn schedule(&mut self, at: Timestamp) {
+    pub(crate) fn schedule_next(&mut self, at: Timestamp) {
         self.next_at = at;
     }
 
--- a/crates/comethitch-policy/src/host_health.rs
+++ b/crates/comethitch-policy/src/host_health.rs
@@ -11,15 +11,15 @@
     last_answer: Timestamp,
     /// When the host last answered a request or a health check, or rejected a connection for lack of slots.
     /// Error answers that count as failures are not included.
-    last_sign_of_life: Timestamp,
-    /// When the first request or health check after the last sign of life was sent. If this is not later than
-    /// `last_sign_of_life`, none has been sent since.
+    last_seen: Timestamp,
+    /// When the first request or health check after `last_seen` was sent. If this is not later than
+    /// `last_seen`, none has been sent since.
     awaiting_since: Timestamp,
     /// Number of attempts that timed out or were cancelled late since the host last answered a request.
     unanswered_attempts: u32,
     unresponsive: bool,
-    /// Number of failed connections, connection resets, failed health checks and error answers since the last
-    /// sign of life. Error answers do not count while errors are widespread.
+    /// Number of failed connections, connection resets, failed health checks and error answers since
+    /// `last_seen`. Error answers do not count while errors are widespread.
     consecutive_failures: u32,
     ejected_until: Timestamp,
 }
@@ -27,7 +27,7 @@
 impl HostHealth {
     /// Returns the health of a host that was first listed at `now`.
     pub(crate) fn new(now: Timestamp) -> HostHealth {
-        HostHealth { last_sign_of_life: now, ..HostHealth::default() }
+        HostHealth { last_seen: now, ..HostHealth::default() }
     }
 
     /// Returns when the host last answered a request; zero if it never has.
@@ -42,8 +42,8 @@
 
     /// Returns when the host last answered a request or a health check, or rejected a connection for lack of
     /// slots.
-    pub(crate) fn last_sign_of_life(&self) -> Timestamp {
-        self.last_sign_of_life
+    pub(crate) fn last_seen(&self) -> Timestamp {
+        self.last_seen
     }
 
     /// Returns whether the host leaves requests unanswered, even if it answers health checks.
@@ -51,7 +51,7 @@
         self.unresponsive
     }
 
-    /// Returns the number of failures since the last sign of life.
+    /// Returns the number of failures since the host was last seen.
     pub(crate) fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
@@ -61,15 +61,15 @@
         now < self.ejected_until
     }
 
-    /// Returns the time since the first request or health check after the host's last sign of life was sent;
-    /// zero if none was sent.
+    /// Returns the time since the first request or health check after `last_seen` was sent; zero if none was
+    /// sent.
     pub(crate) fn silent_for(&self, now: Timestamp) -> Duration {
-        if self.awaiting_since > self.last_sign_of_life { now - self.awaiting_since } else { Duration::ZERO }
+        if self.awaiting_since > self.last_seen { now - self.awaiting_since } else { Duration::ZERO }
     }
 
     /// Records that a request or a health check was sent to the host.
     pub(crate) fn expect_answer(&mut self, now: Timestamp) {
-        if self.awaiting_since <= self.last_sign_of_life {
+        if self.awaiting_since <= self.last_seen {
             self.awaiting_since = now;
         }
     }
@@ -83,15 +83,15 @@
 
     /// Records that the host answered or rejected something. Ends the ejection of the host unless it is
     /// unresponsive.
-    pub(crate) fn record_sign_of_life(&mut self, now: Timestamp) {
-        self.last_sign_of_life = now;
+    pub(crate) fn record_seen(&mut self, now: Timestamp) {
+        self.last_seen = now;
         self.consecutive_failures = 0;
         if !self.unresponsive {
             self.ejected_until = self.ejected_until.min(now);
         }
     }
 
-    /// Counts a failure, and returns the number of failures since the last sign of life.
+    /// Counts a failure, and returns the number of failures since the host was last seen.
     pub(crate) fn count_failure(&mut self) -> u32 {
         self.consecutive_failures += 1;
         self.consecutive_failures
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns whether a health check in flight or an attempt of a request in progress refers to the host.
-    pub(crate) fn is_referred_to(&self) -> bool {
+    pub(crate) fn is_referenced(&self) -> bool {
         self.checks.is_in_flight() || self.attempts_in_progress > 0
     }
 
@@ -67,7 +67,7 @@
     pub(crate) fn record_connection_rejected(
         &mut self, hash_seed: u64, connect_timeout: Duration, now: Timestamp,
     ) {
-        self.health.record_sign_of_life(now);
+        self.health.record_seen(now);
         self.load.record_connection_rejected(hash_seed, self.host.number(), connect_timeout, now);
     }
 }
--- a/crates/comethitch-policy/src/policy/endpoints.rs
+++ b/crates/comethitch-policy/src/policy/endpoints.rs
@@ -84,12 +84,12 @@
         let Some(shard) = self.shards.get_mut(endpoint.shard_id) else { return };
         let newly_listed_primary = endpoint.is_primary && shard.listed_primary != Some(index);
         if newly_listed_primary {
-            self.hosts[index].checks.schedule(now);
+            self.hosts[index].checks.schedule_next(now);
             shard.schedule_review(now);
         }
         if endpoint.is_primary {
             shard.listed_primary = Some(index);
-            shard.primary = shard.primary.or(shard.listed_primary.filter(|_| shard.serial() == 0));
+            shard.primary = shard.primary.or(shard.listed_primary.filter(|_| shard.failover_count() == 0));
         }
         let primary_lost = shard.primary.is_some_and(|primary| {
             if primary == index {
@@ -131,7 +131,7 @@
                 continue;
             }
             let expired = listing.draining_since().is_some_and(|since| now - since > REMOVED_HOST_RETENTION);
-            if expired && !self.is_referred_to(index) {
+            if expired && !self.is_referenced(index) {
                 self.forget_host(index);
             } else {
                 self.hosts.schedule_removal_review(index, now + REMOVED_HOST_REVIEW_INTERVAL);
@@ -140,9 +140,9 @@
     }
 
     /// Returns whether the shard, a request in progress or a health check in flight still refers to a host.
-    fn is_referred_to(&self, index: HostIndex) -> bool {
+    fn is_referenced(&self, index: HostIndex) -> bool {
         let shard = self.shard_of(index);
-        shard.is_primary(index) || shard.listed_primary == Some(index) || self.hosts[index].is_referred_to()
+        shard.is_primary(index) || shard.listed_primary == Some(index) || self.hosts[index].is_referenced()
     }
 
     fn forget_host(&mut self, index: HostIndex) {
--- a/crates/comethitch-policy/src/policy/failover.rs
+++ b/crates/comethitch-policy/src/policy/failover.rs
@@ -71,7 +71,7 @@
 
     fn is_failover_due(&self, primary: HostIndex, shard: &Shard, now: Timestamp) -> bool {
         let health = &self.hosts[primary].health;
-        let attempts_lost = shard.has_lost(FAILOVER_LOST_FRACTION);
+        let attempts_lost = shard.has_lost_attempts(FAILOVER_LOST_FRACTION);
         (health.is_unresponsive() || health.is_unreachable() && attempts_lost)
             && now - shard.state_since() > FAILOVER_DELAY
             && !self.has_working_primary(shard, now)
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -7,10 +7,10 @@
 use crate::time::Timestamp;
 use crate::{Actions, AttemptOutcome, Host, LoadReport, ShardId};
 
-/// Points of service that each request may cost in health checks, in the unit of
+/// Cost units that each request adds to the budget for health checks, in the unit of
 /// [`Deployment::health_check_price`](crate::Deployment::health_check_price).
-const BUDGET_POINTS_PER_REQUEST: f64 = 0.02;
-/// Fraction of these points for periodic health checks if positions are also refreshed on demand.
+const BUDGET_COST_UNITS_PER_REQUEST: f64 = 0.02;
+/// Fraction of these units for periodic health checks if positions are also refreshed on demand.
 const PERIODIC_CHECK_FRACTION: f64 = 0.25;
 /// Maximum number of health checks that a shard's budget holds per member.
 const MAX_SAVED_CHECKS_PER_MEMBER: f64 = 2.0;
@@ -33,18 +33,18 @@
                 host.record_connection_rejected(self.random.hash_seed(), connect_timeout, now);
             }
             AttemptOutcome::Answered | AttemptOutcome::Error | AttemptOutcome::Overloaded => {
-                host.health.record_sign_of_life(now);
+                host.health.record_seen(now);
                 if report == LoadReport::default() {
                     self.retry_health_check(index, now);
                 }
             }
-            _ if host.health.last_sign_of_life() < sent_at => {
+            _ if host.health.last_seen() < sent_at => {
                 host.health.record_failure(connect_timeout, now);
             }
             _ => {}
         }
         let next_check_at = self.hosts[index].checks.next_at();
-        self.shard_of_mut(index).review_by(next_check_at);
+        self.shard_of_mut(index).bring_review_forward(next_check_at);
         self.apply_report(index, report, None, actions);
         self.drain_queues(self.hosts[index].listing.shard_id(), actions);
     }
@@ -69,7 +69,7 @@
     pub(super) fn record_shard_request(&mut self, shard_id: ShardId, now: Timestamp) {
         let Some(shard) = self.shards.get_mut(shard_id) else { return };
         let fraction = if self.settings.refreshes_on_demand() { PERIODIC_CHECK_FRACTION } else { 1.0 };
-        let checks = BUDGET_POINTS_PER_REQUEST * fraction / self.settings.deployment().health_check_price;
+        let checks = BUDGET_COST_UNITS_PER_REQUEST * fraction / self.settings.deployment().health_check_price;
         let max = shard.members.len() as f64 * MAX_SAVED_CHECKS_PER_MEMBER;
         shard.health_check_budget.deposit(checks, max);
         if !is_in_use(shard, now) {
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -36,7 +36,7 @@
 pub enum ClockState {
     /// No primary has reported yet.
     #[default]
-    Unproven,
+    Unknown,
     /// No report shows a difference between the clocks.
     Agrees,
     /// The router's clock is wrong, but too few primaries have reported to estimate by how much.
@@ -143,7 +143,7 @@
     /// unknown.
     pub(super) fn latest(&self, at: Timestamp) -> Option<Timestamp> {
         match self.state() {
-            ClockState::Unproven | ClockState::Wrong => None,
+            ClockState::Unknown | ClockState::Wrong => None,
             ClockState::Agrees => Some(at),
             ClockState::Corrected { offset, uncertainty } => Some(at + (offset + uncertainty)),
         }
@@ -161,7 +161,7 @@
     /// `at` itself if no difference between the clocks is known.
     pub(super) fn estimated(&self, at: Timestamp) -> Timestamp {
         match self.state() {
-            ClockState::Unproven | ClockState::Agrees => at,
+            ClockState::Unknown | ClockState::Agrees => at,
             ClockState::Wrong | ClockState::Corrected { .. } => self.earliest(at).unwrap_or(at),
         }
     }
--- a/crates/comethitch-policy/src/policy/host_clock/tests.rs
+++ b/crates/comethitch-policy/src/policy/host_clock/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn host_time_is_unknown_before_the_first_report() {
     let clock = HostClock::default();
-    assert_eq!(clock.state(), ClockState::Unproven);
+    assert_eq!(clock.state(), ClockState::Unknown);
     assert_eq!((clock.latest(NOW), clock.earliest(NOW)), (None, None));
     assert_eq!(clock.estimated(NOW), NOW);
 }
@@ -42,7 +42,7 @@
     clock.record_position(NOW - Duration::from_millis(100), false, NOW);
     clock.update_replica_fallback(NOW);
     clock.update_replica_fallback(NOW + Duration::from_millis(500));
-    assert_eq!(clock.state(), ClockState::Unproven);
+    assert_eq!(clock.state(), ClockState::Unknown);
     clock.update_replica_fallback(NOW + Duration::from_millis(501));
     assert_eq!(clock.state(), ClockState::Agrees);
     assert!(clock.needs_primary_reports(), "a primary's report is still needed");
--- a/crates/comethitch-policy/src/policy/outcomes.rs
+++ b/crates/comethitch-policy/src/policy/outcomes.rs
@@ -71,7 +71,7 @@
                 host.record_connection_rejected(self.random.hash_seed(), connect_timeout, now);
             }
             AttemptOutcome::NotSent => {}
-            _ => host.health.record_sign_of_life(now),
+            _ => host.health.record_seen(now),
         }
     }
 
--- a/crates/comethitch-policy/src/policy/periodic_checks.rs
+++ b/crates/comethitch-policy/src/policy/periodic_checks.rs
@@ -39,8 +39,8 @@
 
     /// Schedules a host's next health check at this time, and its shard's next review no later.
     pub(super) fn schedule_health_check(&mut self, index: HostIndex, at: Timestamp) {
-        self.hosts[index].checks.schedule(at);
-        self.shard_of_mut(index).review_by(at);
+        self.hosts[index].checks.schedule_next(at);
+        self.shard_of_mut(index).bring_review_forward(at);
     }
 
     /// Returns the time of a shard's next review: when a member's health check may be due.
@@ -86,10 +86,10 @@
             let is_urgent = self.is_check_urgent(index);
             let interval = if is_urgent { HEALTH_CHECK_RETRY_INTERVAL } else { regular_interval };
             if !is_urgent && self.has_reported_within(index, interval, now) {
-                self.hosts[index].checks.schedule(now + interval);
+                self.hosts[index].checks.schedule_next(now + interval);
             } else if self.charge_health_check(index, now) {
                 self.health_checks.record_started();
-                self.hosts[index].checks.schedule(now + interval);
+                self.hosts[index].checks.schedule_next(now + interval);
                 self.send_health_check(index, actions);
             }
         }
@@ -99,8 +99,7 @@
     /// necessary.
     fn has_reported_within(&self, index: HostIndex, interval: Duration, now: Timestamp) -> bool {
         let host = &self.hosts[index];
-        now - host.replication.lag_reported_at() < interval
-            && now - host.health.last_sign_of_life() < interval
+        now - host.replication.lag_reported_at() < interval && now - host.health.last_seen() < interval
     }
 
     /// Returns the members to check: the listed primary first, then the longest overdue, so that each member
@@ -158,7 +157,7 @@
     fn charge_health_check(&mut self, index: HostIndex, now: Timestamp) -> bool {
         let due_at = self.hosts[index].checks.next_at();
         let shard = &mut self.shards[self.hosts[index].listing.shard_id()];
-        if shard.health_check_budget.withdraw() {
+        if shard.health_check_budget.try_withdraw() {
             return true;
         }
         let admitted = self.health_checks.admit_over_budget(due_at, now);
--- a/crates/comethitch-policy/src/policy/router.rs
+++ b/crates/comethitch-policy/src/policy/router.rs
@@ -139,7 +139,7 @@
 
     /// Returns each shard's state and its number of failovers, for the log.
     pub fn shard_states(&self) -> impl Iterator<Item = (ShardId, ShardState, u32)> {
-        self.shards.iter().map(|(shard_id, shard)| (shard_id, shard.state(), shard.serial()))
+        self.shards.iter().map(|(shard_id, shard)| (shard_id, shard.state(), shard.failover_count()))
     }
 
     /// Returns the number of allocated host entries. The entries of removed hosts are reused.
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -65,7 +65,7 @@
         match shard.primary {
             // A router that has just started waits for health checks of all hosts before it rejects requests
             // for lack of a primary.
-            None if shard.serial() == 0 => Selection::Wait,
+            None if shard.failover_count() == 0 => Selection::Wait,
             Some(primary) if self.primary_serves(primary, shard, now) => {
                 let member = Member::of_all_routers(primary);
                 let has_capacity = self.has_capacity(&member, request.request_class, now);
--- a/crates/comethitch-policy/src/policy/send_guard.rs
+++ b/crates/comethitch-policy/src/policy/send_guard.rs
@@ -40,7 +40,7 @@
 
     /// Returns the rule that is violated by an attempt whose last byte was written at `now`, if any. The
     /// safety margins of [`Handle::check_send`] are meant to prevent violations.
-    pub fn violation_of_sent(
+    pub fn send_violation(
         self, router: &Router, attempt_number: u16, now: Timestamp,
     ) -> Option<SendViolation> {
         let request = router.requests.get(self.0)?;
--- a/crates/comethitch-policy/src/shard.rs
+++ b/crates/comethitch-policy/src/shard.rs
@@ -40,7 +40,7 @@
     /// When the shard entered `state`.
     state_since: Timestamp,
     /// Number of failovers that this router has seen.
-    serial: u32,
+    failover_count: u32,
     /// Number of attempts that were in flight to the primary when the shard became Unhealthy.
     in_flight_at_fault: u32,
     /// Number of those attempts that have been lost.
@@ -81,8 +81,8 @@
     }
 
     /// Returns the number of failovers that this router has seen.
-    pub(crate) fn serial(&self) -> u32 {
-        self.serial
+    pub(crate) fn failover_count(&self) -> u32 {
+        self.failover_count
     }
 
     /// Enters Healthy, with this host as the believed primary.
@@ -101,7 +101,7 @@
     /// Enters Failover, and schedules an immediate review.
     pub(crate) fn enter_failover(&mut self, now: Timestamp) {
         self.enter(ShardState::Failover, now);
-        self.serial += 1;
+        self.failover_count += 1;
         self.next_review = now;
     }
 
@@ -117,7 +117,7 @@
 
     /// Returns whether at least this fraction of the attempts that were in flight to the primary when the
     /// shard became Unhealthy have been lost.
-    pub(crate) fn has_lost(&self, fraction: f64) -> bool {
+    pub(crate) fn has_lost_attempts(&self, fraction: f64) -> bool {
         f64::from(self.lost_since_fault) >= fraction * f64::from(self.in_flight_at_fault)
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Moves the next review forward to `at`, unless it is due earlier.
-    pub(crate) fn review_by(&mut self, at: Timestamp) {
+    pub(crate) fn bring_review_forward(&mut self, at: Timestamp) {
         self.next_review = self.next_review.min(at);
     }
 }
--- a/crates/comethitchd/src/protocols/attempt.rs
+++ b/crates/comethitchd/src/protocols/attempt.rs
@@ -83,7 +83,7 @@
         let router = self.state.policy();
         let handle = router.handle(self.request);
         let violation =
-            handle.and_then(|handle| handle.violation_of_sent(&router, self.number, self.state.clock.now()));
+            handle.and_then(|handle| handle.send_violation(&router, self.number, self.state.clock.now()));
         if let Some(violation) = violation {
             self.state.record_violation(violation.name(), &self.statement.client_id);
         }
--- a/crates/comethitchd/src/state/transition_log.rs
+++ b/crates/comethitchd/src/state/transition_log.rs
@@ -51,7 +51,7 @@
             ),
             ClockState::Wrong => log::warn!("wall clock wrong at start, polling hosts for the time"),
             ClockState::Agrees => log::info!("wall clock at start agrees with the hosts' clocks"),
-            ClockState::Unproven => {}
+            ClockState::Unknown => {}
         }
     }
 }
