--- a/crates/comethitch-adapter/src/event.rs
+++ b/crates/comethitch-adapter/src/event.rs
@@ -92,7 +92,7 @@
         const DEPLOYMENT_OFFSET: usize = 11;
         let text = tail.slice_referenced_by(record, DEPLOYMENT_OFFSET, 1)?;
         let text = std::str::from_utf8(text).map_err(|_| RecordError::DeploymentNotUtf8)?;
-        let deployment = Deployment::read(text)?;
+        let deployment = Deployment::parse(text)?;
         Ok(InstanceStart { seed: record.u64(SEED_OFFSET)?, deployment })
     }
 }
@@ -180,13 +180,13 @@
     if class >= deployment.classes.len() {
         return Err(RecordError::UnknownRequestClass(class));
     }
-    let after = since_write(record.f32(SINCE_WRITE_OFFSET)?).map(|since| now - since);
+    let required_position = since_write(record.f32(SINCE_WRITE_OFFSET)?).map(|since| now - since);
     Ok(Request {
         id: record.u32(ID_OFFSET)?,
         class,
         shard_id: record.f32(SHARD_OFFSET)? as u16,
         session: record.u64(SESSION_OFFSET)?,
-        after,
+        required_position,
         timeout: Duration::from_micros(record.u32(TIMEOUT_OFFSET)?.into()),
     })
 }
--- a/crates/comethitch-lab/src/fleet/clients.rs
+++ b/crates/comethitch-lab/src/fleet/clients.rs
@@ -48,7 +48,7 @@
             class: usize::from(request.write),
             shard_id: request.shard,
             session: 0,
-            after: None,
+            required_position: None,
             timeout,
         };
         self.call_policy(router, |router, out| _ = router.submit(request, out));
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -250,7 +250,7 @@
         LoadReport {
             role: Some(self.role()),
             position: Some(self.measured.at - staleness),
-            queue: Some(self.measured.queue as f64),
+            queue_length: Some(self.measured.queue as f64),
         }
     }
 }
--- a/crates/comethitch-lab/src/live/hosts.rs
+++ b/crates/comethitch-lab/src/live/hosts.rs
@@ -271,11 +271,11 @@
     let interval = Duration::from_millis(fleet.trial.report_interval_ms);
     let report = fleet.hosts.borrow_mut()[host].report(lag, interval, now());
     let position_ms = report.position.unwrap_or(Timestamp::ZERO).as_micros() / 1000;
-    let queue = report.queue.unwrap_or_default();
+    let queue_length = report.queue_length.unwrap_or_default();
     let primary = u8::from(report.role == Some(Role::Primary));
     let seconds = position_ms / 1000;
     let milliseconds = position_ms % 1000;
-    row(format!("x0={seconds}.{milliseconds:03},x1={primary},queue={queue}").as_bytes())
+    row(format!("x0={seconds}.{milliseconds:03},x1={primary},queue={queue_length}").as_bytes())
 }
 
 /// Returns the remaining time of the client from the comment of a statement.
--- a/crates/comethitch-lab/src/trial.rs
+++ b/crates/comethitch-lab/src/trial.rs
@@ -316,6 +316,6 @@
             self.overload_multiple,
             self.overload_window_ms,
         );
-        Ok(Deployment::read(&text)?)
+        Ok(Deployment::parse(&text)?)
     }
 }
--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -77,14 +77,14 @@
 struct ReportFields {
     position: Option<usize>,
     role: Option<usize>,
-    queue: Option<usize>,
+    queue_length: Option<usize>,
 }
 
 impl Deployment {
     /// Parses the `key=value` lines of a start message.
     ///
     /// ```
-    /// let missing = comethitch_policy::Deployment::read("me=0\n").unwrap_err();
+    /// let missing = comethitch_policy::Deployment::parse("me=0\n").unwrap_err();
     /// assert_eq!(missing.to_string(), "domain.class_read is missing");
     /// ```
     ///
@@ -92,7 +92,7 @@
     ///
     /// Returns an error if a required key is missing, a value is invalid, or a list has fewer entries than
     /// there are request classes.
-    pub fn read(text: &str) -> Result<Deployment, DeploymentError> {
+    pub fn parse(text: &str) -> Result<Deployment, DeploymentError> {
         let message = StartMessage(text.lines().filter_map(|line| line.split_once('=')).collect());
         let classes = message.request_classes()?;
         let retry_after_allowed = message.value_or("permissions.retry_after", false)?;
@@ -133,8 +133,8 @@
         });
         let role = value(self.report_fields.role)
             .map(|role| if role >= 0.5 { Role::Primary } else { Role::Replica });
-        let queue = value(self.report_fields.queue).map(|queue| f64::from(queue).max(0.0));
-        LoadReport { role, position, queue }
+        let queue_length = value(self.report_fields.queue_length).map(|queue| f64::from(queue).max(0.0));
+        LoadReport { role, position, queue_length }
     }
 
     /// Parses a response trailer, which is four times the position in milliseconds plus a code for the role.
@@ -147,7 +147,7 @@
         };
         let position = Duration::from_micros(u64::from(trailer / 4) * 1000);
         let position = (trailer >= 4).then(|| self.position_origin + position);
-        LoadReport { role, position, queue: None }
+        LoadReport { role, position, queue_length: None }
     }
 
     /// Returns the shortest latency objective of all request classes; `None` if there are no request classes.
@@ -233,7 +233,7 @@
     fn report_fields(&self) -> ReportFields {
         let names: Vec<&str> = self.text_or("load_info.names", "").split(',').collect();
         let index_of = |name| names.iter().position(|other| *other == name);
-        ReportFields { position: index_of("x0"), role: index_of("x1"), queue: index_of("queue") }
+        ReportFields { position: index_of("x0"), role: index_of("x1"), queue_length: index_of("queue") }
     }
 
     fn request_classes(&self) -> Result<Vec<RequestClass>, DeploymentError> {
--- a/crates/comethitch-policy/src/host.rs
+++ b/crates/comethitch-policy/src/host.rs
@@ -13,7 +13,7 @@
 
 impl Host {
     /// Returns the address and the port, combined into one number that is unique to the host.
-    pub fn number(self) -> u64 {
+    pub fn as_u64(self) -> u64 {
         u64::from(u32::from_be_bytes(self.address)) << 16 | u64::from(self.port)
     }
 }
@@ -49,5 +49,5 @@
     /// A position up to which the host has applied all commits; it may have applied later ones too.
     pub position: Option<Timestamp>,
     /// Number of requests queued at the host.
-    pub queue: Option<f64>,
+    pub queue_length: Option<f64>,
 }
--- a/crates/comethitch-policy/src/host_state.rs
+++ b/crates/comethitch-policy/src/host_state.rs
@@ -68,6 +68,6 @@
         &mut self, hash_seed: u64, connect_timeout: Duration, now: Timestamp,
     ) {
         self.health.record_seen(now);
-        self.load.record_connection_rejected(hash_seed, self.host.number(), connect_timeout, now);
+        self.load.record_connection_rejected(hash_seed, self.host.as_u64(), connect_timeout, now);
     }
 }
--- a/crates/comethitch-policy/src/messages.rs
+++ b/crates/comethitch-policy/src/messages.rs
@@ -19,7 +19,7 @@
     pub session: u64,
     /// The position up to which a session read must see all commits; used only if clients carry session
     /// tokens. `None` means that any position is sufficient.
-    pub after: Option<Timestamp>,
+    pub required_position: Option<Timestamp>,
     /// How much longer the client waits for the answer.
     pub timeout: Duration,
 }
--- a/crates/comethitch-policy/src/policy/reports.rs
+++ b/crates/comethitch-policy/src/policy/reports.rs
@@ -40,7 +40,7 @@
         let lag = age - self.statistics.median_report_age();
         let host = &mut self.hosts[index];
         host.replication.record_position(position, lag, now);
-        host.load.set_queue_length(report.queue.unwrap_or_default());
+        host.load.set_queue_length(report.queue_length.unwrap_or_default());
     }
 
     /// Makes a host the believed primary of its shard, and moves the shard to Healthy.
--- a/crates/comethitch-policy/src/policy/router.rs
+++ b/crates/comethitch-policy/src/policy/router.rs
@@ -81,7 +81,7 @@
     pub fn submit(&mut self, request: Request, actions: &mut dyn Actions) -> Handle {
         let now = actions.now();
         let required_position = if self.settings.deployment().session_tokens_carried {
-            request.after.unwrap_or_default()
+            request.required_position.unwrap_or_default()
         } else {
             self.session_commits.latest(request.session)
         };
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -197,7 +197,7 @@
     fn ranking_candidate(&self, index: HostIndex, now: Timestamp) -> Candidate {
         let host = &self.hosts[index];
         let weight = host.listing.capacity() * self.warmup_fraction(index, now);
-        Candidate { index, host_key: host.host.number(), weight }
+        Candidate { index, host_key: host.host.as_u64(), weight }
     }
 
     /// Returns whether a host may be in the subset now. If positions are refreshed on demand, a host that was
--- a/crates/comethitch-policy/src/random_source.rs
+++ b/crates/comethitch-policy/src/random_source.rs
@@ -31,6 +31,6 @@
 
     /// Returns the current window of this router at a host, from which a hashed random number is computed.
     pub(crate) fn window(&self, host: Host, now: Timestamp, length: Duration) -> Window {
-        Window { hash_seed: self.hash_seed, host_key: host.number(), now, length }
+        Window { hash_seed: self.hash_seed, host_key: host.as_u64(), now, length }
     }
 }
--- a/crates/comethitch-policy/tests/scenario_runner/mod.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/mod.rs
@@ -107,7 +107,7 @@
     fn router(&mut self) -> (&mut Router, &mut RecordedActions) {
         let router = self.router.get_or_insert_with(|| {
             let deployment =
-                Deployment::read(&self.settings).expect("the settings of the scenario are valid");
+                Deployment::parse(&self.settings).expect("the settings of the scenario are valid");
             Router::start(deployment, SEED, &mut self.recorded)
         });
         (router, &mut self.recorded)
@@ -128,8 +128,8 @@
         let age = words.iter().find(|word| word.starts_with('-'));
         let now = self.host_clock.host_time(self.recorded.now);
         let position = age.map(|word| now - notation::duration(word));
-        let queue = words.iter().find_map(|word| word.strip_prefix('q')?.parse().ok());
-        LoadReport { role, position, queue }
+        let queue_length = words.iter().find_map(|word| word.strip_prefix('q')?.parse().ok());
+        LoadReport { role, position, queue_length }
     }
 
     fn set(&mut self, setting: &str) {
@@ -181,7 +181,7 @@
             class: CLASSES.iter().position(|other| other.name == class).expect("a known request class"),
             shard_id: 0,
             session: 1,
-            after: rest.last().map(written_at),
+            required_position: rest.last().map(written_at),
             timeout: notation::duration(timeout),
         };
         router.submit(request, recorded);
--- a/crates/comethitch-policy/tests/scenario_runner/recorded_actions.rs
+++ b/crates/comethitch-policy/tests/scenario_runner/recorded_actions.rs
@@ -62,7 +62,7 @@
     }
 
     fn send_attempt(&mut self, request: RequestId, host: Host, timeout: Duration) {
-        self.add_to_digest([kind::SEND_ATTEMPT, request.into(), host.number(), timeout.as_micros()]);
+        self.add_to_digest([kind::SEND_ATTEMPT, request.into(), host.as_u64(), timeout.as_micros()]);
         self.actions.push(format!("attempt {request} {}", host_letter(host)));
     }
 
@@ -85,12 +85,12 @@
     }
 
     fn check_health(&mut self, host: Host) {
-        self.add_to_digest([kind::CHECK_HEALTH, host.number(), 0, 0]);
+        self.add_to_digest([kind::CHECK_HEALTH, host.as_u64(), 0, 0]);
         self.actions.push(format!("health_check {}", host_letter(host)));
     }
 
     fn close_idle_connections(&mut self, host: Host) {
-        self.add_to_digest([kind::CLOSE_IDLE_CONNECTIONS, host.number(), 0, 0]);
+        self.add_to_digest([kind::CLOSE_IDLE_CONNECTIONS, host.as_u64(), 0, 0]);
         self.actions.push(format!("close_idle {}", host_letter(host)));
     }
 
--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -17,7 +17,7 @@
 //! #     classes.1.value=1\ndomain.class_read=any,write\ndomain.oldest_data_us=0,0\nsiblings=1\ntick_us=1\n\
 //! #     domain.guards=off\npermissions.max_attempts=1\npermissions.connect_timeout_us=1\nrules.drain_grace_us=1\n\
 //! #     rules.cold_from=1\nrules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
-//! # let classes = comethitch_policy::Deployment::read(settings).unwrap().classes;
+//! # let classes = comethitch_policy::Deployment::parse(settings).unwrap().classes;
 //! let names = ["read".to_string(), "write".to_string()];
 //! let mut admission = StatementAdmission::new(rules, &classes, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
 //! let clock = || Timestamp::ZERO;
--- a/crates/comethitchd/src/protocols/health_check.rs
+++ b/crates/comethitchd/src/protocols/health_check.rs
@@ -51,7 +51,7 @@
         result:? = completion,
         role:? = report.role,
         position_us = report.position.map(Timestamp::as_micros),
-        queue = report.queue;
+        queue = report.queue_length;
         "health check ended"
     );
 }
--- a/crates/comethitchd/src/protocols/tds/backend.rs
+++ b/crates/comethitchd/src/protocols/tds/backend.rs
@@ -104,7 +104,7 @@
         // One millisecond is subtracted, because the host may have rounded its position up. Zero means no
         // position.
         position: position_ms.and_then(|ms| ms.checked_sub(1)).map(Timestamp::from_millis),
-        queue: None,
+        queue_length: None,
     }
 }
 
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -43,7 +43,7 @@
     /// The session key: the policy may keep requests with the same key on one host.
     pub session: u64,
     /// The time of the commit that the request must see, if the client gave one.
-    pub after: Option<Timestamp>,
+    pub required_position: Option<Timestamp>,
     /// Time at which the client stops waiting for the answer.
     pub deadline: Timestamp,
 }
@@ -134,7 +134,7 @@
         class,
         shard: comment.shard,
         session: statement::session_key(request.text),
-        after: comment.after_ms.map(Timestamp::from_millis),
+        required_position: comment.after_ms.map(Timestamp::from_millis),
         deadline: request.arrived + Duration::from_millis(comment.timeout.ms),
         client_id: comment.id.into(),
         timeout_range: Some(comment.timeout.range),
@@ -161,7 +161,7 @@
         class: admitted.assignment.class,
         shard: admitted.assignment.shard,
         session: admitted.assignment.session.unwrap_or_else(|| statement::session_key(text)),
-        after: fields.after_ms.map(Timestamp::from_millis),
+        required_position: fields.after_ms.map(Timestamp::from_millis),
         deadline: request.arrived + Duration::from_millis(timeout_ms),
         client_id,
         timeout_range: fields.timeout.map(|timeout| timeout.range),
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -135,13 +135,21 @@
     state: &Rc<RouterState>, admitted: AdmittedRequest, text: Vec<u8>, message_kind: u8, client: Weak<Socket>,
 ) -> (RequestId, Receiver<Reply>) {
     state.metrics.requests_received.increment();
-    let AdmittedRequest { client_id, timeout_range, shape, class, shard: shard_id, session, after, deadline } =
-        admitted;
+    let AdmittedRequest {
+        client_id,
+        timeout_range,
+        shape,
+        class,
+        shard: shard_id,
+        session,
+        required_position,
+        deadline,
+    } = admitted;
     let statement = Statement { text, message_kind, client_id, timeout_range, shape };
     let (id, reply) = state.requests.register(statement, client);
     call(state, EventLoopStep::Submit, |router, actions| {
         let timeout = deadline - actions.now();
-        router.submit(Request { id, class, shard_id, session, after, timeout }, actions);
+        router.submit(Request { id, class, shard_id, session, required_position, timeout }, actions);
     });
     (id, reply)
 }
--- a/crates/comethitchd/src/state/config/reader.rs
+++ b/crates/comethitchd/src/state/config/reader.rs
@@ -37,7 +37,7 @@
     /// Returns the settings of the policy, and checks their ranges.
     pub(super) fn deployment(&self) -> Result<Deployment, ConfigError> {
         let settings = self.keys.required(keys::SETTINGS)?;
-        let deployment = Deployment::read(&settings_lines(settings)).map_err(ConfigError::Settings)?;
+        let deployment = Deployment::parse(&settings_lines(settings)).map_err(ConfigError::Settings)?;
         check_durations(&deployment)?;
         check_limits(&deployment)?;
         Ok(deployment)
--- a/crates/comethitchd/src/wire/host_report.rs
+++ b/crates/comethitchd/src/wire/host_report.rs
@@ -20,7 +20,7 @@
     };
     let position_ms = parameters.position.as_deref().and_then(|text| text.parse::<u64>().ok());
     let position = position_ms.filter(|ms| *ms > 0).map(Timestamp::from_millis);
-    LoadReport { role, position, queue: None }
+    LoadReport { role, position, queue_length: None }
 }
 
 /// Parses a load report such as `x0=1767225600.123,x1=1,queue=4`, where `x0` is the position in seconds of
@@ -31,7 +31,7 @@
 /// use comethitch_policy::{Role, time::Timestamp};
 /// let report = comethitchd::wire::host_report::parse_load_report("queue=4,x0=1767225600.12,x1=1");
 /// assert_eq!(report.position, Some(Timestamp::from_millis(1_767_225_600_119)), "1 ms earlier");
-/// assert_eq!((report.role, report.queue), (Some(Role::Primary), Some(4.0)));
+/// assert_eq!((report.role, report.queue_length), (Some(Role::Primary), Some(4.0)));
 /// // A host without a position yet reports zero. The rest of its report is ignored, too.
 /// let empty = comethitchd::wire::host_report::parse_load_report("x0=0.000,x1=0,queue=0");
 /// assert_eq!(empty, comethitch_policy::LoadReport::default());
@@ -40,10 +40,11 @@
     let fields = || text.split(',').filter_map(|field| field.trim().split_once('='));
     let value = |key: &str| fields().find(|(name, _)| *name == key).map(|(_, value)| value);
     let role = value("x1").and_then(|x1| x1.parse::<f64>().ok()).map(role_from);
-    let queue = value("queue").and_then(|queue| queue.parse().ok()).filter(|queue: &f64| *queue >= 0.0);
+    let queue_length =
+        value("queue").and_then(|queue| queue.parse().ok()).filter(|queue: &f64| *queue >= 0.0);
     match value("x0").map(parse_position) {
         Some(None) => LoadReport::default(),
-        position => LoadReport { role, position: position.flatten(), queue },
+        position => LoadReport { role, position: position.flatten(), queue_length },
     }
 }
 
