--- a/crates/comethitch-adapter/src/tests.rs
+++ b/crates/comethitch-adapter/src/tests.rs
@@ -142,8 +142,11 @@
         (after_start(unknown_class), "unknown request class 4"),
         (after_start(record("1a 0300 c4913a5d 0000 44480000 0a124a07 2b23 00 0c00")), "unknown outcome 12"),
         (restart(without("rules.cold_from")), "rules.cold_from is missing"),
-        (restart(DEPLOYMENT.replace("siblings=1", "siblings=many")), "siblings is unreadable: \"many\""),
-        (restart(DEPLOYMENT.replace("=once", "=twice")), "classes.0.effect is unreadable: \"twice\""),
+        (
+            restart(DEPLOYMENT.replace("siblings=1", "siblings=many")),
+            "siblings has an invalid value: \"many\"",
+        ),
+        (restart(DEPLOYMENT.replace("=once", "=twice")), "classes.0.effect has an invalid value: \"twice\""),
     ];
     for (input, expected) in cases {
         let message = serve(Cursor::new(input), Vec::new()).expect_err(expected).to_string();
--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -18,7 +18,7 @@
         key: String,
     },
     /// The value of a key cannot be parsed.
-    #[error("{key} is unreadable: {value:?}")]
+    #[error("{key} has an invalid value: {value:?}")]
     InvalidValue {
         /// The key.
         key: String,
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -361,7 +361,7 @@
         (changed("settings.tick_us", json!(0)), "settings.tick_us must be 1 or more"),
         (changed("settings.classes", json!([])), "settings.classes"),
         (changed("known.hosts", json!([{"host": "a"}])), "known.hosts.0.dial is missing"),
-        (changed("settings.rules.cold_from", json!("low")), "settings.rules.cold_from is unreadable"),
+        (changed("settings.rules.cold_from", json!("low")), "settings.rules.cold_from has an invalid value"),
         (
             changed("settings.rules.cold_from", json!(1.5)),
             "settings.rules.cold_from must be a number from 0 to 1",
