--- a/crates/comethitchd/src/protocols/client_connection/mod.rs
+++ b/crates/comethitchd/src/protocols/client_connection/mod.rs
@@ -51,9 +51,9 @@
     /// Whether a submitted request is unanswered.
     answer_outstanding: Cell<bool>,
     /// Identifies the client's machine, whose connections share one parsing budget.
-    origin: u64,
+    client_machine: u64,
     /// Arrival time of the last consumed byte.
-    arrived: Timestamp,
+    arrived_at: Timestamp,
     arrivals: Arrivals,
     _permit: DescriptorPermit,
     /// Whether a request was answered on this connection, so that it may be closed while idle.
@@ -87,10 +87,10 @@
         state: Rc<RouterState>, stream: Async<TcpStream>, permit: DescriptorPermit, max_buffer_bytes: usize,
     ) -> ClientConnection {
         let stream = Rc::new(Socket::new(stream));
-        let arrived = state.clock.observe();
-        let (number, signal) = state.clients.register(arrived);
+        let arrived_at = state.clock.observe();
+        let (number, signal) = state.clients.register(arrived_at);
         let buffer = Buffer::new(max_buffer_bytes, &state.memory);
-        let origin = origin_of(&stream);
+        let client_machine = client_machine_of(&stream);
         ClientConnection {
             state,
             buffer,
@@ -98,8 +98,8 @@
             signal,
             stream,
             answer_outstanding: Cell::new(false),
-            origin,
-            arrived,
+            client_machine,
+            arrived_at,
             arrivals: Arrivals::default(),
             _permit: permit,
             has_been_answered: false,
@@ -134,7 +134,12 @@
     /// # Errors
     /// If the client has disconnected, because no attempt may be started for it after that.
     pub(super) fn admit(&self, text: &[u8], arguments: &[Argument]) -> Result<Admission, Disconnect> {
-        let request = StatementRequest { text, arguments, arrived: self.arrived, origin: self.origin };
+        let request = StatementRequest {
+            text,
+            arguments,
+            arrived_at: self.arrived_at,
+            client_machine: self.client_machine,
+        };
         let admitted = match admit(&self.state, &request) {
             Ok(admitted) => admitted,
             Err(AdmissionError::Invalid(error)) => return Ok(Admission::Invalid(error)),
@@ -175,11 +180,11 @@
     /// to.
     pub(super) fn consume(&mut self, length: usize) {
         self.buffer.consume(length);
-        self.arrived = self.arrivals.consume(length).unwrap_or(self.arrived);
+        self.arrived_at = self.arrivals.consume(length).unwrap_or(self.arrived_at);
     }
 
     fn record_read(&mut self, length: usize) {
-        self.arrivals.record_read(length, self.state.arrival_time());
+        self.arrivals.record_read(length, self.state.earliest_arrival());
         self.closing_at_last_read = self.signal.close_requested() != CloseRequest::Never;
     }
 
@@ -262,7 +267,7 @@
 
 /// Returns a number that identifies the client's machine: its IPv4 address, or the /64 network of its IPv6
 /// address.
-fn origin_of(stream: &Socket) -> u64 {
+fn client_machine_of(stream: &Socket) -> u64 {
     stream.peer_ip().map_or(0, |ip| match ip {
         IpAddr::V4(ip) => u64::from(ip.to_bits()),
         IpAddr::V6(ip) => (ip.to_bits() >> 64) as u64,
--- a/crates/comethitchd/src/protocols/client_connection/waiting.rs
+++ b/crates/comethitchd/src/protocols/client_connection/waiting.rs
@@ -81,7 +81,7 @@
     /// Records the arrival of bytes in the socket's receive buffer.
     fn record_waiting_input(&mut self) {
         let waiting = self.stream.peek(&mut self.state.clients.discard_buffer().borrow_mut());
-        self.arrivals.record_waiting(waiting.unwrap_or(0), self.state.arrival_time());
+        self.arrivals.record_waiting(waiting.unwrap_or(0), self.state.earliest_arrival());
     }
 
     /// Waits for an event.
--- a/crates/comethitchd/src/protocols/postgres/client.rs
+++ b/crates/comethitchd/src/protocols/postgres/client.rs
@@ -5,7 +5,7 @@
 use crate::protocols::client_connection::{
     Admission, ClientConnection, ClosingError, Disconnect, SubmittedRequest,
 };
-use crate::stages::admit::{AdmittedRequest, session_statement};
+use crate::stages::admit::{AdmittedRequest, session_statement_tag};
 use crate::stages::policy_driver;
 use crate::state::descriptors::DescriptorPermit;
 use crate::state::pending_requests::{Reply, ValuePart};
@@ -175,7 +175,7 @@
             let state = self.connection.state.clone();
             self.connection.wait_while_connected(state.discovery.wait_until_ready()).await?;
             postgres::put_empty_query(&mut out);
-        } else if let Some(tag) = session_statement(&self.connection.state, &text) {
+        } else if let Some(tag) = session_statement_tag(&self.connection.state, &text) {
             postgres::put_command_complete(&mut out, tag);
         } else {
             self.run_statement(text, &mut out).await?;
@@ -213,12 +213,12 @@
             Ok(Ok(Reply::Streaming(first, parts))) => self.stream_value(&first, &parts).await?,
             Ok(Ok(reply)) => {
                 if matches!(reply, Reply::Cancelled) {
-                    policy_driver::client_disconnected(&state, id);
+                    policy_driver::abandon_request(&state, id);
                 }
                 put_reply(out, reply);
             }
             _ => {
-                policy_driver::client_disconnected(&state, id);
+                policy_driver::abandon_request(&state, id);
                 return Err(Disconnect::ClientGone);
             }
         }
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -218,13 +218,13 @@
                 OperationEnd::Answered
             }
             Ok(None) => {
-                policy_driver::client_disconnected(&state, id);
+                policy_driver::abandon_request(&state, id);
                 // Consumes the attention message. Its acknowledgement is the only answer to the request.
                 self.read_message(HEADER_BYTES).await?;
                 OperationEnd::Cancelled
             }
             _ => {
-                policy_driver::client_disconnected(&state, id);
+                policy_driver::abandon_request(&state, id);
                 return Err(Disconnect::ClientGone);
             }
         };
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -6,7 +6,7 @@
 mod line_classifier;
 
 use crate::service::command_line::load_config;
-use crate::state::config::{ConfigError, in_file, random_secret, read_rules};
+use crate::state::config::{ConfigError, parse_file, random_secret, read_rules};
 use argh::FromArgs;
 use comethitch_statement::Dialect;
 use comethitch_statement::RulesError;
@@ -82,7 +82,7 @@
     }
 
     fn classifier(&self) -> Result<LineClassifier, ClassifyError> {
-        let rules_from_file = self.rules.as_deref().map(|path| in_file(path, read_rules)).transpose()?;
+        let rules_from_file = self.rules.as_deref().map(|path| parse_file(path, read_rules)).transpose()?;
         let has_rules = rules_from_file.is_some();
         let mut rules =
             rules_from_file.unwrap_or_else(|| default_rules(self.dialect.unwrap_or(Dialect::Postgres)));
--- a/crates/comethitchd/src/stages/admit.rs
+++ b/crates/comethitchd/src/stages/admit.rs
@@ -23,9 +23,9 @@
     /// The arguments that were sent separately from the text.
     pub arguments: &'a [Argument],
     /// Time at which the last byte of the statement arrived.
-    pub arrived: Timestamp,
+    pub arrived_at: Timestamp,
     /// Identifies the client's machine. All statements from one machine share a parsing budget.
-    pub origin: u64,
+    pub client_machine: u64,
 }
 
 /// A request that is ready to be submitted to the policy, without the statement's text.
@@ -135,7 +135,7 @@
         shard: comment.shard,
         session: statement::session_key(request.text),
         required_position: comment.after_ms.map(Timestamp::from_millis),
-        deadline: request.arrived + Duration::from_millis(comment.timeout.ms),
+        deadline: request.arrived_at + Duration::from_millis(comment.timeout.ms),
         client_id: comment.id.into(),
         timeout_range: Some(comment.timeout.range),
         shape: None,
@@ -156,13 +156,13 @@
     check_id_and_timeout(state, &client_id, timeout_ms)?;
     let hints = StatementHints { class, shard: fields.shard };
     let clock = || state.clock.now();
-    let admitted = admission.admit_with_arguments(text, arguments, hints, request.origin, &clock)?;
+    let admitted = admission.admit_with_arguments(text, arguments, hints, request.client_machine, &clock)?;
     Ok(AdmittedRequest {
         class: admitted.assignment.class,
         shard: admitted.assignment.shard,
         session: admitted.assignment.session.unwrap_or_else(|| statement::session_key(text)),
         required_position: fields.after_ms.map(Timestamp::from_millis),
-        deadline: request.arrived + Duration::from_millis(timeout_ms),
+        deadline: request.arrived_at + Duration::from_millis(timeout_ms),
         client_id,
         timeout_range: fields.timeout.map(|timeout| timeout.range),
         shape: Some(admitted.shape),
@@ -208,7 +208,7 @@
 
 /// Returns the command tag of a statement that changes only session state, or `None` for any other statement.
 /// The router keeps no session state, so it answers such a statement with the tag and does nothing else.
-pub fn session_statement(state: &RouterState, text: &[u8]) -> Option<&'static str> {
+pub fn session_statement_tag(state: &RouterState, text: &[u8]) -> Option<&'static str> {
     // With statement rules, a text of several statements is admitted as one request, whatever it starts with.
     if state.statement_rules.are_present() && has_several_statements(text) {
         return None;
--- a/crates/comethitchd/src/stages/policy_driver.rs
+++ b/crates/comethitchd/src/stages/policy_driver.rs
@@ -155,7 +155,7 @@
 }
 
 /// Abandons a request whose client has disconnected or cancelled it.
-pub fn client_disconnected(state: &Rc<RouterState>, id: RequestId) {
+pub fn abandon_request(state: &Rc<RouterState>, id: RequestId) {
     state.metrics.clients_disconnected.increment();
     if let Some(statement) = state.requests.statement(id) {
         log::debug!(id = statement.client_id; "client disconnected or cancelled");
--- a/crates/comethitchd/src/stages/updates.rs
+++ b/crates/comethitchd/src/stages/updates.rs
@@ -73,7 +73,8 @@
         return Ok(());
     }
     let rules = config.statements.clone();
-    let admission = rules.map(|rules| state.config.admission_by(rules, state.clock.now())).transpose()?;
+    let admission =
+        rules.map(|rules| state.config.admission_with_rules(rules, state.clock.now())).transpose()?;
     match admission {
         Some(_) => log::info!("statement rules replaced"),
         None => log::info!("statement rules removed"),
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -69,7 +69,7 @@
     ///
     /// If the file can't be read or is not JSON, or a key is missing or has a value that is not accepted.
     pub fn load(path: &Path, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-        in_file(path, |text| Config::read(text, variable))
+        parse_file(path, |text| Config::read(text, variable))
     }
 
     /// Reads the text of a file, see [`Config::load`].
@@ -144,7 +144,7 @@
     ///
     /// If the file can't be read, or the rules are not valid.
     pub fn with_statement_rules_file(self, path: &Path) -> Result<Config, ConfigError> {
-        in_file(path, |text| self.with_statement_rules(text))
+        parse_file(path, |text| self.with_statement_rules(text))
     }
 
     /// Adds the rules for statements from the text of a file, see [`Config::with_statement_rules_file`].
@@ -154,7 +154,7 @@
     /// If the rules are not valid.
     pub fn with_statement_rules(mut self, text: &str) -> Result<Config, ConfigError> {
         let rules = read_rules(text)?;
-        self.admission_by(rules.clone(), Timestamp::ZERO)?;
+        self.admission_with_rules(rules.clone(), Timestamp::ZERO)?;
         let memory_limit_kib = self.memory_limit_mb << 10;
         if rules.cache.kib as u64 > memory_limit_kib / CACHE_MEMORY_DIVISOR {
             return Err(ConfigError::CacheTooLarge { memory_limit_mb: self.memory_limit_mb });
@@ -169,7 +169,7 @@
     ///
     /// If the rules do not fit the request classes.
     pub fn admission(&self, now: Timestamp) -> Result<Option<StatementAdmission>, ConfigError> {
-        self.statements.clone().map(|rules| self.admission_by(rules, now)).transpose()
+        self.statements.clone().map(|rules| self.admission_with_rules(rules, now)).transpose()
     }
 
     /// Creates the admission of statements by the given rules, for the request classes of this configuration.
@@ -177,7 +177,9 @@
     /// # Errors
     ///
     /// If the rules do not fit the request classes.
-    pub fn admission_by(&self, rules: Rules, now: Timestamp) -> Result<StatementAdmission, ConfigError> {
+    pub fn admission_with_rules(
+        &self, rules: Rules, now: Timestamp,
+    ) -> Result<StatementAdmission, ConfigError> {
         StatementAdmission::new(rules, &self.deployment.classes, &self.class_names, random_secret(), now)
             .map_err(ConfigError::Rules)
     }
@@ -188,7 +190,9 @@
 /// # Errors
 ///
 /// If the file can't be read, or `read` fails.
-pub fn in_file<T>(path: &Path, read: impl FnOnce(&str) -> Result<T, ConfigError>) -> Result<T, ConfigError> {
+pub fn parse_file<T>(
+    path: &Path, read: impl FnOnce(&str) -> Result<T, ConfigError>,
+) -> Result<T, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|source| ConfigError::UnreadableFile { path: path.to_path_buf(), source })?;
     read(&text).map_err(|source| ConfigError::InFile { path: path.to_path_buf(), source: Box::new(source) })
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -100,7 +100,7 @@
 
     /// Returns the earliest time at which bytes that are read now may have arrived. See
     /// [`EventLoopClock::earliest_arrival`].
-    pub(crate) fn arrival_time(&self) -> Timestamp {
+    pub(crate) fn earliest_arrival(&self) -> Timestamp {
         self.clock.earliest_arrival(self.config.deployment.tick)
     }
 
