--- a/crates/comethitch-lab/src/commands.rs
+++ b/crates/comethitch-lab/src/commands.rs
@@ -97,7 +97,7 @@
 fn run_live(arguments: LiveRun) -> Result<Verdict, CommandError> {
     let trial = read_trial(&arguments.file, arguments.seed)?;
     let daemon = daemon_path(arguments.daemon)?;
-    let report = live::play(&trial, &daemon, arguments.logs.as_deref())?;
+    let report = live::run_trial(&trial, &daemon, arguments.logs.as_deref())?;
     print_header();
     print_row("live", &trial, &report);
     print_recoveries(&trial, &report);
@@ -124,7 +124,7 @@
             continue;
         }
         let logs = arguments.logs.as_ref().map(|logs| logs.join(format!("seed-{seed}")));
-        let report = live::play(&trial, &daemon, logs.as_deref())?;
+        let report = live::run_trial(&trial, &daemon, logs.as_deref())?;
         print_row("soak", &trial, &report);
         print_violations(&report);
         if Verdict::of(&report) == Verdict::RulesViolated {
@@ -138,7 +138,7 @@
     let Compare { one, other, seeds, daemon } = arguments;
     let seeds = parse_seeds(&seeds)?;
     let mut run = |trial: &Trial| match &daemon {
-        Some(daemon) => live::play(trial, daemon, None),
+        Some(daemon) => live::run_trial(trial, daemon, None),
         None => fleet::run_trial(trial),
     };
     let rows = compare(&read_trial(&one, None)?, &read_trial(&other, None)?, &seeds, &mut run)?;
--- a/crates/comethitch-lab/src/lib.rs
+++ b/crates/comethitch-lab/src/lib.rs
@@ -2,12 +2,10 @@
 //! as real processes on loopback ([`live`]).
 //!
 //! A [`trial::Trial`] (a JSON file) defines the routers, the hosts, the load and the faults.
-//! [`fleet::run_trial`] and
-//! [`live::play`] run it, and the [`ledger::Ledger`] checks what happens against the rules and measures how
-//! evenly the
-//! hosts were loaded. The policy has neither clock nor sockets, so that hundreds of
-//! [`comethitch_policy::Router`]s run through minutes of simulated time within seconds. In simulated time,
-//! the same trial with the same seed gives the same output.
+//! [`fleet::run_trial`] and [`live::run_trial`] run it, and the [`ledger::Ledger`] checks what happens
+//! against the rules and measures how evenly the hosts were loaded. The policy has neither clock nor sockets,
+//! so that hundreds of [`comethitch_policy::Router`]s run through minutes of simulated time within seconds.
+//! In simulated time, the same trial with the same seed gives the same output.
 //!
 //! Sockets, file descriptors and the routers' processor time are not simulated. The simulated [`hosts`] serve
 //! requests in order of arrival on a number of cores; replicas have a fixed replication lag, unless a fault
--- a/crates/comethitch-lab/src/live/mod.rs
+++ b/crates/comethitch-lab/src/live/mod.rs
@@ -20,9 +20,9 @@
 mod idle_clients;
 mod incomplete_requests;
 mod network;
-mod play;
 mod process_table;
+mod run;
 mod startup;
 mod state;
 
-pub use play::play;
+pub use run::run_trial;
--- a/crates/comethitch-lab/src/live/process_table.rs
+++ b/crates/comethitch-lab/src/live/process_table.rs
@@ -123,7 +123,7 @@
     pub(super) fn answer_delay_tolerance(&self, router: usize) -> Duration {
         let count = self.system_call_faults.len().max(1);
         let faults = self.system_call_faults.get(router % count);
-        if faults.is_some_and(SystemCallFaults::delay_writes) { MAX_ANSWER_DELAY } else { Duration::ZERO }
+        if faults.is_some_and(SystemCallFaults::delays_writes) { MAX_ANSWER_DELAY } else { Duration::ZERO }
     }
 
     /// Returns the address that a router listens on for clients.
--- a/crates/comethitch-lab/src/live/play.rs
+++ b/crates/comethitch-lab/src/live/run.rs
@@ -43,7 +43,7 @@
 ///
 /// Returns an error if a key of the trial is out of bounds, the routers are not ready within 60 s, ports or
 /// file descriptors are exhausted, or a signal interrupts the trial.
-pub fn play(trial: &Trial, daemon: &Path, logs: Option<&Path>) -> Result<Report, RunError> {
+pub fn run_trial(trial: &Trial, daemon: &Path, logs: Option<&Path>) -> Result<Report, RunError> {
     trial.check()?;
     if trial.routers > MAX_ROUTERS {
         return Err(RunError::TooManyProcesses { limit: MAX_ROUTERS, routers: trial.routers });
@@ -56,11 +56,11 @@
     };
     let processes = Rc::new(RefCell::new(RouterProcesses::new(daemon, trial.routers.into(), logs)?));
     let _end_processes = EndProcessesGuard(processes.clone());
-    let completed = run(trial, processes, executor.clone());
+    let completed = run_with_processes(trial, processes, executor.clone());
     future::block_on(executor.run(future::or(interrupted, completed)))
 }
 
-async fn run(
+async fn run_with_processes(
     trial: &Trial, processes: Rc<RefCell<RouterProcesses>>, executor: Rc<LocalExecutor<'static>>,
 ) -> Result<Report, RunError> {
     let fleet = LiveFleet::new(trial, processes, executor);
--- a/crates/comethitch-lab/src/system_calls.rs
+++ b/crates/comethitch-lab/src/system_calls.rs
@@ -153,12 +153,12 @@
     }
 
     /// Returns whether writes are delayed.
-    pub fn delay_writes(&self) -> bool {
+    pub fn delays_writes(&self) -> bool {
         self.faults.iter().any(|fault| matches!(fault, SystemCallFault::DelayedWrites { .. }))
     }
 
     /// Returns whether the process has only a fraction of a core.
-    pub fn limit_processor(&self) -> bool {
+    pub fn limits_processor(&self) -> bool {
         self.faults.iter().any(|fault| matches!(fault, SystemCallFault::LimitedProcessor { .. }))
     }
 }
--- a/crates/comethitch-lab/src/system_calls/tests.rs
+++ b/crates/comethitch-lab/src/system_calls/tests.rs
@@ -24,7 +24,7 @@
 #[test]
 fn delayed_writes_and_a_limited_processor_are_recognized() {
     let faults = |text: &str| text.parse::<SystemCallFaults>().unwrap();
-    assert!(faults("hold=150,hold_ms=120,stderr=3").delay_writes() && !faults("short=3").delay_writes());
-    assert!(faults("share=4").limit_processor() && !faults("short=3").limit_processor());
+    assert!(faults("hold=150,hold_ms=120,stderr=3").delays_writes() && !faults("short=3").delays_writes());
+    assert!(faults("share=4").limits_processor() && !faults("short=3").limits_processor());
     assert!(faults("").is_empty());
 }
--- a/crates/comethitchd/tests/fleet.rs
+++ b/crates/comethitchd/tests/fleet.rs
@@ -5,7 +5,7 @@
 //! checks.
 
 use comethitch_lab::ledger::Report;
-use comethitch_lab::live::play;
+use comethitch_lab::live::run_trial;
 use comethitch_lab::trial::{Direction, Fault, FaultKind, LinkFault, Trial};
 use serde_json::{Value, json};
 use std::path::Path;
@@ -20,7 +20,7 @@
 
 fn play_trial(trial: &Trial) -> Report {
     let _guard = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
-    play(trial, Path::new(env!("CARGO_BIN_EXE_comethitchd")), None).expect("a trial")
+    run_trial(trial, Path::new(env!("CARGO_BIN_EXE_comethitchd")), None).expect("a trial")
 }
 
 /// Plays a trial, and asserts that no rule is violated.
