--- a/crates/comethitch-policy/src/deployment.rs
+++ b/crates/comethitch-policy/src/deployment.rs
@@ -18,7 +18,7 @@
         key: String,
     },
     /// The value of a key cannot be parsed.
-    #[error("{key} is unreadable: {value:?}")]
+    #[error("{key} has an invalid value: {value:?}")]
     InvalidValue {
         /// The key.
         key: String,
@@ -48,8 +48,8 @@
     pub may_cancel: bool,
     /// Whether health checks may be sent.
     pub may_check_health: bool,
-    /// Price of one health check per request, in points of service. Each request adds a fixed number of
-    /// points to the budget for health checks.
+    /// Price of one health check, in abstract cost units. Each request adds a fixed number of these units to
+    /// the budget for health checks.
     pub health_check_price: f64,
     /// Whether hedged requests are allowed: a second attempt that is sent while another one is in flight.
     pub hedging_allowed: bool,
@@ -77,14 +77,14 @@
 struct ReportFields {
     position: Option<usize>,
     role: Option<usize>,
-    queue: Option<usize>,
+    queue_length: Option<usize>,
 }
 
 impl Deployment {
     /// Parses the `key=value` lines of a start message.
     ///
     /// ```
-    /// let missing = comethitch_policy::Deployment::read("me=0\n").unwrap_err();
+    /// let missing = comethitch_policy::Deployment::parse("me=0\n").unwrap_err();
     /// assert_eq!(missing.to_string(), "domain.class_read is missing");
     /// ```
     ///
@@ -92,7 +92,7 @@
     ///
     /// Returns an error if a required key is missing, a value is invalid, or a list has fewer entries than
     /// there are request classes.
-    pub fn read(text: &str) -> Result<Deployment, DeploymentError> {
+    pub fn parse(text: &str) -> Result<Deployment, DeploymentError> {
         let message = StartMessage(text.lines().filter_map(|line| line.split_once('=')).collect());
         let classes = message.request_classes()?;
         let retry_after_allowed = message.value_or("permissions.retry_after", false)?;
@@ -133,8 +133,8 @@
         });
         let role = value(self.report_fields.role)
             .map(|role| if role >= 0.5 { Role::Primary } else { Role::Replica });
-        let queue = value(self.report_fields.queue).map(|queue| f64::from(queue).max(0.0));
-        LoadReport { role, position, queue }
+        let queue_length = value(self.report_fields.queue_length).map(|queue| f64::from(queue).max(0.0));
+        LoadReport { role, position, queue_length }
     }
 
     /// Parses a response trailer, which is four times the position in milliseconds plus a code for the role.
@@ -147,7 +147,7 @@
         };
         let position = Duration::from_micros(u64::from(trailer / 4) * 1000);
         let position = (trailer >= 4).then(|| self.position_origin + position);
-        LoadReport { role, position, queue: None }
+        LoadReport { role, position, queue_length: None }
     }
 
     /// Returns the shortest latency objective of all request classes; `None` if there are no request classes.
@@ -233,7 +233,7 @@
     fn report_fields(&self) -> ReportFields {
         let names: Vec<&str> = self.text_or("load_info.names", "").split(',').collect();
         let index_of = |name| names.iter().position(|other| *other == name);
-        ReportFields { position: index_of("x0"), role: index_of("x1"), queue: index_of("queue") }
+        ReportFields { position: index_of("x0"), role: index_of("x1"), queue_length: index_of("queue") }
     }
 
     fn request_classes(&self) -> Result<Vec<RequestClass>, DeploymentError> {
--- a/crates/comethitch-policy/src/policy/selection.rs
+++ b/crates/comethitch-policy/src/policy/selection.rs
@@ -65,7 +65,7 @@
         match shard.primary {
             // A router that has just started waits for health checks of all hosts before it rejects requests
             // for lack of a primary.
-            None if shard.serial() == 0 => Selection::Wait,
+            None if shard.failover_count() == 0 => Selection::Wait,
             Some(primary) if self.primary_serves(primary, shard, now) => {
                 let member = Member::of_all_routers(primary);
                 let has_capacity = self.has_capacity(&member, request.request_class, now);
@@ -197,7 +197,7 @@
     fn ranking_candidate(&self, index: HostIndex, now: Timestamp) -> Candidate {
         let host = &self.hosts[index];
         let weight = host.listing.capacity() * self.warmup_fraction(index, now);
-        Candidate { index, host_key: host.host.number(), weight }
+        Candidate { index, host_key: host.host.as_u64(), weight }
     }
 
     /// Returns whether a host may be in the subset now. If positions are refreshed on demand, a host that was
