--- a/crates/comethitch-statement/benches/statements.rs
+++ b/crates/comethitch-statement/benches/statements.rs
@@ -1,13 +1,14 @@
-//! Measures the time to classify a statement on a cache hit, on a miss and beyond the parsing budget, and the lexer's
-//! throughput by length.
+//! Measures the time to classify a statement on a cache hit, on a miss and beyond the parsing budget, and the
+//! lexer's throughput by length.
 
 use comethitch_statement::{Catalogue, Classifier, Dialect, Lexer, Secret, cache::Cache};
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
 use std::hint::black_box;
 
 /// A join of two tables, of about a hundred bytes.
-const ORDINARY: &str = "SELECT f.data, c.titulo FROM facts f JOIN capitulos c ON c.id = f.id WHERE f.code = '7f3a9c21' AND c.n > 3";
-/// A lookup by key.
+const ORDINARY: &str = "SELECT f.data, c.titulo FROM facts f JOIN capitulos c ON c.id = f.id \
+    WHERE f.code = '7f3a9c21' AND c.n > 3";
+/// A lookup of one row by its key.
 const LOOKUP: &str = "SELECT data FROM facts WHERE code = '7f3a9c21e0b4d655'";
 
 fn admission_paths(criterion: &mut Criterion) {
@@ -43,7 +44,7 @@
     group.finish();
 }
 
-fn lengths(criterion: &mut Criterion) {
+fn lexer_throughput(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("reading by length");
     for kib in [1_usize, 32, 1024] {
         let text = format!("SELECT a FROM t WHERE b IN ({}1)", "1234567, ".repeat((kib << 10) / 9));
@@ -57,5 +58,5 @@
     group.finish();
 }
 
-criterion_group!(benches, admission_paths, lengths);
+criterion_group!(benches, admission_paths, lexer_throughput);
 criterion_main!(benches);
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -1,5 +1,6 @@
-//! Compares the cache of shapes with a plain LRU and a library's cache, and measures the effect of a flood of a million
-//! distinct shapes on memory and on another client's latency. Prints the tables of docs/measured/statements.md:
+//! Compares the cache of shapes with a plain LRU and a library's cache, and measures the effect of a flood of
+//! a million distinct shapes on memory and on another client's latency. Prints the tables of
+//! docs/measured/statements.md:
 //!
 //!     cargo run --release -p comethitch-statement --example shapes
 
@@ -37,6 +38,7 @@
     fn look_up(&mut self, key: ShapeKey, client: u64) -> bool;
 }
 
+/// The cache of this crate.
 struct OwnCache(Cache<()>);
 
 impl ShapeCache for OwnCache {
@@ -52,29 +54,33 @@
 /// Evicts the least recently used entry. Its limit does not include its bookkeeping.
 struct PlainLru {
     max_entries: usize,
-    used: HashMap<ShapeKey, u64>,
-    order: BTreeMap<u64, ShapeKey>,
-    tick: u64,
+    /// The number of the last lookup of each key.
+    last_lookups: HashMap<ShapeKey, u64>,
+    /// The keys by the number of their last lookup.
+    keys_by_lookup: BTreeMap<u64, ShapeKey>,
+    /// Number of lookups so far.
+    lookups: u64,
 }
 
 impl ShapeCache for PlainLru {
     fn look_up(&mut self, key: ShapeKey, _: u64) -> bool {
-        self.tick += 1;
-        let before = self.used.insert(key, self.tick);
-        before.map(|tick| self.order.remove(&tick));
-        self.order.insert(self.tick, key);
-        if self.used.len() > self.max_entries
-            && let Some((_, oldest)) = self.order.pop_first()
+        self.lookups += 1;
+        let previous = self.last_lookups.insert(key, self.lookups);
+        previous.map(|lookup| self.keys_by_lookup.remove(&lookup));
+        self.keys_by_lookup.insert(self.lookups, key);
+        if self.last_lookups.len() > self.max_entries
+            && let Some((_, oldest)) = self.keys_by_lookup.pop_first()
         {
-            self.used.remove(&oldest);
+            self.last_lookups.remove(&oldest);
         }
-        before.is_some()
+        previous.is_some()
     }
 }
 
-struct Library(quick_cache::unsync::Cache<ShapeKey, ()>);
+/// The cache of the crate `quick_cache`.
+struct QuickCache(quick_cache::unsync::Cache<ShapeKey, ()>);
 
-impl ShapeCache for Library {
+impl ShapeCache for QuickCache {
     fn look_up(&mut self, key: ShapeKey, _: u64) -> bool {
         let hit = self.0.get(&key).is_some();
         if !hit {
@@ -98,9 +104,10 @@
     hits as f64 / total as f64
 }
 
-fn traffic() -> Vec<(&'static str, Vec<Lookup>)> {
+/// Returns the lookups of each kind of traffic, with its name in the table.
+fn traffic_patterns() -> Vec<(&'static str, Vec<Lookup>)> {
     let mut random = SmallRng::seed_from_u64(11);
-    let zipf = Zipf::new(20_000.0, 0.9).expect("a distribution");
+    let zipf = Zipf::new(20_000.0, 0.9).expect("valid parameters of the distribution");
     let draw = |random: &mut SmallRng| zipf.sample(random) as u64;
     let by_first = |shape| Lookup { shape, client: 1 };
     let by_second = |shape| Lookup { shape, client: 2 };
@@ -135,32 +142,39 @@
 
 fn compare_caches() {
     println!("| traffic, hit rate of client 1 | own | plain LRU | quick_cache |\n| --- | --- | --- | --- |");
-    for (name, lookups) in traffic() {
+    for (name, lookups) in traffic_patterns() {
         let mut own = OwnCache(Cache::new(CACHE_BYTES));
         let own_rate = hit_rate(&mut own, &lookups, 1);
-        // The others get as many entries as this cache holds, without counting their bookkeeping.
+        // The other caches may hold as many entries as the own cache did, whose limit includes its
+        // bookkeeping.
         let max_entries = own.0.len();
-        let mut plain_lru = PlainLru { max_entries, used: HashMap::new(), order: BTreeMap::new(), tick: 0 };
+        let mut plain_lru = PlainLru {
+            max_entries,
+            last_lookups: HashMap::new(),
+            keys_by_lookup: BTreeMap::new(),
+            lookups: 0,
+        };
         let plain_rate = hit_rate(&mut plain_lru, &lookups, 1);
-        let mut library = Library(quick_cache::unsync::Cache::new(max_entries));
-        let library_rate = hit_rate(&mut library, &lookups, 1);
-        println!("| {name} | {own_rate:.3} | {plain_rate:.3} | {library_rate:.3} |");
+        let mut quick_cache = QuickCache(quick_cache::unsync::Cache::new(max_entries));
+        let quick_cache_rate = hit_rate(&mut quick_cache, &lookups, 1);
+        println!("| {name} | {own_rate:.3} | {plain_rate:.3} | {quick_cache_rate:.3} |");
     }
 }
 
-/// Returns the resident set size of this process.
+/// Returns the resident set size of this process, assuming pages of 4 KiB; 0 if it cannot be read.
 fn resident_bytes() -> usize {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     pages.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
 
+/// Creates an admission, with the default parsing budget if `limited`.
 fn admission(limited: bool) -> StatementAdmission {
     let rules: Rules = serde_json::from_str(
         r#"{"dialect": "postgres", "disagreement": "refuse", "elsewhere": 0, "groups": [
             {"group": "read", "effects": ["read"]},
             {"group": "write", "effects": ["locking_read", "session", "unknown", "write"]}]}"#,
     )
-    .expect("rules");
+    .expect("the rules have the form of the schema");
     let class = |idempotency, consistency| RequestClass {
         latency_objective: Duration::from_micros(1),
         timeout: Duration::from_micros(1),
@@ -181,7 +195,7 @@
     } else {
         StatementAdmission::unlimited(rules, &classes, &names, secret)
     };
-    admission.expect("rules")
+    admission.expect("the rules are valid")
 }
 
 /// Measures admission under the lookups of two clients, of which one floods it with distinct shapes.
@@ -195,10 +209,11 @@
     /// The steady client's admission times during the flood.
     steady_during_ns: Histogram<u64>,
     flood_ns: Histogram<u64>,
-    /// Lookups of the flood beyond the parsing budget.
+    /// Number of the flood's lookups that exceeded the parsing budget.
     beyond_budget: usize,
-    /// The steady client's hits and lookups during the flood.
+    /// Number of the steady client's cache hits during the flood.
     steady_hits: usize,
+    /// Number of the steady client's lookups during the flood.
     steady_lookups: usize,
 }
 
@@ -211,7 +226,7 @@
 
 impl<'a> FloodRun<'a> {
     fn new(limited: bool, steady_statements: &'a [String]) -> FloodRun<'a> {
-        let histogram = || Histogram::new(3).expect("a histogram");
+        let histogram = || Histogram::new(3).expect("valid number of significant digits");
         FloodRun {
             admission: admission(limited),
             began: Instant::now(),
@@ -312,14 +327,14 @@
     match std::env::args().nth(1).as_deref() {
         Some("flood") => measure_flood(true),
         Some("unlimited") => measure_flood(false),
-        // Each flood runs in a separate process, since memory that one leaves to the allocator would hide the
-        // growth of the next.
+        // Each flood runs in a process of its own, since memory that the allocator keeps after one flood
+        // would hide the growth during the next.
         _ => {
             compare_caches();
-            let program = std::env::current_exe().expect("the path of this program");
+            let program = std::env::current_exe().expect("the path of this program is known");
             for flood in ["flood", "unlimited"] {
                 let status = std::process::Command::new(&program).arg(flood).status();
-                assert!(status.expect("started").success());
+                assert!(status.expect("the process started").success(), "the run {flood} failed");
             }
         }
     }
--- a/crates/comethitch-statement/fuzz/fuzz_targets/classify.rs
+++ b/crates/comethitch-statement/fuzz/fuzz_targets/classify.rs
@@ -1,5 +1,5 @@
-//! Arbitrary bytes get a verdict in both dialects, and are a read only if they are UTF-8. A read followed by a write is
-//! not a read.
+//! Checks in both dialects that arbitrary bytes get a verdict and are a read only if they are UTF-8, and that
+//! a read followed by a write is not a read.
 #![no_main]
 
 use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer};
--- a/crates/comethitch-statement/src/admission/counts.rs
+++ b/crates/comethitch-statement/src/admission/counts.rs
@@ -1,9 +1,10 @@
-//! Counts of admission, for the daemon's log line.
+//! Counts of statements by the outcome of their admission, as reported in the daemon's log.
 
 /// Counts of classified, admitted and rejected statements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Statements by effect, in the order of [`StatementAdmission::EFFECTS`](super::StatementAdmission::EFFECTS).
+    /// Statements by effect, in the order of
+    /// [`StatementAdmission::EFFECTS`](super::StatementAdmission::EFFECTS).
     pub effects: [u64; 5],
     /// Statements whose shape was cached.
     pub hits: u64,
@@ -17,6 +18,7 @@
     pub total_budget_exhausted: u64,
     /// Statements that could not be assigned.
     pub rejected: u64,
-    /// Statements raised above the request class of their comment.
+    /// Statements assigned to another request class than their comment names, since that class does not allow
+    /// their effect.
     pub raised: u64,
 }
--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -1,7 +1,7 @@
 //! Admits statements: classifies each by its text, and assigns it to a request class and shard or rejects it.
 //!
-//! Combines the [`Lexer`], the [`Cache`] of verdicts, the [`Classifier`] within the parsing [`Budget`], and the
-//! [`Assigner`].
+//! Combines the [`Lexer`], the [`Cache`] of verdicts, the [`Classifier`] within the parsing [`Budget`], and
+//! the [`Assigner`].
 //!
 //! ```
 //! use comethitch_policy::time::Timestamp;
@@ -12,14 +12,16 @@
 //!         "groups": [{"group": "read", "effects": ["read"]},
 //!                    {"group": "write", "effects": ["locking_read", "session", "unknown", "write"]}]}"#,
 //! ).unwrap();
-//! # let settings = "classes.count=2\nclasses.0.effect=repeatable\nclasses.0.target_us=1\nclasses.0.deadline_us=1\n\
-//! #     classes.0.value=1\nclasses.1.effect=once\nclasses.1.target_us=1\nclasses.1.deadline_us=1\n\
-//! #     classes.1.value=1\ndomain.class_read=any,write\ndomain.oldest_data_us=0,0\nsiblings=1\ntick_us=1\n\
-//! #     domain.guards=off\npermissions.max_attempts=1\npermissions.connect_timeout_us=1\nrules.drain_grace_us=1\n\
-//! #     rules.cold_from=1\nrules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
+//! # let settings = "classes.count=2\nclasses.0.effect=repeatable\nclasses.0.target_us=1\n\
+//! #     classes.0.deadline_us=1\nclasses.0.value=1\nclasses.1.effect=once\nclasses.1.target_us=1\n\
+//! #     classes.1.deadline_us=1\nclasses.1.value=1\ndomain.class_read=any,write\n\
+//! #     domain.oldest_data_us=0,0\nsiblings=1\ntick_us=1\ndomain.guards=off\npermissions.max_attempts=1\n\
+//! #     permissions.connect_timeout_us=1\nrules.drain_grace_us=1\nrules.cold_from=1\n\
+//! #     rules.warm_within_us=1\nrules.fall_multiple=1\nrules.fall_us=1";
 //! # let classes = comethitch_policy::Deployment::read(settings).unwrap().classes;
 //! let names = ["read".to_string(), "write".to_string()];
-//! let mut admission = StatementAdmission::new(rules, &classes, &names, Secret([7; 16]), Timestamp::ZERO).unwrap();
+//! let secret = Secret([7; 16]);
+//! let mut admission = StatementAdmission::new(rules, &classes, &names, secret, Timestamp::ZERO).unwrap();
 //! let clock = || Timestamp::ZERO;
 //! let mut class = |text: &str| {
 //!     let admitted = admission.admit(text.as_bytes(), StatementHints::default(), 1, &clock);
@@ -70,7 +72,8 @@
     pub const EFFECTS: [Effect; 5] =
         [Effect::Read, Effect::LockingRead, Effect::Session, Effect::Unknown, Effect::Write];
 
-    /// Creates an admission after checking the rules against the deployment's request classes and their names.
+    /// Creates an admission after checking the rules against the deployment's request classes and their
+    /// names.
     ///
     /// # Errors
     ///
@@ -101,7 +104,7 @@
         rules: Rules, classes: &[RequestClass], names: &[String], secret: Secret,
     ) -> Result<StatementAdmission, RulesError> {
         let mut admission = StatementAdmission::new(rules, classes, names, secret, Timestamp::ZERO)?;
-        // More than any parse takes, and small enough not to overflow when multiplied.
+        // Exceeds the time of any parse, and does not overflow when multiplied by the burst time.
         let shares = BudgetShares { total: f64::MAX.sqrt(), client: 1.0 };
         admission.budget = Budget::new(shares, Timestamp::ZERO);
         Ok(admission)
@@ -129,8 +132,8 @@
 
     /// Classifies a statement, from the cache or by parsing it within the client's budget.
     ///
-    /// Returns `None` if the budget is exhausted and the rules throttle such statements. `clock` is read only when the
-    /// shape is not cached.
+    /// Returns `None` if the budget is exhausted and the rules throttle such statements. `clock` is read only
+    /// when the shape is not cached.
     pub fn classify(
         &mut self, text: &[u8], client: u64, clock: &dyn Fn() -> Timestamp,
     ) -> Option<ClassifiedStatement> {
@@ -165,10 +168,11 @@
             Reservation::TotalExceeded => self.counts.total_budget_exhausted += 1,
             Reservation::ClientExceeded => self.counts.client_budget_exhausted += 1,
         }
-        self.classify_beyond_budget(key)
+        self.classify_over_budget(key)
     }
 
-    fn classify_beyond_budget(&self, key: ShapeKey) -> Option<ClassifiedStatement> {
+    /// Classifies a shape whose parse exceeds the budget, as the rules require for this case.
+    fn classify_over_budget(&self, key: ShapeKey) -> Option<ClassifiedStatement> {
         if self.rules.parsing.when_exhausted == BudgetExceeded::Throttle {
             return None;
         }
@@ -182,8 +186,8 @@
     ) -> Rc<KnownShape> {
         // Cloned after the parser has freed its memory, so that long-lived verdicts do not fragment the heap.
         let shape = KnownShape::new(self.compute_verdict().clone());
-        let took = clock() - began;
-        self.budget.correct(client, self.lexer.tokens().len(), reserved, took);
+        let elapsed = clock() - began;
+        self.budget.correct(client, self.lexer.tokens().len(), reserved, elapsed);
         shape
     }
 
@@ -248,7 +252,8 @@
         Ok(AdmittedStatement { assignment, shape, key, source })
     }
 
-    /// Records the latency of a host's response to a statement of this shape.
+    /// Records the latency of a host's response to a statement of this shape, which updates the shape's cost
+    /// and the average lookup time of all shapes.
     pub fn record_latency(&self, shape: &KnownShape, latency: Duration) {
         shape.cost.borrow_mut().record(latency);
         let mut lookup_time = self.lookup_time.get();
--- a/crates/comethitch-statement/src/assign/allowed_effects.rs
+++ b/crates/comethitch-statement/src/assign/allowed_effects.rs
@@ -5,16 +5,17 @@
 
 /// The effects that a request class allows.
 ///
-/// A class whose requests may go to replicas allows plain reads only; a class whose requests may be retried allows
-/// only effects that are safe to repeat.
+/// A class whose requests may go to replicas allows plain reads only; a class whose requests may be retried
+/// allows only effects that are safe to repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AllowedEffects {
-    /// Requests go to primaries only.
+    /// Whether requests go to primaries only.
     primary_only: bool,
-    /// No request is executed twice: it is not retried, or hosts drop duplicates.
+    /// Whether a request is executed at most once, since it is not retried or hosts drop duplicates.
     executed_once: bool,
-    /// Hosts drop duplicates by an idempotency key, which a statement of unknown effect may not honour.
-    keyed: bool,
+    /// Whether hosts drop duplicates by an idempotency key. The key may not cover everything that a statement
+    /// of unknown effect does.
+    has_idempotency_key: bool,
 }
 
 impl AllowedEffects {
@@ -23,7 +24,7 @@
         AllowedEffects {
             primary_only: class.consistency == Consistency::Write,
             executed_once: class.idempotency != Idempotency::Idempotent,
-            keyed: class.idempotency == Idempotency::Keyed,
+            has_idempotency_key: class.idempotency == Idempotency::Keyed,
         }
     }
 
@@ -33,7 +34,9 @@
             Effect::Read => true,
             Effect::LockingRead => self.primary_only,
             Effect::Write => self.primary_only && self.executed_once,
-            Effect::Session | Effect::Unknown => self.primary_only && self.executed_once && !self.keyed,
+            Effect::Session | Effect::Unknown => {
+                self.primary_only && self.executed_once && !self.has_idempotency_key
+            }
         }
     }
 }
--- a/crates/comethitch-statement/src/assign/class_rules.rs
+++ b/crates/comethitch-statement/src/assign/class_rules.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of bounds between cost bands.
 const MAX_COST_BOUNDS: usize = 64;
-/// Cost bounds are below this.
+/// Exclusive upper limit of a cost bound.
 const MAX_COST_BOUND_MS: f64 = 1e9;
 
 /// The rules for request classes, checked against the classes of a deployment.
@@ -19,7 +19,7 @@
     cost_bounds: Vec<Duration>,
 }
 
-/// A rule whose class is resolved and whose bounds are durations.
+/// A rule with its request class resolved and its cost bounds converted to durations.
 #[derive(Clone, Debug)]
 struct CheckedRule {
     /// The request class, by its index in the deployment.
@@ -31,12 +31,14 @@
 }
 
 impl ClassRules {
-    /// Checks rules; `names` and `allowed` describe the deployment's request classes, in its order.
+    /// Checks rules. `class_names` and `allowed_effects` hold one element for each of the deployment's
+    /// request classes, in the deployment's order.
     pub(super) fn new(
-        rules: &[ClassRule], names: &[String], allowed: &[AllowedEffects],
+        rules: &[ClassRule], class_names: &[String], allowed_effects: &[AllowedEffects],
     ) -> Result<ClassRules, RulesError> {
         let check = |(index, rule)| {
-            check_rule(rule, names, allowed).map_err(|source| RulesError::ClassRule { index, source })
+            check_rule(rule, class_names, allowed_effects)
+                .map_err(|source| RulesError::ClassRule { index, source })
         };
         let rules = rules.iter().enumerate().map(check).collect::<Result<Vec<_>, _>>()?;
         if rules.is_empty() {
@@ -83,14 +85,14 @@
 }
 
 fn check_rule(
-    rule: &ClassRule, names: &[String], allowed: &[AllowedEffects],
+    rule: &ClassRule, class_names: &[String], allowed_effects: &[AllowedEffects],
 ) -> Result<CheckedRule, ClassRuleError> {
-    let class = names.iter().position(|name| *name == rule.class);
+    let class = class_names.iter().position(|name| *name == rule.class);
     let class = class.ok_or_else(|| ClassRuleError::UnknownClass { name: rule.class.clone() })?;
     if rule.effects.is_empty() {
         return Err(ClassRuleError::NoEffects);
     }
-    if let Some(effect) = rule.effects.iter().find(|effect| !allowed[class].allows(**effect)) {
+    if let Some(effect) = rule.effects.iter().find(|effect| !allowed_effects[class].allows(**effect)) {
         return Err(ClassRuleError::EffectNotAllowed { effect: *effect, class: rule.class.clone() });
     }
     let from = cost_bound("from_ms", rule.from_ms)?;
--- a/crates/comethitch-statement/src/assign/keys.rs
+++ b/crates/comethitch-statement/src/assign/keys.rs
@@ -14,7 +14,7 @@
     pub hashes: Vec<u64>,
 }
 
-/// Checks that each table has one key only, and that every value of a key has a shard.
+/// Checks that no table has more than one key, and that every value of a key has a shard.
 pub(super) fn check(rules: &[KeyRule]) -> Result<(), RulesError> {
     for (index, rule) in rules.iter().enumerate() {
         check_rule(rule).map_err(|source| RulesError::KeyRule { index, source })?;
@@ -60,14 +60,15 @@
     }
 }
 
-/// Locates the key of a table use. Returns `None` if the use has no key, or if a value of the key is unknown.
+/// Returns the shards and hashes of the key's values in a table use, or `None` if the use has no key or one
+/// of its values is unknown.
 pub(super) fn locate(
     rule: &KeyRule, table_use: &TableUse, values: &dyn PlaceholderValues,
 ) -> Option<KeyLocation> {
     let mut narrowest: Option<KeyLocation> = None;
     for key in table_use.keys.iter().filter(|key| *key.column == *rule.column) {
         let location = locate_values(&rule.placement, key, values)?;
-        // All conditions on the column hold, so the narrowest one determines the shards.
+        // A row meets all conditions on the column, so the condition with the fewest shards determines them.
         if narrowest.as_ref().is_none_or(|narrowest| location.shards.len() < narrowest.shards.len()) {
             narrowest = Some(location);
         }
@@ -96,7 +97,7 @@
         Placement::Range(ranges) => {
             for range in ranges {
                 let is_below = match &range.below {
-                    Some(Bound::Number(bound)) => number(key)? < *bound,
+                    Some(Bound::Number(bound)) => parse_number(key)? < *bound,
                     Some(Bound::Text(bound)) => key < bound.as_bytes(),
                     None => true,
                 };
@@ -109,7 +110,7 @@
     }
 }
 
-fn number(key: &[u8]) -> Option<i64> {
+fn parse_number(key: &[u8]) -> Option<i64> {
     std::str::from_utf8(key).ok()?.trim().parse().ok()
 }
 
--- a/crates/comethitch-statement/src/assign/mod.rs
+++ b/crates/comethitch-statement/src/assign/mod.rs
@@ -1,8 +1,9 @@
 //! Assigns classified statements to a request class, a shard and a session.
 //!
 //! [`Assigner`] holds the operator's rules, checked against the deployment. A request class allows only some
-//! effects ([`AllowedEffects`]). Rules that violate this are rejected when they are read; a statement whose comment
-//! violates it is rejected, or raised to the request class that the rules name.
+//! effects ([`AllowedEffects`]). A rule that gives a request class an effect that it does not allow is
+//! rejected when the rules are read. A statement whose comment names such a request class is rejected, or
+//! assigned to the request class that the rules name.
 
 mod allowed_effects;
 mod class_rules;
@@ -32,9 +33,9 @@
     default_shard: Option<ShardId>,
     disagreement: Disagreement,
     /// The effects that each request class allows, in the deployment's order.
-    allowed: Vec<AllowedEffects>,
+    allowed_effects: Vec<AllowedEffects>,
     /// The names of the request classes, in the same order.
-    names: Vec<String>,
+    class_names: Vec<String>,
 }
 
 /// The request class, shard and session of a statement.
@@ -46,13 +47,15 @@
     pub shard: ShardId,
     /// The session: the hash of the key's value if the statement has exactly one.
     pub session: Option<u64>,
-    /// Whether the rules replaced the request class of the comment, which does not allow the statement's effect.
+    /// Whether the rules replaced the request class of the comment, because it does not allow the statement's
+    /// effect.
     pub raised: bool,
 }
 
-/// The request class of a statement.
+/// The request class chosen for a statement.
 struct ClassChoice {
     class: usize,
+    /// As in [`Assignment::raised`].
     raised: bool,
 }
 
@@ -71,17 +74,19 @@
     /// # Errors
     ///
     /// Returns the first rule that is invalid, or whose request class does not allow one of its effects.
-    pub fn new(rules: &Rules, classes: &[RequestClass], names: &[String]) -> Result<Assigner, RulesError> {
-        let allowed: Vec<AllowedEffects> = classes.iter().map(AllowedEffects::of).collect();
-        let class_rules = ClassRules::new(&rules.classes, names, &allowed)?;
+    pub fn new(
+        rules: &Rules, classes: &[RequestClass], class_names: &[String],
+    ) -> Result<Assigner, RulesError> {
+        let allowed_effects: Vec<AllowedEffects> = classes.iter().map(AllowedEffects::of).collect();
+        let class_rules = ClassRules::new(&rules.classes, class_names, &allowed_effects)?;
         keys::check(&rules.keys)?;
         Ok(Assigner {
             class_rules,
             key_rules: rules.keys.clone(),
             default_shard: rules.default_shard,
             disagreement: rules.disagreement,
-            allowed,
-            names: names.to_vec(),
+            allowed_effects,
+            class_names: class_names.to_vec(),
         })
     }
 
@@ -111,12 +116,12 @@
         &self, verdict: &Verdict, cost_band: u8, hinted: Option<usize>,
     ) -> Result<ClassChoice, AssignmentError> {
         match hinted {
-            Some(class) if self.allowed[class].allows(verdict.effect) => {
+            Some(class) if self.allowed_effects[class].allows(verdict.effect) => {
                 Ok(ClassChoice { class, raised: false })
             }
             Some(class) if self.disagreement == Disagreement::Reject => {
                 Err(AssignmentError::EffectNotAllowed {
-                    class: self.names[class].clone(),
+                    class: self.class_names[class].clone(),
                     effect: verdict.effect,
                     reason: verdict.reason.to_string(),
                 })
@@ -147,7 +152,8 @@
         }
     }
 
-    /// Locates the statement's keys. A shard named by the comment stands in for unknown keys.
+    /// Locates the statement's keys. If the comment names a shard, keys with unknown values are ignored;
+    /// otherwise they are an error.
     fn locate_keys(
         &self, verdict: &Verdict, values: &dyn PlaceholderValues, has_shard_hint: bool,
     ) -> Result<KeyFindings, AssignmentError> {
@@ -183,11 +189,11 @@
     }
 
     fn key_rule(&self, table: &str) -> Option<&KeyRule> {
-        self.key_rules.iter().find(|rule| rule.tables.iter().any(|keyed| keyed == table))
+        self.key_rules.iter().find(|rule| rule.tables.iter().any(|name| name == table))
     }
 }
 
-/// Returns the one shard that both earlier and new keys lie in, or an error if there are several.
+/// Returns the only shard among the shard of earlier keys and `shards`, or an error if there are several.
 fn common_shard(earlier: Option<ShardId>, shards: &[ShardId]) -> Result<Option<ShardId>, AssignmentError> {
     let mut common = earlier;
     for shard in shards {
--- a/crates/comethitch-statement/src/assign/values.rs
+++ b/crates/comethitch-statement/src/assign/values.rs
@@ -1,4 +1,4 @@
-//! The values of a shape's placeholders in one statement.
+//! The values that the placeholders of a shape stand for in one statement.
 
 use crate::lexer::{Lexer, Literal, LiteralForm};
 
@@ -41,13 +41,14 @@
         let text = self.text.get(start..literal.range.end as usize)?;
         match literal.form {
             LiteralForm::Number => self.plain_number(text, start),
-            LiteralForm::Text => unquoted(text),
+            LiteralForm::Text => unquote(text),
             LiteralForm::Parameter => self.argument(text),
             LiteralForm::Special => None,
         }
     }
 
-    /// Accepts unsigned decimal digits only, since a number in another notation may equal several texts.
+    /// Returns the text of an unsigned decimal integer without leading zeros. Other notations are not
+    /// accepted, since they write the same number as another text, which would have another hash.
     fn plain_number(&self, text: &[u8], start: usize) -> Option<Vec<u8>> {
         let before = self.text[..start].trim_ascii_end().last();
         let is_signed = matches!(before, Some(b'-' | b'+'));
@@ -62,7 +63,7 @@
 }
 
 /// Returns the value of a single-quoted string, in which a doubled quote stands for one.
-fn unquoted(text: &[u8]) -> Option<Vec<u8>> {
+fn unquote(text: &[u8]) -> Option<Vec<u8>> {
     let opening = text.iter().position(|byte| *byte == b'\'')?;
     let inner = text[opening + 1..].strip_suffix(b"'")?;
     let mut value = Vec::with_capacity(inner.len());
--- a/crates/comethitch-statement/src/budget.rs
+++ b/crates/comethitch-statement/src/budget.rs
@@ -1,8 +1,8 @@
 //! Limits the CPU time spent on parsing statements of unknown shapes, by token buckets.
 //!
-//! All clients together have a share of one core's time, and each client a share of that. The time of a parse is
-//! estimated from the number of tokens and the average cost of a token, and corrected after the parse. Unused time
-//! accumulates for up to one second.
+//! All clients together have a share of one core's time, and each client a share of that. The time of a parse
+//! is estimated from the number of tokens and the average cost of a token, and corrected after the parse.
+//! Unused time accumulates for up to one second.
 
 use crate::hashing::bucket_of;
 use comethitch_policy::time::{Duration, Timestamp};
@@ -15,7 +15,8 @@
 const INITIAL_TOKEN_COST_US: f64 = 2.0;
 /// The weight of each parse in the moving average of the token cost.
 const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
-/// Limits how far one parse's token cost counts above or below the average, as a factor.
+/// The token cost of one parse counts in the average as at most this many times the average, and at least its
+/// reciprocal.
 const OUTLIER_FACTOR: f64 = 4.0;
 /// Minimum of the average token cost.
 const MIN_TOKEN_COST_US: f64 = 1e-3;
@@ -52,18 +53,18 @@
 struct TokenBucket {
     /// Negative after parses that took longer than estimated.
     available_us: f64,
-    refilled: Timestamp,
+    last_refill: Timestamp,
 }
 
 impl TokenBucket {
     fn full(share: f64, now: Timestamp) -> TokenBucket {
-        TokenBucket { available_us: capacity_us(share), refilled: now }
+        TokenBucket { available_us: capacity_us(share), last_refill: now }
     }
 
     fn refill(&mut self, share: f64, now: Timestamp) {
-        let earned_us = share * (now - self.refilled).as_micros() as f64;
+        let earned_us = share * (now - self.last_refill).as_micros() as f64;
         self.available_us = (self.available_us + earned_us).min(capacity_us(share));
-        self.refilled = now;
+        self.last_refill = now;
     }
 }
 
@@ -76,7 +77,7 @@
     shares: BudgetShares,
     total: TokenBucket,
     clients: Box<[TokenBucket]>,
-    /// Moving average.
+    /// Moving average of the time to parse one token.
     token_cost_us: f64,
 }
 
@@ -94,15 +95,16 @@
 
     /// Reserves the estimated time for parsing a statement.
     ///
-    /// A reservation succeeds while any time is left, even if less than the estimate, so that long statements are
-    /// not rejected forever; the bucket then goes negative.
+    /// A reservation succeeds while any time is left, even if less than the estimate, so that long statements
+    /// are not rejected forever; the bucket then goes negative.
     ///
     /// ```
     /// use comethitch_policy::time::{Duration, Timestamp};
     /// use comethitch_statement::budget::{Budget, BudgetShares, Reservation};
     /// let mut budget = Budget::new(BudgetShares { total: 0.01, client: 0.5 }, Timestamp::ZERO);
     /// // 10 ms per second for all clients, 5 ms for each.
-    /// let mut is_reserved = |client| matches!(budget.reserve(client, 42, Timestamp::ZERO), Reservation::Reserved(_));
+    /// let mut reserve = |client| budget.reserve(client, 42, Timestamp::ZERO);
+    /// let mut is_reserved = |client| matches!(reserve(client), Reservation::Reserved(_));
     /// assert_eq!((0..1_000).filter(|_| is_reserved(7)).count(), 50, "of 100 µs each");
     /// assert!(is_reserved(8), "another client has its own share");
     /// ```
@@ -123,12 +125,13 @@
         Reservation::Reserved(Duration::from_micros(cost_us as u64))
     }
 
-    /// Replaces the time reserved for a parse by the time that it took, and updates the average token cost.
-    pub fn correct(&mut self, client: u64, tokens: usize, reserved: Duration, took: Duration) {
-        let excess_us = took.as_micros() as f64 - reserved.as_micros() as f64;
+    /// Charges the time that a parse took instead of the time reserved for it, and updates the average token
+    /// cost.
+    pub fn correct(&mut self, client: u64, tokens: usize, reserved: Duration, elapsed: Duration) {
+        let excess_us = elapsed.as_micros() as f64 - reserved.as_micros() as f64;
         self.total.available_us -= excess_us;
         self.clients[bucket_of(client, CLIENT_BUCKETS)].available_us -= excess_us;
-        let measured_us = took.as_micros() as f64 / (tokens + BASE_TOKENS) as f64;
+        let measured_us = elapsed.as_micros() as f64 / (tokens + BASE_TOKENS) as f64;
         // A parse that was preempted must not distort the average.
         let clamped_us = measured_us
             .clamp(self.token_cost_us / OUTLIER_FACTOR, self.token_cost_us * OUTLIER_FACTOR)
--- a/crates/comethitch-statement/src/cache/entries.rs
+++ b/crates/comethitch-statement/src/cache/entries.rs
@@ -1,7 +1,7 @@
 //! The entries of a cache: slots in one array, linked into lists by their indices.
 //!
-//! Each entry is in the list of its segment, and outside the window also in the list of its owner. Lists are in
-//! order of last use, newest first.
+//! Each entry is in the list of its segment, and outside the window also in the list of its owner. Lists are
+//! in order of last use, newest first.
 
 use crate::ShapeKey;
 
--- a/crates/comethitch-statement/src/cache/mod.rs
+++ b/crates/comethitch-statement/src/cache/mod.rs
@@ -1,11 +1,13 @@
-//! A cache of values by shape, bounded in bytes: W-TinyLFU over a segmented LRU, with a quota for each client.
+//! A cache of values by shape, bounded in bytes: W-TinyLFU over a segmented LRU, with a quota for each
+//! client.
 //!
-//! New entries enter a small window. An entry that leaves the window is accepted only if it was looked up more often
-//! recently ([`crate::frequency_sketch`]) than the entry that it would evict, so that shapes that occur once evict
-//! none in use. Entries used again are protected from those used once.
+//! New entries enter a small window. An entry that leaves the window is accepted only if it was looked up
+//! more often recently ([`crate::frequency_sketch`]) than the entry that it would evict, so that shapes that
+//! occur only once do not evict shapes in use. Entries that are used again move to a protected segment, and
+//! are evicted after those that are not.
 //!
-//! While the cache is full, a client above its quota evicts only its own entries, however often it looks them up. An
-//! entry used by a second client is shared, and counts towards no quota.
+//! While the cache is full, a client above its quota evicts only its own entries, however often it looks them
+//! up. An entry used by a second client is shared, and counts towards no quota.
 
 mod entries;
 
@@ -22,11 +24,13 @@
 const PROTECTED_SHARE: Fraction = Fraction { numerator: 4, denominator: 5 };
 /// Slots are allocated for entries of this size; larger entries leave slots unused.
 const MIN_ENTRY_BYTES: usize = 384;
-/// The share of the memory beside the bookkeeping that values may use; the rest allows for heap fragmentation by
-/// the parser's allocations.
+/// The share of the memory left after the bookkeeping that values may use; the rest allows for heap
+/// fragmentation by the parser's allocations.
 const VALUE_SHARE: Fraction = Fraction { numerator: 2, denominator: 3 };
 /// Values above 1 / this of the value budget are not cached.
 const MAX_VALUE_DIVISOR: usize = 64;
+
+/// A fraction by which numbers of bytes are multiplied.
 struct Fraction {
     numerator: usize,
     denominator: usize,
@@ -44,7 +48,7 @@
     }
 }
 
-/// Passes keys through, which are keyed hashes already.
+/// Derives the hash from the bits of a key without hashing them, since a key is the result of a keyed hash.
 #[derive(Default)]
 struct IdentityHasher(u64);
 
@@ -69,7 +73,7 @@
     pub hits: u64,
     /// Lookups that did not find an entry.
     pub misses: u64,
-    /// Entries that were not accepted, or not beyond the window.
+    /// Values that were too large, and entries that were removed when they left the window.
     pub rejections: u64,
     /// Entries evicted in favour of others.
     pub evictions: u64,
@@ -188,7 +192,8 @@
         }
     }
 
-    /// Adds the value of a shape that was not found. `bytes` is the size of the value, including allocator overhead.
+    /// Adds the value of a shape that was not found. `bytes` is the size of the value, including allocator
+    /// overhead.
     pub fn insert(&mut self, key: ShapeKey, value: V, bytes: usize, client: u64) {
         if let Some(slot) = self.index.get(&key).copied() {
             self.remove(slot);
@@ -241,8 +246,8 @@
         self.entries.link_first(slot, ListKind::Owner);
     }
 
-    /// Chooses the entry to evict for an owner's entry of this size: the owner's oldest if the owner would exceed
-    /// its quota, otherwise the oldest of all.
+    /// Chooses the entry to evict for an owner's entry of this size: the owner's oldest if the owner would
+    /// exceed its quota, otherwise the oldest of all.
     fn choose_victim(&self, owner: u8, bytes: usize) -> u32 {
         let quota = self.quota_bytes(owner);
         let exceeds_quota = owner != SHARED
--- a/crates/comethitch-statement/src/catalogue.rs
+++ b/crates/comethitch-statement/src/catalogue.rs
@@ -1,8 +1,8 @@
-//! Known names: the built-in functions, types and operators of each dialect, listed in `data/`, and the operator's
-//! catalogue.
+//! Known names: the built-in functions, types and operators of each dialect, listed in `data/`, and the
+//! operator's catalogue.
 //!
-//! Unlisted functions are assumed to write. Names are compared as servers do: unquoted ones in lower case, quoted
-//! ones as written.
+//! Unlisted functions are assumed to write. Names are compared as servers do: unquoted ones in lower case,
+//! quoted ones as written.
 
 use crate::{Dialect, Effect};
 use schemars::JsonSchema;
@@ -33,12 +33,12 @@
     }
 }
 
-/// The operator's names that are not built in.
+/// The operator's own functions, tables, types and SQL operators, which are not built in.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Catalogue {
-    /// Functions, named as in statements: `"tienda.precio": "read"`. Entries take precedence over the built-in
-    /// functions of the dialect.
+    /// Functions, named as in statements: `"tienda.precio": "read"`. Entries take precedence over the
+    /// built-in functions of the dialect.
     pub functions: BTreeMap<String, SideEffect>,
     /// Tables and views, named as in statements; a view that calls a writing function is "write".
     pub tables: BTreeMap<String, SideEffect>,
@@ -46,12 +46,12 @@
     pub types: Vec<String>,
     /// User-defined operators that change nothing, such as "<~>".
     pub operators: Vec<String>,
-    /// Whether unlisted tables may be read from replicas. If false, a statement that uses an unlisted table is
-    /// unknown.
+    /// Whether unlisted tables may be read from replicas. If false, a statement that uses an unlisted table
+    /// is unknown.
     pub unlisted_tables: Option<bool>,
 }
 
-/// A file of `data/`: names separated by white space.
+/// A file of `data/`: each list holds names separated by white space.
 #[derive(Deserialize)]
 struct NameLists {
     functions: BTreeMap<String, String>,
@@ -61,11 +61,13 @@
     before_brackets: String,
     /// Constructs of the grammar that look like function calls; a quoted name refers to a function instead.
     constructs: String,
-    /// Words that show a statement to be a write or unknown, wherever they appear.
+    /// Words of T-SQL that appear nowhere in a read; a statement with one of them counts as a write.
     never_in_reads: String,
+    /// First words of statements that write.
     leading_write: String,
+    /// First words of statements that change or read the state of a session.
     leading_session: String,
-    /// Words that begin a statement that controls a transaction.
+    /// First words of statements that control a transaction.
     transaction: String,
 }
 
@@ -85,7 +87,7 @@
 impl BuiltInNames {
     fn read(json: &'static str) -> BuiltInNames {
         let lists: NameLists =
-            serde_json::from_str(json).expect("the lists are compiled in, and tests read both");
+            serde_json::from_str(json).expect("the built-in lists are valid JSON, as the tests check");
         let mut functions = HashMap::new();
         for (side_effect, names) in lists.functions {
             let side_effect = match side_effect.as_str() {
--- a/crates/comethitch-statement/src/classify/findings.rs
+++ b/crates/comethitch-statement/src/classify/findings.rs
@@ -1,5 +1,5 @@
-//! Collects the findings on one statement: the most restricted effect with its reason, and the functions, types,
-//! operators and tables that it uses.
+//! Collects the findings on one statement: the most restricted effect with its reason, and the functions,
+//! types, operators and tables that it uses.
 
 use super::names::{identifier, qualified_name};
 use super::table_uses::TableUseCollector;
--- a/crates/comethitch-statement/src/classify/from_clause.rs
+++ b/crates/comethitch-statement/src/classify/from_clause.rs
@@ -66,7 +66,7 @@
             }
             Expr::BinaryOp { left, op: BinaryOperator::Eq, right } => self.add_equality(left, right),
             Expr::In { expr, target: InTarget::List(list), negated: false, .. } => {
-                if let Some(column) = self.column(expr) {
+                if let Some(column) = self.resolve_column(expr) {
                     self.add_known_column(column, list.iter().map(placeholder_number).collect());
                 }
             }
@@ -75,7 +75,7 @@
     }
 
     fn add_equality(&mut self, left: &Expr, right: &Expr) {
-        match (self.column(left), self.column(right)) {
+        match (self.resolve_column(left), self.resolve_column(right)) {
             (Some(left), Some(right)) => {
                 self.equalities.push(Equality { from: left.clone(), to: right.clone() });
                 self.equalities.push(Equality { from: right, to: left });
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Adds the condition of a left join with the last source, which does not restrict the rows of the left side.
+    /// Adds the condition of a left join with the last source, which does not restrict the rows of the left
+    /// side.
     pub(super) fn add_left_join_condition(&mut self, condition: &Expr) {
         let right = self.sources.len().saturating_sub(1);
         let mut joined = FromClause { sources: std::mem::take(&mut self.sources), ..FromClause::default() };
@@ -117,7 +118,8 @@
         self.known_columns.retain(|known| !names.contains(&known.column.name));
     }
 
-    /// Propagates values along equalities until no further column becomes known, or more than `limit` are known.
+    /// Propagates values along equalities until no further column becomes known, or more than `limit` are
+    /// known.
     pub(super) fn propagate_values(&mut self, limit: usize) {
         // Each round makes at least one more column known.
         for _ in 0..self.equalities.len().min(limit) {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Returns the columns without known values that an equality gives values to.
+    /// Returns the columns that get their first known values through an equality.
     fn implied_columns(&self) -> Vec<KnownColumn> {
         let mut implied = Vec::new();
         for equality in &self.equalities {
@@ -148,9 +150,9 @@
     }
 
     /// Resolves a column. A column without a table's name is resolved only if there is a single source.
-    fn column(&self, expression: &Expr) -> Option<Column> {
+    fn resolve_column(&self, expression: &Expr) -> Option<Column> {
         match expression {
-            Expr::Nested(inner) => self.column(inner),
+            Expr::Nested(inner) => self.resolve_column(inner),
             Expr::Identifier(name) if self.sources.len() == 1 => {
                 Some(Column { source: 0, name: identifier(name) })
             }
--- a/crates/comethitch-statement/src/classify/mod.rs
+++ b/crates/comethitch-statement/src/classify/mod.rs
@@ -1,7 +1,8 @@
 //! Computes the verdict on a shape.
 //!
-//! [`Classifier`] parses the shape (`parse`), walks its syntax tree (`visitor`), and scans its tokens as a second check
-//! (`token_scan`); `findings` collects the results of both. A statement in doubt is never classified as a read.
+//! [`Classifier`] parses the shape (`parse`), walks its syntax tree (`visitor`), and scans its tokens as a
+//! second check (`token_scan`); `findings` collects the results of both. A statement in doubt is never
+//! classified as a read.
 
 mod findings;
 mod from_clause;
@@ -46,7 +47,7 @@
         if lexer.tokens().is_empty() {
             return Verdict::unparsed(Effect::Session, "it is empty");
         }
-        if let Some(reason) = parse::too_large(lexer) {
+        if let Some(reason) = parse::too_large_reason(lexer) {
             return self.classify_unparsed(lexer, reason);
         }
         let Ok(statements) = parse::parse(lexer) else {
@@ -59,7 +60,8 @@
         findings.into_verdict()
     }
 
-    /// Returns the verdict on a statement that cannot be parsed: its tokens may still show that it writes.
+    /// Returns the verdict on a statement that cannot be parsed, by its first words and its tokens, which may
+    /// still show that it writes.
     fn classify_unparsable(&self, lexer: &Lexer) -> Verdict {
         let unparsed = self.classify_unparsed(lexer, "it can't be parsed");
         let mut findings = Findings::new(self.dialect, self.catalogue);
@@ -90,15 +92,16 @@
         Verdict { controls_transaction, ..Verdict::unparsed(effect, reason) }
     }
 
-    /// Returns whether the text is certainly a single statement. In T-SQL statements need no semicolon in between.
+    /// Returns whether the text is certainly a single statement. In T-SQL statements need no semicolon in
+    /// between.
     fn is_single_statement(&self, lexer: &Lexer) -> bool {
         self.dialect == Dialect::Postgres
             && lexer.ambiguity().is_none()
             && !lexer.tokens().iter().any(|token| lexer.bytes(*token) == b";")
     }
 
-    /// Returns whether a first word that may control a transaction does so: BEGIN may also open a block in T-SQL, and
-    /// PREPARE an ordinary statement.
+    /// Returns whether a statement whose first word may control a transaction does so. In T-SQL, BEGIN may
+    /// also open a block; PREPARE may also prepare an ordinary statement.
     fn is_transaction_control(&self, first: &str, second: &str) -> bool {
         match first {
             "begin" => self.dialect == Dialect::Postgres || second.starts_with("tran"),
--- a/crates/comethitch-statement/src/classify/parse.rs
+++ b/crates/comethitch-statement/src/classify/parse.rs
@@ -1,7 +1,7 @@
 //! Converts a shape to text for the parser, and parses it.
 //!
-//! Each placeholder is written as its number, counted from 1, so that literals in the syntax tree identify their
-//! placeholders. Clauses that the parser does not support are replaced by equivalent ones.
+//! Each placeholder is written as its number, counted from 1, so that literals in the syntax tree identify
+//! their placeholders. Clauses that the parser does not support are replaced by equivalent ones.
 
 use super::tokens::token_bytes;
 use crate::Dialect;
@@ -11,10 +11,11 @@
 use sqlparser::parser::{Parser, ParserError};
 use std::ops::Range;
 
-/// Maximum number of tokens of a parsed shape. The syntax tree of a chain of operators is as deep as the chain is
-/// long, which bounds the stack.
+/// Maximum number of tokens of a parsed shape. The syntax tree of a chain of operators is as deep as the
+/// chain is long, so that this limits the stack that walking the tree needs.
 pub const MAX_PARSED_TOKENS: usize = 2_000;
-/// Maximum nesting of brackets in a parsed shape. The parser backtracks at brackets, in time exponential in the depth.
+/// Maximum nesting of brackets in a parsed shape. The parser backtracks at brackets, in time exponential in
+/// the depth.
 pub const MAX_PARSED_DEPTH: usize = 20;
 /// The parser's recursion limit.
 const MAX_PARSER_RECURSION: usize = 128;
@@ -39,7 +40,7 @@
 ];
 
 /// Returns the reason why a shape is too large to be parsed, if it is.
-pub(super) fn too_large(lexer: &Lexer) -> Option<&'static str> {
+pub(super) fn too_large_reason(lexer: &Lexer) -> Option<&'static str> {
     if lexer.tokens().len() > MAX_PARSED_TOKENS {
         return Some("it is too long to be parsed");
     }
@@ -52,7 +53,7 @@
 /// Returns the maximum nesting of brackets and CASE expressions.
 fn nesting_depth(lexer: &Lexer) -> usize {
     let mut depth = 0_usize;
-    let mut deepest = 0;
+    let mut max_depth = 0;
     for token in lexer.tokens() {
         match lexer.bytes(*token) {
             b"(" | b"[" if token.kind == TokenKind::Symbol => depth += 1,
@@ -61,9 +62,9 @@
             b"end" => depth = depth.saturating_sub(1),
             _ => {}
         }
-        deepest = deepest.max(depth);
+        max_depth = max_depth.max(depth);
     }
-    deepest
+    max_depth
 }
 
 /// Parses a shape into the syntax trees of its statements.
@@ -81,7 +82,7 @@
         lexer,
         text: Vec::with_capacity(lexer.shape().len() * 2),
         placeholders: 0,
-        before: b"",
+        previous: b"",
         query_hints: 0..0,
     };
     (0..lexer.tokens().len()).for_each(|at| writer.write(at));
@@ -95,8 +96,8 @@
     text: Vec<u8>,
     /// Number of placeholders so far.
     placeholders: u32,
-    /// The previous token, as far as the next one depends on it.
-    before: &'a [u8],
+    /// The previous token; empty at the start, and after the word KEY of an omitted `NO KEY` or `KEY`.
+    previous: &'a [u8],
     /// The indices of the tokens of query hints, which are omitted.
     query_hints: Range<usize>,
 }
@@ -122,7 +123,7 @@
         if bytes != b"." {
             self.text.push(b' ');
         }
-        self.before = bytes;
+        self.previous = bytes;
     }
 
     fn is_in_query_hints(&mut self, at: usize, bytes: &[u8]) -> bool {
@@ -133,19 +134,20 @@
         self.query_hints.contains(&at)
     }
 
-    /// Writes the equivalent of a word in a clause that the parser does not support. Returns false for other words.
+    /// Writes the equivalent of a word in a clause that the parser does not support. Returns false for other
+    /// words.
     fn write_equivalent(&mut self, at: usize, bytes: &'a [u8]) -> bool {
         let next = token_bytes(self.lexer, at + 1);
         // FOR NO KEY UPDATE becomes FOR UPDATE, and FOR KEY SHARE becomes FOR SHARE.
-        if matches!((self.before, bytes, next), (b"for", b"no" | b"key", _) | (b"no", b"key", b"update")) {
-            self.before = if bytes == b"no" { bytes } else { b"" };
+        if matches!((self.previous, bytes, next), (b"for", b"no" | b"key", _) | (b"no", b"key", b"update")) {
+            self.previous = if bytes == b"no" { bytes } else { b"" };
             return true;
         }
         let begins_query =
-            matches!(self.before, b"" | b"(" | b";" | b"union" | b"all" | b"except" | b"intersect");
+            matches!(self.previous, b"" | b"(" | b";" | b"union" | b"all" | b"except" | b"intersect");
         if bytes == b"table" && begins_query {
             self.text.extend(b"select * from ");
-            self.before = bytes;
+            self.previous = bytes;
             return true;
         }
         false
@@ -156,8 +158,8 @@
         self.placeholders += 1;
         let number = self.placeholders;
         let in_xml_option =
-            self.before == b"(" && at >= 2 && matches!(token_bytes(self.lexer, at - 2), b"path" | b"root");
-        let written = if in_xml_option || WORDS_BEFORE_STRINGS.contains(&self.before) {
+            self.previous == b"(" && at >= 2 && matches!(token_bytes(self.lexer, at - 2), b"path" | b"root");
+        let written = if in_xml_option || WORDS_BEFORE_STRINGS.contains(&self.previous) {
             format!("'{number}'")
         } else {
             number.to_string()
@@ -166,7 +168,8 @@
     }
 }
 
-/// Returns the equivalent of T-SQL's comparisons that the parser does not support; other tokens are unchanged.
+/// Returns the equivalent of T-SQL's comparisons that the parser does not support; other tokens are
+/// unchanged.
 fn equivalent_operator(dialect: Dialect, bytes: &[u8]) -> &[u8] {
     match (dialect, bytes) {
         (Dialect::Tsql, b"!<") => b">=",
@@ -175,8 +178,8 @@
     }
 }
 
-/// Returns the token range of query hints, such as `OPTION (MAXDOP 1)` at the end of a query, which only affect its
-/// execution. The range is empty for hints that name tables, since these may take locks.
+/// Returns the token range of query hints, such as `OPTION (MAXDOP 1)` at the end of a query, which only
+/// affect its execution. The range is empty for hints that name tables, since these may take locks.
 fn query_hints(lexer: &Lexer, at: usize) -> Range<usize> {
     let none = at..at;
     if token_bytes(lexer, at + 1) != b"(" {
--- a/crates/comethitch-statement/src/classify/session_settings.rs
+++ b/crates/comethitch-statement/src/classify/session_settings.rs
@@ -11,12 +11,13 @@
     &["snapshot"],
 ];
 /// The words between SET and an isolation level.
-const ISOLATION_LEVEL: [&str; 3] = ["transaction", "isolation", "level"];
-/// Options that change which rows later statements write, or when they commit, and so must not be ignored.
+const ISOLATION_LEVEL_PREFIX: [&str; 3] = ["transaction", "isolation", "level"];
+/// Options that must not be ignored, since they change which values later statements may write, or when these
+/// commit.
 const CONNECTION_BOUND_OPTIONS: [&str; 2] = ["identity_insert", "implicit_transactions"];
 
-/// Returns whether a T-SQL batch only sets session options, such as `SET NOCOUNT ON`. Drivers send such batches when
-/// they connect.
+/// Returns whether a T-SQL batch only sets session options, such as `SET NOCOUNT ON`. Drivers send such
+/// batches when they connect.
 ///
 /// ```
 /// use comethitch_statement::{Dialect, Lexer, classify::sets_only_session_options};
@@ -50,13 +51,13 @@
     lexer.tokens().iter().map(word).collect()
 }
 
-/// Skips one semicolon or SET statement. Returns the following words, or `None` if the words begin with anything
-/// else.
+/// Skips one semicolon or SET statement. Returns the following words, or `None` if the words begin with
+/// anything else.
 fn skip_setting<'w, 't>(words: &'w [&'t str]) -> Option<&'w [&'t str]> {
     match words {
         [";", following @ ..] => Some(following),
-        ["set", following @ ..] if following.starts_with(&ISOLATION_LEVEL) => {
-            let level = &following[ISOLATION_LEVEL.len()..];
+        ["set", following @ ..] if following.starts_with(&ISOLATION_LEVEL_PREFIX) => {
+            let level = &following[ISOLATION_LEVEL_PREFIX.len()..];
             let known = ISOLATION_LEVELS.iter().find(|known| level.starts_with(known))?;
             Some(&level[known.len()..])
         }
--- a/crates/comethitch-statement/src/classify/table_uses.rs
+++ b/crates/comethitch-statement/src/classify/table_uses.rs
@@ -1,8 +1,8 @@
 //! Collects the tables that a statement uses, and the columns that it compares with values.
 //!
-//! The value of a column is known only if all affected rows have it: from conditions joined by AND in the WHERE clause
-//! and in inner joins, and through equal columns (`FromClause`). Each use of a table is recorded separately, since
-//! each needs a key that determines the shard of its rows.
+//! The value of a column is known only if all affected rows have it: from conditions joined by AND in the
+//! WHERE clause and in inner joins, and through equal columns (`FromClause`). Each use of a table is recorded
+//! separately, since each needs a key that determines the shard of its rows.
 
 use super::from_clause::{FromClause, placeholder_number};
 use super::names::{identifier, qualified_name};
@@ -50,7 +50,7 @@
         self.overflow
     }
 
-    /// Begins a query: the names of its WITH clause become visible.
+    /// Begins a query, and brings the names of its WITH clause into scope.
     pub(super) fn enter_query(&mut self, query: &Query) {
         let is_cte_query = self.begin_cte(query);
         let ctes = query.with.iter().flat_map(|with| &with.cte_tables);
@@ -63,7 +63,8 @@
         });
     }
 
-    /// Records in the enclosing scope whether a query is one of its CTEs, and returns the same.
+    /// Returns whether a query is the query of a CTE in the enclosing scope, and records that it is being
+    /// visited.
     fn begin_cte(&mut self, query: &Query) -> bool {
         let pointer: *const Query = query;
         if let Some(outer) = self.scopes.last_mut()
@@ -76,7 +77,7 @@
         false
     }
 
-    /// Ends a query: the names of its WITH clause become invisible.
+    /// Ends a query and the scope of the names of its WITH clause.
     pub(super) fn leave_query(&mut self) {
         let was_cte_query = self.scopes.pop().is_some_and(|scope| scope.is_cte_query);
         if was_cte_query && let Some(outer) = self.scopes.last_mut() {
@@ -186,7 +187,7 @@
         self.record_keys(clause);
     }
 
-    /// Adds the tables of a join, and its conditions where all resulting rows meet them.
+    /// Adds the tables of a join, and those of its conditions that hold for all resulting rows.
     fn add_joined_tables(&mut self, tables: &TableWithJoins, clause: &mut FromClause) {
         self.add_table_factor(&tables.relation, clause);
         for join in &tables.joins {
--- a/crates/comethitch-statement/src/classify/token_scan.rs
+++ b/crates/comethitch-statement/src/classify/token_scan.rs
@@ -1,7 +1,7 @@
 //! Scans the tokens of a shape for writes, locks and calls that the syntax tree does not show.
 //!
-//! The parser accepts some texts that servers read differently: in `SELECT 1 DELETE FROM t` it reads DELETE as an
-//! alias. A statement is a read only if both the syntax tree and the tokens show a read.
+//! The parser accepts some texts that servers read differently: in `SELECT 1 DELETE FROM t` it reads DELETE
+//! as an alias. A statement is a read only if both the syntax tree and the tokens show a read.
 
 use super::findings::Findings;
 use super::tokens::{token_bytes, word};
@@ -49,8 +49,8 @@
     }
 }
 
-/// Checks a name before a bracket as a call, unless the grammar or the syntax tree shows that it is none or that it was
-/// checked already.
+/// Checks a name that is followed by a bracket as a function call, unless it is a keyword or a type, is
+/// declared by the statement, or was checked already.
 fn scan_call(lexer: &Lexer, at: usize, built_in: &BuiltInNames, findings: &mut Findings<'_>) {
     let tokens = lexer.tokens();
     let mut name = unquoted_name(lexer, tokens[at]);
--- a/crates/comethitch-statement/src/classify/visitor.rs
+++ b/crates/comethitch-statement/src/classify/visitor.rs
@@ -18,12 +18,12 @@
     type Break = ();
 
     fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<()> {
-        self.statement(statement);
+        self.check_statement(statement);
         ControlFlow::Continue(())
     }
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
-        self.query(query);
+        self.check_query(query);
         ControlFlow::Continue(())
     }
 
@@ -33,12 +33,12 @@
     }
 
     fn pre_visit_select(&mut self, select: &Select) -> ControlFlow<()> {
-        self.select(select);
+        self.check_select(select);
         ControlFlow::Continue(())
     }
 
     fn pre_visit_table_factor(&mut self, factor: &TableFactor) -> ControlFlow<()> {
-        self.table_factor(factor);
+        self.check_table_factor(factor);
         ControlFlow::Continue(())
     }
 
@@ -48,7 +48,7 @@
     }
 
     fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
-        self.expression(expression);
+        self.check_expression(expression);
         ControlFlow::Continue(())
     }
 }
@@ -58,7 +58,7 @@
         self.findings.raise(effect, reason);
     }
 
-    fn statement(&mut self, statement: &Statement) {
+    fn check_statement(&mut self, statement: &Statement) {
         match statement {
             Statement::Query(_) => {}
             Statement::Insert(_) | Statement::Update(_) | Statement::Delete(_) | Statement::Merge(_) => {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn query(&mut self, query: &Query) {
+    fn check_query(&mut self, query: &Query) {
         if !query.locks.is_empty() {
             self.raise(Effect::LockingRead, "it locks rows");
         }
@@ -114,18 +114,18 @@
         }
         self.findings.features.ordered |= query.order_by.is_some();
         self.findings.features.limited |= query.limit_clause.is_some() || query.fetch.is_some();
-        self.query_body(&query.body);
+        self.check_query_body(&query.body);
         self.findings.table_uses.enter_query(query);
     }
 
-    /// Finds changes of rows at any depth of a query's set operations.
-    fn query_body(&mut self, body: &SetExpr) {
+    /// Checks the body of a query, including the operands of its set operations, for changes of rows.
+    fn check_query_body(&mut self, body: &SetExpr) {
         match body {
             SetExpr::SetOperation { left, right, .. } => {
                 let features = &mut self.findings.features;
                 features.set_operations = features.set_operations.saturating_add(1);
-                self.query_body(left);
-                self.query_body(right);
+                self.check_query_body(left);
+                self.check_query_body(right);
             }
             SetExpr::Insert(_) | SetExpr::Update(_) | SetExpr::Delete(_) | SetExpr::Merge(_) => {
                 self.raise(Effect::Write, "it changes rows");
@@ -139,7 +139,7 @@
         }
     }
 
-    fn select(&mut self, select: &Select) {
+    fn check_select(&mut self, select: &Select) {
         if select.into.is_some() {
             self.raise(Effect::Write, "it writes into a table");
         }
@@ -156,11 +156,11 @@
         self.findings.table_uses.add_select(select);
     }
 
-    fn table_factor(&mut self, factor: &TableFactor) {
+    fn check_table_factor(&mut self, factor: &TableFactor) {
         let alias = match factor {
             TableFactor::Table { name, args, with_hints, alias, .. } => {
                 if let Some(arguments) = args {
-                    self.table_arguments(name, arguments);
+                    self.check_table_arguments(name, arguments);
                 }
                 with_hints.iter().for_each(|hint| self.findings.check_table_hint(hint));
                 alias
@@ -188,7 +188,7 @@
 
     /// Checks a table with arguments: a function call, or in T-SQL a table with hints in the legacy notation
     /// `FROM t (NOLOCK)`.
-    fn table_arguments(&mut self, name: &ObjectName, arguments: &TableFunctionArgs) {
+    fn check_table_arguments(&mut self, name: &ObjectName, arguments: &TableFunctionArgs) {
         let table = qualified_name(name).filter(|_| self.findings.dialect == Dialect::Tsql);
         match table {
             Some(table) if self.is_unknown_function(&table) && are_dirty_read_hints(arguments) => {
@@ -213,7 +213,7 @@
         features.subqueries = features.subqueries.saturating_add(1);
     }
 
-    fn expression(&mut self, expression: &Expr) {
+    fn check_expression(&mut self, expression: &Expr) {
         match expression {
             Expr::Function(function) => {
                 self.findings.check_call(&function.name, !matches!(function.args, FunctionArguments::None));
--- a/crates/comethitch-statement/src/cost.rs
+++ b/crates/comethitch-statement/src/cost.rs
@@ -1,7 +1,8 @@
 //! The cost of a shape's statements, learned from the latencies of hosts.
 //!
 //! The cost is the 75th percentile of a coarse histogram of latencies, which decays by halving. Until enough
-//! latencies are recorded, the cost is estimated from the shape's features and the average lookup time of all shapes.
+//! latencies are recorded, the cost is estimated from the shape's features and the average lookup time of all
+//! shapes.
 
 use comethitch_policy::time::Duration;
 
@@ -13,11 +14,11 @@
 const MAX_RECORDED: u16 = 256;
 /// Minimum number of latencies for a percentile; with fewer the estimate is used.
 const MIN_RECORDED: u16 = 8;
-/// How far past a bound the cost must be to change the band, as a factor.
+/// The band changes only if the cost is beyond a bound by this factor.
 const HYSTERESIS: f64 = 1.25;
 /// The weight of each latency in the moving average of the lookup time.
 const AVERAGE_WEIGHT: f64 = 1.0 / 64.0;
-/// Limits how far one latency counts above or below the average, as a factor.
+/// One latency counts in the average as at most this many times the average, and at least its reciprocal.
 const OUTLIER_FACTOR: f64 = 8.0;
 /// Assumed time of a lookup by key before the first response.
 const INITIAL_LOOKUP_TIME: Duration = Duration::from_millis(1);
@@ -49,11 +50,13 @@
     }
 }
 
-/// The cost of one shape.
+/// The cost of one shape, learned from latencies, and its cost band: the number of bounds that the cost
+/// reaches.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
     /// Number of latencies by bin.
     bins: [u16; BINS],
+    /// Sum of the bins.
     total: u16,
     /// The last band that was determined from recorded latencies.
     band: Option<u8>,
@@ -72,8 +75,9 @@
         }
     }
 
-    /// Returns the 75th percentile of the latencies, as the middle of its bin, or `None` with too few latencies.
-    pub fn learned(&self) -> Option<Duration> {
+    /// Returns the 75th percentile of the latencies, as the middle of its bin, or `None` with too few
+    /// latencies.
+    pub fn percentile_75(&self) -> Option<Duration> {
         if self.total < MIN_RECORDED {
             return None;
         }
@@ -90,8 +94,8 @@
 
     /// Returns the cost band: the number of `bounds`, in ascending order, that the cost reaches.
     ///
-    /// The band changes only when the cost passes a bound by a quarter. With too few latencies the cost is estimated
-    /// from `lookups`.
+    /// The band changes only when the cost passes a bound by a quarter. With too few latencies the cost is
+    /// estimated from `lookups`.
     ///
     /// ```
     /// use comethitch_policy::time::Duration;
@@ -102,7 +106,7 @@
     /// assert_eq!(cost.band(&bounds, LookupTime::default(), 1.0), 1);
     /// ```
     pub fn band(&mut self, bounds: &[Duration], lookup_time: LookupTime, lookups: f64) -> u8 {
-        let learned = self.learned();
+        let learned = self.percentile_75();
         let cost_us = learned.unwrap_or_else(|| lookup_time.estimate(lookups)).as_micros() as f64;
         let band = match self.band {
             Some(band) if band <= bounds.len() as u8 => {
--- a/crates/comethitch-statement/src/frequency_sketch.rs
+++ b/crates/comethitch-statement/src/frequency_sketch.rs
@@ -1,8 +1,8 @@
 //! Estimates the recent frequency of keys in constant memory: a count-min sketch of four-bit counters with
 //! conservative update.
 //!
-//! Estimates may be too high where keys share counters, and are too low only through ageing: all counts are halved
-//! periodically.
+//! Estimates may be too high where keys share counters, and are too low only through ageing: all counts are
+//! halved periodically.
 
 use crate::ShapeKey;
 
@@ -12,8 +12,8 @@
 const MAX_COUNT: u8 = 15;
 /// Clears the bit that shifting a byte moves from its upper counter into its lower one.
 const HALVED_MASK: u8 = 0x77;
-/// Counters per row and expected key. More than [`SAMPLES_PER_KEY`], so that keys that occur once rarely share
-/// all counters with others.
+/// Counters per row and expected key. More than [`SAMPLES_PER_KEY`], so that even in a flood of keys that
+/// occur once, a key rarely shares all counters with others and so rarely looks like one that recurs.
 const COUNTERS_PER_KEY: usize = 8;
 /// Increments per expected key after which all counts are halved.
 const SAMPLES_PER_KEY: usize = 6;
@@ -24,8 +24,8 @@
 pub struct FrequencySketch {
     /// Two counters per byte, row by row.
     counters: Box<[u8]>,
-    /// The number of counters per row, a power of two, less one.
-    mask: usize,
+    /// Selects the column within a row: the number of counters per row, which is a power of two, minus one.
+    column_mask: usize,
     /// Increments since the last halving.
     increments: usize,
     /// Increments at which all counts are halved.
@@ -37,7 +37,7 @@
     pub fn new(keys: usize) -> FrequencySketch {
         FrequencySketch {
             counters: vec![0; Self::memory_bytes(keys)].into_boxed_slice(),
-            mask: row_width(keys) - 1,
+            column_mask: row_width(keys) - 1,
             increments: 0,
             sample_size: keys.max(MIN_KEYS) * SAMPLES_PER_KEY,
         }
@@ -53,8 +53,8 @@
         let low = key.0 as u64 as usize;
         let high = (key.0 >> 64) as u64 as usize | 1;
         std::array::from_fn(|row| {
-            let column = low.wrapping_add(high.wrapping_mul(row)) & self.mask;
-            row * (self.mask + 1) + column
+            let column = low.wrapping_add(high.wrapping_mul(row)) & self.column_mask;
+            row * (self.column_mask + 1) + column
         })
     }
 
--- a/crates/comethitch-statement/src/lexer/characters.rs
+++ b/crates/comethitch-statement/src/lexer/characters.rs
@@ -31,8 +31,8 @@
     start + text.get(start..).unwrap_or_default().iter().take_while(|byte| condition(**byte)).count()
 }
 
-/// Returns whether every server accepts all characters in a name. Some servers read other characters beyond ASCII
-/// as white space.
+/// Returns whether every server accepts all characters in a name. Some servers read other characters beyond
+/// ASCII as white space.
 pub(super) fn is_name_text(name: &[u8]) -> bool {
     if name.is_ascii() {
         return true;
--- a/crates/comethitch-statement/src/lexer/mod.rs
+++ b/crates/comethitch-statement/src/lexer/mod.rs
@@ -1,13 +1,14 @@
 //! Splits a statement's text into tokens and literals, and computes its *shape*, in one pass.
 //!
-//! The shape is the normalised statement, also known as fingerprint or digest: literals and parameters are replaced
-//! by placeholders, lists of values are folded, unquoted words are in lower case, and comments and white space are
-//! removed. It can be tokenised again: tokens are separated by one blank, a placeholder is the byte 1, and quoted
-//! names are unchanged. The verdict on a statement depends on its shape only, so that two statements with the same
-//! shape always get the same verdict.
+//! The shape is the normalised statement, also known as fingerprint or digest: literals and parameters are
+//! replaced by placeholders, lists of values are folded, unquoted words are in lower case, and comments and
+//! white space are removed. It can be tokenised again: tokens are separated by one blank, a placeholder is
+//! the byte 1, and quoted names are unchanged. The verdict on a statement depends on its shape only, so that
+//! two statements with the same shape always get the same verdict.
 //!
-//! Text that servers of one dialect may read in different ways (a backslash before a quote, a control character, a
-//! number directly followed by a word) is an [`Ambiguity`]: such a statement is never classified as a read.
+//! Text that servers of one dialect may read in different ways (a backslash before a quote, a control
+//! character, a number directly followed by a word) is an [`Ambiguity`]: such a statement is never classified
+//! as a read.
 
 mod ambiguity;
 mod characters;
@@ -54,7 +55,7 @@
     ambiguity: Option<Ambiguity>,
     /// Whether backslashes escape in every string, as with `standard_conforming_strings` off.
     backslash_escapes: bool,
-    /// Whether a backslash without a meaning in the SQL standard precedes a quote.
+    /// Whether a string has a quote after a backslash that does not escape it in the SQL standard.
     backslash_before_quote: bool,
     unterminated: bool,
 }
@@ -110,7 +111,7 @@
     /// Reads a statement, which replaces the previous one.
     pub fn read(&mut self, text: &[u8]) {
         self.reset();
-        let text = self.readable(text);
+        let text = self.check_length_and_encoding(text);
         let mut at = 0;
         while at < text.len() {
             at = self.read_token(text, at);
@@ -132,19 +133,20 @@
     }
 
     /// Cuts a text to the maximum length, and checks its encoding.
-    fn readable<'t>(&mut self, text: &'t [u8]) -> &'t [u8] {
-        let readable = &text[..text.len().min(MAX_STATEMENT_BYTES)];
-        if readable.len() < text.len() {
+    fn check_length_and_encoding<'t>(&mut self, text: &'t [u8]) -> &'t [u8] {
+        let truncated = &text[..text.len().min(MAX_STATEMENT_BYTES)];
+        if truncated.len() < text.len() {
             self.mark_ambiguous(Ambiguity::TooLong);
         }
-        if std::str::from_utf8(readable).is_err() {
+        if std::str::from_utf8(truncated).is_err() {
             self.mark_ambiguous(Ambiguity::NotUtf8);
         }
-        readable
+        truncated
     }
 
-    /// Reads the text again with backslashes as escapes, by which strings end elsewhere. The text is unambiguous only
-    /// if it is then unterminated, as with `ESCAPE '\'`, since a server that escapes would reject it.
+    /// Reads the text again with backslashes as escape characters, which changes where strings end. The text
+    /// stays unambiguous only if a string then has no end, as in `ESCAPE '\'`, since a server that escapes
+    /// would reject it.
     fn check_escaped_reading(&mut self, text: &[u8]) {
         let mut escaping = Lexer { backslash_escapes: true, ..Lexer::new(self.dialect) };
         escaping.read(text);
--- a/crates/comethitch-statement/src/lexer/quoted.rs
+++ b/crates/comethitch-statement/src/lexer/quoted.rs
@@ -31,7 +31,7 @@
     pub scanned: Scanned,
     /// The notation; special if the string has continuations.
     pub form: LiteralForm,
-    /// Whether a backslash without a meaning in the SQL standard precedes a quote.
+    /// Whether the string has a quote after a backslash that does not escape it in the SQL standard.
     pub backslash_before_quote: bool,
 }
 
@@ -66,8 +66,8 @@
     ScannedString { scanned, form, backslash_before_quote }
 }
 
-/// Returns where a string that ended before `at` continues: after the next quote, if only white space and comments
-/// with at least one line end are in between.
+/// Returns where a string that ended before `at` continues, which is after the next quote, if only white
+/// space and comments with at least one line end are in between.
 fn continuation(text: &[u8], mut at: usize, dialect: Dialect) -> Option<usize> {
     if dialect != Dialect::Postgres {
         return None;
--- a/crates/comethitch-statement/src/lexer/shape_builder.rs
+++ b/crates/comethitch-statement/src/lexer/shape_builder.rs
@@ -1,5 +1,5 @@
-//! Builds a statement's shape, and folds lists of values: the values of `IN (…)` and `ARRAY[…]` become one value, and
-//! equal rows of VALUES become one row.
+//! Builds a statement's shape, and folds lists of values: the values of `IN (…)` and `ARRAY[…]` become one
+//! value, and equal rows of VALUES become one row.
 
 use super::ambiguity::Ambiguity;
 use super::token::{Literal, LiteralForm, Token, TokenKind};
@@ -94,8 +94,8 @@
         self.placeholders = 0;
     }
 
-    /// Completes the shape. Trailing semicolons are dropped, as they do not change the statement; a mark with the
-    /// reason distinguishes ambiguous statements.
+    /// Completes the shape. Trailing semicolons are dropped, as they do not change the statement; a mark with
+    /// the reason distinguishes ambiguous statements.
     pub(super) fn finish(&mut self, ambiguity: Option<Ambiguity>) {
         while self.tokens.last().is_some_and(|token| self.bytes(*token) == b";") {
             self.pop_token();
@@ -222,7 +222,8 @@
         }
     }
 
-    /// Drops a row of VALUES that has the shape of the previous row, and records the row that the next one follows.
+    /// Drops a row of VALUES that has the shape of the previous row, and records the row that the next one is
+    /// compared with.
     fn fold_row(&mut self, bracket: &OpenBracket) {
         let row = Row { first_token: bracket.first_token, end_token: self.tokens.len() };
         let previous = match self.brackets.last() {
--- a/crates/comethitch-statement/src/lexer/words.rs
+++ b/crates/comethitch-statement/src/lexer/words.rs
@@ -9,7 +9,7 @@
 /// A PostgreSQL operator of several characters may end in `+` or `-` only if it contains one of these.
 const POSTGRES_ALLOWS_FINAL_SIGN: &[u8] = b"~!@#%^&|`?";
 
-/// What a word is.
+/// Whether a word is a name, or the prefix of a string or of a quoted name.
 pub(super) enum WordForm {
     /// An unquoted name or keyword.
     Plain,
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the length of the longest run of operator characters that does not contain the start of a comment, and
-/// does not end in a sign that PostgreSQL reads separately.
+/// Returns the length of the longest run of operator characters that does not contain the start of a comment,
+/// and does not end in a sign that PostgreSQL reads separately.
 fn postgres_operator_length(text: &[u8]) -> usize {
     let mut length = text.iter().take_while(|byte| POSTGRES_OPERATOR.contains(byte)).count();
     let comment = text[..length].windows(2).position(|pair| matches!(pair, b"--" | b"/*"));
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -1,12 +1,13 @@
 //! Classifies SQL statements by their text, and assigns them to request classes and shards.
 //!
-//! [`lexer`] normalises a statement to its *shape* in one pass. The shape's [`Verdict`] (its effect, the tables and
-//! functions that it uses, and the features that affect its cost) is looked up in a [`cache`] or computed by
-//! [`classify`]. [`assign`] determines the request class and the shard by the verdict and the operator's [`rules`].
-//! [`admission`] combines these steps. The crate does no I/O, reads no clock, and chooses no hosts.
+//! [`lexer`] normalises a statement to its *shape* in one pass. The shape's [`Verdict`] (its effect, the
+//! tables and functions that it uses, and the features that affect its cost) is looked up in a [`cache`] or
+//! computed by [`classify`]. [`assign`] determines the request class and the shard by the verdict and the
+//! operator's [`rules`]. [`admission`] combines these steps. The crate does no I/O, reads no clock, and
+//! chooses no hosts.
 //!
-//! Side effects that the text does not show, such as a view that calls a writing function, must be listed in a
-//! [`catalogue`]. A statement in doubt is never classified as a read.
+//! Side effects that the text does not show, such as a view that calls a writing function, must be listed in
+//! a [`catalogue`]. A statement in doubt is never classified as a read.
 //!
 //! ```
 //! use comethitch_statement::{Catalogue, Classifier, Dialect, Effect, Lexer};
--- a/crates/comethitch-statement/src/rules.rs
+++ b/crates/comethitch-statement/src/rules.rs
@@ -1,7 +1,8 @@
-//! The operator's statement rules, read from JSON. The schema is `deploy/statements.schema.json`; its descriptions
-//! are the doc comments here.
+//! The operator's statement rules, read from JSON. The schema is `deploy/statements.schema.json`; its
+//! descriptions are the doc comments here.
 //!
-//! Fields and types keep the names of the JSON keys and of the schema through serde's `rename` and `expecting`.
+//! Fields and types keep the names of the JSON keys and of the schema through serde's `rename` and
+//! `expecting`.
 
 use crate::budget::BudgetShares;
 use crate::{Catalogue, Dialect, Effect};
@@ -94,7 +95,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Spread", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Placement {
-    /// By the 64-bit FNV-1a hash of the key's text, modulo the number of shards, which are listed in this order.
+    /// By the 64-bit FNV-1a hash of the key's text, modulo the number of shards, which are listed in this
+    /// order.
     Hash(Vec<u16>),
     /// By ranges of keys, in ascending order.
     Range(Vec<KeyRange>),
@@ -104,8 +106,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Stretch", expecting = "struct Stretch", deny_unknown_fields)]
 pub struct KeyRange {
-    /// The exclusive upper bound; absent in the last range, which holds all remaining keys. Numbers are compared
-    /// as numbers, texts byte by byte.
+    /// The exclusive upper bound; absent in the last range, which holds all remaining keys. Numbers are
+    /// compared as numbers, texts byte by byte.
     pub below: Option<Bound>,
     /// The shard.
     #[serde(rename = "hosts")]
--- a/crates/comethitch-statement/src/rules_error.rs
+++ b/crates/comethitch-statement/src/rules_error.rs
@@ -2,7 +2,7 @@
 
 use crate::Effect;
 
-/// An error in the rules.
+/// An error in the operator's rules.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RulesError {
     /// A share of the parsing budget is not above 0 and at most 1.
@@ -14,7 +14,7 @@
         share: f64,
     },
     /// The cache is too small or too large.
-    #[error("cache.kib must be {min_kib} to {max_kib}, not {kib}")]
+    #[error("cache.kib must be between {min_kib} and {max_kib}, not {kib}")]
     CacheSize {
         /// Minimum size, in KiB.
         min_kib: usize,
@@ -24,10 +24,10 @@
         kib: usize,
     },
     /// The list of rules for request classes is empty.
-    #[error("groups must hold a rule")]
+    #[error("groups must contain at least one rule")]
     NoClasses,
     /// The rules name too many different cost bounds.
-    #[error("groups must not hold more than {max} bounds of cost")]
+    #[error("groups must not contain more than {max} different cost bounds in from_ms and below_ms")]
     TooManyCostBounds {
         /// Maximum number of bounds.
         max: usize,
@@ -54,24 +54,27 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ClassRuleError {
     /// The deployment has no request class of this name.
-    #[error("group is no command group: {name:?}")]
+    #[error("group names an unknown request class: {name:?}")]
     UnknownClass {
         /// The configured name.
         name: String,
     },
     /// The list of effects is empty.
-    #[error("effects must name an effect")]
+    #[error("effects must contain at least one effect")]
     NoEffects,
     /// The request class's idempotency or consistency does not allow an effect.
-    #[error("effects holds {}, and commands of {class:?} may go to replicas or be sent again", .effect.name())]
+    #[error(
+        "effects contains {}, but requests of the class {class:?} may go to replicas or be retried",
+        .effect.name()
+    )]
     EffectNotAllowed {
         /// The effect.
         effect: Effect,
         /// The request class's name.
         class: String,
     },
-    /// A cost bound is not a duration above 0.
-    #[error("{key} must be a time above 0, not {milliseconds}")]
+    /// A cost bound is not above 0, or is too large.
+    #[error("{key} must be a duration in milliseconds above 0 and below 1e9, not {milliseconds}")]
     CostBound {
         /// The key within the rule.
         key: &'static str,
@@ -87,22 +90,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyRuleError {
     /// The list of tables is empty.
-    #[error("tables must name a table")]
+    #[error("tables must contain at least one table")]
     NoTables,
     /// An earlier rule already names one of the tables.
-    #[error("tables names {table:?}, which has a key already")]
+    #[error("tables contains {table:?}, for which an earlier rule defines a key")]
     DuplicateTable {
         /// The table.
         table: String,
     },
     /// The list of shards for hashed keys is empty.
-    #[error("spread.hash must name a group of hosts")]
+    #[error("spread.hash must contain at least one shard")]
     NoShards,
     /// The list of key ranges is empty.
-    #[error("spread.range must hold a stretch")]
+    #[error("spread.range must contain at least one range")]
     NoRanges,
     /// The last range has a bound, which leaves some keys without a shard.
-    #[error("spread.range must end in a stretch without a bound")]
+    #[error("spread.range must end with a range that has no `below`")]
     LastRangeBounded,
     /// A range other than the last has no bound.
     #[error("spread.range.{index}.below is missing")]
@@ -111,7 +114,9 @@
         index: usize,
     },
     /// A bound is not above the previous one, or is not of the same kind.
-    #[error("spread.range.{index}.below must be above the one before, and of its kind")]
+    #[error(
+        "spread.range.{index}.below must be above the previous bound and of the same type, number or text"
+    )]
     BoundNotAscending {
         /// The range's index, from 0.
         index: usize,
--- a/crates/comethitch-statement/src/verdict.rs
+++ b/crates/comethitch-statement/src/verdict.rs
@@ -1,4 +1,5 @@
-//! The verdict on a shape: its effect, the tables and functions that it uses, and the features that affect its cost.
+//! The verdict on a shape: its effect, the tables and functions that it uses, and the features that affect
+//! its cost.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -76,9 +77,10 @@
 
 /// Factors by which features multiply the estimated cost.
 mod cost_factor {
-    /// A scan that reads all rows.
+    /// A scan that reads all rows of a table.
     pub(super) const SCAN: f64 = 4.0;
-    /// A limited scan may end early, unless all rows are needed for sorting or grouping.
+    /// A scan that may end early, because the statement limits the number of rows and does not sort or group
+    /// them.
     pub(super) const LIMITED_SCAN: f64 = 2.0;
     /// A join, subquery, set operation or window.
     pub(super) const OPERATION: f64 = 1.5;
@@ -129,7 +131,7 @@
 pub struct TableUse {
     /// The table, with its schema as written.
     pub table: Box<str>,
-    /// The columns whose values are known.
+    /// The columns whose values are known, which may be keys.
     pub keys: Vec<ColumnValues>,
 }
 
@@ -157,7 +159,7 @@
     pub features: Features,
     /// Whether the shape was parsed completely; if not, its tables and functions are unknown.
     pub parsed: bool,
-    /// Whether it begins, ends or subdivides a transaction, and so affects later statements.
+    /// Whether the statement begins, ends or subdivides a transaction, and so affects later statements.
     pub controls_transaction: bool,
 }
 
--- a/crates/comethitch-statement/tests/corpus.rs
+++ b/crates/comethitch-statement/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! The effects of the statements in the corpus. For a write, `unknown` would be as safe, but the exact effect is
-//! required.
+//! The effects of the statements in the corpus. The exact effect is required, although `unknown` would be as
+//! safe as `write`.
 
 mod support;
 
--- a/crates/comethitch-statement/tests/memory.rs
+++ b/crates/comethitch-statement/tests/memory.rs
@@ -26,7 +26,7 @@
     if hit.is_none() {
         cache.insert(key(number), number, VALUE_BYTES, client);
     }
-    assert!(hit.is_none_or(|value| value == number), "the value of another shape");
+    assert!(hit.is_none_or(|value| value == number), "the cache returned the value of another shape");
     hit.is_some()
 }
 
@@ -64,7 +64,8 @@
 fn flood_by_one_client_does_not_evict_shapes_of_another() {
     let mut cache = Cache::new(CACHE_BYTES);
     warm_up(&mut cache, 3, 300, 1);
-    // Each shape of the flood is looked up repeatedly, so that its frequency exceeds that of the shapes in use.
+    // Each shape of the flood is looked up repeatedly, so that its frequency exceeds that of the shapes in
+    // use.
     for round in 0..50 {
         for number in 0..2_000 {
             for _ in 0..6 {
@@ -141,7 +142,8 @@
     let mut flood_us = 0_u64;
     let mut steady_us = 0_u64;
     let mut steady_rejected = 0;
-    // For ten seconds one client parses without a pause, another a hundred times per second; a parse takes 100 µs.
+    // For ten seconds one client parses without a pause, another a hundred times per second; a parse takes
+    // 100 µs.
     for step in 0..100_000_u64 {
         now = now + Duration::from_micros(100);
         let mut is_reserved = |client: u64| match budget.reserve(client, 42, now) {
@@ -157,7 +159,7 @@
         }
     }
     assert_eq!((steady_rejected, steady_us), (0, 100_000));
-    // Ten seconds, and the initial burst of one.
+    // The budget of ten seconds, and the full bucket of one second at the start.
     let max_flood_us = (11e6 * shares.total * shares.client) as u64;
     assert!(flood_us <= max_flood_us + 200, "the flood used {flood_us} of {max_flood_us} µs");
     assert!(flood_us >= max_flood_us * 9 / 10, "the flood got only {flood_us} of {max_flood_us} µs");
@@ -178,7 +180,7 @@
             reservation => exceeded |= reservation == Reservation::TotalExceeded,
         }
     }
-    // Four seconds, and the initial burst of one.
+    // The budget of four seconds, and the full bucket of one second at the start.
     assert!(exceeded && spent_us <= 250_200, "{spent_us} µs");
     assert!(spent_us >= 225_000, "{spent_us} µs");
 }
--- a/crates/comethitch-statement/tests/rules.rs
+++ b/crates/comethitch-statement/tests/rules.rs
@@ -45,14 +45,15 @@
         ],
         "keys": [
             {"tables": ["facts"], "column": "code", "spread": {"hash": [4, 5, 6]}},
-            {"tables": ["saldos"], "column": "lector", "spread": {"range": [{"below": "m", "hosts": 1}, {"hosts": 2}]}}
+            {"tables": ["saldos"], "column": "lector",
+             "spread": {"range": [{"below": "m", "hosts": 1}, {"hosts": 2}]}}
         ],
         "elsewhere": 9
     })
 }
 
 fn admission(rules: &Value) -> Result<StatementAdmission, RulesError> {
-    let rules: Rules = serde_json::from_value(rules.clone()).expect("rules");
+    let rules: Rules = serde_json::from_value(rules.clone()).expect("the rules have the form of the schema");
     let (classes, names) = classes();
     StatementAdmission::new(rules, &classes, &names, Secret([3; 16]), Timestamp::ZERO)
 }
@@ -60,14 +61,14 @@
 fn admit(
     admission: &mut StatementAdmission, text: &str, class: Option<&str>,
 ) -> Result<AdmittedStatement, StatementRejection> {
-    let class =
-        class.map(|class| classes().1.iter().position(|name| name == class).expect("a request class"));
+    let class = class
+        .map(|class| classes().1.iter().position(|name| name == class).expect("the request class exists"));
     admission.admit(text.as_bytes(), StatementHints { class, shard: None }, 1, &|| Timestamp::ZERO)
 }
 
 #[test]
 fn rules_assign_statements_to_class_and_shard() {
-    let mut admission = admission(&rules()).expect("rules");
+    let mut admission = admission(&rules()).expect("the rules are valid");
     let hashed = |key: &str| [4, 5, 6][(fnv1a(key.as_bytes()) % 3) as usize];
     for (text, class, shard) in [
         ("SELECT data FROM facts WHERE code = 'k1'", "read", hashed("k1")),
@@ -91,7 +92,7 @@
 
 #[test]
 fn session_is_the_hash_of_the_key_not_of_the_first_literal() {
-    let mut admission = admission(&rules()).expect("rules");
+    let mut admission = admission(&rules()).expect("the rules are valid");
     let mut session = |text: &str| admit(&mut admission, text, None).expect(text).assignment.session;
     let ana = Some(fnv1a(b"ana"));
     assert_eq!(session("UPDATE saldos SET nota = 'x' WHERE lector = 'ana'"), ana);
@@ -102,7 +103,7 @@
 
 #[test]
 fn statements_for_several_shards_or_none_are_rejected() {
-    let mut admission = admission(&rules()).expect("rules");
+    let mut admission = admission(&rules()).expect("the rules are valid");
     for (text, message) in [
         ("SELECT data FROM facts WHERE code IN ('a', 'b', 'c', 'd', 'e', 'f')", "groups of hosts"),
         (
@@ -119,7 +120,7 @@
         ("SHOW work_mem", "no rule"),
     ] {
         let Err(StatementRejection::Rejected(error)) = admit(&mut admission, text, None) else {
-            panic!("{text} was admitted")
+            panic!("{text} was not rejected")
         };
         assert!(error.to_string().contains(message), "{text}: {error}");
     }
@@ -127,7 +128,7 @@
 
 #[test]
 fn comment_may_name_a_stricter_class_but_not_a_laxer_one() {
-    let mut admission = admission(&rules()).expect("rules");
+    let mut admission = admission(&rules()).expect("the rules are valid");
     for (text, class, is_allowed) in [
         ("SELECT 1", "read", true),
         ("SELECT 1", "write", true),
@@ -151,13 +152,13 @@
 
 #[test]
 fn costly_shape_moves_to_the_class_for_expensive_reads() {
-    let mut admission = admission(&rules()).expect("rules");
+    let mut admission = admission(&rules()).expect("the rules are valid");
     let text = "SELECT * FROM series WHERE titulo LIKE 'x%'";
-    let admitted = admit(&mut admission, text, None).expect("an admitted statement");
+    let admitted = admit(&mut admission, text, None).expect("the statement is admitted");
     assert_eq!(classes().1[admitted.assignment.class], "read");
     (0..30).for_each(|_| admission.record_latency(&admitted.shape, Duration::from_millis(400)));
     let other = admit(&mut admission, "select * from SERIES where titulo like 'another%'", None)
-        .expect("an admitted statement");
+        .expect("the statement is admitted");
     assert_eq!(
         (classes().1[other.assignment.class].as_str(), other.source),
         ("heavy", VerdictSource::CacheHit)
@@ -169,9 +170,9 @@
     for beyond in ["cautious", "throttle"] {
         let mut with_budget = rules();
         with_budget["parsing"] = json!({"core_part": 0.001, "client_part": 0.5, "beyond": beyond});
-        let mut admission = admission(&with_budget).expect("rules");
+        let mut admission = admission(&with_budget).expect("the rules are valid");
         let known = "SELECT 1 FROM series WHERE a = 1";
-        admit(&mut admission, known, None).expect("an admitted statement");
+        admit(&mut admission, known, None).expect("the statement is admitted");
         // Each reading of the clock is 50 µs after the previous one.
         let now_us = std::cell::Cell::new(0);
         let clock = || {
@@ -208,19 +209,19 @@
     let class = |effects: Value, name: &str| json!({"group": name, "effects": effects});
     type Change<'a> = &'a dyn Fn(&mut Value);
     let cases: [(&str, Change<'_>); 16] = [
-        ("groups.2.group is no command group", &|r| r["groups"][2]["group"] = "x".into()),
-        ("groups.2.effects holds write", &|r| r["groups"][2] = class(json!(["read", "write"]), "read")),
-        ("groups.2.effects holds locking_read", &|r| {
+        ("groups.2.group names an unknown request class: \"x\"", &|r| r["groups"][2]["group"] = "x".into()),
+        ("groups.2.effects contains write", &|r| r["groups"][2] = class(json!(["read", "write"]), "read")),
+        ("groups.2.effects contains locking_read", &|r| {
             r["groups"][2] = class(json!(["locking_read"]), "fresh");
         }),
-        ("groups.2.effects holds write", &|r| r["groups"][2] = class(json!(["write"]), "locked")),
-        ("groups.2.effects holds unknown", &|r| r["groups"][2] = class(json!(["unknown"]), "keyed")),
-        ("groups.2.effects must name", &|r| r["groups"][2] = class(json!([]), "write")),
-        ("groups must hold a rule", &|r| r["groups"] = json!([])),
-        ("groups.1.from_ms must be", &|r| r["groups"][1]["from_ms"] = (-1.0).into()),
+        ("groups.2.effects contains write", &|r| r["groups"][2] = class(json!(["write"]), "locked")),
+        ("groups.2.effects contains unknown", &|r| r["groups"][2] = class(json!(["unknown"]), "keyed")),
+        ("groups.2.effects must contain", &|r| r["groups"][2] = class(json!([]), "write")),
+        ("groups must contain at least one rule", &|r| r["groups"] = json!([])),
+        ("groups.1.from_ms must be a duration", &|r| r["groups"][1]["from_ms"] = (-1.0).into()),
         ("groups.1.below_ms must be above", &|r| r["groups"][1]["below_ms"] = 3.into()),
-        ("keys.0.tables must name", &|r| r["keys"][0]["tables"] = json!([])),
-        ("keys.1.tables names \"facts\"", &|r| r["keys"][1]["tables"] = json!(["facts"])),
+        ("keys.0.tables must contain", &|r| r["keys"][0]["tables"] = json!([])),
+        ("keys.1.tables contains \"facts\"", &|r| r["keys"][1]["tables"] = json!(["facts"])),
         ("keys.0.spread.hash", &|r| r["keys"][0]["spread"] = json!({"hash": []})),
         ("keys.1.spread.range must end", &|r| {
             r["keys"][1]["spread"] = json!({"range": [{"below": 3, "hosts": 1}]});
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -1,5 +1,5 @@
-//! Which statements share a shape, which tables and column values a verdict lists, and properties of verdicts on
-//! generated texts.
+//! Which statements share a shape, which tables and column values a verdict lists, and properties of verdicts
+//! on generated texts.
 
 mod support;
 
@@ -126,11 +126,11 @@
     }
 }
 
-/// Returns the texts of the corpus that can be rewritten without changing their shape: adjacent literals could merge,
-/// and a rewritten ambiguous text may be unambiguous.
+/// Returns the texts of the corpus that can be rewritten without changing their shape: adjacent literals
+/// could merge, and a rewritten ambiguous text may be unambiguous.
 fn rewritable_texts(dialect: Dialect) -> Vec<String> {
     let rows = corpus_lines(dialect).map(|line| serde_json::from_str::<Value>(line).expect(line));
-    let texts = rows.map(|row| row["sql"].as_str().expect("sql").to_string());
+    let texts = rows.map(|row| row["sql"].as_str().expect("the field sql is a string").to_string());
     let mut lexer = Lexer::new(dialect);
     texts
         .filter(|text| {
@@ -170,7 +170,7 @@
     let mut rewritten = String::new();
     for (token, style) in lexer.tokens().iter().zip(styles.iter().cycle()) {
         rewritten += separator(style.space);
-        let bytes = std::str::from_utf8(lexer.bytes(*token)).expect("UTF-8");
+        let bytes = std::str::from_utf8(lexer.bytes(*token)).expect("the token is UTF-8");
         match token.kind {
             TokenKind::Word => rewritten.extend(change_case(bytes, style.uppercase)),
             TokenKind::Placeholder => rewritten += literal(dialect, style.literal),
@@ -214,7 +214,12 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 400,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
     fn rewritten_statement_keeps_its_shape_and_verdict(
@@ -230,7 +235,9 @@
     }
 
     #[test]
-    fn arbitrary_bytes_get_a_verdict_and_are_reads_only_if_utf8(bytes in prop::collection::vec(any::<u8>(), 0..200), tsql in any::<bool>()) {
+    fn arbitrary_bytes_get_a_verdict_and_are_reads_only_if_utf8(
+        bytes in prop::collection::vec(any::<u8>(), 0..200), tsql in any::<bool>(),
+    ) {
         let dialect = if tsql { Dialect::Tsql } else { Dialect::Postgres };
         let effect = verdict(dialect, &bytes).effect;
         prop_assert!(std::str::from_utf8(&bytes).is_ok() || effect != Effect::Read);
@@ -239,15 +246,20 @@
     #[test]
     fn read_followed_by_a_write_is_not_a_read(
         parts in prop::collection::vec(prop::sample::select(vec![
-            "SELECT", "1", "a", "FROM", "t", "WHERE", "(", ")", "'", "\"", "--", "/*", "*/", "$$", "$a$", "\\", ",", ";",
-            "=", "IN", "AS", "E'", "[", "]", "\n", " ", "UNION", "CASE", "END", "b.c", "::int", "@x", "N'", "WITH", "*",
+            "SELECT", "1", "a", "FROM", "t", "WHERE", "(", ")", "'", "\"", "--", "/*", "*/", "$$", "$a$",
+            "\\", ",", ";", "=", "IN", "AS", "E'", "[", "]", "\n", " ", "UNION", "CASE", "END", "b.c",
+            "::int", "@x", "N'", "WITH", "*",
         ]), 0..24),
         tsql in any::<bool>(),
     ) {
         let dialect = if tsql { Dialect::Tsql } else { Dialect::Postgres };
         let text: String = parts.iter().flat_map(|part| [*part, " "]).collect();
         if verdict(dialect, text.as_bytes()).effect == Effect::Read {
-            for write in ["\n; DELETE FROM t", "\n;WITH d AS (DELETE FROM t RETURNING 1) SELECT 1", "\n; SELECT cobrar(1)"] {
+            for write in [
+                "\n; DELETE FROM t",
+                "\n;WITH d AS (DELETE FROM t RETURNING 1) SELECT 1",
+                "\n; SELECT cobrar(1)",
+            ] {
                 let followed = format!("{text}{write}");
                 prop_assert_ne!(verdict(dialect, followed.as_bytes()).effect, Effect::Read, "{}", followed);
             }
