--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -201,7 +201,7 @@
 /// Measures admission under the lookups of two clients, of which one floods it with distinct shapes.
 struct FloodRun<'a> {
     admission: StatementAdmission,
-    began: Instant,
+    started_at: Instant,
     /// The statements of the steady client.
     steady_statements: &'a [String],
     /// The steady client's admission times before the flood.
@@ -210,7 +210,7 @@
     steady_during_ns: Histogram<u64>,
     flood_ns: Histogram<u64>,
     /// Number of the flood's lookups that exceeded the parsing budget.
-    beyond_budget: usize,
+    over_budget: usize,
     /// Number of the steady client's cache hits during the flood.
     steady_hits: usize,
     /// Number of the steady client's lookups during the flood.
@@ -229,20 +229,20 @@
         let histogram = || Histogram::new(3).expect("valid number of significant digits");
         FloodRun {
             admission: admission(limited),
-            began: Instant::now(),
+            started_at: Instant::now(),
             steady_statements,
             steady_before_ns: histogram(),
             steady_during_ns: histogram(),
             flood_ns: histogram(),
-            beyond_budget: 0,
+            over_budget: 0,
             steady_hits: 0,
             steady_lookups: 0,
         }
     }
 
     fn admit(&mut self, text: &str, client: u64) -> MeasuredAdmission {
-        let began = self.began;
-        let clock = || Timestamp::from_micros(began.elapsed().as_micros() as u64);
+        let started_at = self.started_at;
+        let clock = || Timestamp::from_micros(started_at.elapsed().as_micros() as u64);
         let before = Instant::now();
         let admitted = self.admission.admit(text.as_bytes(), StatementHints::default(), client, &clock);
         let elapsed_ns = before.elapsed().as_nanos() as u64;
@@ -272,7 +272,7 @@
             let text = format!("SELECT c{n}, d{} FROM t{} WHERE e{n} = {n} ORDER BY f", n / 3, n % 977);
             let admission = self.admit(&text, FLOODING_CLIENT);
             self.flood_ns.record(admission.elapsed_ns).expect("in range");
-            self.beyond_budget += usize::from(admission.source == Some(VerdictSource::BudgetExceeded));
+            self.over_budget += usize::from(admission.source == Some(VerdictSource::BudgetExceeded));
             if n % FLOOD_PER_STEADY == 0 {
                 let admission = self.admit_steady(n / FLOOD_PER_STEADY);
                 self.steady_during_ns.record(admission.elapsed_ns).expect("in range");
@@ -287,8 +287,8 @@
         println!("| cache limit | {} KiB |", self.admission.rules().cache.kib);
         println!("| cache size by its own count | {} KiB |", self.admission.memory_bytes() >> 10);
         println!("| growth of resident memory with the cache | {} KiB |", resident_growth_bytes >> 10);
-        let parsed = FLOOD_LOOKUPS - self.beyond_budget;
-        println!("| parsed, and beyond the budget | {parsed}, {} |", self.beyond_budget);
+        let parsed = FLOOD_LOOKUPS - self.over_budget;
+        println!("| parsed, and beyond the budget | {parsed}, {} |", self.over_budget);
         println!("| steady client's hits | {} of {} |", self.steady_hits, self.steady_lookups);
         for (name, histogram) in [
             ("steady client before the flood", &self.steady_before_ns),
--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -157,10 +157,10 @@
             let shape = cached.clone();
             return Some(ClassifiedStatement { shape, key, source: VerdictSource::CacheHit });
         }
-        let began = clock();
-        match self.budget.reserve(client, self.lexer.tokens().len(), began) {
+        let started_at = clock();
+        match self.budget.reserve(client, self.lexer.tokens().len(), started_at) {
             Reservation::Reserved(reserved) => {
-                let shape = self.parse(client, reserved, began, clock);
+                let shape = self.parse(client, reserved, started_at, clock);
                 self.cache.insert(key, shape.clone(), shape.memory_bytes(), client);
                 self.counts.parsed += 1;
                 return Some(ClassifiedStatement { shape, key, source: VerdictSource::Parsed });
@@ -182,11 +182,11 @@
     }
 
     fn parse(
-        &mut self, client: u64, reserved: Duration, began: Timestamp, clock: &dyn Fn() -> Timestamp,
+        &mut self, client: u64, reserved: Duration, started_at: Timestamp, clock: &dyn Fn() -> Timestamp,
     ) -> Rc<KnownShape> {
         // Cloned after the parser has freed its memory, so that long-lived verdicts do not fragment the heap.
         let shape = KnownShape::new(self.compute_verdict().clone());
-        let elapsed = clock() - began;
+        let elapsed = clock() - started_at;
         self.budget.correct(client, self.lexer.tokens().len(), reserved, elapsed);
         shape
     }
--- a/crates/comethitch-statement/src/assign/class_rules.rs
+++ b/crates/comethitch-statement/src/assign/class_rules.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of bounds between cost bands.
 const MAX_COST_BOUNDS: usize = 64;
-/// Exclusive upper limit of a cost bound.
+/// Exclusive upper limit of a cost bound. The message of [`ClassRuleError::CostBound`] states it, too.
 const MAX_COST_BOUND_MS: f64 = 1e9;
 
 /// The rules for request classes, checked against the classes of a deployment.
--- a/crates/comethitch-statement/src/lexer/characters.rs
+++ b/crates/comethitch-statement/src/lexer/characters.rs
@@ -2,7 +2,7 @@
 
 use crate::Dialect;
 
-/// Returns whether a byte may be part of an unquoted name in PostgreSQL. Bytes beyond ASCII are checked as
+/// Returns whether a byte may be part of an unquoted name in PostgreSQL. Non-ASCII bytes are checked as
 /// characters later, by [`is_name_text`].
 pub(super) fn is_word_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'$') || byte >= 0x80
@@ -31,8 +31,8 @@
     start + text.get(start..).unwrap_or_default().iter().take_while(|byte| condition(**byte)).count()
 }
 
-/// Returns whether every server accepts all characters in a name. Some servers read other characters beyond
-/// ASCII as white space.
+/// Returns whether every server accepts all characters in a name. Some servers read other non-ASCII
+/// characters as white space.
 pub(super) fn is_name_text(name: &[u8]) -> bool {
     if name.is_ascii() {
         return true;
@@ -41,7 +41,7 @@
     !text.is_empty() && text.chars().all(|c| c.is_alphanumeric() || "_$@#".contains(c))
 }
 
-/// Returns whether a text contains a line end beyond ASCII, or is not UTF-8 and so may contain one.
+/// Returns whether a text contains a non-ASCII line end, or is not UTF-8 and so may contain one.
 pub(super) fn has_unicode_line_end(text: &[u8]) -> bool {
     let text = std::str::from_utf8(text).unwrap_or("\u{85}");
     text.contains(['\u{85}', '\u{2028}', '\u{2029}'])
--- a/crates/comethitch-statement/src/lexer/comments.rs
+++ b/crates/comethitch-statement/src/lexer/comments.rs
@@ -11,7 +11,7 @@
     if dialect != Dialect::Tsql {
         return Scanned::unambiguous(end);
     }
-    // Servers differ on whether a lone carriage return, or a line end beyond ASCII, ends the comment.
+    // Servers differ on whether a lone carriage return, or a non-ASCII line end, ends the comment.
     let is_lone_return = text.get(end) == Some(&b'\r') && text.get(end + 1) != Some(&b'\n');
     let comment = &text[start..end];
     let is_ambiguous = is_lone_return || !comment.is_ascii() && has_unicode_line_end(comment);
