--- a/crates/comethitch-testkit/src/behavior.rs
+++ b/crates/comethitch-testkit/src/behavior.rs
@@ -10,7 +10,7 @@
     /// Answers with the key after a delay.
     AnswerAfter(Duration),
     /// Answers with the key, one byte at a time.
-    Trickle,
+    AnswerByteByByte,
     /// Answers with the key and sends surplus bytes after the answer.
     AnswerWithExtraBytes,
     /// Closes the connection without executing or answering the request.
--- a/crates/comethitch-testkit/src/client.rs
+++ b/crates/comethitch-testkit/src/client.rs
@@ -68,7 +68,7 @@
     /// # Panics
     ///
     /// Panics if the socket cannot be switched to non-blocking mode and back.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn has_no_unread_bytes(&mut self) -> bool {
         self.stream.set_nonblocking(true).expect("an open socket can change its mode");
         let nothing_arrived =
             self.stream.read(&mut [0]).is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
--- a/crates/comethitch-testkit/src/connection.rs
+++ b/crates/comethitch-testkit/src/connection.rs
@@ -10,8 +10,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Interval between the bytes of [`HostBehavior::Trickle`].
-const TRICKLE_INTERVAL: Duration = Duration::from_micros(300);
+/// Interval between the bytes of [`HostBehavior::AnswerByteByByte`].
+const BYTE_INTERVAL: Duration = Duration::from_micros(300);
 
 /// An error that a scripted host answers with. Each protocol encodes it as one of its error codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -128,7 +128,7 @@
             let answer = protocol.answer_in_transaction(&key);
             send(protocol, &answer)
         }
-        HostBehavior::Trickle => {
+        HostBehavior::AnswerByteByByte => {
             let answer = protocol.answer(&key);
             send_byte_by_byte(protocol, &answer)
         }
@@ -178,7 +178,7 @@
 fn send_byte_by_byte<P: ServerProtocol>(protocol: &mut P, bytes: &[u8]) -> Result<NextStep, ConnectionError> {
     for byte in bytes {
         protocol.stream().write_all(&[*byte])?;
-        std::thread::sleep(TRICKLE_INTERVAL);
+        std::thread::sleep(BYTE_INTERVAL);
     }
     Ok(NextStep::ReadRequest)
 }
--- a/crates/comethitch-testkit/src/tds/mod.rs
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -22,7 +22,7 @@
 }
 
 /// Encodes an RPC request with this payload.
-pub fn call(payload: &[u8]) -> Vec<u8> {
+pub fn rpc_request(payload: &[u8]) -> Vec<u8> {
     encode(MessageKind::Rpc, CLIENT_PACKET_SIZE, payload)
 }
 
--- a/crates/comethitchd/tests/eviction.rs
+++ b/crates/comethitchd/tests/eviction.rs
@@ -1,6 +1,6 @@
 //! Eviction of silent and idle clients near the descriptor limit.
 //!
-//! These tests depend on how fast clients connect, so their test binary holds no others.
+//! These tests depend on how fast clients connect, so their test binary contains no other tests.
 
 mod support;
 
--- a/crates/comethitchd/tests/faults/main.rs
+++ b/crates/comethitchd/tests/faults/main.rs
@@ -28,7 +28,7 @@
     test_bed.warm_up(&mut client);
     (scenario.steps)(&mut test_bed, &mut client);
     let answers = count_answers(&test_bed.exchanges);
-    let quiet = client.is_quiet();
+    let nothing_unread = client.has_no_unread_bytes();
     drop(client);
     let TestBed { hosts, exchanges, earlier_attempts, violations: mut scenario_violations, .. } = test_bed;
     hosts.router.shut_down();
@@ -41,7 +41,7 @@
     let mut violations: Vec<String> =
         hosts.ledger.violations(&comparable).iter().map(ToString::to_string).collect();
     violations.append(&mut scenario_violations);
-    if !quiet {
+    if !nothing_unread {
         violations.push("bytes after the last answer".into());
     }
     Outcome { answers, attempts, violations }
--- a/crates/comethitchd/tests/faults/scenarios.rs
+++ b/crates/comethitchd/tests/faults/scenarios.rs
@@ -126,7 +126,7 @@
     ),
     scenario(
         "a write, answered byte by byte",
-        |test_bed, client| write_with_fault(test_bed, client, HostBehavior::Trickle),
+        |test_bed, client| write_with_fault(test_bed, client, HostBehavior::AnswerByteByByte),
         [2, 0, 0, 0],
     ),
     scenario(
@@ -188,7 +188,7 @@
     ),
     scenario(
         "a read, answered byte by byte",
-        |test_bed, client| read_with_fault(test_bed, client, HostBehavior::Trickle),
+        |test_bed, client| read_with_fault(test_bed, client, HostBehavior::AnswerByteByByte),
         [2, 0, 0, 0],
     ),
     scenario(
--- a/crates/comethitchd/tests/faults/test_bed.rs
+++ b/crates/comethitchd/tests/faults/test_bed.rs
@@ -25,7 +25,7 @@
     pub earlier_attempts: usize,
     /// Violations that the steps of the scenario have found.
     pub violations: Vec<String>,
-    /// Number of keys in use. The key of each request is unique.
+    /// Number of keys given to requests so far. Each request gets a new key.
     key_count: usize,
 }
 
--- a/crates/comethitchd/tests/fleet.rs
+++ b/crates/comethitchd/tests/fleet.rs
@@ -93,8 +93,8 @@
 fn restart_of_all_hosts_and_routers_overloads_no_host() {
     let trial = Trial { all_hosts_warming_up: true, load: 0.6, overload_multiple: 1.3, ..small_fleet() };
     for (routers, seconds) in [(20, 6), (30, 4)] {
-        // Peak load of all routers on a host in its slow-start window, relative to the limit N + 2 sqrt(N) +
-        // 2.
+        // Peak load of all routers on a host in its slow-start window, relative to the limit N + 2 sqrt(N)
+        // + 2.
         let report = run_without_violation(&Trial { routers, seconds, ..trial.clone() });
         assert!(
             report.peak_warmup_load > 0.0 && report.peak_warmup_load <= 1.0,
--- a/crates/comethitchd/tests/limits.rs
+++ b/crates/comethitchd/tests/limits.rs
@@ -164,8 +164,8 @@
     daemon.shut_down();
 }
 
-/// Guards against a request in flight that fails because other clients have used up the memory budget of 32
-/// MB.
+/// Guards against a request in flight that fails because other clients have used up the memory budget of
+/// 32 MB.
 #[test]
 fn request_in_flight_survives_an_exhausted_memory_budget() {
     let (opener, gate) = gate();
--- a/crates/comethitchd/tests/shutdown.rs
+++ b/crates/comethitchd/tests/shutdown.rs
@@ -84,8 +84,8 @@
     );
 }
 
-/// Guards against a shutdown that waits for a host which never answers: three requests with a timeout of 300
-/// ms must still get their errors in time.
+/// Guards against a shutdown that waits for a host which never answers: three requests with a timeout of
+/// 300 ms must still get their errors in time.
 #[test]
 fn shutdown_with_a_hung_host_answers_within_the_client_timeout() {
     let primary = ScriptedHost::primary(|_, _| HostAction::Silence);
@@ -177,7 +177,7 @@
     );
 }
 
-/// Guards against times derived from the timeouts that underflow: all request classes have an objective of 10
+/// Guards against a panic at shutdown when all request classes have very short timeouts: an objective of 10
 /// ms and a deadline of 20 ms.
 #[test]
 fn shutdown_with_very_short_timeouts_does_not_panic() {
--- a/crates/comethitchd/tests/soak.rs
+++ b/crates/comethitchd/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak test: seeded trials of the lab with real daemons and overlapping faults. `comethitch-lab
-//! soak` runs longer soak tests.
+//! A short soak test: seeded trials of the lab with real daemons and overlapping faults.
+//! `comethitch-lab soak` runs longer soak tests.
 
 use comethitch_lab::live::play;
 use comethitch_lab::soak;
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -100,8 +100,8 @@
     for disagreement in ["refuse", "raise"] {
         let mut rules = rules();
         rules["disagreement"] = disagreement.into();
-        // The parsing budget is unlimited. On a slow machine it would otherwise run out, and reads that are
-        // not parsed go to the primary.
+        // A parsing budget of a whole core cannot run out, even on a slow machine. Past a smaller budget,
+        // reads would not be parsed and would go to the primary.
         rules["parsing"] = json!({"core_part": 1.0, "client_part": 1.0});
         let router =
             Router::with_statement_rules(primary_and_replica_configuration(&primary, &replica), rules);
@@ -137,8 +137,8 @@
     let (primary, replica, at_primary, at_replica) = start_primary_and_replica(|nth| nth % 3 == 1);
     let mut with_rules = rules();
     with_rules["disagreement"] = "raise".into();
-    // The parsing budget is unlimited. It is counted in real time, and on a busy machine reads that exceed it
-    // would be sent to the primary as possible writes.
+    // A parsing budget of a whole core cannot run out. The budget is counted in real time, and on a busy
+    // machine reads past a smaller one would be sent to the primary as possible writes.
     with_rules["parsing"] = json!({"core_part": 1.0, "client_part": 1.0});
     let router =
         Router::with_statement_rules(primary_and_replica_configuration(&primary, &replica), with_rules);
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -1,17 +1,17 @@
 //! Test fixtures shared by the daemon's integration tests: the router under test, and its peers on loopback.
 //!
 //! - [`daemon`] runs the program itself, [`router`] runs a router on a thread of the test process.
-//! - [`scripted_host`] and [`postgres_client`] speak PostgreSQL byte by byte, for tests about single messages and
-//!   connections. Tests of both protocols, and of what was executed, use the hosts and clients of
+//! - [`scripted_host`] and [`postgres_client`] speak PostgreSQL byte by byte, for tests about single messages
+//!   and connections. Tests of both protocols, and of what was executed, use the hosts and clients of
 //!   `comethitch_testkit` instead; [`primary_and_replica`] starts those with a router.
 //! - [`late_host`] completes logins late, and [`gate`] blocks the script of a host until the test opens it.
 //! - [`discovery`] serves the endpoint list as a test writes it; [`discovery_agent`] generates it and injects
 //!   faults.
-//! - [`configuration`] builds settings, endpoints and statement rules, [`messages`] builds requests and protocol
-//!   messages.
+//! - [`configuration`] builds settings, endpoints and statement rules, [`messages`] builds requests and
+//!   protocol messages.
 //!
-//! Tests wait for events rather than for fixed times. [`TEST_TIMEOUT`] ends only a test that has already
-//! failed.
+//! The fixtures wait for events rather than for fixed times. [`TEST_TIMEOUT`] ends only a test that has
+//! already failed.
 // Each test binary uses only some of these modules.
 #![allow(dead_code, unused_imports)]
 
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -111,7 +111,7 @@
 /// Guards against unreported violations: a stall between the check of the deadline and the send breaks the
 /// rule, which must be logged.
 #[test]
-fn rule_broken_by_a_stall_after_the_send_check_is_counted() {
+fn rule_broken_by_a_stall_after_the_send_check_is_logged() {
     let primary = ScriptedHost::primary(|_, _| answer("value"));
     let config = single_primary_configuration(primary.address);
     // Each socket write is delayed by 300 ms. A request with a timeout of 250 ms is therefore sent after its
@@ -127,7 +127,8 @@
     daemon.shut_down();
 }
 
-/// Guards against treating `EINTR` while waiting for signals as the end of the signal handler.
+/// Guards against losing a signal, or ending the router, when system calls are interrupted while the signal
+/// is received. Ten reloads are requested one after another.
 #[test]
 fn interrupted_signals_are_not_lost_and_do_not_stop_the_router() {
     let primary = ScriptedHost::primary(|_, _| answer("value"));
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -9,7 +9,7 @@
 use comethitch_tds::request::{Batch, CallWriter, SystemProcedure};
 use comethitch_tds::token::{ParsedToken, Token, TokenReader};
 use comethitch_testkit::ledger::Entry;
-use comethitch_testkit::tds::call;
+use comethitch_testkit::tds::rpc_request;
 use comethitch_testkit::{Client, Host, HostBehavior, Ledger, Protocol, Reply};
 use comethitchd::protocols::tds::settings::TdsSettings;
 use futures_lite::future::block_on;
@@ -32,8 +32,8 @@
 /// corpus is sent without a comment and with comments that claim a read and a write.
 #[test]
 fn writing_batch_never_reaches_a_replica_despite_its_comment() {
-    // The parsing budget is unlimited. On a slow machine it would otherwise run out, and reads that are not
-    // parsed go to the primary.
+    // A parsing budget of a whole core cannot run out, even on a slow machine. Past a smaller budget, reads
+    // would not be parsed and would go to the primary.
     let mut rules = rules();
     rules["parsing"] = json!({"core_part": 1.0, "client_part": 1.0});
     let PrimaryAndReplica { primary: _primary, replica: _replica, ledger, router } =
@@ -187,7 +187,7 @@
         PrimaryAndReplica::start(Protocol::Tds, rules());
     let mut client = Client::connect(Protocol::Tds, router.address);
     let send = |client: &mut Client, payload: &[u8]| {
-        client.stream.write_all(&call(payload)).expect("the bytes are sent");
+        client.stream.write_all(&rpc_request(payload)).expect("the bytes are sent");
         read_tokens(&mut client.stream)
     };
     let statement = "INSERT INTO t (a, b) VALUES ('p', @a)";
@@ -254,7 +254,7 @@
             .text("", statement)
             .text("", "@key int")
             .integer("@key", value);
-        client.stream.write_all(&call(&payload)).expect("the bytes are sent");
+        client.stream.write_all(&rpc_request(&payload)).expect("the bytes are sent");
         let response = read_tokens(&mut client.stream);
         let arrivals = ledger
             .entries()
@@ -305,8 +305,8 @@
     Batch::put(&mut payload, "SELECT 1");
     put_message(&mut batch, MessageKind::Batch, INITIAL_PACKET_BYTES, &payload);
     assert!(error_text(&batch).contains("a connection begins with a PRELOGIN"));
-    // A login without an end is rejected at its fifth packet of 32,000 bytes, which exceeds the limit of 128
-    // KiB.
+    // A login without an end is rejected at its fifth packet of 32,000 bytes, which exceeds the limit of
+    // 128 KiB.
     let mut long = Vec::new();
     for nth in 0..8_u8 {
         Header { kind: MessageKind::Prelogin, status: 0, length: 32_000, spid: 0, number: nth }
@@ -316,7 +316,7 @@
     let mut stream = TcpStream::connect(router.address).expect("the router accepts connections");
     stream.set_read_timeout(Some(comethitch_testkit::TEST_TIMEOUT)).expect("the timeout is not zero");
     let _ = stream.write_all(&long);
-    // The router sends an error and closes, or resets the connection, without reading the rest.
+    // The router sends an error and closes or resets the connection without reading the rest.
     let mut response = Vec::new();
     let _ = stream.read_to_end(&mut response);
     assert_eq!(
@@ -396,6 +396,7 @@
     old.set_primary(false);
     new.set_primary(true);
     // Continues until 3.2 s after the drain notice, which is more than a second after the drain grace of 2 s.
+    // Each batch must be answered once, by either host.
     let mut after_grace = Vec::new();
     for nth in 0.. {
         if drained_at.elapsed() > Duration::from_millis(3_200) {
--- a/crates/comethitchd/tests/tds_cancellation.rs
+++ b/crates/comethitchd/tests/tds_cancellation.rs
@@ -22,7 +22,7 @@
     assert!(primary.next_request().contains("'a'"));
     client.stream.write_all(&attention()).expect("the bytes are sent");
     assert_eq!(client.receive(), Reply::Cancelled);
-    assert!(client.is_quiet(), "there must be only one acknowledgement");
+    assert!(client.has_no_unread_bytes(), "there must be only one acknowledgement");
     assert_eq!(
         client.execute("INSERT INTO t VALUES ('b')"),
         Reply::Answered("b".into()),
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -222,8 +222,8 @@
     }
 }
 
-/// Guards against panics in parsers of input from clients, hosts and discovery: 3,000 seeded inputs of up to
-/// 60 bytes, every other one after the beginning of a `DataRow`.
+/// Guards against panics in parsers of input from clients, hosts and discovery: 3,000 seeded inputs of fewer
+/// than 60 bytes, every other one after the beginning of a `DataRow`.
 #[test]
 fn arbitrary_bytes_cause_no_panic() {
     let mut random = RandomGenerator::new(17);
