--- a/crates/comethitch-fleet/src/connection_slots.rs
+++ b/crates/comethitch-fleet/src/connection_slots.rs
@@ -1,6 +1,7 @@
 //! Backoff from a host that accepts no more connections.
 //!
-//! A host accepts a limited number of connections and rejects further ones. When the host rejects a
+//! A host accepts a limited number of connections and rejects further ones. A router that tried to connect
+//! for each request would cause work at the host without getting a connection. When the host rejects a
 //! connection of a router, the router limits its attempts in flight there to their current number. It tries
 //! one additional connection after an exponential backoff with jitter, so that routers rejected at the same
 //! time do not retry at the same time.
--- a/crates/comethitch-fleet/src/freshness.rs
+++ b/crates/comethitch-fleet/src/freshness.rs
@@ -11,7 +11,7 @@
 ///
 /// The refresh is sent one `retry_interval` before the position becomes too old, but not before half of the
 /// bound has passed. `retry_interval` is the delay after which a health check that returned no report is
-/// repeated.
+/// repeated. An earlier refresh is not needed, because requests can go to other hosts in the meantime.
 ///
 /// ```
 /// use comethitch_fleet::freshness::refresh_after;
@@ -30,7 +30,7 @@
 ///
 /// `lag` is `None` if the report contained no position, as for a host that has just started. The delay is
 /// half of the lag, but at least `retry_interval`: refreshing a host that is far behind rarely helps. Without
-/// a lag, it is twice `retry_interval`.
+/// a lag, it is twice `retry_interval`, because a host that has just started reports no position for a while.
 ///
 /// ```
 /// use comethitch_fleet::freshness::refresh_backoff;
--- a/crates/comethitch-lab/src/fleet/mod.rs
+++ b/crates/comethitch-lab/src/fleet/mod.rs
@@ -34,7 +34,7 @@
 
 /// Start of every trial. It is after 0, so that replication positions can be before it.
 const START: Timestamp = Timestamp::from_millis(1_000_000);
-/// Maximum number of events of a trial.
+/// Maximum number of events of a trial. A trial that exceeds it ends with an error instead of running on.
 const MAX_EVENTS: u64 = 60_000_000;
 /// Range of the network delay, as a multiple of its mean.
 const NETWORK_DELAY_FACTORS: std::ops::Range<f64> = 0.8..1.2;
--- a/crates/comethitch-lab/src/hosts.rs
+++ b/crates/comethitch-lab/src/hosts.rs
@@ -266,7 +266,7 @@
 }
 
 /// Returns the indices of this fraction of each shard's usable replicas: those with the lowest indices,
-/// without a random draw.
+/// without a random draw, so that the replicas left in each shard depend only on the fraction.
 pub fn fraction_of_each_shard(hosts: &[SimulatedHost], fraction: f64) -> Vec<usize> {
     let mut by_shard: BTreeMap<ShardId, Vec<usize>> = BTreeMap::new();
     for host in usable_replicas(hosts) {
--- a/crates/comethitch-lab/src/live/adaptive_slack.rs
+++ b/crates/comethitch-lab/src/live/adaptive_slack.rs
@@ -13,7 +13,7 @@
 const MIN_SLACK: Duration = Duration::from_millis(50);
 /// Interval between two measurements of the lag.
 const MEASUREMENT_INTERVAL: Duration = Duration::from_millis(5);
-/// Number of latest measurements whose maximum is used.
+/// Number of latest measurements whose maximum is used. Routers on the same busy machine have a similar lag.
 const MEASUREMENT_COUNT: usize = 100;
 
 /// Measures the event-loop lag and sets the slack of the ledger until the trial ends.
--- a/crates/comethitch-lab/src/live/faults.rs
+++ b/crates/comethitch-lab/src/live/faults.rs
@@ -9,13 +9,14 @@
 use comethitch_policy::time::Duration;
 use std::rc::Rc;
 
-/// How much longer than the clients' timeout a router may take to exit after SIGTERM.
+/// How much longer than the clients' timeout a router may take to exit after SIGTERM. Operators may send
+/// SIGKILL from then on, but not earlier.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(700);
 /// Maximum timeout of clients that extends the time limit of a graceful shutdown.
 const MAX_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Number of signals of the same kind in a series.
 const SIGNALS_IN_SERIES: u64 = 4;
-/// Interval of signals while a router shuts down.
+/// Interval of signals while a router shuts down. It is short, so that the whole series fits into a shutdown.
 const SIGNAL_INTERVAL_DURING_SHUTDOWN: Duration = Duration::from_millis(60);
 /// Interval at which the end of a process is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/comethitch-lab/src/soak.rs
+++ b/crates/comethitch-lab/src/soak.rs
@@ -49,7 +49,9 @@
     &[SystemCallFault::LimitedProcessor { one_in: 10 }, SystemCallFault::InterruptedTransfers { one_in: 50 }],
 ];
 
-/// Timeouts of clients, one of which is drawn for a trial, in milliseconds.
+/// Timeouts of clients, one of which is drawn for a trial, in milliseconds. Operators may send SIGKILL to
+/// a router that shuts down 0.7 s after this timeout, which counts as 3 s at most. The values are on both
+/// sides of that maximum.
 const TIMEOUTS_MS: [u64; 5] = [500, 1_200, 1_200, 3_000, 5_000];
 /// Numbers of shards, one of which is drawn for a trial. One is so large that each shard gets little traffic.
 const SHARDS: [u16; 5] = [1, 2, 3, 3, 40];
--- a/crates/comethitch-policy/src/policy/admission.rs
+++ b/crates/comethitch-policy/src/policy/admission.rs
@@ -8,8 +8,9 @@
 use crate::time::{Duration, Timestamp};
 use crate::{Actions, DeduplicationScope, Idempotency, RejectionReason, RequestId, ShardId, ShardState};
 
-/// Maximum number of shards whose queues are retried per tick. An event at a shard also retries the shard's
-/// own queues.
+/// Maximum number of shards whose queues are retried per tick. Ticks retry queues because capacity may become
+/// free merely because time passes, without an event at the shard. The remaining shards are retried at the
+/// following ticks; an event at a shard also retries the shard's own queues.
 const SHARDS_RETRIED_PER_TICK: usize = 16;
 /// Divisor of the latency objective: a request may wait for its first attempt for half of it.
 const FIRST_ATTEMPT_WAIT_DIVISOR: u64 = 2;
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -8,7 +8,9 @@
 use crate::{Actions, AttemptOutcome, Host, LoadReport, ShardId};
 
 /// Points of service that each request may cost in health checks, in the unit of
-/// [`Deployment::health_check_price`](crate::Deployment::health_check_price).
+/// [`Deployment::health_check_price`](crate::Deployment::health_check_price). A router with few requests
+/// exceeds this: overdue health checks are also sent beyond the budget, and checks that refresh positions on
+/// demand are not charged to it.
 const BUDGET_POINTS_PER_REQUEST: f64 = 0.02;
 /// Fraction of these points for periodic health checks if positions are also refreshed on demand.
 const PERIODIC_CHECK_FRACTION: f64 = 0.25;
--- a/crates/comethitch-policy/src/policy/host_clock.rs
+++ b/crates/comethitch-policy/src/policy/host_clock.rs
@@ -17,7 +17,8 @@
 
 /// Number of recent offsets kept, of primaries and of replicas each.
 const MAX_OFFSETS: usize = 16;
-/// Time without a primary's report after which the reports of replicas are used instead.
+/// How long the first report of a primary is awaited before the reports of replicas that agree with the
+/// router's clock are used instead.
 const PRIMARY_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Number of consecutive unanswered polls up to which the poll interval does not grow.
 const MAX_UNANSWERED_POLLS_BEFORE_BACKOFF: u32 = 4;
@@ -25,7 +26,8 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// Minimum number of primaries' reports from which the amount of a wrong clock's offset is estimated.
 const MIN_PRIMARY_REPORTS: usize = 4;
-/// Maximum offset at which the clocks agree; above it, the router's clock is behind.
+/// Maximum offset at which the clocks agree. A position further in the future than this shows that the
+/// router's clock is behind.
 const MAX_AGREEING_OFFSET: SignedDuration = SignedDuration::from_millis(20);
 /// Minimum offset at which the clocks agree; below it, the router's clock is ahead, as the newest of several
 /// reports of primaries is never two seconds old.
--- a/crates/comethitch-policy/src/policy/outliers.rs
+++ b/crates/comethitch-policy/src/policy/outliers.rs
@@ -7,7 +7,8 @@
 /// Number of consecutive failures (of connections, attempts or health checks) after which a host counts as
 /// unreachable.
 const UNREACHABLE_AFTER_FAILURES: u32 = 3;
-/// Number of consecutive attempts, timed out or cancelled late, after which a host counts as unresponsive.
+/// Number of consecutive attempts, timed out or cancelled late, after which a host counts as unresponsive. An
+/// answer of the host to any request starts the count anew.
 const UNRESPONSIVE_AFTER_ATTEMPTS: u32 = 2;
 /// Minimum time between two trial requests to an unresponsive host.
 const UNRESPONSIVE_TRIAL_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/comethitch-policy/src/policy/recent_requests.rs
+++ b/crates/comethitch-policy/src/policy/recent_requests.rs
@@ -5,7 +5,8 @@
 
 /// Time constant of the decaying counters of recent requests.
 pub(super) const RECENT_REQUESTS_WINDOW: Duration = Duration::from_secs(10);
-/// Minimum value of a shard's counter at which the shard is in use.
+/// Minimum value of a shard's counter at which the shard is in use. If positions are refreshed on demand, a
+/// shard below it gets no periodic health checks.
 const MIN_RECENT_REQUESTS: f64 = 0.5;
 
 /// Returns whether a shard has received requests recently.
--- a/crates/comethitchd/src/protocols/exchange.rs
+++ b/crates/comethitchd/src/protocols/exchange.rs
@@ -19,7 +19,8 @@
 use std::net::SocketAddr;
 
 /// Maximum time from encoding a message to writing its last byte. The message states the client's remaining
-/// time, which the rules allow to be at most 150 ms out of date.
+/// time, which the rules allow to be at most 150 ms out of date. A message that is not completely written by
+/// then is abandoned.
 const MAX_WRITE_TIME: Duration = Duration::from_millis(100);
 
 /// The exchange of one message and its response with a host, for an attempt or a health check.
--- a/crates/comethitchd/src/service/endpoint_watch.rs
+++ b/crates/comethitchd/src/service/endpoint_watch.rs
@@ -3,8 +3,9 @@
 //! sends anything.
 //!
 //! A router must learn of a change within a few seconds, even if watches hang, can't connect, are reset or
-//! send fragments without end. As long as polls succeed, the list is never older than
-//! `SILENT_WATCH_THRESHOLD` plus the time until the next poll completes.
+//! send fragments without end: the rules then treat the change as known, whether or not it was received. As
+//! long as polls succeed, the list is never older than `SILENT_WATCH_THRESHOLD` plus the time until the next
+//! poll completes.
 
 use crate::service::discovery_client::{
     DiscoveryError, DiscoveryResponse, next_response_timeout, with_timeout,
--- a/crates/comethitchd/src/service/trail/summary.rs
+++ b/crates/comethitchd/src/service/trail/summary.rs
@@ -4,9 +4,11 @@
 use crate::service::trail::log_line::LogLine;
 use std::collections::BTreeMap;
 
-/// Maximum length, in characters, of a line collected for the followed id; longer lines are truncated.
+/// Maximum length, in characters, of a line collected for the followed id; longer lines are truncated, so
+/// that a runaway log can't fill the memory.
 const MAX_LINE_CHARS: usize = 4096;
-/// Maximum number of lines collected for the followed id; later lines are dropped.
+/// Maximum number of lines collected for the followed id. Of a request that is retried again and again, the
+/// first lines are kept and later ones are dropped.
 const MAX_FOLLOWED_LINES: usize = 10_000;
 /// Maximum number of distinct pairs of reason and answer, and of distinct counts, so that a corrupt log can't
 /// use unbounded memory. Further names are ignored; rejections with further reasons are counted as skipped
--- a/crates/comethitchd/src/state/discovery_state.rs
+++ b/crates/comethitchd/src/state/discovery_state.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration as StdDuration;
 
-/// Initial and minimum timeout of connections to discovery and of its responses.
+/// Initial and minimum timeout of connections to discovery and of its responses. Discovery usually answers at
+/// once, so a connection or a first response that takes longer is abandoned.
 pub const MIN_RESPONSE_TIMEOUT: StdDuration = StdDuration::from_millis(750);
 
 /// A discovery service that the router gets endpoint lists from.
