--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -8,7 +8,9 @@
 use crate::{Actions, AttemptOutcome, Host, LoadReport, ShardId};
 
 /// Cost units that each request adds to the budget for health checks, in the unit of
-/// [`Deployment::health_check_price`](crate::Deployment::health_check_price).
+/// [`Deployment::health_check_price`](crate::Deployment::health_check_price). A router with few requests
+/// spends more than this: overdue health checks are also sent beyond the budget, and checks that refresh
+/// positions on demand are not charged to it.
 const BUDGET_COST_UNITS_PER_REQUEST: f64 = 0.02;
 /// Fraction of these units for periodic health checks if positions are also refreshed on demand.
 const PERIODIC_CHECK_FRACTION: f64 = 0.25;
