--- a/crates/comethitch-lab/src/live/hosts.rs
+++ b/crates/comethitch-lab/src/live/hosts.rs
@@ -12,7 +12,7 @@
 use comethitch_policy::time::{Duration, Timestamp};
 use comethitch_policy::{Host, Role, ShardId};
 use comethitch_testkit::postgres::{
-    TransactionStatus, error, message, parameter_status, ready_for_query, row,
+    TransactionStatus, error, message, one_row_answer, parameter_status, ready_for_query,
 };
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rand_distr::{Distribution, Exp};
@@ -158,7 +158,7 @@
                 self.fleet.ledger.borrow_mut().health_checks += 1;
                 Some(load_report(&self.fleet, self.host))
             }
-            PING_QUERY => Some(row(b"1")),
+            PING_QUERY => Some(one_row_answer(b"1")),
             "" => Some(message(message_type::EMPTY_QUERY_RESPONSE, b"")),
             _ => {
                 let Some(number) = request_number(&text) else { return Some(error(PROTOCOL_VIOLATION)) };
@@ -211,7 +211,7 @@
         };
         if future::or(async { finished.recv().await.is_ok() }, cancelled).await {
             self.check_staleness(request);
-            return Some(row(format!("{number:016x}").as_bytes()));
+            return Some(one_row_answer(format!("{number:016x}").as_bytes()));
         }
         self.withdraw(job, number);
         None
@@ -275,7 +275,7 @@
     let primary = u8::from(report.role == Some(Role::Primary));
     let seconds = position_ms / 1000;
     let milliseconds = position_ms % 1000;
-    row(format!("x0={seconds}.{milliseconds:03},x1={primary},queue={queue_length}").as_bytes())
+    one_row_answer(format!("x0={seconds}.{milliseconds:03},x1={primary},queue={queue_length}").as_bytes())
 }
 
 /// Returns the remaining time of the client from the comment of a statement.
--- a/crates/comethitch-statement/benches/statements.rs
+++ b/crates/comethitch-statement/benches/statements.rs
@@ -19,24 +19,24 @@
     for (name, text) in [("100 bytes", ORDINARY), ("54 bytes", LOOKUP)] {
         let mut lexer = Lexer::new(Dialect::Postgres);
         let mut cache = Cache::new(4 << 20);
-        lexer.read(text.as_bytes());
+        lexer.tokenize(text.as_bytes());
         cache.insert(secret.key(lexer.shape()), classifier.classify(&lexer), 500, 1);
         group.bench_function(BenchmarkId::new("hit", name), |bench| {
             bench.iter(|| {
-                lexer.read(black_box(text.as_bytes()));
+                lexer.tokenize(black_box(text.as_bytes()));
                 let key = secret.key(lexer.shape());
                 cache.get(key, 1).map(|verdict| verdict.effect)
             });
         });
         group.bench_function(BenchmarkId::new("miss", name), |bench| {
             bench.iter(|| {
-                lexer.read(black_box(text.as_bytes()));
+                lexer.tokenize(black_box(text.as_bytes()));
                 classifier.classify(&lexer).effect
             });
         });
         group.bench_function(BenchmarkId::new("beyond the budget", name), |bench| {
             bench.iter(|| {
-                lexer.read(black_box(text.as_bytes()));
+                lexer.tokenize(black_box(text.as_bytes()));
                 classifier.classify_unparsed(&lexer, "spent").effect
             });
         });
@@ -52,7 +52,7 @@
         let mut lexer = Lexer::new(Dialect::Postgres);
         group.throughput(Throughput::Bytes(text.len() as u64));
         group.bench_function(BenchmarkId::from_parameter(format!("{kib} KiB")), |bench| {
-            bench.iter(|| lexer.read(black_box(text.as_bytes())));
+            bench.iter(|| lexer.tokenize(black_box(text.as_bytes())));
         });
     }
     group.finish();
--- a/crates/comethitch-statement/examples/shapes.rs
+++ b/crates/comethitch-statement/examples/shapes.rs
@@ -193,7 +193,7 @@
     let admission = if limited {
         StatementAdmission::new(rules, &classes, &names, secret, Timestamp::ZERO)
     } else {
-        StatementAdmission::unlimited(rules, &classes, &names, secret)
+        StatementAdmission::without_parsing_budget(rules, &classes, &names, secret)
     };
     admission.expect("the rules are valid")
 }
--- a/crates/comethitch-statement/fuzz/fuzz_targets/classify.rs
+++ b/crates/comethitch-statement/fuzz/fuzz_targets/classify.rs
@@ -10,10 +10,10 @@
     for dialect in [Dialect::Postgres, Dialect::Tsql] {
         let classifier = Classifier::new(dialect, &catalogue);
         let mut lexer = Lexer::new(dialect);
-        lexer.read(bytes);
+        lexer.tokenize(bytes);
         if classifier.classify(&lexer).effect == Effect::Read {
             assert!(std::str::from_utf8(bytes).is_ok());
-            lexer.read(&[bytes, b"\n;DELETE FROM t"].concat());
+            lexer.tokenize(&[bytes, b"\n;DELETE FROM t"].concat());
             assert_ne!(classifier.classify(&lexer).effect, Effect::Read);
         }
     }
--- a/crates/comethitch-statement/src/admission/counts.rs
+++ b/crates/comethitch-statement/src/admission/counts.rs
@@ -7,7 +7,7 @@
     /// [`StatementAdmission::EFFECTS`](super::StatementAdmission::EFFECTS).
     pub effects: [u64; 5],
     /// Statements whose shape was cached.
-    pub hits: u64,
+    pub cache_hits: u64,
     /// Statements that were parsed.
     pub parsed: u64,
     /// Statements that servers may read in different ways.
--- a/crates/comethitch-statement/src/admission/mod.rs
+++ b/crates/comethitch-statement/src/admission/mod.rs
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// Returns the first error in the rules.
-    pub fn unlimited(
+    pub fn without_parsing_budget(
         rules: Rules, classes: &[RequestClass], names: &[String], secret: Secret,
     ) -> Result<StatementAdmission, RulesError> {
         let mut admission = StatementAdmission::new(rules, classes, names, secret, Timestamp::ZERO)?;
@@ -137,7 +137,7 @@
     pub fn classify(
         &mut self, text: &[u8], client: u64, clock: &dyn Fn() -> Timestamp,
     ) -> Option<ClassifiedStatement> {
-        self.lexer.read(text);
+        self.lexer.tokenize(text);
         let key = self.secret.key(self.lexer.shape());
         let classified = self.classify_shape(key, client, clock)?;
         self.counts.effects[classified.shape.verdict.effect as usize] += 1;
@@ -153,7 +153,7 @@
             return Some(ClassifiedStatement { shape, key, source: VerdictSource::Ambiguous });
         }
         if let Some(cached) = self.cache.get(key, client) {
-            self.counts.hits += 1;
+            self.counts.cache_hits += 1;
             let shape = cached.clone();
             return Some(ClassifiedStatement { shape, key, source: VerdictSource::CacheHit });
         }
--- a/crates/comethitch-statement/src/classify/session_settings.rs
+++ b/crates/comethitch-statement/src/classify/session_settings.rs
@@ -22,9 +22,9 @@
 /// ```
 /// use comethitch_statement::{Dialect, Lexer, classify::sets_only_session_options};
 /// let mut lexer = Lexer::new(Dialect::Tsql);
-/// lexer.read(b"SET NOCOUNT ON set textsize 2147483647; SET TRANSACTION ISOLATION LEVEL READ COMMITTED");
+/// lexer.tokenize(b"SET NOCOUNT ON set textsize 2147483647; SET TRANSACTION ISOLATION LEVEL READ COMMITTED");
 /// assert!(sets_only_session_options(&lexer));
-/// lexer.read(b"SET NOCOUNT ON DELETE FROM t");
+/// lexer.tokenize(b"SET NOCOUNT ON DELETE FROM t");
 /// assert!(!sets_only_session_options(&lexer));
 /// ```
 pub fn sets_only_session_options(lexer: &Lexer) -> bool {
--- a/crates/comethitch-statement/src/lexer/mod.rs
+++ b/crates/comethitch-statement/src/lexer/mod.rs
@@ -41,11 +41,11 @@
 /// ```
 /// use comethitch_statement::{Dialect, lexer::Lexer};
 /// let mut lexer = Lexer::new(Dialect::Postgres);
-/// lexer.read(b"SELECT a FROM t WHERE b = 1");
+/// lexer.tokenize(b"SELECT a FROM t WHERE b = 1");
 /// let shape = lexer.shape().to_vec();
-/// lexer.read(b"select A /* now */ from T where B=$1 -- x");
+/// lexer.tokenize(b"select A /* now */ from T where B=$1 -- x");
 /// assert_eq!(lexer.shape(), shape);
-/// lexer.read(b"SELECT a FROM \"T\" WHERE b = 1");
+/// lexer.tokenize(b"SELECT a FROM \"T\" WHERE b = 1");
 /// assert_ne!(lexer.shape(), shape);
 /// ```
 pub struct Lexer {
@@ -78,7 +78,7 @@
         self.dialect
     }
 
-    /// Returns the shape of the statement read last.
+    /// Returns the shape of the last statement.
     pub fn shape(&self) -> &[u8] {
         self.builder.shape()
     }
@@ -108,8 +108,8 @@
         self.builder.buffer_bytes()
     }
 
-    /// Reads a statement, which replaces the previous one.
-    pub fn read(&mut self, text: &[u8]) {
+    /// Splits a statement into tokens and computes its shape, in place of those of the previous statement.
+    pub fn tokenize(&mut self, text: &[u8]) {
         self.reset();
         let text = self.check_length_and_encoding(text);
         let mut at = 0;
@@ -149,7 +149,7 @@
     /// would reject it.
     fn check_escaped_reading(&mut self, text: &[u8]) {
         let mut escaping = Lexer { backslash_escapes: true, ..Lexer::new(self.dialect) };
-        escaping.read(text);
+        escaping.tokenize(text);
         if !escaping.unterminated {
             self.mark_ambiguous(Ambiguity::Backslash);
         }
--- a/crates/comethitch-statement/src/lib.rs
+++ b/crates/comethitch-statement/src/lib.rs
@@ -14,7 +14,7 @@
 //! let (mut lexer, catalogue) = (Lexer::new(Dialect::Postgres), Catalogue::default());
 //! let classifier = Classifier::new(Dialect::Postgres, &catalogue);
 //! let mut effect = |text: &str| {
-//!     lexer.read(text.as_bytes());
+//!     lexer.tokenize(text.as_bytes());
 //!     classifier.classify(&lexer).effect
 //! };
 //! assert_eq!(effect("SELECT data FROM facts WHERE code = 'k'"), Effect::Read);
--- a/crates/comethitch-statement/tests/shapes.rs
+++ b/crates/comethitch-statement/tests/shapes.rs
@@ -11,7 +11,7 @@
 
 fn shape(dialect: Dialect, text: &str) -> Vec<u8> {
     let mut lexer = Lexer::new(dialect);
-    lexer.read(text.as_bytes());
+    lexer.tokenize(text.as_bytes());
     lexer.shape().to_vec()
 }
 
@@ -58,7 +58,7 @@
 fn literals_report_their_range_and_shared_placeholder() {
     let text = "INSERT INTO t (a, b) VALUES (1, 'x'), (2, 'y') ON CONFLICT (a) DO UPDATE SET b = 'z'";
     let mut lexer = Lexer::new(Dialect::Postgres);
-    lexer.read(text.as_bytes());
+    lexer.tokenize(text.as_bytes());
     let literals: Vec<(u32, LiteralForm, &str)> = lexer
         .literals()
         .iter()
@@ -134,7 +134,7 @@
     let mut lexer = Lexer::new(dialect);
     texts
         .filter(|text| {
-            lexer.read(text.as_bytes());
+            lexer.tokenize(text.as_bytes());
             let mut pairs = lexer.tokens().windows(2);
             let has_adjacent_literals =
                 pairs.any(|pair| pair.iter().all(|token| token.kind == TokenKind::Placeholder));
@@ -166,7 +166,7 @@
 /// Rewrites a statement with other white space, case, comments and literals.
 fn rewrite(dialect: Dialect, text: &str, styles: &[TokenStyle]) -> String {
     let mut lexer = Lexer::new(dialect);
-    lexer.read(text.as_bytes());
+    lexer.tokenize(text.as_bytes());
     let mut rewritten = String::new();
     for (token, style) in lexer.tokens().iter().zip(styles.iter().cycle()) {
         rewritten += separator(style.space);
--- a/crates/comethitch-statement/tests/support/mod.rs
+++ b/crates/comethitch-statement/tests/support/mod.rs
@@ -15,6 +15,6 @@
 pub(crate) fn verdict(dialect: Dialect, text: &[u8]) -> Verdict {
     let mut lexer = Lexer::new(dialect);
     let catalogue = Catalogue::default();
-    lexer.read(text);
+    lexer.tokenize(text);
     Classifier::new(dialect, &catalogue).classify(&lexer)
 }
--- a/crates/comethitch-tds/src/request/call_writer.rs
+++ b/crates/comethitch-tds/src/request/call_writer.rs
@@ -71,7 +71,7 @@
     }
 
     /// Appends an output parameter: a nullable four-byte integer, passed as null.
-    pub fn out(mut self, name: &str) -> CallWriter<'a> {
+    pub fn output_integer(mut self, name: &str) -> CallWriter<'a> {
         let out = self.begin_parameter(name, BY_REFERENCE, code::INTN);
         let null = 0;
         out.extend([INTEGER_BYTES, null]);
--- a/crates/comethitch-tds/src/token/decode.rs
+++ b/crates/comethitch-tds/src/token/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes the part of each token after its code.
 
-use super::{Change, Message, Token, change_type};
+use super::{EnvChange, ServerMessage, Token, env_change_type};
 use crate::error::{Incomplete, MalformedMessage, ReadError};
 use crate::packet::{MAX_PACKET_BYTES, MIN_PACKET_BYTES};
 use crate::read::Reader;
@@ -78,15 +78,15 @@
 }
 
 /// Decodes ERROR or INFO.
-pub(super) fn message(reader: &mut Reader<'_>) -> Result<Message, ReadError> {
+pub(super) fn server_message(reader: &mut Reader<'_>) -> Result<ServerMessage, ReadError> {
     let mut body = short_body(reader)?;
-    let message = message_body(&mut body);
+    let message = server_message_body(&mut body);
     Ok(message.map_err(|error| {
         ReadError::from(error).at_end_of_input("an ERROR or INFO token ends before its last field")
     })?)
 }
 
-fn message_body(body: &mut Reader<'_>) -> Result<Message, Incomplete> {
+fn server_message_body(body: &mut Reader<'_>) -> Result<ServerMessage, Incomplete> {
     let number = body.i32()?;
     let state = body.u8()?;
     let class = body.u8()?;
@@ -94,7 +94,7 @@
     let _server_name = body.b_varchar()?;
     let _procedure_name = body.b_varchar()?;
     let _line_number = body.u32()?;
-    Ok(Message { number, state, class, text })
+    Ok(ServerMessage { number, state, class, text })
 }
 
 /// Decodes LOGINACK.
@@ -114,24 +114,24 @@
 }
 
 /// Decodes ENVCHANGE.
-pub(super) fn change(reader: &mut Reader<'_>) -> Result<Change, ReadError> {
+pub(super) fn env_change(reader: &mut Reader<'_>) -> Result<EnvChange, ReadError> {
     let mut body = short_body(reader)?;
-    Ok(change_body(&mut body)
+    Ok(env_change_body(&mut body)
         .map_err(|error| error.at_end_of_input("an ENVCHANGE token ends within a field"))?)
 }
 
-fn change_body(body: &mut Reader<'_>) -> Result<Change, ReadError> {
+fn env_change_body(body: &mut Reader<'_>) -> Result<EnvChange, ReadError> {
     Ok(match body.u8()? {
-        change_type::DATABASE => Change::Database(text::decode_lossy(body.b_varchar()?)),
-        change_type::PACKET_SIZE => Change::PacketSize(packet_size(body)?),
-        change_type::BEGIN_TRANSACTION => Change::TransactionBegan,
-        change_type::COMMIT_TRANSACTION
-        | change_type::ROLLBACK_TRANSACTION
-        | change_type::DEFECT_TRANSACTION
-        | change_type::TRANSACTION_ENDED => Change::TransactionEnded,
-        change_type::RESET_ACKNOWLEDGED => Change::Reset,
-        change_type::ROUTING => Change::Routed,
-        other => Change::Other(other),
+        env_change_type::DATABASE => EnvChange::Database(text::decode_lossy(body.b_varchar()?)),
+        env_change_type::PACKET_SIZE => EnvChange::PacketSize(packet_size(body)?),
+        env_change_type::BEGIN_TRANSACTION => EnvChange::TransactionBegan,
+        env_change_type::COMMIT_TRANSACTION
+        | env_change_type::ROLLBACK_TRANSACTION
+        | env_change_type::DEFECT_TRANSACTION
+        | env_change_type::TRANSACTION_ENDED => EnvChange::TransactionEnded,
+        env_change_type::RESET_ACKNOWLEDGED => EnvChange::Reset,
+        env_change_type::ROUTING => EnvChange::Routed,
+        other => EnvChange::Other(other),
     })
 }
 
--- a/crates/comethitch-tds/src/token/mod.rs
+++ b/crates/comethitch-tds/src/token/mod.rs
@@ -2,17 +2,17 @@
 //! their boundaries, errors, changes of the session, and the end of the response. [`TokenReader`] reads the
 //! tokens one by one; the values of rows are decoded only on request.
 
-pub mod change_type;
 pub mod code;
 mod decode;
 pub mod done;
+pub mod env_change_type;
 mod reader;
 
 pub use reader::{ParsedToken, RowValue, TokenReader};
 
 /// The message of an ERROR or an INFO token.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Message {
+pub struct ServerMessage {
     /// The number that identifies the error.
     pub number: i32,
     /// The state, which distinguishes the sources of the same error.
@@ -25,7 +25,7 @@
 
 /// A change of the session's environment, from an ENVCHANGE token.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum EnvChange {
     /// The current database changed; holds its name.
     Database(String),
     /// The packet size was negotiated; holds the size in bytes.
@@ -38,7 +38,7 @@
     Reset,
     /// The client must connect to another server (ROUTING).
     Routed,
-    /// Any other change, by its type; see [`change_type`] for those that are known.
+    /// Any other change, by its type; see [`env_change_type`] for those that are known.
     Other(u8),
 }
 
@@ -59,16 +59,16 @@
         count: u64,
     },
     /// An error.
-    Error(Message),
+    Error(ServerMessage),
     /// An informational message.
-    Info(Message),
+    Info(ServerMessage),
     /// The acknowledgement of a login.
     LoginAck {
         /// The server's TDS version.
         version: u32,
     },
     /// A change of the session's environment.
-    Change(Change),
+    EnvChange(EnvChange),
     /// The status of a procedure.
     ReturnStatus(i32),
     /// The value of an output parameter.
--- a/crates/comethitch-tds/src/token/reader.rs
+++ b/crates/comethitch-tds/src/token/reader.rs
@@ -73,10 +73,10 @@
             code::ROW => self.skip_row(reader),
             code::ROW_WITH_NULLS => self.skip_row_with_nulls(reader),
             code::DONE | code::DONE_PROCEDURE | code::DONE_IN_PROCEDURE => decode::done(code, reader),
-            code::ERROR => decode::message(reader).map(Token::Error),
-            code::INFO => decode::message(reader).map(Token::Info),
+            code::ERROR => decode::server_message(reader).map(Token::Error),
+            code::INFO => decode::server_message(reader).map(Token::Info),
             code::LOGIN_ACK => decode::login_ack(reader),
-            code::ENV_CHANGE => decode::change(reader).map(Token::Change),
+            code::ENV_CHANGE => decode::env_change(reader).map(Token::EnvChange),
             code::RETURN_STATUS => Ok(Token::ReturnStatus(reader.i32()?)),
             code::RETURN_VALUE => decode::return_value(reader),
             code::TABLE_NAMES | code::COLUMN_INFO | code::ORDER | code::SSPI => {
--- a/crates/comethitch-tds/src/write.rs
+++ b/crates/comethitch-tds/src/write.rs
@@ -1,7 +1,7 @@
 //! Writes the tokens of a server's response, for a router's own responses and for scripted servers in tests.
 
 use crate::text;
-use crate::token::{Message, code};
+use crate::token::{ServerMessage, code};
 use crate::types::{MAX_SHORT_BYTES, UNLIMITED, code as type_code};
 
 /// The highest severity class of an informational message.
@@ -39,7 +39,7 @@
 
 /// Writes an ERROR token, or an INFO token if the message's class is at most 10. A text of more than 4000
 /// characters is truncated.
-pub fn put_message(out: &mut Vec<u8>, message: &Message, server: &str) {
+pub fn put_server_message(out: &mut Vec<u8>, message: &ServerMessage, server: &str) {
     let code = if message.class > MAX_INFO_CLASS { code::ERROR } else { code::INFO };
     let text: String = message.text.chars().take(MAX_MESSAGE_CHARACTERS).collect();
     let procedure = "";
@@ -75,8 +75,8 @@
 }
 
 /// Writes an ENVCHANGE token with text values, for the types 2 (language),
-/// [`crate::token::change_type::DATABASE`] and [`crate::token::change_type::PACKET_SIZE`].
-pub fn put_change(out: &mut Vec<u8>, change_type: u8, new: &str, old: &str) {
+/// [`crate::token::env_change_type::DATABASE`] and [`crate::token::env_change_type::PACKET_SIZE`].
+pub fn put_env_change(out: &mut Vec<u8>, change_type: u8, new: &str, old: &str) {
     put_with_length(out, code::ENV_CHANGE, |out| {
         out.push(change_type);
         text::put_b_varchar(out, new);
@@ -85,8 +85,9 @@
 }
 
 /// Writes an ENVCHANGE token with binary values, for the types 7 (collation),
-/// [`crate::token::change_type::BEGIN_TRANSACTION`] and [`crate::token::change_type::RESET_ACKNOWLEDGED`].
-pub fn put_change_bytes(out: &mut Vec<u8>, change_type: u8, new: &[u8], old: &[u8]) {
+/// [`crate::token::env_change_type::BEGIN_TRANSACTION`] and
+/// [`crate::token::env_change_type::RESET_ACKNOWLEDGED`].
+pub fn put_env_change_bytes(out: &mut Vec<u8>, change_type: u8, new: &[u8], old: &[u8]) {
     put_with_length(out, code::ENV_CHANGE, |out| {
         out.push(change_type);
         for bytes in [new, old] {
--- a/crates/comethitch-tds/tests/codec.rs
+++ b/crates/comethitch-tds/tests/codec.rs
@@ -1,16 +1,18 @@
 //! Tests of the codec: round trips of every message and token at every split of the input, rejection of
 //! invalid input, and arbitrary bytes, on which nothing may panic.
 
-use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
+use comethitch_tds::login::{Encryption, Login, Prelogin, TDS_VERSION};
 use comethitch_tds::packet::{
     HEADER_BYTES, Header, INITIAL_PACKET_BYTES, MessageAssembler, MessageKind, put_message, put_packets,
     status,
 };
 use comethitch_tds::request::{Batch, Call, CallWriter, Headers, Procedure, SystemProcedure};
-use comethitch_tds::token::{Change, Message, ParsedToken, RowValue, Token, TokenReader, code, done};
+use comethitch_tds::token::{
+    EnvChange, ParsedToken, RowValue, ServerMessage, Token, TokenReader, code, done,
+};
 use comethitch_tds::types::{Value, code as type_code};
 use comethitch_tds::write::{
-    self, Cell, Column, put_change, put_change_bytes, put_columns, put_done, put_login_ack, put_row,
+    self, Cell, Column, put_columns, put_done, put_env_change, put_env_change_bytes, put_login_ack, put_row,
 };
 use comethitch_tds::{MalformedMessage, ReadError};
 use proptest::prelude::{ProptestConfig, any, prop, prop_assert, prop_assert_eq, proptest};
@@ -64,7 +66,7 @@
 #[test]
 fn logins_round_trip_and_invalid_offsets_never_panic() {
     let login = Login {
-        version: VERSION,
+        version: TDS_VERSION,
         packet_size: 8000,
         host: "máquina".into(),
         user: "lectora".into(),
@@ -116,7 +118,7 @@
             .text("", "@a int, @b int")
             .integer("@a", Some(-7))
             .integer("@b", None)
-            .out("@c");
+            .output_integer("@c");
         let call = Call::read(&wire).expect("a call");
         assert_eq!(call.procedure, Procedure::System(SystemProcedure::ExecuteSql));
         assert_eq!(call.statement(), Some(text.as_str()));
@@ -215,13 +217,13 @@
 /// A response with a value of every type and every token.
 fn response() -> Vec<u8> {
     let mut wire = Vec::new();
-    put_change(&mut wire, 4, "8000", "4096");
-    put_change_bytes(&mut wire, 18, &[], &[]);
-    put_change_bytes(&mut wire, 8, &[1; 8], &[]);
-    put_login_ack(&mut wire, VERSION, "srv");
-    let message = |class| Message { number: 1205, state: 13, class, text: "víctima".into() };
-    write::put_message(&mut wire, &message(10), "srv");
-    write::put_message(&mut wire, &message(13), "srv");
+    put_env_change(&mut wire, 4, "8000", "4096");
+    put_env_change_bytes(&mut wire, 18, &[], &[]);
+    put_env_change_bytes(&mut wire, 8, &[1; 8], &[]);
+    put_login_ack(&mut wire, TDS_VERSION, "srv");
+    let message = |class| ServerMessage { number: 1205, state: 13, class, text: "víctima".into() };
+    write::put_server_message(&mut wire, &message(10), "srv");
+    write::put_server_message(&mut wire, &message(13), "srv");
     for (description, value, _) in types() {
         let pointer = matches!(description[0], type_code::TEXT | type_code::NTEXT | type_code::IMAGE);
         let description = if pointer { [description, vec![1, 1, 0, b't', 0]].concat() } else { description };
@@ -271,12 +273,12 @@
     }
     assert_eq!((position, rows), (wire.len(), types().len() * 2));
     assert!(
-        seen.contains(&Token::Change(Change::PacketSize(8000)))
-            && seen.contains(&Token::Change(Change::Reset))
+        seen.contains(&Token::EnvChange(EnvChange::PacketSize(8000)))
+            && seen.contains(&Token::EnvChange(EnvChange::Reset))
     );
     assert!(
-        seen.contains(&Token::Change(Change::TransactionBegan))
-            && seen.contains(&Token::LoginAck { version: VERSION })
+        seen.contains(&Token::EnvChange(EnvChange::TransactionBegan))
+            && seen.contains(&Token::LoginAck { version: TDS_VERSION })
     );
     assert!(
         seen.iter().any(|token| matches!(token, Token::Error(m) if m.number == 1205 && m.text == "víctima"))
--- a/crates/comethitch-testkit/src/postgres/mod.rs
+++ b/crates/comethitch-testkit/src/postgres/mod.rs
@@ -41,7 +41,7 @@
 }
 
 /// Encodes an answer of one row with one column, up to `CommandComplete`. `ReadyForQuery` must follow.
-pub fn row(value: &[u8]) -> Vec<u8> {
+pub fn one_row_answer(value: &[u8]) -> Vec<u8> {
     [row_description(), data_row(value), command_complete()].concat()
 }
 
--- a/crates/comethitch-testkit/src/postgres/server.rs
+++ b/crates/comethitch-testkit/src/postgres/server.rs
@@ -1,8 +1,8 @@
 //! The server side of a PostgreSQL connection: encodes what a scripted host sends.
 
 use super::{
-    TransactionStatus, command_complete, data_row, error, message, message_type, read_message,
-    ready_for_query, row, row_description,
+    TransactionStatus, command_complete, data_row, error, message, message_type, one_row_answer,
+    read_message, ready_for_query, row_description,
 };
 use crate::connection::{ServerError, ServerProtocol, serve_requests};
 use crate::engine::Engine;
@@ -66,19 +66,19 @@
     fn load_report(&self, position_ms: u64, is_primary: bool) -> Vec<u8> {
         let primary = u8::from(is_primary);
         let report = format!("x0={}.{:03},x1={primary}", position_ms / 1000, position_ms % 1000);
-        then_ready(row(report.as_bytes()))
+        then_ready(one_row_answer(report.as_bytes()))
     }
 
     fn answer(&self, key: &str) -> Vec<u8> {
-        then_ready(row(key.as_bytes()))
+        then_ready(one_row_answer(key.as_bytes()))
     }
 
     fn answer_in_transaction(&self, key: &str) -> Vec<u8> {
-        [row(key.as_bytes()), ready_for_query(TransactionStatus::InTransaction)].concat()
+        [one_row_answer(key.as_bytes()), ready_for_query(TransactionStatus::InTransaction)].concat()
     }
 
     fn answer_with_extra_bytes(&self, key: &str) -> Vec<u8> {
-        [self.answer(key), row(b"surplus")].concat()
+        [self.answer(key), one_row_answer(b"surplus")].concat()
     }
 
     fn answer_of_all_types(&self, key: &str) -> Vec<u8> {
--- a/crates/comethitch-testkit/src/tds/client.rs
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -3,10 +3,10 @@
 use super::{CLIENT_PACKET_SIZE, encode, read_message, write_message};
 use crate::error::ConnectionError;
 use crate::reply::Reply;
-use comethitch_tds::login::{Login, Prelogin, VERSION};
+use comethitch_tds::login::{Login, Prelogin, TDS_VERSION};
 use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MessageKind};
 use comethitch_tds::request::Batch;
-use comethitch_tds::token::{Message, ParsedToken, Token, TokenReader, done};
+use comethitch_tds::token::{ParsedToken, ServerMessage, Token, TokenReader, done};
 use comethitch_tds::types::Value;
 use std::net::TcpStream;
 
@@ -30,7 +30,7 @@
 
 fn login() -> Login {
     Login {
-        version: VERSION,
+        version: TDS_VERSION,
         packet_size: CLIENT_PACKET_SIZE as u32,
         user: "portal".into(),
         database: "crm".into(),
@@ -100,7 +100,7 @@
 }
 
 /// Maps an ERROR token to a reply by its number.
-fn classify_error(message: Message) -> Reply {
+fn classify_error(message: ServerMessage) -> Reply {
     match message.number {
         THROTTLED => Reply::Throttled,
         REJECTED => Reply::Rejected(message.text),
--- a/crates/comethitch-testkit/src/tds/server.rs
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -4,13 +4,13 @@
 use crate::connection::{ServerError, ServerProtocol, serve_requests};
 use crate::engine::Engine;
 use crate::error::ConnectionError;
-use comethitch_tds::login::{Login, Prelogin, VERSION};
+use comethitch_tds::login::{Login, Prelogin, TDS_VERSION};
 use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MessageKind, status};
 use comethitch_tds::request::{Batch, Call};
-use comethitch_tds::token::{Message, change_type, code, done};
+use comethitch_tds::token::{ServerMessage, code, done, env_change_type};
 use comethitch_tds::write::{
-    Cell, Column, put_change, put_change_bytes, put_columns, put_done, put_login_ack,
-    put_message as put_error, put_return_status, put_row,
+    Cell, Column, put_columns, put_done, put_env_change, put_env_change_bytes, put_login_ack,
+    put_return_status, put_row, put_server_message,
 };
 use std::net::TcpStream;
 
@@ -74,9 +74,9 @@
 
 fn login_response() -> Vec<u8> {
     let mut tokens = Vec::new();
-    put_change(&mut tokens, change_type::DATABASE, "crm", "master");
-    put_login_ack(&mut tokens, VERSION, SERVER_NAME);
-    put_change(&mut tokens, change_type::PACKET_SIZE, &PACKET_SIZE.to_string(), "4096");
+    put_env_change(&mut tokens, env_change_type::DATABASE, "crm", "master");
+    put_login_ack(&mut tokens, TDS_VERSION, SERVER_NAME);
+    put_env_change(&mut tokens, env_change_type::PACKET_SIZE, &PACKET_SIZE.to_string(), "4096");
     put_done(&mut tokens, code::DONE, 0, 0);
     tokens
 }
@@ -121,8 +121,8 @@
 
 fn error_tokens(number: i32) -> Vec<u8> {
     let mut tokens = Vec::new();
-    let message = Message { number, state: 1, class: ERROR_CLASS, text: "no".into() };
-    put_error(&mut tokens, &message, SERVER_NAME);
+    let message = ServerMessage { number, state: 1, class: ERROR_CLASS, text: "no".into() };
+    put_server_message(&mut tokens, &message, SERVER_NAME);
     put_done(&mut tokens, code::DONE, done::ERROR, 0);
     tokens
 }
@@ -149,7 +149,12 @@
             let text = self.decode(message.kind, &message.payload)?;
             self.reset_acknowledgement.clear();
             if message.status & status::RESET != 0 {
-                put_change_bytes(&mut self.reset_acknowledgement, change_type::RESET_ACKNOWLEDGED, &[], &[]);
+                put_env_change_bytes(
+                    &mut self.reset_acknowledgement,
+                    env_change_type::RESET_ACKNOWLEDGED,
+                    &[],
+                    &[],
+                );
             } else if self.has_read_request && self.client_is_router {
                 let tokens = error_tokens(SESSION_NOT_RESET);
                 write_message(&mut self.stream, MessageKind::Response, PACKET_SIZE, &tokens)?;
@@ -177,7 +182,7 @@
 
     fn answer_in_transaction(&self, key: &str) -> Vec<u8> {
         let mut tokens = self.reset_acknowledgement.clone();
-        put_change_bytes(&mut tokens, change_type::BEGIN_TRANSACTION, &[1; 8], &[]);
+        put_env_change_bytes(&mut tokens, env_change_type::BEGIN_TRANSACTION, &[1; 8], &[]);
         tokens.extend(self.answer_tokens(key));
         answer_message(&tokens)
     }
--- a/crates/comethitchd/src/protocols/tds/client/login.rs
+++ b/crates/comethitchd/src/protocols/tds/client/login.rs
@@ -1,12 +1,12 @@
 //! Opens a client's session: PRELOGIN, then LOGIN7. The user name and the password are not checked.
 
-use super::reply::{SERVER_NAME, change, class, encode_packets, put_failure};
+use super::reply::{SERVER_NAME, class, encode_packets, env_change_type, put_failure};
 use super::{ClientMessage, Session, operation};
 use crate::protocols::client_connection::Disconnect;
-use comethitch_tds::login::{Encryption, Login, MAX_LOGIN_BYTES, Prelogin, VERSION};
+use comethitch_tds::login::{Encryption, Login, MAX_LOGIN_BYTES, Prelogin, TDS_VERSION};
 use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MIN_PACKET_BYTES, MessageKind};
 use comethitch_tds::token::code;
-use comethitch_tds::write::{put_change, put_change_bytes, put_done, put_login_ack};
+use comethitch_tds::write::{put_done, put_env_change, put_env_change_bytes, put_login_ack};
 
 /// The server version that is sent to clients.
 const SERVER_VERSION: [u8; 6] = [16, 0, 0, 0, 0, 0];
@@ -89,13 +89,13 @@
         let default_database = &self.settings.hosts.database;
         let database = if login.database.is_empty() { default_database } else { &login.database };
         let mut tokens = Vec::new();
-        put_change(&mut tokens, change::DATABASE, database, INITIAL_DATABASE);
-        put_change_bytes(&mut tokens, change::COLLATION, &COLLATION, &[]);
-        put_change(&mut tokens, change::LANGUAGE, LANGUAGE, "");
-        put_login_ack(&mut tokens, VERSION, SERVER_NAME);
-        put_change(
+        put_env_change(&mut tokens, env_change_type::DATABASE, database, INITIAL_DATABASE);
+        put_env_change_bytes(&mut tokens, env_change_type::COLLATION, &COLLATION, &[]);
+        put_env_change(&mut tokens, env_change_type::LANGUAGE, LANGUAGE, "");
+        put_login_ack(&mut tokens, TDS_VERSION, SERVER_NAME);
+        put_env_change(
             &mut tokens,
-            change::PACKET_SIZE,
+            env_change_type::PACKET_SIZE,
             &packet_size.to_string(),
             &INITIAL_PACKET_BYTES.to_string(),
         );
--- a/crates/comethitchd/src/protocols/tds/client/mod.rs
+++ b/crates/comethitchd/src/protocols/tds/client/mod.rs
@@ -24,9 +24,9 @@
     HEADER_BYTES, INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_packets, status,
 };
 use comethitch_tds::token::code;
-use comethitch_tds::write::put_change_bytes;
+use comethitch_tds::write::put_env_change_bytes;
 use operation::{Operation, Statement};
-use reply::{DONE_TOKEN_BYTES, ReplyEncoder, ReplyFraming, change, class};
+use reply::{DONE_TOKEN_BYTES, ReplyEncoder, ReplyFraming, class, env_change_type};
 use std::future::Future;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -142,7 +142,7 @@
         let operation = operation::parse(message.kind, message.payload, &mut self.prepared)?;
         let mut tokens = Vec::new();
         if resets_session {
-            put_change_bytes(&mut tokens, change::SESSION_RESET, &[], &[]);
+            put_env_change_bytes(&mut tokens, env_change_type::SESSION_RESET, &[], &[]);
         }
         match self.perform(operation, &mut tokens).await? {
             OperationEnd::Answered => self.write_tokens(&tokens).await,
--- a/crates/comethitchd/src/protocols/tds/client/operation.rs
+++ b/crates/comethitchd/src/protocols/tds/client/operation.rs
@@ -264,7 +264,7 @@
         return false;
     }
     let mut lexer = Lexer::new(Dialect::Tsql);
-    lexer.read(text.as_bytes());
+    lexer.tokenize(text.as_bytes());
     let is_empty = lexer.tokens().is_empty() && lexer.ambiguity().is_none();
     is_empty || sets_only_session_options(&lexer)
 }
--- a/crates/comethitchd/src/protocols/tds/client/reply.rs
+++ b/crates/comethitchd/src/protocols/tds/client/reply.rs
@@ -4,8 +4,8 @@
 use crate::protocols::tds::settings::{ErrorNumbers, RETRIED_BY_DRIVERS};
 use crate::state::pending_requests::Reply;
 use comethitch_tds::packet::{MessageKind, put_message};
-use comethitch_tds::token::{Message, ParsedToken, Token, TokenReader, code, done};
-use comethitch_tds::write::{put_done, put_message as put_error, put_return_value};
+use comethitch_tds::token::{ParsedToken, ServerMessage, Token, TokenReader, code, done};
+use comethitch_tds::write::{put_done, put_return_value, put_server_message};
 
 /// The server name that is sent to clients.
 pub(super) const SERVER_NAME: &str = "comethitch";
@@ -27,7 +27,7 @@
 }
 
 /// The types of ENVCHANGE tokens.
-pub(super) mod change {
+pub(super) mod env_change_type {
     /// The session's database.
     pub(crate) const DATABASE: u8 = 1;
     /// The session's language.
@@ -67,7 +67,11 @@
 
 /// Writes an error, and the token that ends the answer.
 pub(super) fn put_failure(tokens: &mut Vec<u8>, number: i32, class: u8, text: &str, done_code: u8) {
-    put_error(tokens, &Message { number, state: ERROR_STATE, class, text: text.into() }, SERVER_NAME);
+    put_server_message(
+        tokens,
+        &ServerMessage { number, state: ERROR_STATE, class, text: text.into() },
+        SERVER_NAME,
+    );
     put_done(tokens, done_code, done::ERROR, 0);
 }
 
@@ -149,7 +153,7 @@
 }
 
 /// Returns the first error in an answer that drivers retry on.
-fn error_retried_by_drivers(answer: &[u8]) -> Option<Message> {
+fn error_retried_by_drivers(answer: &[u8]) -> Option<ServerMessage> {
     let mut parser = TokenReader::new();
     let mut parsed = 0;
     while let Ok(ParsedToken { token, length }) = parser.next(&answer[parsed..]) {
--- a/crates/comethitchd/src/protocols/tds/host_login.rs
+++ b/crates/comethitchd/src/protocols/tds/host_login.rs
@@ -6,7 +6,7 @@
 use crate::state::host_connection::{ConnectionError, HostConnection};
 use crate::state::router_state::RouterState;
 use comethitch_policy::AttemptOutcome;
-use comethitch_tds::login::{Encryption, Login, Prelogin, VERSION};
+use comethitch_tds::login::{Encryption, Login, Prelogin, TDS_VERSION};
 use comethitch_tds::packet::{
     INITIAL_PACKET_BYTES, MAX_PACKET_BYTES, MessageAssembler, MessageKind, put_message,
 };
@@ -79,7 +79,7 @@
     state: &RouterState, settings: &TdsSettings, connection: &HostConnection,
 ) -> Result<(), ConnectionError> {
     let login = Login {
-        version: VERSION,
+        version: TDS_VERSION,
         packet_size: settings.packet_size as u32,
         host: state.config.name.clone(),
         user: settings.hosts.user.clone(),
--- a/crates/comethitchd/src/protocols/tds/response.rs
+++ b/crates/comethitchd/src/protocols/tds/response.rs
@@ -5,7 +5,7 @@
 
 use crate::state::host_connection::HostErrorCode;
 use comethitch_tds::packet::{HEADER_BYTES, Header, MessageKind, status};
-use comethitch_tds::token::{Change, ParsedToken, RowValue, Token, TokenReader, code, done};
+use comethitch_tds::token::{EnvChange, ParsedToken, RowValue, Token, TokenReader, code, done};
 use comethitch_tds::types::Value;
 use comethitch_tds::{MalformedMessage, ReadError};
 
@@ -156,9 +156,9 @@
                 self.error.get_or_insert(code);
             }
             Token::LoginAck { .. } => self.login_accepted = true,
-            Token::Change(Change::PacketSize(size)) => self.packet_size = Some(size),
-            Token::Change(Change::TransactionBegan) => self.in_transaction = true,
-            Token::Change(Change::TransactionEnded) => self.in_transaction = false,
+            Token::EnvChange(EnvChange::PacketSize(size)) => self.packet_size = Some(size),
+            Token::EnvChange(EnvChange::TransactionBegan) => self.in_transaction = true,
+            Token::EnvChange(EnvChange::TransactionEnded) => self.in_transaction = false,
             Token::Row => self.has_results = true,
             Token::Done { status, .. } => {
                 self.has_results = true;
@@ -188,9 +188,9 @@
 /// not.
 fn is_forwarded(token: &Token) -> bool {
     match token {
-        Token::Change(Change::Reset | Change::PacketSize(_) | Change::Database(_) | Change::Other(_)) => {
-            false
-        }
+        Token::EnvChange(
+            EnvChange::Reset | EnvChange::PacketSize(_) | EnvChange::Database(_) | EnvChange::Other(_),
+        ) => false,
         Token::Other(code) => *code != code::SESSION_STATE,
         _ => true,
     }
--- a/crates/comethitchd/src/service/classify.rs
+++ b/crates/comethitchd/src/service/classify.rs
@@ -94,8 +94,9 @@
             }
             None => request_classes(&rules),
         };
-        let admission = StatementAdmission::unlimited(rules, &classes, &class_names, random_secret())
-            .map_err(|source| ClassifyError::Rules { rules: self.rules_name(), source })?;
+        let admission =
+            StatementAdmission::without_parsing_budget(rules, &classes, &class_names, random_secret())
+                .map_err(|source| ClassifyError::Rules { rules: self.rules_name(), source })?;
         Ok(LineClassifier::new(admission, class_names, has_rules))
     }
 
--- a/crates/comethitchd/src/state/metrics_report.rs
+++ b/crates/comethitchd/src/state/metrics_report.rs
@@ -61,7 +61,7 @@
     for (effect, count) in StatementAdmission::EFFECTS.iter().zip(counts.effects) {
         fields.push_nonzero(effect.name(), count);
     }
-    fields.push_nonzero("cache_hits", counts.hits);
+    fields.push_nonzero("cache_hits", counts.cache_hits);
     fields.push_nonzero("parsed", counts.parsed);
     fields.push_nonzero("ambiguous", counts.ambiguous);
     fields.push_nonzero("client_budget_exhausted", counts.client_budget_exhausted);
--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant, SystemTime};
 use support::{
     ClientReply, DISCONNECT_GRACE, Daemon, LateHost, PostgresClient, Router, ScriptedHost, answer,
-    configuration, message, parameter_status, read_request, ready, ready_primary, ready_replica, row,
-    single_primary_configuration, write_request,
+    configuration, message, one_row_answer, parameter_status, read_request, ready, ready_primary,
+    ready_replica, single_primary_configuration, write_request,
 };
 
 /// Returns what the connection that received the request with this id has received, or `None` if there is
@@ -116,7 +116,9 @@
         let vitals = format!("x0={}.{:03},x1=0", unix_ms / 1000, unix_ms % 1000);
         let value = if is_long { "stale".into() } else { vitals };
         stream
-            .write_all(&[row(value.as_bytes()), parameter_status("rank", "copy"), ready()].concat())
+            .write_all(
+                &[one_row_answer(value.as_bytes()), parameter_status("rank", "copy"), ready()].concat(),
+            )
             .ok()?;
     }
 }
--- a/crates/comethitchd/tests/serving.rs
+++ b/crates/comethitchd/tests/serving.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime};
 use support::{
     ClientReply, HostAction, HostEvent, PostgresClient, Router, ScriptedHost, TEST_TIMEOUT, answer,
-    configuration, error, message, query, read_request, ready, ready_primary, ready_replica, row,
+    configuration, error, message, one_row_answer, query, read_request, ready, ready_primary, ready_replica,
     single_primary_configuration, startup_message, unreachable_address, write_request,
 };
 
@@ -65,7 +65,7 @@
 fn large_value_is_returned_completely() {
     let large = vec![0x9f; 64 * 1024];
     let value = large.clone();
-    let primary = ScriptedHost::primary(move |_, _| HostAction::Answer(row(&value)));
+    let primary = ScriptedHost::primary(move |_, _| HostAction::Answer(one_row_answer(&value)));
     let router = Router::with_single_primary(&primary);
     let mut client = PostgresClient::connect(router.address);
     let text = write_request(1, 3_000).replace("9f", &"9f".repeat(64 * 1024));
@@ -112,7 +112,8 @@
 /// another request.
 #[test]
 fn malformed_response_fails_the_write_and_closes_the_connection() {
-    let malformed = [message(b'?', b""), message(b'D', b"\0\x01"), [row(b"a"), row(b"b")].concat()];
+    let malformed =
+        [message(b'?', b""), message(b'D', b"\0\x01"), [one_row_answer(b"a"), one_row_answer(b"b")].concat()];
     for bytes in malformed {
         let primary = ScriptedHost::primary(move |nth, _| match nth {
             0 => HostAction::Answer(bytes.clone()),
@@ -135,9 +136,9 @@
 /// Guards against extra bytes of a host that are taken for the answer to the next request on the connection.
 #[test]
 fn extra_bytes_after_response_close_the_connection() {
-    for extra_bytes in [row(b"theirs"), vec![0x7f; 40], row(b"theirs")[..9].to_vec()] {
+    for extra_bytes in [one_row_answer(b"theirs"), vec![0x7f; 40], one_row_answer(b"theirs")[..9].to_vec()] {
         let primary = ScriptedHost::primary(move |nth, _| match nth {
-            0 => HostAction::Answer([row(b"value"), ready(), extra_bytes.clone()].concat()),
+            0 => HostAction::Answer([one_row_answer(b"value"), ready(), extra_bytes.clone()].concat()),
             _ => answer("own"),
         });
         let router = Router::with_single_primary(&primary);
--- a/crates/comethitchd/tests/shutdown.rs
+++ b/crates/comethitchd/tests/shutdown.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use support::{
     BUSY_MACHINE_SLACK, ClientReply, Daemon, HostAction, HostEvent, PostgresClient, Router, ScriptedHost,
-    TEST_TIMEOUT, answer, query, read_request, row, single_primary_configuration, write_request,
+    TEST_TIMEOUT, answer, one_row_answer, query, read_request, single_primary_configuration, write_request,
 };
 
 /// Waits until the router has closed its sending direction, without reading anything.
@@ -116,7 +116,7 @@
 /// both directions are full.
 #[test]
 fn client_that_never_reads_does_not_block_shutdown() {
-    let primary = ScriptedHost::primary(|_, _| HostAction::Answer(row(&[b'x'; 60_000])));
+    let primary = ScriptedHost::primary(|_, _| HostAction::Answer(one_row_answer(&[b'x'; 60_000])));
     let config = single_primary_configuration(primary.address);
     let daemon = Daemon::start("never-reads", &config);
     let mut client = PostgresClient::connect(daemon.address);
--- a/crates/comethitchd/tests/statements.rs
+++ b/crates/comethitchd/tests/statements.rs
@@ -7,8 +7,8 @@
 use std::sync::{Arc, Mutex};
 use support::{
     ClientReply, HostAction, HostEvent, PostgresClient, Router, ScriptedHost, answer, configuration, error,
-    message, read_request, ready_primary, ready_replica, row, single_primary_configuration, statement_rules,
-    write_request,
+    message, one_row_answer, read_request, ready_primary, ready_replica, single_primary_configuration,
+    statement_rules, write_request,
 };
 
 fn rules() -> Value {
@@ -260,7 +260,7 @@
 #[test]
 fn connection_with_an_open_transaction_is_not_reused() {
     let primary = ScriptedHost::primary(|nth, _| match nth {
-        0 => HostAction::Raw([row(b"first"), message(b'Z', b"T")].concat()),
+        0 => HostAction::Raw([one_row_answer(b"first"), message(b'Z', b"T")].concat()),
         _ => answer("second"),
     });
     let router = Router::with_statement_rules(single_primary_configuration(primary.address), rules());
--- a/crates/comethitchd/tests/support/mod.rs
+++ b/crates/comethitchd/tests/support/mod.rs
@@ -29,7 +29,7 @@
 
 pub(crate) use comethitch_testkit::TEST_TIMEOUT;
 pub(crate) use comethitch_testkit::postgres::{
-    error, message, parameter_status, query, row, startup_message,
+    error, message, one_row_answer, parameter_status, query, startup_message,
 };
 pub(crate) use configuration::{
     SAMPLE_CONFIGURATION, configuration, configuration_with_discovery, configuration_with_sockets, endpoint,
--- a/crates/comethitchd/tests/support/scripted_host.rs
+++ b/crates/comethitchd/tests/support/scripted_host.rs
@@ -5,7 +5,7 @@
 //! connections.
 
 use super::messages::{greeting, ready};
-use super::{TEST_TIMEOUT, parameter_status, row};
+use super::{TEST_TIMEOUT, one_row_answer, parameter_status};
 use comethitch_testkit::postgres::{Message, read_message};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -29,7 +29,7 @@
 
 /// Answers with one row that holds this value.
 pub(crate) fn answer(value: &str) -> HostAction {
-    HostAction::Answer(row(value.as_bytes()))
+    HostAction::Answer(one_row_answer(value.as_bytes()))
 }
 
 /// An event that a host has observed.
@@ -164,7 +164,7 @@
 
     fn act(&self, text: &str, observer: &Sender<HostEvent>) -> HostAction {
         if text == "SHOW vitals" {
-            return HostAction::Answer(row(self.load_report().as_bytes()));
+            return HostAction::Answer(one_row_answer(self.load_report().as_bytes()));
         }
         let _ = observer.send(HostEvent::Query(text.to_string()));
         (self.script)(self.queries.fetch_add(1, Ordering::SeqCst), text)
--- a/crates/comethitchd/tests/tds.rs
+++ b/crates/comethitchd/tests/tds.rs
@@ -193,7 +193,7 @@
     let statement = "INSERT INTO t (a, b) VALUES ('p', @a)";
     let mut payload = Vec::new();
     CallWriter::system(&mut payload, SystemProcedure::Prepare)
-        .out("@handle")
+        .output_integer("@handle")
         .text("", "@a int")
         .text("", statement)
         .integer("", Some(1));
@@ -204,8 +204,9 @@
     assert_eq!(primary.next_request(), statement);
     // One call prepares and executes the statement. The handle must be returned after the rows.
     let mut payload = Vec::new();
-    let both =
-        CallWriter::system(&mut payload, SystemProcedure::PrepareExecute).out("@handle").text("", "@a int");
+    let both = CallWriter::system(&mut payload, SystemProcedure::PrepareExecute)
+        .output_integer("@handle")
+        .text("", "@a int");
     both.text("", statement).integer("@a", Some(3));
     let response = send(&mut client, &payload);
     let at = |wanted: &Token| response.iter().position(|token| token == wanted);
--- a/crates/comethitchd/tests/wire.rs
+++ b/crates/comethitchd/tests/wire.rs
@@ -18,7 +18,8 @@
 use futures_lite::future::block_on;
 use serde_json::{Value, json};
 use support::{
-    SAMPLE_CONFIGURATION, endpoint, error, parameter_status, ready, ready_replica, row, startup_message,
+    SAMPLE_CONFIGURATION, endpoint, error, one_row_answer, parameter_status, ready, ready_replica,
+    startup_message,
 };
 
 /// Parses a response that arrives in pieces of this size. Returns an error if it is malformed.
@@ -38,11 +39,11 @@
 #[test]
 fn response_is_parsed_the_same_at_every_split() {
     let report = [parameter_status("rank", "source"), parameter_status("as_of", "1767225600123")].concat();
-    let bytes = [row(b"\x9f\x00\x03"), notice(), report, ready()].concat();
+    let bytes = [one_row_answer(b"\x9f\x00\x03"), notice(), report, ready()].concat();
     for piece_size in [1, 2, 3, 5, 7, bytes.len()] {
         let answer = response_in_pieces(piece_size, &bytes).expect("the response is valid");
         assert!(answer.is_complete() && answer.is_ready() && answer.error_code.is_none());
-        assert_eq!(answer.rows, row(b"\x9f\x00\x03"), "only the value must be forwarded");
+        assert_eq!(answer.rows, one_row_answer(b"\x9f\x00\x03"), "only the value must be forwarded");
         let report = host_report::from_parameters(&answer.parameters);
         assert_eq!(
             (report.role, report.position),
@@ -59,16 +60,16 @@
 /// that a response cannot validly contain.
 #[test]
 fn incomplete_or_malformed_responses_are_detected() {
-    let cut = [&row(b"x")[..row(b"x").len() - 14], &ready()].concat();
+    let cut = [&one_row_answer(b"x")[..one_row_answer(b"x").len() - 14], &ready()].concat();
     assert!(response_in_pieces(1, &cut).is_err(), "ReadyForQuery without CommandComplete must be malformed");
-    let twice = [row(b"x"), row(b"x"), ready()].concat();
+    let twice = [one_row_answer(b"x"), one_row_answer(b"x"), ready()].concat();
     assert!(response_in_pieces(1, &twice).is_err(), "two values for one query must be malformed");
     let no_row = [support::message(b'C', b"INSERT 0 1\0"), ready()].concat();
     assert!(
         !response_in_pieces(1, &no_row).expect("the response is valid").is_complete(),
         "a response without a row must be incomplete"
     );
-    let late_error = [row(b"x"), error("XX000"), ready()].concat();
+    let late_error = [one_row_answer(b"x"), error("XX000"), ready()].concat();
     let late_error = response_in_pieces(1, &late_error).expect("the response is valid");
     assert!(
         !late_error.is_complete() && late_error.error_code.as_deref() == Some("XX000"),
@@ -84,7 +85,7 @@
     // Invalid lengths and types at each level are rejected at the first byte that reveals them. Each case
     // changes one byte: what it makes invalid, its offset, the new byte, and the number of bytes after which
     // the error must be detected.
-    let valid = [row(b"abc"), ready()].concat();
+    let valid = [one_row_answer(b"abc"), ready()].concat();
     let data = valid.iter().skip(20).position(|b| *b == b'D').expect("the response holds a row") + 20;
     let malformed = [
         ("an unknown type", 0, b'?', 1),
@@ -235,7 +236,7 @@
         }
         let mut answer = HostResponse::default();
         if let Ok(Some(found)) = answer.next_message(&bytes) {
-            let described = &row(b"x")[..30];
+            let described = &one_row_answer(b"x")[..30];
             answer
                 .accept(&message(described).expect("the message is valid").expect("the message is complete"))
                 .expect("the row description is expected first");
