--- a/crates/comethitch-statement/src/assign/keys.rs
+++ b/crates/comethitch-statement/src/assign/keys.rs
@@ -115,6 +115,8 @@
 }
 
 /// Returns the 64-bit FNV-1a hash of a key's text, by which [`Placement::Hash`] chooses the shard.
+///
+/// It is public so that programs that place rows in shards can compute the same hash.
 pub fn fnv1a(bytes: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/comethitch-statement/src/budget.rs
+++ b/crates/comethitch-statement/src/budget.rs
@@ -11,7 +11,8 @@
 const BURST: Duration = Duration::from_secs(1);
 /// Number of buckets that clients are hashed into; clients with the same bucket share it.
 const CLIENT_BUCKETS: usize = 256;
-/// Assumed cost of a token before the first parse; deliberately high.
+/// Cost of a token that is assumed before the first measurement. It is high, so that parsing does not exceed
+/// the budget before then.
 const INITIAL_TOKEN_COST_US: f64 = 2.0;
 /// The weight of each parse in the moving average of the token cost.
 const AVERAGE_WEIGHT: f64 = 1.0 / 16.0;
--- a/crates/comethitch-statement/src/cache/mod.rs
+++ b/crates/comethitch-statement/src/cache/mod.rs
@@ -24,8 +24,9 @@
 const PROTECTED_SHARE: Fraction = Fraction { numerator: 4, denominator: 5 };
 /// Slots are allocated for entries of this size; larger entries leave slots unused.
 const MIN_ENTRY_BYTES: usize = 384;
-/// The share of the memory left after the bookkeeping that values may use; the rest allows for heap
-/// fragmentation by the parser's allocations.
+/// The share of the memory left after the bookkeeping that values may use. The rest allows for heap
+/// fragmentation by the parser's allocations: gaps in the heap take up to about half as much memory as the
+/// values.
 const VALUE_SHARE: Fraction = Fraction { numerator: 2, denominator: 3 };
 /// Values above 1 / this of the value budget are not cached.
 const MAX_VALUE_DIVISOR: usize = 64;
