--- a/crates/comethitch-lab/src/system_calls.rs
+++ b/crates/comethitch-lab/src/system_calls.rs
@@ -1,9 +1,8 @@
 //! Faults of system calls in a process under test: interrupted, short, delayed or failing calls, a wrong wall
 //! clock and limited processor time.
 //!
-//! [`SystemCallFaults`] describes the faults of one process. [`FaultLibrary`] injects them: a small library
-//! in C,
-//! loaded in front of the C library.
+//! [`SystemCallFaults`] describes the faults of one process. [`FaultLibrary`] injects them: a small library in
+//! C, loaded in front of the C library.
 
 mod library;
 mod parse;
