--- a/crates/comethitch-fleet/src/connection_slots.rs
+++ b/crates/comethitch-fleet/src/connection_slots.rs
@@ -14,7 +14,8 @@
 /// Maximum number of times that the backoff is doubled. Longer backoffs are not needed, because other routers
 /// close idle connections within tens of seconds.
 const MAX_DOUBLINGS: u32 = 4;
-/// Divisor of the idle timeout of connections while connection slots are scarce.
+/// Divisor of the maximum idle timeout: while connection slots are scarce, connections are closed once they
+/// have been idle for a sixteenth of it.
 const SCARCE_IDLE_DIVISOR: u64 = 16;
 
 /// A router's estimate of the connection slots at one host.
--- a/crates/comethitch-fleet/src/decaying_counter.rs
+++ b/crates/comethitch-fleet/src/decaying_counter.rs
@@ -2,8 +2,9 @@
 
 use comethitch_time::{Duration, Timestamp};
 
-/// Minimum divisor in [`DecayingCounter::rate`], which is 1 - 1/e after one time constant. Without it, a
-/// single event would give a very high rate at first.
+/// Minimum of the observed fraction by which [`DecayingCounter::rate`] divides. The fraction grows from 0 and
+/// is 1 - 1/e after one time constant. Without the minimum, a single event would give a very high rate at
+/// first.
 const MIN_OBSERVED_FRACTION: f64 = 0.1;
 
 /// A sum in which each addend decays by the factor 1/e per time constant. The caller must pass the same time
--- a/crates/comethitch-lab/src/clients.rs
+++ b/crates/comethitch-lab/src/clients.rs
@@ -8,9 +8,8 @@
 pub const MAX_RETRIES: u8 = 2;
 /// Delay before a retry.
 pub const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Minimum rate of a router's clients, in requests per second, which keeps the time to the next request
-/// finite.
-pub const MIN_RATE: f64 = 1e-6;
+/// Minimum rate of requests of a router's clients, which keeps the time to the next request finite.
+pub const MIN_REQUESTS_PER_SECOND: f64 = 1e-6;
 
 /// A request of a client, sent again for each retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/comethitch-lab/src/fleet/clients.rs
+++ b/crates/comethitch-lab/src/fleet/clients.rs
@@ -4,7 +4,7 @@
 use super::Fleet;
 use super::events::Event;
 use super::routers::RequestInFlight;
-use crate::clients::{ClientRequest, MAX_RETRIES, MIN_RATE, RETRY_DELAY};
+use crate::clients::{ClientRequest, MAX_RETRIES, MIN_REQUESTS_PER_SECOND, RETRY_DELAY};
 use crate::ledger::{Answer, Operation};
 use crate::trial::Routing;
 use comethitch_policy::time::Duration;
@@ -15,7 +15,7 @@
 impl Fleet<'_> {
     /// Draws and schedules the arrival of the next request of a router's own clients.
     pub(super) fn schedule_next_request(&mut self, router: usize) {
-        let rate = self.routers[router].arrival_rate.max(MIN_RATE);
+        let rate = self.routers[router].arrival_rate.max(MIN_REQUESTS_PER_SECOND);
         let seconds = Exp::new(rate).expect("the rate is above 0").sample(&mut self.rng);
         let interval = Duration::from_micros((seconds * 1e6) as u64);
         self.events.push(self.now + interval, Event::RequestArrives { router });
--- a/crates/comethitch-lab/src/live/clients.rs
+++ b/crates/comethitch-lab/src/live/clients.rs
@@ -5,7 +5,7 @@
 use super::network::{now, sleep, sleep_until};
 use super::process_table::RouterIncarnation;
 use super::state::{LiveFleet, SLACK, SharedFleet};
-use crate::clients::{ClientRequest, MAX_RETRIES, MIN_RATE, RETRY_DELAY};
+use crate::clients::{ClientRequest, MAX_RETRIES, MIN_REQUESTS_PER_SECOND, RETRY_DELAY};
 use crate::ledger::{Answer, Operation};
 use async_io::Async;
 use comethitch_policy::time::Duration;
@@ -20,7 +20,7 @@
 /// Sends the requests of one router's clients until the trial ends.
 pub(super) async fn send_requests(fleet: SharedFleet, router: usize, requests_per_second: f64) {
     let pool = Pool::default();
-    let interval = Exp::new(requests_per_second.max(MIN_RATE)).expect("the rate is above 0");
+    let interval = Exp::new(requests_per_second.max(MIN_REQUESTS_PER_SECOND)).expect("the rate is above 0");
     let mut next_at = now();
     loop {
         // The interval starts at the scheduled time of the last request, so that late timers do not lower the
--- a/crates/comethitch-policy/src/policy/health.rs
+++ b/crates/comethitch-policy/src/policy/health.rs
@@ -12,7 +12,8 @@
 /// spends more than this: overdue health checks are also sent beyond the budget, and checks that refresh
 /// positions on demand are not charged to it.
 const BUDGET_COST_UNITS_PER_REQUEST: f64 = 0.02;
-/// Fraction of these units for periodic health checks if positions are also refreshed on demand.
+/// Fraction of [`BUDGET_COST_UNITS_PER_REQUEST`] that is for periodic health checks if positions are also
+/// refreshed on demand.
 const PERIODIC_CHECK_FRACTION: f64 = 0.25;
 /// Maximum number of health checks that a shard's budget holds per member.
 const MAX_SAVED_CHECKS_PER_MEMBER: f64 = 2.0;
--- a/crates/comethitch-statement/src/cache/mod.rs
+++ b/crates/comethitch-statement/src/cache/mod.rs
@@ -18,7 +18,7 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// The window's share of the value budget is 1 / this.
+/// Divisor of the value budget: the window may use an eighth of it.
 const WINDOW_DIVISOR: usize = 8;
 /// The share of the budget outside the window that the protected segment may use.
 const PROTECTED_SHARE: Fraction = Fraction { numerator: 4, denominator: 5 };
@@ -28,7 +28,7 @@
 /// fragmentation by the parser's allocations: gaps in the heap take up to about half as much memory as the
 /// values.
 const VALUE_SHARE: Fraction = Fraction { numerator: 2, denominator: 3 };
-/// Values above 1 / this of the value budget are not cached.
+/// Divisor of the value budget: values larger than 1/64 of it are not cached.
 const MAX_VALUE_DIVISOR: usize = 64;
 
 /// A fraction by which numbers of bytes are multiplied.
--- a/crates/comethitch-statement/src/cost.rs
+++ b/crates/comethitch-statement/src/cost.rs
@@ -11,11 +11,11 @@
 /// The upper bound of the first bin.
 const FIRST_BIN_US: u64 = 64;
 /// Number of latencies at which the histogram is halved.
-const MAX_RECORDED: u16 = 256;
+const MAX_RECORDED_LATENCIES: u16 = 256;
 /// Minimum number of latencies for a percentile; with fewer the estimate is used.
-const MIN_RECORDED: u16 = 8;
+const MIN_RECORDED_LATENCIES: u16 = 8;
 /// The band changes only if the cost is beyond a bound by this factor.
-const HYSTERESIS: f64 = 1.25;
+const HYSTERESIS_FACTOR: f64 = 1.25;
 /// The weight of each latency in the moving average of the lookup time.
 const AVERAGE_WEIGHT: f64 = 1.0 / 64.0;
 /// One latency counts in the average as at most this many times the average, and at least its reciprocal.
@@ -69,7 +69,7 @@
         let bin = log.map_or(0, |log| log as usize + 1).min(BINS - 1);
         self.bins[bin] += 1;
         self.total += 1;
-        if self.total >= MAX_RECORDED {
+        if self.total >= MAX_RECORDED_LATENCIES {
             self.bins.iter_mut().for_each(|bin| *bin /= 2);
             self.total = self.bins.iter().sum();
         }
@@ -78,7 +78,7 @@
     /// Returns the 75th percentile of the latencies, as the middle of its bin, or `None` with too few
     /// latencies.
     pub fn percentile_75(&self) -> Option<Duration> {
-        if self.total < MIN_RECORDED {
+        if self.total < MIN_RECORDED_LATENCIES {
             return None;
         }
         let threshold = u32::from(self.total) * 3;
@@ -110,8 +110,8 @@
         let cost_us = learned.unwrap_or_else(|| lookup_time.estimate(lookups)).as_micros() as f64;
         let band = match self.band {
             Some(band) if band <= bounds.len() as u8 => {
-                let up = band_of(bounds, cost_us / HYSTERESIS);
-                let down = band_of(bounds, cost_us * HYSTERESIS);
+                let up = band_of(bounds, cost_us / HYSTERESIS_FACTOR);
+                let down = band_of(bounds, cost_us * HYSTERESIS_FACTOR);
                 band.clamp(up.min(down), up.max(down))
             }
             _ => band_of(bounds, cost_us),
--- a/crates/comethitch-statement/src/frequency_sketch.rs
+++ b/crates/comethitch-statement/src/frequency_sketch.rs
@@ -12,9 +12,9 @@
 const MAX_COUNT: u8 = 15;
 /// Clears the bit that shifting a byte moves from its upper counter into its lower one.
 const HALVED_MASK: u8 = 0x77;
-/// Counters per row and expected key. More than [`SAMPLES_PER_KEY`], so that a row has more counters than keys
-/// can occur between two halvings. Even in a flood of keys that occur once, a key then rarely shares all its
-/// counters with others, and so rarely looks like one that recurs.
+/// Counters per row and expected key. More than [`SAMPLES_PER_KEY`], so that a row has more counters than
+/// keys can occur between two halvings. Even in a flood of keys that occur once, a key then rarely shares all
+/// its counters with others, and so rarely looks like one that recurs.
 const COUNTERS_PER_KEY: usize = 8;
 /// Increments per expected key after which all counts are halved.
 const SAMPLES_PER_KEY: usize = 6;
--- a/crates/comethitch-tds/src/request/call_writer.rs
+++ b/crates/comethitch-tds/src/request/call_writer.rs
@@ -2,7 +2,7 @@
 
 use super::{BY_REFERENCE, Headers, PROCEDURE_ID_FOLLOWS, SystemProcedure};
 use crate::text;
-use crate::types::{MAX_SHORT_BYTES, UNLIMITED, code};
+use crate::types::{MAX_SHORT_BYTES, UNLIMITED_LENGTH, code};
 use crate::write::put_chunked_text;
 
 const OPTION_FLAGS: [u8; 2] = [0; 2];
@@ -38,7 +38,7 @@
         let out = self.begin_parameter(name, BY_VALUE, code::NVARCHAR);
         let bytes = value.encode_utf16().count() * 2;
         if bytes > usize::from(MAX_SHORT_BYTES) {
-            out.extend(UNLIMITED.to_le_bytes());
+            out.extend(UNLIMITED_LENGTH.to_le_bytes());
             out.extend(NO_COLLATION);
             put_chunked_text(out, value);
         } else {
--- a/crates/comethitch-tds/src/types/mod.rs
+++ b/crates/comethitch-tds/src/types/mod.rs
@@ -44,5 +44,5 @@
 const MAX_BYTES: u32 = i32::MAX as u32;
 /// Maximum size of a value with a two-byte length, in bytes.
 pub(crate) const MAX_SHORT_BYTES: u16 = 8000;
-/// Maximum size stated by a type whose values are partially length-prefixed, such as `nvarchar(max)`.
-pub(crate) const UNLIMITED: u16 = u16::MAX;
+/// The length that a type states if its values are partially length-prefixed, such as `nvarchar(max)`.
+pub(crate) const UNLIMITED_LENGTH: u16 = u16::MAX;
--- a/crates/comethitch-tds/src/types/type_info.rs
+++ b/crates/comethitch-tds/src/types/type_info.rs
@@ -6,7 +6,7 @@
     NUMERICN, NVARCHAR, OLD_BINARY, OLD_CHAR, OLD_DECIMAL, OLD_NUMERIC, OLD_VARBINARY, OLD_VARCHAR, TEXT,
     TIMEN, UDT, VARBINARY, VARCHAR, VARIANT, XML,
 };
-use super::{Length, MAX_BYTES, MAX_SHORT_BYTES, Type, UNLIMITED};
+use super::{Length, MAX_BYTES, MAX_SHORT_BYTES, Type, UNLIMITED_LENGTH};
 use crate::error::{Incomplete, ReadError};
 use crate::read::Reader;
 
@@ -119,10 +119,10 @@
 }
 
 /// Returns a type whose values have a two-byte length, or are partially length-prefixed if `max_bytes` is
-/// [`UNLIMITED`].
+/// [`UNLIMITED_LENGTH`].
 fn short_or_unlimited(code: u8, max_bytes: u16) -> Result<Type, ReadError> {
     match max_bytes {
-        UNLIMITED => Ok(Type::plain(code, Length::Chunks, MAX_BYTES)),
+        UNLIMITED_LENGTH => Ok(Type::plain(code, Length::Chunks, MAX_BYTES)),
         too_large if too_large > MAX_SHORT_BYTES => Err(IMPOSSIBLE_LENGTH),
         max_bytes => Ok(Type::plain(code, Length::Short, u32::from(max_bytes))),
     }
--- a/crates/comethitch-tds/src/write.rs
+++ b/crates/comethitch-tds/src/write.rs
@@ -2,7 +2,7 @@
 
 use crate::text;
 use crate::token::{ServerMessage, code};
-use crate::types::{MAX_SHORT_BYTES, UNLIMITED, code as type_code};
+use crate::types::{MAX_SHORT_BYTES, UNLIMITED_LENGTH, code as type_code};
 
 /// The highest severity class of an informational message.
 const MAX_INFO_CLASS: u8 = 10;
@@ -132,7 +132,7 @@
         match column {
             Column::Integer => out.extend([type_code::INTN, 8]),
             Column::Text => put_nvarchar_type(out, MAX_SHORT_BYTES),
-            Column::LongText => put_nvarchar_type(out, UNLIMITED),
+            Column::LongText => put_nvarchar_type(out, UNLIMITED_LENGTH),
             Column::Raw(type_info) => out.extend_from_slice(type_info),
         }
         text::put_b_varchar(out, name);
--- a/crates/comethitch-testkit/src/tds/client.rs
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -1,6 +1,6 @@
 //! The client side of a TDS connection: the login, batches, and decoding of replies.
 
-use super::{CLIENT_PACKET_SIZE, encode, read_message, write_message};
+use super::{CLIENT_PACKET_BYTES, encode, read_message, write_message};
 use crate::error::ConnectionError;
 use crate::reply::Reply;
 use comethitch_tds::login::{Login, Prelogin, TDS_VERSION};
@@ -31,7 +31,7 @@
 fn login() -> Login {
     Login {
         version: TDS_VERSION,
-        packet_size: CLIENT_PACKET_SIZE as u32,
+        packet_size: CLIENT_PACKET_BYTES as u32,
         user: "portal".into(),
         database: "crm".into(),
         ..Login::default()
@@ -55,7 +55,7 @@
 pub(crate) fn batch(text: &str) -> Vec<u8> {
     let mut payload = Vec::new();
     Batch::put(&mut payload, text);
-    encode(MessageKind::Batch, CLIENT_PACKET_SIZE, &payload)
+    encode(MessageKind::Batch, CLIENT_PACKET_BYTES, &payload)
 }
 
 /// Reads the next reply, up to its final DONE token.
--- a/crates/comethitch-testkit/src/tds/mod.rs
+++ b/crates/comethitch-testkit/src/tds/mod.rs
@@ -14,7 +14,7 @@
 /// Maximum payload length of a message that either side reads.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// Packet size that clients request at login and send requests with.
-const CLIENT_PACKET_SIZE: usize = 4096;
+const CLIENT_PACKET_BYTES: usize = 4096;
 
 /// Encodes an attention message, which cancels the request in progress.
 pub fn attention() -> Vec<u8> {
@@ -23,7 +23,7 @@
 
 /// Encodes an RPC request with this payload.
 pub fn rpc_request(payload: &[u8]) -> Vec<u8> {
-    encode(MessageKind::Rpc, CLIENT_PACKET_SIZE, payload)
+    encode(MessageKind::Rpc, CLIENT_PACKET_BYTES, payload)
 }
 
 /// A decoded message.
--- a/crates/comethitch-testkit/src/tds/server.rs
+++ b/crates/comethitch-testkit/src/tds/server.rs
@@ -15,7 +15,7 @@
 use std::net::TcpStream;
 
 /// Packet size that hosts choose: the minimum, so that answers span several packets.
-const PACKET_SIZE: usize = 512;
+const PACKET_BYTES: usize = 512;
 const SERVER_NAME: &str = "standin";
 /// Application name in the login of a router, on whose connections requests of many clients follow each
 /// other.
@@ -76,7 +76,7 @@
     let mut tokens = Vec::new();
     put_env_change(&mut tokens, env_change_type::DATABASE, "crm", "master");
     put_login_ack(&mut tokens, TDS_VERSION, SERVER_NAME);
-    put_env_change(&mut tokens, env_change_type::PACKET_SIZE, &PACKET_SIZE.to_string(), "4096");
+    put_env_change(&mut tokens, env_change_type::PACKET_SIZE, &PACKET_BYTES.to_string(), "4096");
     put_done(&mut tokens, code::DONE, 0, 0);
     tokens
 }
@@ -116,7 +116,7 @@
 }
 
 fn answer_message(tokens: &[u8]) -> Vec<u8> {
-    encode(MessageKind::Response, PACKET_SIZE, tokens)
+    encode(MessageKind::Response, PACKET_BYTES, tokens)
 }
 
 fn error_tokens(number: i32) -> Vec<u8> {
@@ -157,7 +157,7 @@
                 );
             } else if self.has_read_request && self.client_is_router {
                 let tokens = error_tokens(SESSION_NOT_RESET);
-                write_message(&mut self.stream, MessageKind::Response, PACKET_SIZE, &tokens)?;
+                write_message(&mut self.stream, MessageKind::Response, PACKET_BYTES, &tokens)?;
                 continue;
             }
             self.has_read_request = true;
--- a/crates/comethitchd/src/state/client_registry.rs
+++ b/crates/comethitchd/src/state/client_registry.rs
@@ -23,7 +23,8 @@
 const MIN_INPUT_TIMEOUT: Duration = Duration::from_micros(SHORTENED_INPUT_TIMEOUT.as_micros() / 8);
 /// Maximum number of requests in progress as a fraction of the descriptors: numerator and denominator.
 const MAX_BUSY_FRACTION: (usize, usize) = (4, 5);
-/// Connections are evicted before the limit is reached, once at most one in this many descriptors is free.
+/// Divisor of the descriptor limit: connections are evicted before the limit is reached, once at most an
+/// eighth of the descriptors is free.
 const FREE_DESCRIPTORS_DIVISOR: usize = 8;
 /// Size of the buffer that discarded input is read into.
 const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
--- a/crates/comethitchd/src/state/config.rs
+++ b/crates/comethitchd/src/state/config.rs
@@ -29,7 +29,7 @@
 const DEFAULT_MEMORY_LIMIT_MB: u64 = 192;
 const MIN_HOST_IDLE_TIMEOUT_US: u64 = 1;
 const DEFAULT_HOST_IDLE_TIMEOUT_US: u64 = 30_000_000;
-/// Divisor of the memory limit for the maximum size of the cache of statement shapes.
+/// Divisor of the memory limit: the cache of statement shapes may use at most a quarter of it.
 const CACHE_MEMORY_DIVISOR: u64 = 4;
 
 /// The configuration of a router.
--- a/crates/comethitchd/src/state/router_state.rs
+++ b/crates/comethitchd/src/state/router_state.rs
@@ -22,8 +22,8 @@
 
 /// Memory reserved for everything but connection buffers and the cache of statement shapes.
 const OTHER_MEMORY_BYTES: u64 = 12 << 20;
-/// Divisor of the remaining memory that buffers may use. Their contents are copied once, which takes as much
-/// memory again.
+/// Divisor of the remaining memory: buffers may use half of it, because their contents are copied once, which
+/// takes as much memory again.
 const BUFFER_MEMORY_DIVISOR: usize = 2;
 
 /// The state of one running router. Each field owns the state of one concern. No borrow from any of them may
--- a/crates/comethitchd/src/wire/postgres/message.rs
+++ b/crates/comethitchd/src/wire/postgres/message.rs
@@ -3,7 +3,9 @@
 use super::{MAX_MESSAGE_BYTES, VERSION_3};
 use crate::wire::MalformedMessage;
 
+/// Minimum length of a startup message: its length field, and a protocol version or the code of a request.
 const MIN_STARTUP_BYTES: usize = 8;
+/// Maximum accepted length of a startup message.
 const MAX_STARTUP_BYTES: usize = 10_000;
 /// Size of the length field. A message's length includes it.
 pub(super) const LENGTH_BYTES: usize = 4;
@@ -11,12 +13,18 @@
 pub(super) const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
 /// Offset of the length field, which follows the type byte.
 pub(super) const LENGTH_OFFSET: usize = 1;
+/// The bits of a protocol version that hold its major version.
 const MAJOR_VERSION_MASK: u32 = 0xffff_0000;
-const CANCEL_CODE: u32 = 80_877_102;
-const TLS_CODE: u32 = 80_877_103;
-const GSS_CODE: u32 = 80_877_104;
+/// The code of a `CancelRequest`, in place of a protocol version.
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+/// The code of an `SSLRequest`, in place of a protocol version.
+const TLS_REQUEST_CODE: u32 = 80_877_103;
+/// The code of a `GSSENCRequest`, in place of a protocol version.
+const GSS_REQUEST_CODE: u32 = 80_877_104;
 const CANCEL_REQUEST_BYTES: usize = 16;
+/// Offset of the number of the connection in a `CancelRequest`.
 const CANCEL_CONNECTION_OFFSET: usize = 8;
+/// Offset of the secret key in a `CancelRequest`.
 const CANCEL_KEY_OFFSET: usize = 12;
 
 /// The first message of a client's connection.
@@ -72,8 +80,8 @@
         return Ok(None);
     }
     let request = match u32_at(bytes, LENGTH_BYTES) {
-        Some(TLS_CODE | GSS_CODE) => StartupRequest::Encryption,
-        Some(CANCEL_CODE) => StartupRequest::Cancel,
+        Some(TLS_REQUEST_CODE | GSS_REQUEST_CODE) => StartupRequest::Encryption,
+        Some(CANCEL_REQUEST_CODE) => StartupRequest::Cancel,
         Some(version) if version & MAJOR_VERSION_MASK == VERSION_3 => {
             StartupRequest::Session { minor: version as u16 }
         }
--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -128,9 +128,9 @@
 /// bytes of the statement must not arrive after the bound.
 #[test]
 fn bounded_read_received_too_slowly_never_arrives_complete() {
-    const BOUND: Duration = Duration::from_secs(3);
+    const STALENESS_BOUND: Duration = Duration::from_secs(3);
     let primary = ScriptedHost::primary(|_, _| answer("new"));
-    let position = SystemTime::now() - BOUND + Duration::from_millis(600);
+    let position = SystemTime::now() - STALENESS_BOUND + Duration::from_millis(600);
     let (replica, complete) = slowly_reading_replica(position, Duration::from_millis(900));
     let hosts = [ready_primary("p", primary.address), ready_replica("r", replica)];
     let router = Router::start(configuration(&hosts));
@@ -142,7 +142,7 @@
     );
     let long = read_request(1, 2_500).replace("'k1'", &format!("'{}'", "k".repeat(100_000)));
     let got = client.execute(&long);
-    let too_late = complete.try_iter().find(|at| *at > position + BOUND);
+    let too_late = complete.try_iter().find(|at| *at > position + STALENESS_BOUND);
     assert_eq!(
         too_late, None,
         "the replica must not receive a complete read after its data exceed the bound; the client got {got:?}"
--- a/crates/comethitchd/tests/support/configuration.rs
+++ b/crates/comethitchd/tests/support/configuration.rs
@@ -8,7 +8,7 @@
 pub(crate) const SAMPLE_CONFIGURATION: &str = include_str!("../../../../deploy/configuration.json");
 
 /// Descriptor limit that a test does not reach unintentionally.
-const DEFAULT_SOCKET_LIMIT: usize = 1024;
+const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
 
 /// Discovery address of tests without a discovery service: nothing listens on this port.
 const UNREACHABLE_DISCOVERY: &str = "127.0.0.1:1";
@@ -40,7 +40,7 @@
 /// Returns a configuration whose initial endpoint list has version 7 and these hosts, without a discovery
 /// service.
 pub(crate) fn configuration(hosts: &[Value]) -> Value {
-    configuration_with_sockets(hosts, DEFAULT_SOCKET_LIMIT)
+    configuration_with_sockets(hosts, DEFAULT_DESCRIPTOR_LIMIT)
 }
 
 /// Returns a configuration with one primary.
--- a/crates/comethitchd/tests/system_calls.rs
+++ b/crates/comethitchd/tests/system_calls.rs
@@ -92,12 +92,12 @@
 /// from 500 ms on.
 #[test]
 fn unwritable_log_loses_no_request() {
-    const FULL_FROM: Duration = Duration::from_millis(500);
+    const WRITES_FAIL_FROM: Duration = Duration::from_millis(500);
     let primary = ScriptedHost::primary(|_, _| answer("value"));
     let config = single_primary_configuration(primary.address);
-    let settings = format!("seed=1,stderr=1,from_ms={}", FULL_FROM.as_millis());
+    let settings = format!("seed=1,stderr=1,from_ms={}", WRITES_FAIL_FROM.as_millis());
     let daemon = Daemon::start_with_faults("full-log", &config, &settings);
-    sleep(FULL_FROM);
+    sleep(WRITES_FAIL_FROM);
     let mut client = PostgresClient::connect(daemon.address);
     for id in 1..=10 {
         // The shard does not exist, so the request is throttled, and the daemon tries to log this.
