--- a/crates/comethitch-fleet/src/connection_slots.rs
+++ b/crates/comethitch-fleet/src/connection_slots.rs
@@ -1,6 +1,7 @@
 //! Backoff from a host that accepts no more connections.
 //!
-//! A host accepts a limited number of connections and rejects further ones. When the host rejects a
+//! A host accepts a limited number of connections and rejects further ones. A router that tried to connect
+//! for each request would cause work at the host without getting a connection. When the host rejects a
 //! connection of a router, the router limits its attempts in flight there to their current number. It tries
 //! one additional connection after an exponential backoff with jitter, so that routers rejected at the same
 //! time do not retry at the same time.
@@ -13,7 +14,8 @@
 /// Maximum number of times that the backoff is doubled. Longer backoffs are not needed, because other routers
 /// close idle connections within tens of seconds.
 const MAX_DOUBLINGS: u32 = 4;
-/// Divisor of the idle timeout of connections while connection slots are scarce.
+/// Divisor of the maximum idle timeout: while connection slots are scarce, connections are closed once they
+/// have been idle for a sixteenth of it.
 const SCARCE_IDLE_DIVISOR: u64 = 16;
 
 /// A router's estimate of the connection slots at one host.
--- a/crates/comethitch-testkit/src/tds/client.rs
+++ b/crates/comethitch-testkit/src/tds/client.rs
@@ -1,12 +1,12 @@
 //! The client side of a TDS connection: the login, batches, and decoding of replies.
 
-use super::{CLIENT_PACKET_SIZE, encode, read_message, write_message};
+use super::{CLIENT_PACKET_BYTES, encode, read_message, write_message};
 use crate::error::ConnectionError;
 use crate::reply::Reply;
-use comethitch_tds::login::{Login, Prelogin, VERSION};
+use comethitch_tds::login::{Login, Prelogin, TDS_VERSION};
 use comethitch_tds::packet::{INITIAL_PACKET_BYTES, MessageKind};
 use comethitch_tds::request::Batch;
-use comethitch_tds::token::{Message, ParsedToken, Token, TokenReader, done};
+use comethitch_tds::token::{ParsedToken, ServerMessage, Token, TokenReader, done};
 use comethitch_tds::types::Value;
 use std::net::TcpStream;
 
@@ -30,8 +30,8 @@
 
 fn login() -> Login {
     Login {
-        version: VERSION,
-        packet_size: CLIENT_PACKET_SIZE as u32,
+        version: TDS_VERSION,
+        packet_size: CLIENT_PACKET_BYTES as u32,
         user: "portal".into(),
         database: "crm".into(),
         ..Login::default()
@@ -55,7 +55,7 @@
 pub(crate) fn batch(text: &str) -> Vec<u8> {
     let mut payload = Vec::new();
     Batch::put(&mut payload, text);
-    encode(MessageKind::Batch, CLIENT_PACKET_SIZE, &payload)
+    encode(MessageKind::Batch, CLIENT_PACKET_BYTES, &payload)
 }
 
 /// Reads the next reply, up to its final DONE token.
@@ -100,7 +100,7 @@
 }
 
 /// Maps an ERROR token to a reply by its number.
-fn classify_error(message: Message) -> Reply {
+fn classify_error(message: ServerMessage) -> Reply {
     match message.number {
         THROTTLED => Reply::Throttled,
         REJECTED => Reply::Rejected(message.text),
--- a/crates/comethitchd/tests/send_guard.rs
+++ b/crates/comethitchd/tests/send_guard.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant, SystemTime};
 use support::{
     ClientReply, DISCONNECT_GRACE, Daemon, LateHost, PostgresClient, Router, ScriptedHost, answer,
-    configuration, message, parameter_status, read_request, ready, ready_primary, ready_replica, row,
-    single_primary_configuration, write_request,
+    configuration, message, one_row_answer, parameter_status, read_request, ready, ready_primary,
+    ready_replica, single_primary_configuration, write_request,
 };
 
 /// Returns what the connection that received the request with this id has received, or `None` if there is
@@ -116,7 +116,9 @@
         let vitals = format!("x0={}.{:03},x1=0", unix_ms / 1000, unix_ms % 1000);
         let value = if is_long { "stale".into() } else { vitals };
         stream
-            .write_all(&[row(value.as_bytes()), parameter_status("rank", "copy"), ready()].concat())
+            .write_all(
+                &[one_row_answer(value.as_bytes()), parameter_status("rank", "copy"), ready()].concat(),
+            )
             .ok()?;
     }
 }
@@ -126,9 +128,9 @@
 /// bytes of the statement must not arrive after the bound.
 #[test]
 fn bounded_read_received_too_slowly_never_arrives_complete() {
-    const BOUND: Duration = Duration::from_secs(3);
+    const STALENESS_BOUND: Duration = Duration::from_secs(3);
     let primary = ScriptedHost::primary(|_, _| answer("new"));
-    let position = SystemTime::now() - BOUND + Duration::from_millis(600);
+    let position = SystemTime::now() - STALENESS_BOUND + Duration::from_millis(600);
     let (replica, complete) = slowly_reading_replica(position, Duration::from_millis(900));
     let hosts = [ready_primary("p", primary.address), ready_replica("r", replica)];
     let router = Router::start(configuration(&hosts));
@@ -140,7 +142,7 @@
     );
     let long = read_request(1, 2_500).replace("'k1'", &format!("'{}'", "k".repeat(100_000)));
     let got = client.execute(&long);
-    let too_late = complete.try_iter().find(|at| *at > position + BOUND);
+    let too_late = complete.try_iter().find(|at| *at > position + STALENESS_BOUND);
     assert_eq!(
         too_late, None,
         "the replica must not receive a complete read after its data exceed the bound; the client got {got:?}"
