--- a/crates/comethitchd/tests/limits.rs
+++ b/crates/comethitchd/tests/limits.rs
@@ -69,8 +69,8 @@
     router.shut_down();
 }
 
-/// Guards against requests that wait for a descriptor until their timeout. 22 requests that wait for a shard
-/// without hosts use up the limit of 64 descriptors.
+/// Guards against requests that wait for a descriptor until their timeout. With 64 descriptors, 22 requests
+/// that wait for a shard without hosts reach the limit of requests in progress.
 #[test]
 fn requests_past_the_descriptor_limit_are_throttled_at_once() {
     let other_shard = |id: u32| query(&write_request(id, 60_000).replace("cluster=0", "cluster=1"));
@@ -81,12 +81,17 @@
     config["settings"]["classes"][2]["target_us"] = 60_000_000.into();
     config["settings"]["permissions"]["connect_timeout_us"] = 10_000_000.into();
     let router = Router::start(config);
-    let mut waiting: Vec<PostgresClient> = (0..22).map(|_| PostgresClient::connect(router.address)).collect();
-    // These ids differ from those of the requests below, since the id of a request in flight is rejected.
-    let waiting_ids = 1_000_000..;
-    waiting_ids
-        .zip(&mut waiting)
-        .for_each(|(id, client)| client.stream.write_all(&other_shard(id)).expect("the bytes are sent"));
+    // These ids differ from those of the requests below, since the id of a request in flight is rejected. Each
+    // request is sent right after its connection is established: when few descriptors are free, the router
+    // may close a connection that has not sent a complete request within 62 ms.
+    let waiting_ids = 1_000_000..1_000_022;
+    let waiting: Vec<PostgresClient> = waiting_ids
+        .map(|id| {
+            let mut client = PostgresClient::connect(router.address);
+            client.stream.write_all(&other_shard(id)).expect("the bytes are sent");
+            client
+        })
+        .collect();
     let mut throttled = |id| {
         PostgresClient::connect(router.address).execute(&write_request(id, 5_000))
             == ClientReply::error("53300")
